--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -13,15 +13,15 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.config import read_config
+from thornshelf.configuration import read_config
 from thornshelf.control.core_tables import CoreTables
-from thornshelf.control.frames import Asked, End, Page, pack
-from thornshelf.control.history import History, Tallies
-from thornshelf.control.readers import Readers
+from thornshelf.control.framing import QueryEnd, QueryRequest, RowPage, encode_frame
+from thornshelf.control.history import ErrorCounters, History
+from thornshelf.control.query_sessions import QuerySessions
 from thornshelf.control.tables import Catalog
-from thornshelf.core import Attempt, Dispatcher, ListChange, NodeEntry, SetUp
-from thornshelf.core.releases import Absent
-from thornshelf.core.tasks import State
+from thornshelf.core import Attempt, Dispatcher, EndpointListUpdate, NodeEndpoint, TaskRequest
+from thornshelf.core.releases import DisconnectedClient
+from thornshelf.core.task import TaskState
 from thornshelf.loop import Loop
 
 TASKS, NODES, STEPS = 100_000, 1_024, 20_000
@@ -51,10 +51,10 @@
 
     def say(self, word: Any) -> int:
         """A word."""
-        size = len(pack(word))
+        size = len(encode_frame(word))
         self.bytes += size
-        self.over = self.over or isinstance(word, End)
-        if isinstance(word, Page):
+        self.over = self.over or isinstance(word, QueryEnd)
+        if isinstance(word, RowPage):
             self.rows += len(word.rows)
             self.pages += 1
         return size
@@ -69,17 +69,17 @@
     config = read_config({"LB_CONFIG": str(Path(__file__).parent.parent / "examples" / "config.json")})
     core = Dispatcher(Loop(), config.settings, 1, lambda *_: Still(), lambda *_: None)  # type: ignore[arg-type, return-value]
     named = [
-        NodeEntry(
+        NodeEndpoint(
             f"s-{n + 1:08x}", f"127.0.0.1:{n + 1}", core_health(), "node-small", "jackson-dc", 1, 1.0, None
         )
         for n in range(NODES)
     ]
-    core.list_changed(ListChange(True, 1, named))
+    core.list_changed(EndpointListUpdate(True, 1, named))
     core.turn()
     machines = list(core.roster.nodes)
     for uid in range(1, TASKS + 1):
-        setup = SetUp(
-            Absent("h"),
+        setup = TaskRequest(
+            DisconnectedClient("h"),
             uid,
             "lookup",
             "hollis-county",
@@ -93,25 +93,25 @@
         )
         task = core.numbered(setup)
         core.know(task, uid)
-        task.machine, task.state = machines[uid % NODES], State.STANDING
+        task.machine, task.state = machines[uid % NODES], TaskState.RUNNING
         core.roster.nodes[task.machine].standing.add(uid)  # type: ignore[attr-defined]
     return core
 
 
 def core_health() -> Any:
     """In service."""
-    from glenshift.interface import Health
+    from thornshelf.placement.interface import Health
 
     return Health.UP
 
 
 def read(core: Dispatcher, catalog: Catalog, table: str) -> dict[str, Any]:
     """One table, whole, by two shells at once."""
-    readers, shells = Readers("m0", catalog, None, lambda: 1, 16), [Shell(), Shell()]
+    readers, shells = QuerySessions("m0", catalog, None, lambda: 1, 16), [Shell(), Shell()]
     began, turns, worst, wall = time.monotonic(), 0, 0, 0
     for shell in shells:
         names = [column.name for column in catalog.table(table).columns]
-        readers.take(shell, Asked(1, table, names), core.loop.now)
+        readers.take(shell, QueryRequest(1, table, names), core.loop.now)
     while len(readers):
         core.loop.turn(True)
         cpu, clock = time.thread_time_ns(), time.monotonic_ns()
@@ -132,7 +132,9 @@
     for uid in range(1, STEPS + 1):
         history.note(core.loop.now, uid, uid, "offered", 1 + uid % NODES, "attempt", 0)
     catalog = Catalog()
-    catalog.add(*CoreTables(core, history, Tallies(), lambda us: us // 1000).tables(lambda: core.settings))
+    catalog.add(
+        *CoreTables(core, history, ErrorCounters(), lambda us: us // 1000).tables(lambda: core.settings)
+    )
     # In a dispatcher these tables are old before they are large; a young one of 100,000 costs a collection 17 ms.
     gc.collect()
     said: dict[str, Any] = {
@@ -142,7 +144,9 @@
     count = 200_000
     for name, held in (("step_off_ns", None), ("step_on_ns", history)):
         core.history = held
-        took = timeit.timeit(lambda: core._step(task, 1, "ended", 5, State.OPEN, State.OPEN), number=count)
+        took = timeit.timeit(
+            lambda: core._step(task, 1, "ended", 5, TaskState.OPEN, TaskState.OPEN), number=count
+        )
         said[name] = round(took / count * 1e9)
     print(json.dumps(said))
 
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -13,11 +13,11 @@
 from collections import deque
 from dataclasses import replace
 
-from glenshift import fleet
-from glenshift import interface as api
-from glenshift.brain import Placer
 from tests.conftest import SAFE, entry, listing, settings
 from tests.test_fleet import LEDGER, Plain
+from thornshelf.placement import interface as api
+from thornshelf.placement import machine_index
+from thornshelf.placement.placer import Placer
 
 PLACERS = 16
 LOOKUP = replace(SAFE, deadline_s=8.0, aim_s=0.8)
@@ -44,14 +44,14 @@
         replace(LEDGER, deadline_s=10.0),
         placers=PLACERS,
         fleet=0.2,
-        admit_cores=3.0,
-        admit_memory=2.0,
+        overcommit_cores=3.0,
+        overcommit_memory=2.0,
     )
     one = make(terms, 1)
     kinds = {m: chance.choice(("small", "large")) for m in range(1, machines + 1)}
     one.handle(0.0, [listing(*(entry(m, kind=kind) for m, kind in kinds.items()))])
     held = dict.fromkeys(kinds, (0.0, 0.0))
-    standing: deque[tuple[float, api.Ask, int]] = deque()
+    standing: deque[tuple[float, api.PlacementRequest, int]] = deque()
     spent = longest = now = 0.0
     asked = offered = 0
     shapes = [(chance.choice((0.5, 1.0, 2.0)), chance.choice((1.0, 2.0, 3.0))) for _ in range(2 * machines)]
@@ -62,24 +62,26 @@
             _, ask, m = standing.popleft()
             held[m] = held[m][0] - ask.cores, held[m][1] - ask.memory
             size = (8.0, 16.0) if kinds[m] == "small" else (32.0, 64.0)
-            report = api.Report(*(size[k] - PLACERS * held[m][k] for k in (0, 1)))
-            events.append(api.Ended(ask.request, m, 0, api.Outcome.OK, api.Reason.UNTOLD, True, 1.0, report))
+            report = api.LoadReport(*(size[k] - PLACERS * held[m][k] for k in (0, 1)))
+            events.append(
+                api.AttemptEnded(ask.request, m, 0, api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report)
+            )
         service = chance.randrange(len(shapes))
         asks = {}
         for _ in range(4):
             asked += 1
             cores, memory = shapes[service]
-            asks[asked] = api.Ask(asked, "safe", None, asked, 8.0, None, service, cores, memory)
+            asks[asked] = api.PlacementRequest(asked, "safe", None, asked, 8.0, None, service, cores, memory)
         if number % 20 == 0:
-            asks[asked] = api.Ask(asked, "ledger", None, asked, 10.0, None, asked, 6.0, 14.0)
+            asks[asked] = api.PlacementRequest(asked, "ledger", None, asked, 10.0, None, asked, 6.0, 14.0)
         began = time.perf_counter()
         actions = one.handle(now, [*events, *asks.values()])
         took = time.perf_counter() - began
         spent, longest = spent + took, max(longest, took)
         for action in actions:
-            if isinstance(action, api.Offer):
+            if isinstance(action, api.StartAttempt):
                 ask, m, offered = asks[action.request], action.machine, offered + 1
-                one.handle(now, [api.Placed(ask.request, m, 0, 0.1)])
+                one.handle(now, [api.AttemptAccepted(ask.request, m, 0, 0.1)])
                 held[m] = held[m][0] + ask.cores, held[m][1] + ask.memory
                 standing.append((now + machines / 100.0, ask, m))
     return spent / asked * 1e3, longest * 1e3, offered, one
@@ -87,13 +89,13 @@
 
 def rounds(machines: int, batches: int) -> None:
     """What working all views out anew costs in one go, and by slices; a line."""
-    usual, found = fleet.SLICE, []
+    usual, found = machine_index.SLICE, []
     for slice_of in (1 << 30, usual):
-        fleet.SLICE = slice_of
+        machine_index.SLICE = slice_of
         cost, _, offered, one = run(Timed, machines, batches)
         assert isinstance(one, Timed)
         found.append((statistics.median(one.surveys), max(one.surveys), cost, offered))
-    fleet.SLICE = usual
+    machine_index.SLICE = usual
     print(
         f"{machines:5} machines: a look at all views holds a call up for"
         f" {found[0][0]:5.2f} ms (at most {found[0][1]:5.2f}) in one go,"
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable
 from functools import partial
 
-from thornshelf.admission.door import Door, DoorTerms, Limits, Rule
+from thornshelf.admission.controller import AdmissionConfig, AdmissionController, Limits, PrefixRule
+from thornshelf.admission.fair_queue import FairQueue, FairQueueConfig
 from thornshelf.admission.gcra import Rate
-from thornshelf.admission.heavy import HeavySources
-from thornshelf.admission.prefixes import LengthDicts, PrefixTable, read_prefix
-from thornshelf.admission.reserve import ReserveTerms
-from thornshelf.admission.shares import ShareQueue, ShareTerms
+from thornshelf.admission.heavy_hitters import SpaceSavingCounter
+from thornshelf.admission.prefixes import PerLengthPrefixTable, PrefixTable, parse_prefix
+from thornshelf.admission.reserved_connections import ReservedConnectionsConfig
 
 
 def us_each(call: Callable[[int], object], count: int) -> float:
@@ -46,10 +46,10 @@
 
 def verdicts() -> None:
     """A verdict on a set-up, and on a connection with its close."""
-    rules = tuple(Rule(f"r{n}", read_prefix(f"10.{n}.0.0/16"), known=n % 2 == 0) for n in range(100))
+    rules = tuple(PrefixRule(f"r{n}", parse_prefix(f"10.{n}.0.0/16"), known=n % 2 == 0) for n in range(100))
     each = Limits(50, Rate(1000, 1_000_000, 1000), Rate(100_000, 1_000_000, 100_000))
     for sources in (10, 10_000, 1_000_000):
-        door = Door(DoorTerms(ReserveTerms(10**9, 100, 10), rules, each))
+        door = AdmissionController(AdmissionConfig(ReservedConnectionsConfig(10**9, 100, 10), rules, each))
         addresses = [str(ipaddress.ip_address((10 << 24) + n)) for n in range(sources)]
         for number in range(min(sources, 50_000)):
             given = door.connect(addresses[number], 0, 0)[1]
@@ -60,11 +60,11 @@
         assert given is not None
         one, now = given, [10**6]
 
-        def set_up(_: int, door: Door = door, one: object = one, now: list[int] = now) -> None:
+        def set_up(_: int, door: AdmissionController = door, one: object = one, now: list[int] = now) -> None:
             now[0] += 100
             door.set_up(one, now[0])  # type: ignore[arg-type]
 
-        def connect(number: int, door: Door = door, now: list[int] = now) -> None:
+        def connect(number: int, door: AdmissionController = door, now: list[int] = now) -> None:
             now[0] += 100
             found = door.connect(addresses[number * 7919 % len(addresses)], now[0], 0)[1]  # noqa: B023
             if found is not None:
@@ -74,8 +74,8 @@
         print(f"{sources:>9} sources: set-up {cost[0]:.2f} us, connection {cost[1]:.2f} us, {len(door)} kept")
 
 
-def _sketch(sources: int) -> HeavySources[int]:
-    table = HeavySources[int](4096)
+def _sketch(sources: int) -> SpaceSavingCounter[int]:
+    table = SpaceSavingCounter[int](4096)
     for number in range(sources):
         table.add(number)
     return table
@@ -87,7 +87,7 @@
         bounded = memory(partial(_sketch, sources))
         plain = memory(partial(Counter, range(sources)))
         print(f"{sources:>9} sources: sketch {bounded:.2f} MiB, plain counter {plain:.2f} MiB")
-    table, rng = HeavySources[int](4096), random.Random(1)
+    table, rng = SpaceSavingCounter[int](4096), random.Random(1)
     draws = [rng.randrange(10**6) for _ in range(100_000)]
     print(f"          an addition: {us_each(lambda number: table.add(draws[number]), len(draws)):.2f} us")
 
@@ -96,7 +96,7 @@
     """The trie beside a dict for each length."""
     rng = random.Random(2)
     for count, lengths in ((100, (8, 16, 24)), (10_000, tuple(range(8, 33)))):
-        trie, dicts = PrefixTable[int](), LengthDicts[int]()
+        trie, dicts = PrefixTable[int](), PerLengthPrefixTable[int]()
         for number in range(1, count + 1):
             length = rng.choice(lengths)
             prefix = (4, rng.randrange(2**32) >> (32 - length), length)
@@ -107,20 +107,20 @@
         print(f"{count:>9} prefixes of {len(lengths)} lengths: trie {cost[0]:.2f} us, dicts {cost[1]:.2f} us")
 
 
-def _lookup(table: PrefixTable[int] | LengthDicts[int], asked: list[int]) -> Callable[[int], object]:
+def _lookup(table: PrefixTable[int] | PerLengthPrefixTable[int], asked: list[int]) -> Callable[[int], object]:
     return lambda number: list(table.matches(4, asked[number]))
 
 
 def shares() -> None:
     """Put and take, beside sorting a list for each turn."""
-    terms = ShareTerms({"hollis-county": 0.72, "pruett-county": 0.28}, a_turn=1)
+    terms = FairQueueConfig({"hollis-county": 0.72, "pruett-county": 0.28}, batch_size=1)
     for waiting in (100, 10_000):
-        queue, plain = ShareQueue[int](terms), list[tuple[int, int]]()
+        queue, plain = FairQueue[int](terms), list[tuple[int, int]]()
         for number in range(waiting):
             queue.put(number, 0, 10**12 + number, "hollis-county" if number % 3 else "pruett-county", 0)
             plain.append((0, 10**12 + number))
 
-        def step(number: int, queue: ShareQueue[int] = queue) -> None:
+        def step(number: int, queue: FairQueue[int] = queue) -> None:
             queue.put(number, 0, 10**12 + number, "hollis-county", 0)
             queue.turn(0)
 
--- a/benchmarks/view.py
+++ b/benchmarks/membership.py
@@ -1,6 +1,6 @@
 """What the view of the fleet costs a dispatcher: an earlier version, this one without it, and with it, side by side.
 
-    python -m benchmarks.view [TREE_OF_AN_EARLIER_VERSION]
+    python -m benchmarks.membership [TREE_OF_AN_EARLIER_VERSION]
 
 Each is a process of its own under the same load; with the view there are eleven others, views without dispatchers in
 this process. Processor time for a task in microseconds, and memory; three rounds, the least counts.
@@ -14,20 +14,20 @@
 import time
 from pathlib import Path
 
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
+from thornshelf.lab.fakes.cluster import BINARY, JSON
 from thornshelf.lab.fleet import KEY
-from thornshelf.lab.links import ListKeeper, Relays, private, public
-from thornshelf.lab.load import LOOKUP, County, LoadNode
+from thornshelf.lab.load import LOOKUP, ClientPopulation, LoadNode
+from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.lab.standins import BINARY, JSON
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop
-from thornshelf.membership.terms import Terms
-from thornshelf.membership.view import View
+from thornshelf.membership.config import MembershipConfig
+from thornshelf.membership.protocol import MembershipProtocol
 
 SECONDS, TASKS_S, OTHERS = 8.0, 60, 11
 
 
-def _others(loop: Loop, relays: Relays) -> None:
+def _others(loop: Loop, relays: DatagramRelays) -> None:
     """Members without a dispatcher, in this process."""
     import socket
 
@@ -40,8 +40,11 @@
         sock.bind((private(index), relays.port))
         address = f"{public(index)}:{relays.port}"
         seeds = (f"{public(0)}:{relays.port}",)
-        view = View(
-            Terms("lab", f"x{index}", address, seeds, KEY.encode()), index + 1, loop.now, random.Random(index)
+        view = MembershipProtocol(
+            MembershipConfig("lab", f"x{index}", address, seeds, KEY.encode()),
+            index + 1,
+            loop.now,
+            random.Random(index),
         )
         while True:
             due = view.pass_time(loop.now)
@@ -62,8 +65,8 @@
 
 def round_of(name: str, tree: Path | None) -> tuple[float, int, int]:
     """Processor time a task in microseconds, memory in kB, tasks placed."""
-    loop, truth = Loop(), Truth()
-    relays, keeper = Relays(loop, OTHERS + 1, 1), ListKeeper(loop, 1)
+    loop, truth = Loop(), Oracle()
+    relays, keeper = DatagramRelays(loop, OTHERS + 1, 1), FakeEndpointSource(loop, 1)
     nodes = [LoadNode(loop, BINARY, truth, random.Random(n)) for n in range(10)]
     if name == "with it":
         _others(loop, relays)
@@ -88,7 +91,7 @@
         while not process.ready():
             loop.after(10_000, lambda: None)
             loop.turn()
-        county = County(loop, process.fronts, JSON, truth, random.Random(1))
+        county = ClientPopulation(loop, process.fronts, JSON, truth, random.Random(1))
 
         def turn(until: float) -> None:
             while time.monotonic() < until:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,18 +8,18 @@
 
 import pytest
 
-from glenshift import interface as api
-from glenshift.brain import Placer
-from thornshelf.lab import standins
+from thornshelf.lab.fakes import cluster
+from thornshelf.placement import interface as api
+from thornshelf.placement.placer import Placer
 
 pytest_plugins = ("tests.known_red",)
 
-SAFE = api.TaskClass(name="safe", aim_s=1.0, deadline_s=6.0, start_worth_s=8.0)
+SAFE = api.TaskClass(name="safe", latency_objective_s=1.0, deadline_s=6.0, start_weight_s=8.0)
 
 
 def settings(*classes: api.TaskClass, **changes: Any) -> api.Settings:
     """A small deployment; ``changes`` replace fields of it, of its limits or of its rules."""
-    limits = api.Limits(attempts=3, may_cancel=True, may_probe=True)
+    limits = api.Limits(max_attempts=3, may_cancel=True, may_probe=True)
     rules = api.Rules(0.008, 0.5, 0.25, 10.0, 3.0, 1.0, 12.0, 10.0)
     base = api.Settings(
         me=0,
@@ -34,21 +34,21 @@
         rules=rules,
         cores_by_kind=(8.0, 32.0),
         memory_by_kind=(16.0, 64.0),
-        admit_cores=1.0,
-        admit_memory=1.0,
+        overcommit_cores=1.0,
+        overcommit_memory=1.0,
         unit_cores=1.0,
         mean_memory=1.0,
         accepts_before_running=True,
-        reports_count_use=False,
+        reports_count_usage=False,
         reports_in_answers=True,
         reports_in_probes=True,
-        shows_free=False,
-        tells_use=True,
-        tells_pressure=True,
-        makes_room=False,
-        one_home=False,
-        make_sure_s=3.0,
-        over_share_worth=0.1,
+        endpoint_list_shows_free=False,
+        reports_usage=True,
+        reports_pressure=True,
+        preempts=False,
+        single_home=False,
+        confirmation_s=3.0,
+        over_quota_weight=0.1,
         list_on_request=False,
         tick_s=0.002,
     )
@@ -60,49 +60,51 @@
     return replace(base, **changes)
 
 
-def entry(machine: int, **changes: Any) -> api.MachineEntry:
+def entry(machine: int, **changes: Any) -> api.Endpoint:
     """A line of the list: a small machine that is up."""
-    base = api.MachineEntry(machine, api.Health.UP, "small", "here", 1, 0.0, 0.0, 1.0, 0.0)
+    base = api.Endpoint(machine, api.Health.UP, "small", "here", 1, 0.0, 0.0, 1.0, 0.0)
     return replace(base, **changes)
 
 
-def listing(*entries: api.MachineEntry, complete: bool = True) -> api.MachineList:
+def listing(*entries: api.Endpoint, complete: bool = True) -> api.EndpointUpdate:
     """A list event."""
-    return api.MachineList(complete, 1, entries)
+    return api.EndpointUpdate(complete, 1, entries)
 
 
-def ask(request: int, **changes: Any) -> api.Ask:
+def ask(request: int, **changes: Any) -> api.PlacementRequest:
     """A small task of the class ``safe``."""
-    base = api.Ask(request, "safe", None, request, 6.0, None, 7, 1.0, 1.0)
+    base = api.PlacementRequest(request, "safe", None, request, 6.0, None, 7, 1.0, 1.0)
     return replace(base, **changes)
 
 
-def ended(request: int, machine: int, outcome: api.Outcome, attempt: int = 0, **changes: Any) -> api.Ended:
+def ended(
+    request: int, machine: int, outcome: api.Outcome, attempt: int = 0, **changes: Any
+) -> api.AttemptEnded:
     """The outcome of an attempt."""
-    base = api.Ended(request, machine, attempt, outcome, api.Reason.UNTOLD, False, 0.1, None)
+    base = api.AttemptEnded(request, machine, attempt, outcome, api.Reason.UNSPECIFIED, False, 0.1, None)
     return replace(base, **changes)
 
 
-def placer(*machines: api.MachineEntry, using: api.Settings | None = None) -> Placer:
+def placer(*machines: api.Endpoint, using: api.Settings | None = None) -> Placer:
     """A placer that has had its list at time 0."""
     one = Placer(using or settings(), 1)
     one.handle(0.0, [listing(*machines)])
     return one
 
 
-def offers(actions: list[api.Action]) -> list[api.Offer]:
+def offers(actions: list[api.Action]) -> list[api.StartAttempt]:
     """The offers among some actions."""
-    return [action for action in actions if isinstance(action, api.Offer)]
+    return [action for action in actions if isinstance(action, api.StartAttempt)]
 
 
-def answers(actions: list[api.Action]) -> list[api.Refuse | api.Fail]:
+def answers(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
     """The final answers among some actions."""
-    return [action for action in actions if isinstance(action, api.Refuse | api.Fail)]
+    return [action for action in actions if isinstance(action, api.Reject | api.Fail)]
 
 
 @pytest.fixture(autouse=True)
 def _close_worlds() -> Iterator[None]:
     """No test leaves sockets to the next."""
     yield
-    while standins.worlds:
-        standins.worlds.pop().close()
+    while cluster.open_clusters:
+        cluster.open_clusters.pop().close()
--- a/tests/golden/operator.py
+++ b/tests/golden/operator.py
@@ -15,51 +15,58 @@
 
 from tests.golden.sample import Format, Sample
 from thornshelf.cli import cli
-from thornshelf.config import read_config
-from thornshelf.control import fleet_tables, frames
-from thornshelf.control.core_tables import CoreTables, flat
-from thornshelf.control.history import History, Tallies
+from thornshelf.configuration import read_config
+from thornshelf.control import fleet_tables, framing
+from thornshelf.control.core_tables import CoreTables, flatten_settings
+from thornshelf.control.history import ErrorCounters, History
 from thornshelf.control.tables import Table
-from thornshelf.lab.standins import CONFIG
-from thornshelf.shell import ready
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
+from thornshelf.shell import saved_queries
 
 # the control socket
 
-ASKED = frames.Asked(
-    number=7, table="tasks", columns=["uid", "node"], only={"node": "s-1", "hint_ms": None}, fleet=True
+ASKED = framing.QueryRequest(
+    number=7, table="tasks", columns=["uid", "node"], filters={"node": "s-1", "hint_ms": None}, fleet=True
 )
-SAID: dict[str, frames.Answer] = {
-    "page": frames.Page(number=7, member="n0", at_ms=1_700_000_000_123, rows=[["a", 1, 0.5, None], []]),
-    "end": frames.End(number=7, told=["n0"], missing=[("n1", "it does not answer")]),
-    "declined": frames.Declined(number=7, code="TS2001", text="no table is called 'x'"),
-    "known": frames.Known(
+SAID: dict[str, framing.Reply] = {
+    "page": framing.RowPage(number=7, member="n0", at_ms=1_700_000_000_123, rows=[["a", 1, 0.5, None], []]),
+    "end": framing.QueryEnd(number=7, answered=["n0"], missing=[("n1", "it does not answer")]),
+    "declined": framing.ErrorReply(number=7, code="TS2001", text="no table is called 'x'"),
+    "known": framing.CatalogReply(
         number=7,
         member="n0",
         version="0.3.0",
         in_fleet=True,
-        tables=[frames.Shape(name="tasks", meaning="each task", columns=[("uid", "TEXT", "its id")])],
+        tables=[framing.TableSchema(name="tasks", meaning="each task", columns=[("uid", "TEXT", "its id")])],
     ),
 }
 
 
 def body_of(data: bytes) -> bytes:
-    (body,) = frames.Words(most=frames.MOST_SAID).take(data)
+    (body,) = framing.FrameDecoder(max_bytes=framing.MAX_REPLY_BYTES).feed(data)
     return body
 
 
-def said_sample(name: str, word: frames.Answer) -> Sample:
-    return Sample(name, lambda: frames.pack(word), lambda data: frames.read_answer(body_of(data)), word)
+def said_sample(name: str, word: framing.Reply) -> Sample:
+    return Sample(
+        name, lambda: framing.encode_frame(word), lambda data: framing.decode_reply(body_of(data)), word
+    )
 
 
 CONTROL = Format(
     "control.txt",
     [
-        Sample("asked", lambda: frames.pack(ASKED), lambda data: frames.read_asked(body_of(data)), ASKED),
+        Sample(
+            "asked",
+            lambda: framing.encode_frame(ASKED),
+            lambda data: framing.decode_request(body_of(data)),
+            ASKED,
+        ),
         Sample(
             "asked-with-least",
-            lambda: frames.pack(frames.Asked(number=0)),
-            lambda data: frames.read_asked(body_of(data)),
-            frames.Asked(number=0),
+            lambda: framing.encode_frame(framing.QueryRequest(number=0)),
+            lambda data: framing.decode_request(body_of(data)),
+            framing.QueryRequest(number=0),
         ),
         *(said_sample(name, word) for name, word in SAID.items()),
     ],
@@ -67,10 +74,10 @@
 
 # the command line
 
-DEPLOY = CONFIG.parent.parent / "deploy"
+DEPLOY = EXAMPLE_CONFIG.parent.parent / "deploy"
 
 
-ENVIRONMENT = {"LB_CONFIG": str(CONFIG), "LB_LISTEN": "127.0.0.1:0"}
+ENVIRONMENT = {"LB_CONFIG": str(EXAMPLE_CONFIG), "LB_LISTEN": "127.0.0.1:0"}
 
 
 def copied(folder: Path) -> Path:
@@ -86,7 +93,7 @@
     """The keys of the table `settings` under a file of deploy/."""
     with tempfile.TemporaryDirectory() as place:
         config = read_config(ENVIRONMENT, str(copied(Path(place)) / name))
-    return json.dumps([key for key, _ in flat(config)]).encode() + b"\n"
+    return json.dumps([key for key, _ in flatten_settings(config)]).encode() + b"\n"
 
 
 def check_config(name: str) -> bytes:
@@ -147,17 +154,17 @@
 def all_tables() -> list[Table]:
     """All tables that a dispatcher in a fleet declares; their rows are never made here."""
     nothing: Any = None
-    core: Any = SimpleNamespace(in_runs=lambda: None)
-    made = list(CoreTables(core, History(1), Tallies(), nothing).tables(nothing))
-    made += [fleet_tables.members(nothing), fleet_tables.evidence(nothing, nothing)]
-    return [*made, fleet_tables.news(nothing), fleet_tables.allowances(nothing)]
+    core: Any = SimpleNamespace(page_tasks=lambda: None)
+    made = list(CoreTables(core, History(1), ErrorCounters(), nothing).tables(nothing))
+    made += [fleet_tables.members_table(nothing), fleet_tables.outlier_evidence_table(nothing, nothing)]
+    return [*made, fleet_tables.drain_gossip_table(nothing), fleet_tables.quota_table(nothing)]
 
 
 def shape(table: Table) -> bytes:
-    return json.dumps([[column.name, column.kind] for column in table.columns]).encode() + b"\n"
+    return json.dumps([[column.name, column.sql_type] for column in table.columns]).encode() + b"\n"
 
 
-def query(one: ready.Ready) -> bytes:
+def query(one: saved_queries.SavedQuery) -> bytes:
     return json.dumps([one.sql, one.fleet]).encode() + b"\n"
 
 
@@ -165,13 +172,17 @@
     "shell.txt",
     [
         *(Sample(f"table-{one.name}", partial(shape, one)) for one in all_tables()),
-        *(Sample(f"query-{one.name}", partial(query, one)) for one in ready.READY),
+        *(Sample(f"query-{one.name}", partial(query, one)) for one in saved_queries.SAVED_QUERIES),
         *(
             Sample(f"settings-{name}", partial(setting_keys, f"{name}.toml"))
             for name in SHIPPED
             if name != "balancer"
         ),
-        Sample("alike", lambda: json.dumps([ready.ALIKE, ready.OWN]).encode() + b"\n"),
+        Sample(
+            "alike",
+            lambda: json.dumps([saved_queries.COMPARED_COLUMNS, saved_queries.MEMBER_SPECIFIC_KEYS]).encode()
+            + b"\n",
+        ),
     ],
     binary=False,
 )
--- a/tests/golden/wires.py
+++ b/tests/golden/wires.py
@@ -11,20 +11,30 @@
 
 from google.protobuf.message import Message
 
-from glenshift.interface import Fact, Health, Outcome, Reason, Report
 from tests.golden.fleet import AT_US, FIRST_UID, KEY, NODE, SECOND_UID, full_setup, make_core
 from tests.golden.sample import Format, Sample
-from thornshelf.core import Aside, Attempt, Finished, Held, NodeEntry, Noted, OwnerCame, SetUp, Started
-from thornshelf.fronts.grpc import DispatchCall, Session
-from thornshelf.fronts.platform import Connection, PlatformFront
-from thornshelf.fronts.speech import Speech1, Speech2
+from thornshelf.core import (
+    AnswerMetadata,
+    Attempt,
+    ClientConnected,
+    NodeEndpoint,
+    TaskFinished,
+    TaskProgress,
+    TaskRequest,
+    TaskStarted,
+    TaskStatusReply,
+)
+from thornshelf.frontends.grpc import DispatchCall, GrpcConnection
+from thornshelf.frontends.grpc_messages import GrpcCodecV1, GrpcCodecV2
+from thornshelf.frontends.json_lines import JsonLinesConnection, JsonLinesFrontend
 from thornshelf.loop import Chunk, Loop, Stream
-from thornshelf.nodes.base import BaseLink
-from thornshelf.nodes.grpc import GrpcLink, GrpcLink2, GrpcNode
-from thornshelf.nodes.platform import PlatformLink, PlatformNode
-from thornshelf.translate.gaps import Hint
-from thornshelf.translate.profiles import Hello
-from thornshelf.translate.words import Advice, Trouble, Why
+from thornshelf.nodes.binary import BinaryLink, BinaryNodeConnection
+from thornshelf.nodes.grpc import GrpcLink, GrpcLinkV2, GrpcNodeConnection
+from thornshelf.nodes.node_connection import NodeLink
+from thornshelf.placement.interface import Health, LoadReport, Outcome, Reason, TaskUpdateKind
+from thornshelf.translation.capabilities import NodeCapabilities
+from thornshelf.translation.failures import FailureCause, FailureReason, RetryAdvice
+from thornshelf.translation.missing_fields import LifetimeHint
 from thornshelf.wire import binary, grpc, jsonl
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire import placement_v2_pb2 as pb2
@@ -44,17 +54,19 @@
         return Chunk(data)
 
 
-WHY = Why(trouble=Trouble.HINT_NEEDED, text="say how long", advice=Advice.CHANGED)
-ASIDE = Aside(hint=Hint(us=15_000_000, assumed=True), joined=True)
+WHY = FailureCause(reason=FailureReason.HINT_NEEDED, text="say how long", advice=RetryAdvice.CHANGED)
+ASIDE = AnswerMetadata(
+    assumed_hint=LifetimeHint(duration_us=15_000_000, assumed=True), joined_running_task=True
+)
 
 # JSON lines
 
 
-def line_of(act: Callable[[Connection], object]) -> bytes:
+def line_of(act: Callable[[JsonLinesConnection], object]) -> bytes:
     """What a client hears in JSON lines."""
-    front: Any = SimpleNamespace(gate=None)
+    front: Any = SimpleNamespace(admission_filter=None)
     stream = Recorder()
-    act(Connection(front=front, stream=stream))
+    act(JsonLinesConnection(frontend=front, stream=stream))
     stream.close()
     return stream.data
 
@@ -65,14 +77,14 @@
     return reader.next()
 
 
-def answer_sample(name: str, act: Callable[[Connection], object], line: jsonl.Line) -> Sample:
+def answer_sample(name: str, act: Callable[[JsonLinesConnection], object], line: jsonl.Line) -> Sample:
     return Sample(name, lambda: line_of(act), read_line, line)
 
 
 def release_line(outcome: Outcome, reason: int) -> Sample:
     return answer_sample(
         f"release-{outcome.value}".replace(" ", "-"),
-        lambda to: to.release(FIRST_UID, outcome, Reason.EVICTED),
+        lambda to: to.send_release(FIRST_UID, outcome, Reason.EVICTED),
         jsonl.Line(kind="stop", uid=FIRST_UID, meta={}, reason=reason),
     )
 
@@ -80,34 +92,36 @@
 ANSWERS = [
     answer_sample(
         "running",
-        lambda to: to.answer(FIRST_UID, "at s-1 é".encode()),
+        lambda to: to.send_running(FIRST_UID, "at s-1 é".encode()),
         jsonl.Line(kind="running", uid=FIRST_UID, meta={}, body="at s-1 é".encode()),
     ),
     answer_sample(
         "running-with-assumed-hint",
-        lambda to: to.answer(5, b"at s-1", ASIDE),
+        lambda to: to.send_running(5, b"at s-1", ASIDE),
         jsonl.Line(kind="running", uid=5, meta={"hint": "15000", "assumed": "hint"}, body=b"at s-1"),
     ),
     answer_sample(
         "refused",
-        lambda to: to.refuse(5, 1_500_000, WHY),
+        lambda to: to.send_rejected(5, 1_500_000, WHY),
         jsonl.Line(kind="stop", uid=5, meta={"wait": "1500", "why": "hint needed: say how long"}, reason=34),
     ),
     answer_sample(
         "refused-without-reason",
-        lambda to: to.refuse(5, None),
+        lambda to: to.send_rejected(5, None),
         jsonl.Line(kind="stop", uid=5, meta={}, reason=34),
     ),
     answer_sample(
-        "failed", lambda to: to.fail(5, WHY), jsonl.Line("stop", 5, {"why": "hint needed: say how long"}, 41)
+        "failed",
+        lambda to: to.send_failed(5, WHY),
+        jsonl.Line("stop", 5, {"why": "hint needed: say how long"}, 41),
     ),
     release_line(Outcome.OK, 16),
     release_line(Outcome.CANCELLED, 31),
     *(release_line(one, 41) for one in Outcome if one not in (Outcome.OK, Outcome.CANCELLED)),
-    answer_sample("move", lambda to: to.move(5), jsonl.Line(kind="migrate", uid=5, meta={})),
+    answer_sample("move", lambda to: to.send_migrate(5), jsonl.Line(kind="migrate", uid=5, meta={})),
     Sample(
         "unreadable",
-        lambda: jsonl.encode_line(kind="stop", uid=jsonl.UNNAMED, reason=jsonl.UNREADABLE),
+        lambda: jsonl.encode_line(kind="stop", uid=jsonl.UNKNOWN_UID, reason=jsonl.UNREADABLE),
         read_line,
         jsonl.Line(kind="stop", uid=0, meta={}, reason=100),
     ),
@@ -120,11 +134,11 @@
 ]
 
 
-class ToldFront(PlatformFront):
+class ToldFront(JsonLinesFrontend):
     """A front without a listening socket, for what a client's line becomes in the core."""
 
     def __init__(self) -> None:
-        self.core, self.loop, self.gate, self.ending = make_core(), Loop(), None, False
+        self.core, self.loop, self.admission_filter, self.shutting_down = make_core(), Loop(), None, False
         self._connections = {}
 
 
@@ -133,17 +147,17 @@
     front, stream = ToldFront(), Recorder()
     line = read_line(data)
     assert isinstance(line, jsonl.Line)
-    front._take(Connection(front=front, stream=stream), line, arrived=AT_US)
+    front._handle_line(JsonLinesConnection(frontend=front, stream=stream), line, arrived=AT_US)
     stream.close()
     (item,) = front.core.inbox
-    assert isinstance(item, SetUp) and not stream.data
+    assert isinstance(item, TaskRequest) and not stream.data
     return told_of(item, AT_US)
 
 
-def told_of(item: SetUp, came_us: int) -> tuple[object, ...]:
+def told_of(item: TaskRequest, came_us: int) -> tuple[object, ...]:
     """All that the core is told of a set-up."""
-    told = item.uid, item.task_class, item.tenant, item.key, item.hint_us, item.service
-    return *told, item.cores, item.memory, item.at, item.description, item.deadline_us - came_us
+    told = item.uid, item.task_class, item.tenant, item.idempotency_key, item.lifetime_hint_us, item.service
+    return *told, item.cores, item.memory, item.running_on, item.description, item.deadline_us - came_us
 
 
 def request(meta: dict[str, str], body: bytes | None) -> Callable[[], bytes]:
@@ -183,7 +197,7 @@
 
 # nodes
 
-ENTRY = NodeEntry(
+ENTRY = NodeEndpoint(
     name=NODE,
     address="127.0.0.1:3901",
     health=Health.UP,
@@ -197,38 +211,40 @@
 
 
 def first_link() -> GrpcLink:
-    return GrpcLink(GrpcNode(Loop(), MACHINE, ENTRY, make_core()), Recorder())
+    return GrpcLink(GrpcNodeConnection(Loop(), MACHINE, ENTRY, make_core()), Recorder())
 
 
-def second_link() -> GrpcLink2:
-    return GrpcLink2(
-        GrpcNode(Loop(), MACHINE, ENTRY, make_core()), Recorder(), lambda _: Hint(us=15_000_000, assumed=True)
+def second_link() -> GrpcLinkV2:
+    return GrpcLinkV2(
+        GrpcNodeConnection(Loop(), MACHINE, ENTRY, make_core()),
+        Recorder(),
+        lambda _: LifetimeHint(duration_us=15_000_000, assumed=True),
     )
 
 
-def platform_link() -> PlatformLink:
-    return PlatformLink(PlatformNode(Loop(), MACHINE, ENTRY, make_core()), Recorder())
+def platform_link() -> BinaryLink:
+    return BinaryLink(BinaryNodeConnection(Loop(), MACHINE, ENTRY, make_core()), Recorder())
 
 
-def attempt_of(link: BaseLink) -> Attempt:
+def attempt_of(link: NodeLink) -> Attempt:
     """An offer with all that any form tells of it, and 4.2 s left."""
     now = link.node.loop.now
     return Attempt(
         uid=FIRST_UID,
         number=1,
         task_class="ledger-batch",
-        key=KEY,
+        idempotency_key=KEY,
         description=b"body",
         sent_us=now,
-        until_us=now + 4_200_000,
+        deadline_us=now + 4_200_000,
         machine=MACHINE,
-        setup=full_setup(FIRST_UID),
+        request=full_setup(FIRST_UID),
         priority=2,
-        never_twice=True,
+        at_most_once=True,
     )
 
 
-def sent_by(act: Callable[[PlatformLink], object]) -> Callable[[], bytes]:
+def sent_by(act: Callable[[BinaryLink], object]) -> Callable[[], bytes]:
     """What a node is told in binary messages."""
 
     def encode() -> bytes:
@@ -249,13 +265,13 @@
 def heard_from(data: bytes) -> object:
     """What the core is told of a node's binary message, for which an offer is out."""
     link = platform_link()
-    link.offer(attempt_of(link))
-    assert link.take(data) is None
+    link.send_attempt(attempt_of(link))
+    assert link.receive(data) is None
     return list(link.node.core.inbox)
 
 
 def order(
-    name: str, act: Callable[[PlatformLink], object], kind: int, uid: int, values: dict[int, bytes]
+    name: str, act: Callable[[BinaryLink], object], kind: int, uid: int, values: dict[int, bytes]
 ) -> Sample:
     return Sample(name, sent_by(act), read_binary, binary.Message(type=kind, uid=uid, values=values))
 
@@ -266,7 +282,7 @@
 
 SET_UP_VALUES = {129: b"ledger-batch", 132: b"4200", 141: f"{KEY:016x}".encode(), 174: b"body"}
 LOAD = b"active:1;queue:2;cpu:0.5;avg_ms:3;rps:4;err_rps:5;x0:6;x1:7;nonsense:8"
-REPORT = Report(
+REPORT = LoadReport(
     free_cores=6.0,
     free_memory=7.0,
     active=1.0,
@@ -278,32 +294,34 @@
 )
 CAUSES = {34: Outcome.REFUSED, 47: Outcome.ERROR, 102: Outcome.NOT_SENT, 99: Outcome.BROKEN}
 NOTES = {
-    b"running": Fact.RUNS, b"use_cpu": Fact.CORES_USED, b"use_ram": Fact.MEMORY_USED,
-    b"health": Fact.SERVED_SHARE, b"ram_high": Fact.MACHINE_MEMORY,
+    b"running": TaskUpdateKind.STARTED, b"use_cpu": TaskUpdateKind.CORES_USED, b"use_ram": TaskUpdateKind.MEMORY_USED,
+    b"health": TaskUpdateKind.SERVED_FRACTION, b"ram_high": TaskUpdateKind.MACHINE_MEMORY,
 }  # fmt: skip
 REASONS = {
     b"lack_cpu": Reason.NO_CORES, b"lack_ram": Reason.NO_MEMORY, b"backlog": Reason.QUEUE_FULL,
-    b"unfit": Reason.NOT_HERE, b"killed": Reason.EVICTED, b"displaced": Reason.PUSHED_OUT,
-    b"dismissed": Reason.SENT_AWAY,
+    b"unfit": Reason.NOT_SERVING, b"killed": Reason.EVICTED, b"displaced": Reason.PREEMPTED,
+    b"dismissed": Reason.DRAINED,
 }  # fmt: skip
 
 
-def finished(outcome: Outcome, reason: Reason = Reason.UNTOLD, report: Report | None = None) -> Finished:
-    return Finished(machine=MACHINE, uid=FIRST_UID, outcome=outcome, reason=reason, report=report)
+def finished(
+    outcome: Outcome, reason: Reason = Reason.UNSPECIFIED, report: LoadReport | None = None
+) -> TaskFinished:
+    return TaskFinished(machine=MACHINE, uid=FIRST_UID, outcome=outcome, reason=reason, load_report=report)
 
 
-def noted(fact: Fact, level: float) -> Noted:
-    return Noted(machine=MACHINE, uid=FIRST_UID, fact=fact, level=level)
+def noted(fact: TaskUpdateKind, level: float) -> TaskProgress:
+    return TaskProgress(machine=MACHINE, uid=FIRST_UID, fact=fact, level=level)
 
 
-STARTED = Started(machine=MACHINE, uid=FIRST_UID, description=b"at s-1")
+STARTED = TaskStarted(machine=MACHINE, uid=FIRST_UID, description=b"at s-1")
 BINARY = Format(
     "binary.txt",
     [
-        order("set-up", lambda link: link.offer(attempt_of(link)), 1, FIRST_UID, SET_UP_VALUES),
-        order("release", lambda link: link.cut(FIRST_UID), 12, FIRST_UID, {171: b"\x10"}),
-        order("probe", lambda link: link.probe(), 52, 0, {171: b"\x01"}),
-        order("test", lambda link: link.test(), 52, 1, {171: b"\x00"}),
+        order("set-up", lambda link: link.send_attempt(attempt_of(link)), 1, FIRST_UID, SET_UP_VALUES),
+        order("release", lambda link: link.cancel_task(FIRST_UID), 12, FIRST_UID, {171: b"\x10"}),
+        order("probe", lambda link: link.check_health(), 52, 0, {171: b"\x01"}),
+        order("test", lambda link: link.ping(), 52, 1, {171: b"\x00"}),
         news("answer", binary.ANSWER, {binary.DESCRIPTION: b"at s-1"}, STARTED),
         news(
             "answer-that-is-over",
@@ -358,42 +376,42 @@
     return Sample(name, lambda: grpc.frame(make()), decode, message)
 
 
-def verdicts(speech: Speech1) -> list[Sample]:
+def verdicts(speech: GrpcCodecV1) -> list[Sample]:
     """All that a client of one generation can be told."""
     made = {
-        "binding": lambda: speech.binding(FIRST_UID, b"at s-1", None),
-        "binding-with-assumed-hint": lambda: speech.binding(FIRST_UID, b"at s-1", ASIDE),
-        "refusal": lambda: speech.refusal(FIRST_UID, 1_500_000, WHY),
-        "refusal-without-reason": lambda: speech.refusal(FIRST_UID, None, None),
-        "failure": lambda: speech.failure(FIRST_UID, WHY),
-        "failure-without-reason": lambda: speech.failure(FIRST_UID, None),
-        "unreadable": lambda: speech.unreadable(FIRST_UID, "no such class"),
-        "release-with-reason": lambda: speech.release(FIRST_UID, Outcome.BROKEN, Reason.EVICTED, WHY),
-        "move": lambda: speech.move(FIRST_UID),
-        "check-reply": lambda: speech.check_reply(passed=True),
+        "binding": lambda: speech.encode_running(FIRST_UID, b"at s-1", None),
+        "binding-with-assumed-hint": lambda: speech.encode_running(FIRST_UID, b"at s-1", ASIDE),
+        "refusal": lambda: speech.encode_rejected(FIRST_UID, 1_500_000, WHY),
+        "refusal-without-reason": lambda: speech.encode_rejected(FIRST_UID, None, None),
+        "failure": lambda: speech.encode_failed(FIRST_UID, WHY),
+        "failure-without-reason": lambda: speech.encode_failed(FIRST_UID, None),
+        "unreadable": lambda: speech.encode_invalid_request(FIRST_UID, "no such class"),
+        "release-with-reason": lambda: speech.encode_release(FIRST_UID, Outcome.BROKEN, Reason.EVICTED, WHY),
+        "move": lambda: speech.encode_migrate(FIRST_UID),
+        "check-reply": lambda: speech.check_reply_type(passed=True),
     }
-    found = [framed(f"{speech.form.value}-{name}", make) for name, make in made.items()]
+    found = [framed(f"{speech.wire_form.value}-{name}", make) for name, make in made.items()]
     for one in Outcome:
-        name = f"{speech.form.value}-release-{one.value}".replace(" ", "-")
-        found.append(framed(name, partial(speech.release, FIRST_UID, one, Reason.UNTOLD, None)))
+        name = f"{speech.wire_form.value}-release-{one.value}".replace(" ", "-")
+        found.append(framed(name, partial(speech.encode_release, FIRST_UID, one, Reason.UNSPECIFIED, None)))
     return found
 
 
-def asks(speech: Speech1, full: Message, bare: Message) -> list[Sample]:
+def asks(speech: GrpcCodecV1, full: Message, bare: Message) -> list[Sample]:
     """A client's set-ups, and what the core is told of them."""
 
     def taken_by_the_call(data: bytes) -> object:
         core, loop = make_core(), Loop()
-        front: Any = SimpleNamespace(core=core, gate=None, loop=loop)
-        session = Session(front=front, stream=Recorder())
-        call = DispatchCall(session=session, stream=1, timeout_us=None, speech=speech)
-        assert call.ask(grpc.parse(speech.client_message, data[5:]).ask)
+        front: Any = SimpleNamespace(core=core, admission_filter=None, loop=loop)
+        session = GrpcConnection(frontend=front, stream=Recorder())
+        call = DispatchCall(connection=session, stream_id=1, timeout_us=None, codec=speech)
+        assert call.submit(grpc.parse(speech.client_message_type, data[5:]).ask)
         came, item = core.inbox
-        assert isinstance(came, OwnerCame) and isinstance(item, SetUp)
+        assert isinstance(came, ClientConnected) and isinstance(item, TaskRequest)
         session.stream.close()
-        return told_of(item, loop.arrived)
+        return told_of(item, loop.earliest_arrival_us)
 
-    name = speech.form.value
+    name = speech.wire_form.value
     return [
         Sample(f"{name}-ask", lambda: grpc.frame(full), taken_by_the_call, FULL_TOLD),
         Sample(f"{name}-ask-with-least", lambda: grpc.frame(bare), taken_by_the_call, CALL_TOLD),
@@ -449,18 +467,18 @@
     def decode(data: bytes) -> object:
         link = make_link()
         link._report(grpc.parse(link.report, data[5:]))
-        hello = link.hello if isinstance(link, GrpcLink2) else None
+        hello = link.capabilities if isinstance(link, GrpcLinkV2) else None
         return [*link.node.core.inbox, *([hello] if hello is not None else [])]
 
     return Sample(name, lambda: grpc.frame(report), decode, list(items))
 
 
-CAUSE = Why(trouble=Trouble.LICENCE, text="no licence", advice=Advice.CHANGED)
-HELD = Held(
+CAUSE = FailureCause(reason=FailureReason.LICENCE, text="no licence", advice=RetryAdvice.CHANGED)
+HELD = TaskStatusReply(
     machine=MACHINE,
-    key=KEY,
-    standing=4,
-    asked=FIRST_UID,
+    idempotency_key=KEY,
+    status_code=4,
+    queried_uid=FIRST_UID,
     uid=SECOND_UID,
     description=b"at s-1",
     outcome=Outcome.OK,
@@ -477,13 +495,13 @@
         "v1-ended",
         first_link,
         pb.NodeReport(uid=FIRST_UID, end=pb.End(outcome=pb.ENDED, reason=pb.PUSHED_OUT)),
-        finished(Outcome.OK, Reason.PUSHED_OUT),
+        finished(Outcome.OK, Reason.PREEMPTED),
     ),
     heard(
         "v1-note",
         first_link,
         pb.NodeReport(uid=FIRST_UID, note=pb.Note(fact=pb.RUNS, level=1.0)),
-        noted(Fact.RUNS, 1.0),
+        noted(TaskUpdateKind.STARTED, 1.0),
     ),
     heard(
         "v2-end",
@@ -498,7 +516,9 @@
                 advice=pb2.CHANGED,
             ),
         ),
-        Finished(MACHINE, FIRST_UID, Outcome.BROKEN, Reason.UNTOLD, Report(free_cores=6.0), CAUSE),
+        TaskFinished(
+            MACHINE, FIRST_UID, Outcome.BROKEN, Reason.UNSPECIFIED, LoadReport(free_cores=6.0), CAUSE
+        ),
     ),
     heard(
         "v2-hello",
@@ -506,7 +526,7 @@
         pb2.NodeReport(
             hello=pb2.Hello(generation=2, name="s-1", requires=[pb2.HINT, pb2.KEY], answers_questions=True)
         ),
-        Hello(generation=2, name="s-1", requires=frozenset({1, 4}), answers=True),
+        NodeCapabilities(generation=2, name="s-1", required_fields=frozenset({1, 4}), answers_queries=True),
     ),
     heard(
         "v2-answer",
@@ -531,8 +551,8 @@
     """Names of the services and numbers of the words of the second generation."""
     words = pb2.Reason.items() + pb2.Advice.items() + pb2.Outcome.items() + pb2.Fact.items()
     words += pb2.Standing.items() + pb2.Requirement.items()
-    mine = [Trouble.__members__, Advice.__members__]
-    services = [Speech1.service, Speech2.service, GrpcLink.service, GrpcLink2.service]
+    mine = [FailureReason.__members__, RetryAdvice.__members__]
+    services = [GrpcCodecV1.service_path, GrpcCodecV2.service_path, GrpcLink.service, GrpcLinkV2.service]
     return json.dumps(
         [services, words, [{name: int(one) for name, one in each.items()} for each in mine]]
     ).encode()
@@ -550,14 +570,14 @@
 GRPC = Format(
     "grpc.txt",
     [
-        *verdicts(Speech1()),
-        *verdicts(Speech2()),
+        *verdicts(GrpcCodecV1()),
+        *verdicts(GrpcCodecV2()),
         *asks(
-            Speech1(),
+            GrpcCodecV1(),
             pb.ClientMessage(ask=FIRST_ASK),
             pb.ClientMessage(ask=LEAST_ASK),
         ),
-        *asks(Speech2(), pb2.ClientMessage(ask=SECOND_ASK), pb2.ClientMessage(ask=ASSUMED_ASK)),
+        *asks(GrpcCodecV2(), pb2.ClientMessage(ask=SECOND_ASK), pb2.ClientMessage(ask=ASSUMED_ASK)),
         framed("v1-give-up", lambda: pb.ClientMessage(give_up=FIRST_UID)),
         framed("v2-heard", lambda: pb2.ClientMessage(heard=FIRST_UID)),
         *orders(),
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -10,11 +10,20 @@
 
 import pytest
 
-from glenshift.interface import Outcome, Reason
-from thornshelf.core import Finished, dispatcher, releases
-from thornshelf.fronts import grpc as grpc_front
-from thornshelf.fronts import platform
-from thornshelf.lab.standins import BINARY, DESCRIPTION, GRPC, HOST, JSON, LIMIT_S, Conduct, World
+from thornshelf.core import TaskFinished, dispatcher, releases
+from thornshelf.frontends import grpc as grpc_front
+from thornshelf.frontends import json_lines
+from thornshelf.lab.fakes.cluster import (
+    BINARY,
+    DESCRIPTION,
+    GRPC,
+    HOST,
+    JSON,
+    TIMEOUT_S,
+    NodeBehavior,
+    FakeCluster,
+)
+from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.wire import grpc, jsonl
 
 PLACED, FAILED = ("placed", DESCRIPTION), ("failed", None)
@@ -23,26 +32,26 @@
 
 def hurry(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections are given 50 ms."""
-    for front in (platform, grpc_front):
-        monkeypatch.setattr(front, "FIRST_US", 50_000)
-        monkeypatch.setattr(front, "REST_US", 50_000)
+    for front in (json_lines, grpc_front):
+        monkeypatch.setattr(front, "FIRST_MESSAGE_TIMEOUT_US", 50_000)
+        monkeypatch.setattr(front, "MESSAGE_TIMEOUT_US", 50_000)
 
 
-def stranger(world: World, front: str, host: str = HOST) -> socket.socket:
+def stranger(world: FakeCluster, front: str, host: str = HOST) -> socket.socket:
     """A connection that says nothing yet, from an address of its own."""
-    address = world.service.fronts[front == GRPC].listener.address
-    sock = socket.create_connection(address, timeout=LIMIT_S, source_address=(host, 0))
+    address = world.service.frontends[front == GRPC].listener.address
+    sock = socket.create_connection(address, timeout=TIMEOUT_S, source_address=(host, 0))
     sock.setblocking(False)
     return sock
 
 
-def read_all(world: World, sock: socket.socket) -> bytes:
+def read_all(world: FakeCluster, sock: socket.socket) -> bytes:
     """What comes until the connection ends."""
     said, ended = b"", False
-    limit = time.monotonic() + LIMIT_S
+    limit = time.monotonic() + TIMEOUT_S
     while not ended:
         assert time.monotonic() < limit
-        world.settle(1)
+        world.run_for(1)
         try:
             data = sock.recv(1 << 16)
             said, ended = said + data, not data
@@ -59,65 +68,65 @@
     front: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hurry(monkeypatch)
-    world = World(front)
-    world.client.ask(5, Conduct.END)
-    world.heard(5, 2)
+    world = FakeCluster(front)
+    world.client.ask(5, NodeBehavior.END)
+    world.wait_for_events(5, 2)
     silent = stranger(world, front)
     read_all(world, silent)
-    world.settle(150)
-    world.client.ask(6, Conduct.RUN)
-    assert world.heard(6) == [PLACED] and not world.client.closed
+    world.run_for(150)
+    world.client.ask(6, NodeBehavior.RUN)
+    assert world.wait_for_events(6) == [PLACED] and not world.client.closed
 
 
 @FRONTS
 def test_a_message_that_never_ends_costs_its_connection(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
     hurry(monkeypatch)
-    world = World(front, nodes=1)
-    other = world.join(front)
+    world = FakeCluster(front, nodes=1)
+    other = world.connect_client(front)
     for client, uid in ((world.client, 5), (other, 6)):
-        client.ask(uid, Conduct.SILENT)
-        world.until(lambda uid=uid: world.offers(uid) == 1)  # type: ignore[misc]
+        client.ask(uid, NodeBehavior.SILENT)
+        world.run_until(lambda uid=uid: world.offer_count(uid) == 1)  # type: ignore[misc]
     world.client.stream.send(b'{"kind":"stop"' if front == JSON else b"\0\0\x20\0\0\0\0\0\x01half")
-    world.until(lambda: world.client.closed)
-    world.until(lambda: ("release", 5) in world.nodes[0].seen)  # what was open there is given up
-    world.settle(100)
+    world.run_until(lambda: world.client.closed)
+    world.run_until(lambda: ("release", 5) in world.nodes[0].seen)  # what was open there is given up
+    world.run_for(100)
     assert not other.closed and ("release", 6) not in world.nodes[0].seen
 
 
 def test_an_unreadable_line_gets_a_word_though_its_id_is_not_known() -> None:
-    world = World()
+    world = FakeCluster()
     for line in (b"no json\n", b'{"kind":"launch","meta":{}}\n', b"\xff\xfe\n"):
         world.client.send(line)
-    told: list[Any] = world.heard(jsonl.UNNAMED, 3)
+    told: list[Any] = world.wait_for_events(jsonl.UNKNOWN_UID, 3)
     assert told == [FAILED] * 3
 
 
 @FRONTS
 def test_two_set_ups_under_one_id_end_what_they_came_on(front: str) -> None:
     """Guards against a second answer: the client could not tell which of the two it is for."""
-    world = World(front, nodes=1)
+    world = FakeCluster(front, nodes=1)
     for _ in range(3):
-        world.client.ask(5, Conduct.RUN)
+        world.client.ask(5, NodeBehavior.RUN)
     if front == JSON:
-        world.until(lambda: world.client.closed)
+        world.run_until(lambda: world.client.closed)
     else:
-        world.until(lambda: world.client.call in world.client.status)
+        world.run_until(lambda: world.client.call in world.client.status)
         assert world.client.status[world.client.call]["grpc-status"] == str(grpc.INVALID_ARGUMENT)
-    world.until(lambda: 5 not in world.service.core._tasks or ("offer", 5) in world.nodes[0].seen)
+    world.run_until(lambda: 5 not in world.service.core.tasks_by_uid or ("offer", 5) in world.nodes[0].seen)
     assert len(world.client.heard.get(5, [])) <= 1
     assert world.service.core.open_count == 0
 
 
 @FRONTS
 def test_an_id_in_use_on_another_connection_fails_there_alone(front: str) -> None:
-    world = World(front)
-    other = world.join(front)
-    world.client.ask(5, Conduct.SILENT, left="400")
-    world.until(lambda: world.offers(5) == 1)
-    other.ask(5, Conduct.RUN)
-    world.until(lambda: 5 in other.heard)
+    world = FakeCluster(front)
+    other = world.connect_client(front)
+    world.client.ask(5, NodeBehavior.SILENT, left="400")
+    world.run_until(lambda: world.offer_count(5) == 1)
+    other.ask(5, NodeBehavior.RUN)
+    world.run_until(lambda: 5 in other.heard)
     assert other.heard == {5: [FAILED]} and world.client.heard == {}
-    assert world.heard(5) == [FAILED] and world.offers(5) == 1
+    assert world.wait_for_events(5) == [FAILED] and world.offer_count(5) == 1
 
 
 @FRONTS
@@ -125,57 +134,57 @@
 def test_what_the_settings_do_not_know_is_answered_and_kept_nowhere(
     front: str, change: dict[str, str]
 ) -> None:
-    world = World(front)
-    world.client.ask(5, Conduct.RUN, **change)
-    assert world.heard(5) == [FAILED] and world.offers(5) == 0
-    assert not world.service.core._tasks and not world.service.core.placer.tenant_cores
+    world = FakeCluster(front)
+    world.client.ask(5, NodeBehavior.RUN, **change)
+    assert world.wait_for_events(5) == [FAILED] and world.offer_count(5) == 0
+    assert not world.service.core.tasks_by_uid and not world.service.core.placer.tenant_cores
 
 
 @FRONTS
 def test_nobody_is_waited_for_far_beyond_the_class_s_deadline(front: str) -> None:
     """Guards against timers and tasks that a bad client's figure would keep for days."""
-    world = World(front)
-    world.client.ask(5, Conduct.SILENT, left="999999999")
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster(front)
+    world.client.ask(5, NodeBehavior.SILENT, left="999999999")
+    world.run_until(lambda: world.offer_count(5) == 1)
     core = world.service.core
-    longest = dispatcher.MOST_DEADLINES * core.classes["lookup"].deadline_s
-    assert core._tasks[5].setup.deadline_us <= world.loop.now + longest * 1e6
+    longest = dispatcher.MAX_CLASS_DEADLINES * core.task_classes["lookup"].deadline_s
+    assert core.tasks_by_uid[5].request.deadline_us <= world.loop.now + longest * 1e6
 
 
 @FRONTS
 def test_a_flood_on_one_connection_leaves_time_for_others(front: str) -> None:
-    world = World(front)
-    other = world.join(front)
+    world = FakeCluster(front)
+    other = world.connect_client(front)
     for uid in range(100, 1100):
-        world.client.ask(uid, Conduct.RUN, "no-such-class")
-    other.ask(5, Conduct.RUN)
+        world.client.ask(uid, NodeBehavior.RUN, "no-such-class")
+    other.ask(5, NodeBehavior.RUN)
     most = 0
     while 5 not in other.heard:
         before = len(world.logged)
         world.loop.turn()
         most = max(most, len(world.logged) - before)
     assert most <= 64 and len(world.logged) < 1000
-    world.until(lambda: len(world.client.heard) == 1000)
+    world.run_until(lambda: len(world.client.heard) == 1000)
 
 
 def test_releases_are_not_told_to_strangers() -> None:
     """A release told to whoever opened a connection last is lost; what tasks are placed for is a client's."""
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
     # one of the strangers calls from the client's own host
     sound, silent = stranger(world, JSON, "127.0.0.2"), stranger(world, JSON, "127.0.0.1")
     meta = {"class": "lookup", "left": 8000, "extras": "cores:1;memory:2"}
-    line = {"kind": "launch", "uid": f"{6:016x}", "meta": meta, "body": Conduct.RUN.value.decode()}
+    line = {"kind": "launch", "uid": f"{6:016x}", "meta": meta, "body": NodeBehavior.RUN.value.decode()}
     sound.sendall(json.dumps(line).encode() + b"\n")
-    world.until(lambda: 6 in world.nodes[0].running)
+    world.run_until(lambda: 6 in world.nodes[0].running)
     late = stranger(world, JSON, "127.0.0.4")
     world.client.stream.close()
-    world.settle(10)
+    world.run_for(10)
     world.nodes[0].die()
-    limit, said = time.monotonic() + LIMIT_S, b""
+    limit, said = time.monotonic() + TIMEOUT_S, b""
     while said.count(b'"stop"') < 2 and time.monotonic() < limit:
-        world.settle(20)
+        world.run_for(20)
         try:
             said += sound.recv(1 << 16)
         except BlockingIOError:
@@ -190,16 +199,16 @@
 
 @FRONTS
 def test_room_is_made_by_those_that_said_nothing(front: str) -> None:
-    world = World(front, BINARY)
-    world.client.ask(5, Conduct.RUN if front == JSON else Conduct.END)
-    world.heard(5)
+    world = FakeCluster(front, BINARY)
+    world.client.ask(5, NodeBehavior.RUN if front == JSON else NodeBehavior.END)
+    world.wait_for_events(5)
     if front == GRPC:  # a call that lasts would keep its connection
         world.client.h2.finish(world.client.call, [])
-        world.until(lambda: world.client.call in world.client.status)
+        world.run_until(lambda: world.client.call in world.client.status)
     silent = stranger(world, front)
-    world.until(lambda: world.service.budget.used == 2)
-    world.service.budget.total = world.service.budget.floor = 2
-    world.join(front)
+    world.run_until(lambda: world.service.connection_budget.client_count == 2)
+    world.service.connection_budget.total = world.service.connection_budget.client_floor = 2
+    world.connect_client(front)
     read_all(world, silent)
     assert not world.client.closed
 
@@ -207,17 +216,17 @@
 @FRONTS
 def test_a_crowd_in_one_turn_takes_no_more_descriptors_than_there_are(front: str) -> None:
     """Guards against making room twice by one connection that is closed already: the table ran full."""
-    world = World(front)
-    budget = world.service.budget
-    budget.total = budget.floor = 10
+    world = FakeCluster(front)
+    budget = world.service.connection_budget
+    budget.total = budget.client_floor = 10
     crowd = [stranger(world, front) for _ in range(50)]
-    most, listener = 0, world.service.fronts[front == GRPC]
-    while budget.used < 10 or any(sock.fileno() < 0 for sock in crowd):
+    most, listener = 0, world.service.frontends[front == GRPC]
+    while budget.client_count < 10 or any(sock.fileno() < 0 for sock in crowd):
         world.loop.turn()
     for _ in range(20):
         world.loop.after(1000, lambda: None)
         world.loop.turn()
-        clients: Any = listener._spares._clients
+        clients: Any = listener._idle_evictor._clients
         most = max(most, sum(one.stream.open for one in clients))
     assert most <= 11  # one may be in hand until there is room
     for sock in crowd:
@@ -227,81 +236,87 @@
 @FRONTS
 def test_a_task_ended_on_another_connection_leaves_nothing_on_its_own(front: str) -> None:
     """Guards against a table that grows for as long as a connection lasts."""
-    world = World(front)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
-    owner: Any = world.service.core._tasks[5].holders[5]
-    assert owner.standing == {5}
-    world.join(front).give_up(5)
-    world.until(lambda: 5 not in world.service.core._tasks)
-    assert not owner.standing and world.client.heard[5] == [PLACED]
+    world = FakeCluster(front)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
+    owner: Any = world.service.core.tasks_by_uid[5].subscribers[5]
+    assert owner.running == {5}
+    world.connect_client(front).give_up(5)
+    world.run_until(lambda: 5 not in world.service.core.tasks_by_uid)
+    assert not owner.running and world.client.heard[5] == [PLACED]
 
 
 def test_a_stream_that_ends_with_its_last_release_has_told_it() -> None:
     """The release was in the buffer as the call ended, and was owed a second time."""
-    world = World(GRPC)
+    world = FakeCluster(GRPC)
     core = world.service.core
     for uid in (5, 6):
-        world.client.ask(uid, Conduct.RUN)
-        world.heard(uid)
+        world.client.ask(uid, NodeBehavior.RUN)
+        world.wait_for_events(uid)
     world.client.h2.finish(world.client.call, [])
-    world.settle(10)
-    core.inbox.extend(Finished(core._tasks[uid].machine, uid, Outcome.OK) for uid in (5, 6))
-    world.until(lambda: world.client.call in world.client.status)
+    world.run_for(10)
+    core.inbox.extend(TaskFinished(core.tasks_by_uid[uid].machine, uid, Outcome.OK) for uid in (5, 6))
+    world.run_until(lambda: world.client.call in world.client.status)
     assert [len(world.client.heard[uid]) for uid in (5, 6)] == [2, 2]
-    assert core.counts["released"] == 2 and not core.releases._owed
+    assert core.counters["released"] == 2 and not core.releases._pending
 
 
 def test_releases_that_no_client_comes_for_are_not_kept_for_good(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(releases, "OWED_US", 20_000)
-    world = World(nodes=1)
+    monkeypatch.setattr(releases, "PENDING_TTL_US", 20_000)
+    world = FakeCluster(nodes=1)
     for uid in (5, 6):
-        world.client.ask(uid, Conduct.RUN)
-        world.heard(uid)
+        world.client.ask(uid, NodeBehavior.RUN)
+        world.wait_for_events(uid)
     core = world.service.core
-    owner = core._tasks[5].holders[5]
+    owner = core.tasks_by_uid[5].subscribers[5]
     world.client.stream.close()
-    world.settle(10)
+    world.run_for(10)
     for uid in (5, 6):
-        world.settle(40)
-        core._release(owner, uid, Outcome.OK, Reason.UNTOLD, None)
-    assert [one[2] for one in core.releases._owed] == [6] and world.logged[-1][1] == "release-dropped"
+        world.run_for(40)
+        core._send_release(owner, uid, Outcome.OK, Reason.UNSPECIFIED, None)
+    assert [one[2] for one in core.releases._pending] == [6] and world.logged[-1][1] == "release-dropped"
 
 
 def test_a_connection_is_not_closed_for_room_while_its_release_is_on_its_way() -> None:
-    world = World()
-    world.client.ask(5, Conduct.END)
-    world.heard(5, 2)
-    (connection,) = world.service.front._connections
-    connection.stream.sent_us = world.loop.now
-    assert not world.service.front.make_room()
-    connection.stream.sent_us = 0
-    assert world.service.front.make_room()
+    world = FakeCluster()
+    world.client.ask(5, NodeBehavior.END)
+    world.wait_for_events(5, 2)
+    (connection,) = world.service.json_frontend._connections
+    connection.stream.last_send_us = world.loop.now
+    assert not world.service.json_frontend.evict_idle()
+    connection.stream.last_send_us = 0
+    assert world.service.json_frontend.evict_idle()
 
 
 @FRONTS
 def test_nothing_is_kept_of_clients_and_nodes_that_went(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dispatcher, "UNLISTED_US", 100_000)
-    world = World(front, nodes=1)
+    monkeypatch.setattr(dispatcher, "UNKNOWN_NODE_TIMEOUT_US", 100_000)
+    world = FakeCluster(front, nodes=1)
     core = world.service.core
     for uid in range(1, 30):
         name = f"s-{uid + 100:08x}"
-        world.tell_entry(world.entry(0) | {"instanceId": name})
-        client = world.join(front)
-        client.ask(uid, Conduct.RUN, at="s-0000ffff") if uid % 2 else client.ask(uid, Conduct.RUN)
-        world.until(lambda uid=uid: uid in core._tasks)  # type: ignore[misc]
+        world.update_endpoint(world.endpoint(0) | {"instanceId": name})
+        client = world.connect_client(front)
+        client.ask(uid, NodeBehavior.RUN, at="s-0000ffff") if uid % 2 else client.ask(uid, NodeBehavior.RUN)
+        world.run_until(lambda uid=uid: uid in core.tasks_by_uid)  # type: ignore[misc]
         client.give_up(uid)
         client.stream.flush()
         client.stream.close()
-        world.tell_entry(world.entry(0) | {"instanceId": name, "lifecycle": "terminated"})
-    world.tell(0, "terminated")
-    world.until(lambda: not core._tasks and len(core.releases.owners) == 1)
-    world.settle(150)
-    roster, owed = core.roster, core.releases
-    kept: tuple[Sized, ...] = (core._tasks, core._numbers, roster._machines, roster.entries, roster.nodes)
-    kept += (owed._served, owed._owed)
-    assert [len(one) for one in kept] == [0] * len(kept) and world.service.budget.used == 1
-    assert not core.placer.requests and not any(m.tasks for m in core.placer.machines.values())
+        world.update_endpoint(world.endpoint(0) | {"instanceId": name, "lifecycle": "terminated"})
+    world.update_lifecycle(0, "terminated")
+    world.run_until(lambda: not core.tasks_by_uid and len(core.releases.open_requests) == 1)
+    world.run_for(150)
+    roster, owed = core.endpoints, core.releases
+    kept: tuple[Sized, ...] = (
+        core.tasks_by_uid,
+        core.tasks_by_number,
+        roster._machine_by_name,
+        roster.entries,
+        roster.nodes,
+    )
+    kept += (owed._placed_clients, owed._pending)
+    assert [len(one) for one in kept] == [0] * len(kept) and world.service.connection_budget.client_count == 1
+    assert not core.placer.requests and not any(m.tasks_by_service for m in core.placer.machines.values())
 
 
 @FRONTS
@@ -310,30 +325,30 @@
 
     On the bench (join, 30 nodes): 'call b4c7cec9585ef2c9 was over, and node n13 did not tell its caller in time'.
     """
-    world = World(front, BINARY)
-    stranger_client = world.join(front)
-    world.client.ask(5, Conduct.RUN)
-    assert world.heard(5) == [PLACED]
+    world = FakeCluster(front, BINARY)
+    stranger_client = world.connect_client(front)
+    world.client.ask(5, NodeBehavior.RUN)
+    assert world.wait_for_events(5) == [PLACED]
     core = world.service.core
-    machine = core._tasks[5].machine
-    stranger_client.ask(5, Conduct.RUN, at=f"s-{machine:08x}")
-    stranger_client.ask(6, Conduct.RUN)  # read after it
-    world.until(lambda: 6 in stranger_client.heard)
-    core.inbox.append(Finished(machine, 5, Outcome.OK))
-    assert len(world.heard(5, 2)) == 2 and 5 not in stranger_client.heard
+    machine = core.tasks_by_uid[5].machine
+    stranger_client.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
+    stranger_client.ask(6, NodeBehavior.RUN)  # read after it
+    world.run_until(lambda: 6 in stranger_client.heard)
+    core.inbox.append(TaskFinished(machine, 5, Outcome.OK))
+    assert len(world.wait_for_events(5, 2)) == 2 and 5 not in stranger_client.heard
 
 
 @FRONTS
 def test_an_owner_that_comes_again_and_names_its_task_is_told_of_its_end(front: str) -> None:
-    world = World(front, BINARY)
-    world.client.ask(5, Conduct.RUN)
-    assert world.heard(5) == [PLACED]
+    world = FakeCluster(front, BINARY)
+    world.client.ask(5, NodeBehavior.RUN)
+    assert world.wait_for_events(5) == [PLACED]
     core = world.service.core
-    machine = core._tasks[5].machine
+    machine = core.tasks_by_uid[5].machine
     world.client.stream.close()
-    again = world.join(front)
-    again.ask(5, Conduct.RUN, at=f"s-{machine:08x}")
-    again.ask(6, Conduct.RUN)
-    world.until(lambda: 6 in again.heard)
-    core.inbox.append(Finished(machine, 5, Outcome.OK))
-    world.until(lambda: 5 in again.heard)
+    again = world.connect_client(front)
+    again.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
+    again.ask(6, NodeBehavior.RUN)
+    world.run_until(lambda: 6 in again.heard)
+    core.inbox.append(TaskFinished(machine, 5, Outcome.OK))
+    world.run_until(lambda: 5 in again.heard)
--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from thornshelf.lab.standins import BINARY, DESCRIPTION, GRPC, JSON, Conduct, World
+from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, NodeBehavior, FakeCluster
 from thornshelf.loop import loop as loop_module
-from thornshelf.nodes import base
+from thornshelf.nodes import node_connection
 from thornshelf.wire import binary
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire.errors import WireError
@@ -18,12 +18,12 @@
 WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 
 
-def standing_and_open(world: World) -> Any:
+def standing_and_open(world: FakeCluster) -> Any:
     """One node with a task that stands and an unsafe one that is open."""
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
-    world.client.ask(6, Conduct.SILENT, ONCE_ONLY)
-    world.until(lambda: world.offers(6) == 1)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
+    world.client.ask(6, NodeBehavior.SILENT, ONCE_ONLY)
+    world.run_until(lambda: world.offer_count(6) == 1)
     return world.nodes[0]
 
 
@@ -33,56 +33,56 @@
     front: str, node: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It stays open, so nothing but its silence tells; news of what stands there comes on the next."""
-    monkeypatch.setattr(base, "LOOK_US", 5_000)
-    world = World(front, node, nodes=1)
+    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    world = FakeCluster(front, node, nodes=1)
     bad = standing_and_open(world)
     if how == "half":
         bad.streams[0].send(b"\x00\x40half" if node == BINARY else b"\x00\x00\x40\x00half")
     else:
         bad.deaf = True
-    assert world.heard(6) == [FAILED]  # it may have run
+    assert world.wait_for_events(6) == [FAILED]  # it may have run
     bad.deaf = False
-    world.until(lambda: len(bad.streams) == 2)
-    assert world.client.heard[5] == [PLACED] and world.offers(6) == 1
-    world.client.ask(7, Conduct.RUN)
-    assert world.heard(7) == [PLACED]
+    world.run_until(lambda: len(bad.streams) == 2)
+    assert world.client.heard[5] == [PLACED] and world.offer_count(6) == 1
+    world.client.ask(7, NodeBehavior.RUN)
+    assert world.wait_for_events(7) == [PLACED]
     world.client.give_up(5)
-    world.until(lambda: ("release", 5) in bad.seen)
+    world.run_until(lambda: ("release", 5) in bad.seen)
 
 
 def test_a_length_that_swallows_what_follows_is_noticed_though_bytes_keep_coming(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nothing is open on it, yet news of what stands there would be lost until the length is full."""
-    monkeypatch.setattr(base, "LOOK_US", 5_000)
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
+    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
     (bad,) = world.nodes
     bad.streams[0].send(b"\x2f\xff")
     swallowed = 0
     while len(bad.streams) == 1:
         bad.streams[0].send(binary.encode(binary.PROGRESS, 5))
         swallowed += 1
-        world.settle(2)
+        world.run_for(2)
     assert swallowed < 100 and world.client.heard[5] == [PLACED]
 
 
 @WIRES
 def test_a_safe_task_on_it_goes_elsewhere(front: str, node: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(base, "LOOK_US", 5_000)
-    world = World(front, node)
-    world.until(lambda: all(one.streams for one in world.nodes))
-    world.settle(20)
+    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    world = FakeCluster(front, node)
+    world.run_until(lambda: all(one.streams for one in world.nodes))
+    world.run_for(20)
     for one in world.nodes:
         one.deaf = True
-    world.client.ask(5, Conduct.RUN)
+    world.client.ask(5, NodeBehavior.RUN)
     core = world.service.core
-    world.until(lambda: 5 in core._tasks and core._tasks[5].attempt is not None)
-    attempt: Any = core._tasks[5].attempt
+    world.run_until(lambda: 5 in core.tasks_by_uid and core.tasks_by_uid[5].attempt is not None)
+    attempt: Any = core.tasks_by_uid[5].attempt
     other = world.nodes[2 - attempt.machine]
     other.deaf = False
-    assert world.heard(5) == [PLACED] and other.offers(5) == 1
+    assert world.wait_for_events(5) == [PLACED] and other.offers(5) == 1
 
 
 @WIRES
@@ -90,10 +90,10 @@
     front: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It answers the test: what it owes may well be on its way."""
-    monkeypatch.setattr(base, "LOOK_US", 2_000)
-    world = World(front, node, nodes=1)
+    monkeypatch.setattr(node_connection, "LOOK_US", 2_000)
+    world = FakeCluster(front, node, nodes=1)
     slow = standing_and_open(world)
-    world.settle(5 * base.DEAF_LOOKS * 2)
+    world.run_for(5 * node_connection.DEAF_LOOKS * 2)
     assert len(slow.streams) == 1 and slow.streams[0].open and 6 not in world.client.heard
 
 
@@ -108,19 +108,19 @@
 
 @pytest.mark.parametrize("spoilt", SPOILT)
 def test_a_spoilt_answer_is_never_passed_on(spoilt: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(base, "LOOK_US", 5_000)
-    world = World(nodes=1)
+    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    world = FakeCluster(nodes=1)
     bad = standing_and_open(world)
     bad.streams[0].send(spoilt)
-    assert world.heard(6) == [FAILED] and world.offers(6) == 1
+    assert world.wait_for_events(6) == [FAILED] and world.offer_count(6) == 1
     assert world.client.heard[5] == [PLACED]
-    world.until(lambda: len(bad.streams) == 2)
+    world.run_until(lambda: len(bad.streams) == 2)
 
 
 def test_a_binding_without_a_description_is_never_passed_on() -> None:
-    world = World(JSON, GRPC, nodes=1)
+    world = FakeCluster(JSON, GRPC, nodes=1)
     node = standing_and_open(world)
-    link: Any = world.service.core.roster.nodes[1].link  # type: ignore[attr-defined]
+    link: Any = world.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
     with pytest.raises(WireError, match="without a description"):
         link._report(pb.NodeReport(uid=6, binding=pb.Binding()))
     assert node.offers(6) == 1
@@ -129,30 +129,30 @@
 @pytest.mark.parametrize("lifecycle", ["terminating", "in_service"])
 def test_a_refused_connect_proves_a_draining_node_dead_only_after_its_own_break(lifecycle: str) -> None:
     """A draining node listens no more, and its tasks run on: a new dispatcher must not release them."""
-    world = World(nodes=1)
+    world = FakeCluster(nodes=1)
     (node,) = world.nodes
     world.loop.cancel(node._accepting)
-    world.loop.forget(node.sock.fileno())
+    world.loop.unregister(node.sock.fileno())
     node.sock.close()
-    world.tell_entry(world.entry(0) | {"instanceId": "s-00000009", "lifecycle": lifecycle})
-    world.client.ask(5, Conduct.RUN, at="s-00000009")
-    world.until(lambda: 5 in world.service.core._tasks or 5 in world.client.heard)
+    world.update_endpoint(world.endpoint(0) | {"instanceId": "s-00000009", "lifecycle": lifecycle})
+    world.client.ask(5, NodeBehavior.RUN, at="s-00000009")
+    world.run_until(lambda: 5 in world.service.core.tasks_by_uid or 5 in world.client.heard)
     if lifecycle == "in_service":
-        world.heard(5)
+        world.wait_for_events(5)
     else:
-        world.settle(600)
+        world.run_for(600)
         assert world.client.heard == {}
-    assert len([one for one in world.logged if one[1] == "node-dead"]) == (lifecycle == "in_service")
+    assert len([one for one in world.logged if one[1] == "node-process-dead"]) == (lifecycle == "in_service")
 
 
 def test_a_connection_that_breaks_while_new_is_made_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against offers that wait out a pause meant for nodes that end every connection."""
-    monkeypatch.setattr(base, "RETRY_US", 60_000_000)
-    world = World(nodes=1)
+    monkeypatch.setattr(node_connection, "RETRY_US", 60_000_000)
+    world = FakeCluster(nodes=1)
     standing_and_open(world)
     world.nodes[0].break_streams()
-    world.client.ask(7, Conduct.RUN)
-    assert world.heard(7) == [PLACED]
+    world.client.ask(7, NodeBehavior.RUN)
+    assert world.wait_for_events(7) == [PLACED]
 
 
 @WIRES
@@ -164,16 +164,16 @@
 
     The set-up is read first, and a busy turn ends before the close is.
     """
-    world = World(front, node, nodes=1)
-    world.until(lambda: bool(world.nodes[0].streams))
-    world.settle(30)
+    world = FakeCluster(front, node, nodes=1)
+    world.run_until(lambda: bool(world.nodes[0].streams))
+    world.run_for(30)
     (one,) = world.nodes
     monkeypatch.setattr(loop_module, "STEPS", 1)
     monkeypatch.setattr(loop_module, "STEPS_US", 0)
-    world.client.ask(5, Conduct.RUN, task_class)
+    world.client.ask(5, NodeBehavior.RUN, task_class)
     world.client.stream.flush()
     one.streams[0].close()
-    assert world.heard(5) == [PLACED]
-    assert world.offers(5) == 1 and len(one.streams) == 2
+    assert world.wait_for_events(5) == [PLACED]
+    assert world.offer_count(5) == 1 and len(one.streams) == 2
     core = world.service.core
-    assert not core.counts["failed"] and core.placer.machines[1].strikes == 0
+    assert not core.counters["failed"] and core.placer.machines[1].consecutive_failures == 0
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -17,7 +17,7 @@
 from thornshelf.capacity.rows import MISSING, Aspect, Budget, Row, missing_first
 from thornshelf.capacity.target import TODAY, Target, at_target, dispatchers_needed
 from thornshelf.cli import cli
-from thornshelf.errors import CapacityError, RunBoundError
+from thornshelf.errors import CapacityError, ResourceLimitError
 from thornshelf.lab.scale.bounds import Bounds
 from thornshelf.lab.scale.output import write
 
@@ -185,10 +185,10 @@
     bounds.look()
     assert bounds.peak_memory > 0 and bounds.peak_processes >= 1
     bounds.most_memory, bounds._looked = 1.0, 0.0
-    with pytest.raises(RunBoundError, match="MB"):
+    with pytest.raises(ResourceLimitError, match="MB"):
         bounds.look()
     late = Bounds(0.0)
-    with pytest.raises(RunBoundError, match="longer"):
+    with pytest.raises(ResourceLimitError, match="longer"):
         late.look()
 
 
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -14,17 +14,17 @@
 
 import pytest
 
-from glenshift import interface as api
-from glenshift.interface import Health
 from tests.conftest import ask, entry, offers, placer, settings
 from tests.test_edges import Feed, changed, event, http
 from tests.test_turns import FakeNode, Rig, entries
-from thornshelf.changelog import ChangeLog
-from thornshelf.config import ConfigError, read_config
-from thornshelf.core import Dispatcher, ListChange, SetUp
-from thornshelf.lab.standins import CONFIG, HOST, LIMIT_S, Conduct, World
+from thornshelf.configuration import ConfigError, read_config
+from thornshelf.core import Dispatcher, EndpointListUpdate, TaskRequest
+from thornshelf.discovery.endpoint_watch import EndpointWatch
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, HOST, TIMEOUT_S, NodeBehavior, FakeCluster
 from thornshelf.loop import Loop
 from thornshelf.loop.stream import connect
+from thornshelf.placement import interface as api
+from thornshelf.placement.interface import Health
 from thornshelf.service import Service
 
 ROOT = Path(__file__).parent.parent
@@ -36,13 +36,15 @@
 ]
 
 
-def follow(world: World, *answers: bytes) -> tuple[list[ListChange], list[tuple[str, str]], Feed]:
-    told: list[ListChange] = []
+def follow(
+    world: FakeCluster, *answers: bytes
+) -> tuple[list[EndpointListUpdate], list[tuple[str, str]], Feed]:
+    told: list[EndpointListUpdate] = []
     logged: list[tuple[str, str]] = []
     feed = Feed(world.loop, [*answers, None])
     log = lambda *line: logged.append((line[1], line[3]))  # noqa: E731
-    ChangeLog(world.loop, feed.sock.getsockname(), 0, lambda us: us, told.append, log)
-    world.until(lambda: len(feed.asked) > len(answers))
+    EndpointWatch(world.loop, feed.sock.getsockname(), 0, lambda us: us, told.append, log)
+    world.run_until(lambda: len(feed.asked) > len(answers))
     feed.sock.close()
     return told, logged, feed
 
@@ -52,17 +54,19 @@
     """Guards against a drain that is never heard: the answer was refused whole, and asked for again for ever."""
     drain = event(4, "s-00000001")
     drain["fleet"]["instances"] = [spoilt, {**drain["fleet"]["instances"][0], "lifecycle": "terminating"}]  # type: ignore[index]
-    told, logged, feed = follow(World(nodes=0), http({"seq": 5, "results": [drain, event(5, "s-00000002")]}))
-    said = [(one.name, one.health) for change in told for one in change.entries]
+    told, logged, feed = follow(
+        FakeCluster(nodes=0), http({"seq": 5, "results": [drain, event(5, "s-00000002")]})
+    )
+    said = [(one.name, one.health) for change in told for one in change.endpoints]
     assert said == [("s-00000001", Health.DRAINING), ("s-00000002", Health.UP)]
-    assert [name for name, _ in logged] == ["bad-entry"] and "since=5" in feed.asked[1]
+    assert [name for name, _ in logged] == ["endpoint-invalid"] and "since=5" in feed.asked[1]
 
 
 def test_an_event_without_a_number_or_a_list_costs_itself() -> None:
     events = [{"fleet": {}}, {"seq": 4, "fleet": {"instances": 5}}, 7, event(5, "a")]
-    told, logged, feed = follow(World(nodes=0), http({"seq": 5, "results": events}))
-    assert [change.entries[0].name for change in told] == ["a"]
-    assert [name for name, _ in logged] == ["bad-entry"] * 3 and "since=5" in feed.asked[1]
+    told, logged, feed = follow(FakeCluster(nodes=0), http({"seq": 5, "results": events}))
+    assert [change.endpoints[0].name for change in told] == ["a"]
+    assert [name for name, _ in logged] == ["endpoint-invalid"] * 3 and "since=5" in feed.asked[1]
 
 
 def test_a_whole_list_with_a_spoilt_entry_takes_nobody_away() -> None:
@@ -71,8 +75,8 @@
     whole["fleet"].update(reset=True)  # type: ignore[attr-defined]
     spoilt = event(5, "s-00000001")
     spoilt["fleet"].update(reset=True, instances=[SPOILT[1]])  # type: ignore[attr-defined]
-    told, _, _ = follow(World(nodes=0), http({"seq": 5, "results": [whole, spoilt]}))
-    assert [(change.complete, len(change.entries)) for change in told] == [(True, 1), (False, 0)]
+    told, _, _ = follow(FakeCluster(nodes=0), http({"seq": 5, "results": [whole, spoilt]}))
+    assert [(change.complete, len(change.endpoints)) for change in told] == [(True, 1), (False, 0)]
 
 
 def gone(seq: int, name: str) -> dict[str, Any]:
@@ -84,21 +88,23 @@
 
 def test_a_list_that_is_read_again_is_told_as_what_its_events_come_to() -> None:
     """Guards against nodes that came after the first event: that alone would drop them, and what stands there."""
-    world = World(nodes=0)
+    world = FakeCluster(nodes=0)
     whole: dict[str, Any] = event(1, "s-00000001")
     whole["fleet"].update(reset=True)
     events = [whole, event(2, "s-00000002"), gone(3, "s-00000001")]
-    told: list[ListChange] = []
+    told: list[EndpointListUpdate] = []
     feed = Feed(
         world.loop, [http({"seq": 3, "results": []}), None, http({"seq": 3, "results": events}), None]
     )
-    follower = ChangeLog(world.loop, feed.sock.getsockname(), 3, lambda us: us, told.append, lambda *_: None)
-    world.until(lambda: len(feed.asked) == 2)
-    follower.read_again()
-    world.until(lambda: len(feed.asked) == 4)
+    follower = EndpointWatch(
+        world.loop, feed.sock.getsockname(), 3, lambda us: us, told.append, lambda *_: None
+    )
+    world.run_until(lambda: len(feed.asked) == 2)
+    follower.relist()
+    world.run_until(lambda: len(feed.asked) == 4)
     feed.sock.close()
     assert ["since=0" in asked for asked in feed.asked] == [False, False, True, False]
-    assert [(change.complete, [one.name for one in change.entries]) for change in told] == [
+    assert [(change.complete, [one.name for one in change.endpoints]) for change in told] == [
         (True, ["s-00000002"])
     ]
 
@@ -109,58 +115,60 @@
 )
 def test_a_list_that_cannot_be_read_again_is_followed_on_from_where_it_was(answer: bytes) -> None:
     """Guards against asking in vain for ever: the next drain would never be heard."""
-    world = World(nodes=0)
-    told: list[ListChange] = []
+    world = FakeCluster(nodes=0)
+    told: list[EndpointListUpdate] = []
     drain = event(8, "s-00000001")
     feed = Feed(
         world.loop, [http({"seq": 7, "results": []}), None, answer, http({"seq": 8, "results": [drain]})]
     )
-    follower = ChangeLog(world.loop, feed.sock.getsockname(), 7, lambda us: us, told.append, lambda *_: None)
-    world.until(lambda: len(feed.asked) == 2)
-    follower.read_again()
-    follower.read_again()
-    world.until(lambda: bool(told))
+    follower = EndpointWatch(
+        world.loop, feed.sock.getsockname(), 7, lambda us: us, told.append, lambda *_: None
+    )
+    world.run_until(lambda: len(feed.asked) == 2)
+    follower.relist()
+    follower.relist()
+    world.run_until(lambda: bool(told))
     feed.sock.close()
     assert [asked.partition("&")[0][-1] for asked in feed.asked[:4]] == ["7", "7", "0", "7"]
-    assert not told[0].complete and told[0].entries[0].name == "s-00000001"
+    assert not told[0].complete and told[0].endpoints[0].name == "s-00000001"
 
 
 def test_a_configuration_with_a_spoilt_entry_is_refused_as_a_whole() -> None:
-    config = read_config({"LB_CONFIG": str(CONFIG)})
+    config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
     events = {"seq": 1, "results": [{"seq": 1, "fleet": {"reset": True, "instances": SPOILT}}]}
     with pytest.raises(ConfigError, match="known: an instance is no object"):
-        Service(replace(config, known=events, listen=(HOST, 0)))
+        Service(replace(config, initial_endpoints=events, listen=(HOST, 0)))
 
 
 def test_a_part_that_fails_to_hear_a_change_keeps_back_none_of_the_rest() -> None:
     """Guards against lost changes: the number of the last had moved on before they were told."""
-    world = World()
+    world = FakeCluster()
 
-    def fail(change: ListChange) -> None:
+    def fail(change: EndpointListUpdate) -> None:
         raise KeyError("whatever")
 
-    world.service.on_list.append(fail)
+    world.service.endpoint_listeners.append(fail)
     feed = Feed(
         world.loop, [http({"seq": 9, "results": [event(8, "s-00000008"), event(9, "s-00000009")]}), None]
     )
     world.service._follow(feed.sock.getsockname())
-    world.until(lambda: {8, 9} <= world.service.core.roster.entries.keys())
-    assert [line[1] for line in world.logged].count("fault") == 2
+    world.run_until(lambda: {8, 9} <= world.service.core.endpoints.entries.keys())
+    assert [line[1] for line in world.logged].count("coroutine-failed") == 2
     feed.sock.close()
 
 
 @pytest.mark.parametrize("started", [10**15, 10**400, 1e300])
 def test_a_start_far_ahead_is_a_node_like_others(started: Any) -> None:
     """Guards against a figure that each later decision fails on."""
-    world = World()
-    world.tell_entry(world.entry(0, started=started))
-    world.client.ask(5, Conduct.RUN)
-    assert world.heard(5)[0][0] == "placed"
-    assert not [line for line in world.logged if line[1] == "module-fault"]
+    world = FakeCluster()
+    world.update_endpoint(world.endpoint(0, started=started))
+    world.client.ask(5, NodeBehavior.RUN)
+    assert world.wait_for_events(5)[0][0] == "placed"
+    assert not [line for line in world.logged if line[1] == "placement-failed"]
 
 
 def test_a_start_ahead_of_the_clock_does_not_overflow_the_view() -> None:
-    one = placer(entry(1, started_at=1e12), entry(2), using=settings(placers=3, cold_offers=51.0))
+    one = placer(entry(1, started_at=1e12), entry(2), using=settings(placers=3, slow_start_attempts=51.0))
     assert offers(one.handle(1.0, [ask(5)]))
 
 
@@ -178,12 +186,14 @@
 
 
 def test_a_moved_change_log_does_not_speak_until_it_has() -> None:
-    world = World(nodes=0)
+    world = FakeCluster(nodes=0)
     feed = Feed(world.loop, [http({"seq": 4, "results": [event(4, "a")]}), None])
-    log = ChangeLog(world.loop, feed.sock.getsockname(), 0, lambda us: us, lambda _: None, lambda *_: None)
-    world.until(lambda: log.speaks)
-    log.move((HOST, 9))
-    assert not log.speaks
+    log = EndpointWatch(
+        world.loop, feed.sock.getsockname(), 0, lambda us: us, lambda _: None, lambda *_: None
+    )
+    world.run_until(lambda: log.is_responding)
+    log.reconnect_to((HOST, 9))
+    assert not log.is_responding
     feed.sock.close()
 
 
@@ -191,13 +201,13 @@
 def test_deadlines_shorter_than_the_program_s_own_margins_are_served(deadline_s: float, left_us: int) -> None:
     """Guards against a refusal of all that a class with a short deadline asks for."""
     rig = Rig()
-    short = api.TaskClass(name="safe", aim_s=0.01, deadline_s=deadline_s, start_worth_s=8.0)
+    short = api.TaskClass(name="safe", latency_objective_s=0.01, deadline_s=deadline_s, start_weight_s=8.0)
     core = Dispatcher(rig.loop, settings(short), 1, lambda *one: FakeNode(one[0], rig), lambda *_: None)
-    core.list_changed(ListChange(True, 1, entries(nodes=range(2))))
+    core.update_endpoints(EndpointListUpdate(True, 1, entries(nodes=range(2))))
     for uid, left in ((1, left_us), (2, 1000)):
         due = rig.loop.now + left
-        core.inbox.append(SetUp(rig.owner, uid, "safe", None, uid, due, None, uid, 1.0, 1.0, b"x"))  # type: ignore[arg-type]
-    core.turn()
+        core.inbox.append(TaskRequest(rig.owner, uid, "safe", None, uid, due, None, uid, 1.0, 1.0, b"x"))  # type: ignore[arg-type]
+    core.run_turn()
     assert len(rig.offered) == 1 and rig.owner.heard == [("refused", 2, None)]
 
 
@@ -219,9 +229,9 @@
     try:
         said = process.stdout.readline()
         listen_at = said.partition('listen="')[2].partition('"')[0].rpartition(":")
-        crowd = [socket.create_connection((HOST, int(listen_at[2])), timeout=LIMIT_S) for _ in range(150)]
+        crowd = [socket.create_connection((HOST, int(listen_at[2])), timeout=TIMEOUT_S) for _ in range(150)]
         held_now = 0
-        limit = time.monotonic() + LIMIT_S
+        limit = time.monotonic() + TIMEOUT_S
         while held_now < 20 and time.monotonic() < limit:
             held_now = len(os.listdir(f"/proc/{process.pid}/fd"))
         loop = Loop()
@@ -240,5 +250,5 @@
         for one in crowd:
             one.close()
         process.terminate()
-        process.communicate(timeout=LIMIT_S)
+        process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from glenshift.interface import Fact, Outcome
 from tests.test_turns import Rig
-from thornshelf.core import Finished, Noted
-from thornshelf.lab.standins import BINARY, DESCRIPTION, GRPC, JSON, Conduct, World
+from thornshelf.core import TaskFinished, TaskProgress
+from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, NodeBehavior, FakeCluster
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.loop.stream import connect as usual_connect
-from thornshelf.nodes import base
+from thornshelf.nodes import node_connection
+from thornshelf.placement.interface import Outcome, TaskUpdateKind
 from thornshelf.wire import jsonl
 
 PLACED = ("placed", DESCRIPTION)
@@ -34,14 +34,14 @@
         client.stream.close()
 
 
-def crowd(world: World) -> None:
+def crowd(world: FakeCluster) -> None:
     """So much has happened before it that the news of a client waits for a later turn."""
     core = world.service.core
-    core.inbox.extend(Noted(1, 0xFFFF + n, Fact.RUNS, 1.0) for n in range(600))
+    core.inbox.extend(TaskProgress(1, 0xFFFF + n, TaskUpdateKind.STARTED, 1.0) for n in range(600))
 
 
-def pending(world: World) -> int:
-    return sum(len(node.pending) for node in world.service.core.roster.nodes.values())  # type: ignore[attr-defined,misc]
+def pending(world: FakeCluster) -> int:
+    return sum(len(node.pending) for node in world.service.core.endpoints.nodes.values())  # type: ignore[attr-defined,misc]
 
 
 @WIRES
@@ -52,15 +52,15 @@
     front: str, node: str, leaves: str, count: int
 ) -> None:
     """Guards against an offer made in the turn whose poll has told of the close: its end was read a turn later."""
-    world = World(front, node)
-    world.until(lambda: all(one.streams for one in world.nodes))
-    world.settle(20)
+    world = FakeCluster(front, node)
+    world.run_until(lambda: all(one.streams for one in world.nodes))
+    world.run_for(20)
     for uid in range(5, 5 + count):
-        world.client.ask(uid, Conduct.RUN)
+        world.client.ask(uid, NodeBehavior.RUN)
     world.client.stream.flush()
     leave(world.client, leaves)
-    world.settle(100)
-    assert sum(map(world.offers, range(5, 5 + count))) == 0 and world.service.core.open_count == 0
+    world.run_for(100)
+    assert sum(map(world.offer_count, range(5, 5 + count))) == 0 and world.service.core.open_count == 0
 
 
 @WIRES
@@ -77,17 +77,17 @@
             yield Wait(until=arguments[0].now + 1000)
         return (yield from usual_connect(*arguments))
 
-    monkeypatch.setattr(base, "connect", slow)
-    world = World(front, node)
-    world.client.ask(5, Conduct.RUN)
-    world.until(lambda: pending(world) == 1)
+    monkeypatch.setattr(node_connection, "connect", slow)
+    world = FakeCluster(front, node)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.run_until(lambda: pending(world) == 1)
     up = True
     leave(world.client, leaves)
     if crowded:
         crowd(world)
-    world.until(lambda: all(one.streams for one in world.nodes))
-    world.settle(100)
-    assert world.offers(5) == 0 and world.service.core.open_count == 0
+    world.run_until(lambda: all(one.streams for one in world.nodes))
+    world.run_for(100)
+    assert world.offer_count(5) == 0 and world.service.core.open_count == 0
 
 
 @WIRES
@@ -96,29 +96,29 @@
     front: str, node: str, leaves: str
 ) -> None:
     """The refusal is at hand first, and the news of the client waits behind a crowd."""
-    world = World(front, node)
-    world.until(lambda: all(one.streams for one in world.nodes))
-    world.client.ask(5, Conduct.SILENT)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster(front, node)
+    world.run_until(lambda: all(one.streams for one in world.nodes))
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.run_until(lambda: world.offer_count(5) == 1)
     core = world.service.core
-    machine = core._tasks[5].attempt.machine  # type: ignore[union-attr]
-    core.inbox.append(Finished(machine, 5, Outcome.REFUSED))
+    machine = core.tasks_by_uid[5].attempt.machine  # type: ignore[union-attr]
+    core.inbox.append(TaskFinished(machine, 5, Outcome.REFUSED))
     crowd(world)
     leave(world.client, leaves)
-    world.settle(100)
-    assert world.offers(5) == 1 and core.open_count == 0 and not core._tasks
+    world.run_for(100)
+    assert world.offer_count(5) == 1 and core.open_count == 0 and not core.tasks_by_uid
 
 
 def test_a_set_up_that_waits_its_turn_is_dropped_with_its_client() -> None:
     rig = Rig()
-    rig.core.stale = lambda: True
+    rig.core.is_endpoint_list_stale = lambda: True
     rig.ask(1, 20)
     rig.loop.turn(True)
     rig.owner.gone = True  # and nothing else has told of it yet
-    rig.core.stale = None
+    rig.core.is_endpoint_list_stale = None
     while rig.loop.turn(True):
         pass
-    assert not rig.offered and rig.core.counts["given_up"] == 20 and rig.core.open_count == 0
+    assert not rig.offered and rig.core.counters["given_up"] == 20 and rig.core.open_count == 0
     assert not rig.core.task_count and not rig.core.placer.requests
 
 
@@ -127,7 +127,7 @@
     loop = Loop()
     ours, theirs = socket.socketpair()
     stream = Stream(loop, ours, "peer")
-    while stream.unsent == 0:
+    while stream.buffered_bytes == 0:
         stream.send(b"x" * 65536)
         stream.flush()
     offer = stream.send(b"offer")
@@ -151,7 +151,7 @@
     loop.turn(True)
     assert called_back == [True]
     said = b""
-    while stream.unsent:
+    while stream.buffered_bytes:
         loop.turn(True)
         said += theirs.recv(1 << 20)
     assert b"offer" not in said
@@ -162,34 +162,34 @@
 
 def test_a_task_that_is_handed_over_by_one_who_closes_is_taken() -> None:
     """It wants no answer, and its release goes to whoever is there."""
-    world = World()
-    other = world.join(JSON)
-    other.ask(6, Conduct.RUN)
-    world.until(lambda: 6 in other.heard)
-    world.client.ask(5, Conduct.RUN, at="s-00000001")
+    world = FakeCluster()
+    other = world.connect_client(JSON)
+    other.ask(6, NodeBehavior.RUN)
+    world.run_until(lambda: 6 in other.heard)
+    world.client.ask(5, NodeBehavior.RUN, at="s-00000001")
     leave(world.client, "closes")
-    world.until(lambda: 5 in world.service.core._tasks)
-    world.service.core.inbox.append(Finished(1, 5, Outcome.OK))
-    world.until(lambda: 5 in other.heard)
+    world.run_until(lambda: 5 in world.service.core.tasks_by_uid)
+    world.service.core.inbox.append(TaskFinished(1, 5, Outcome.OK))
+    world.run_until(lambda: 5 in other.heard)
 
 
 @WIRES
 def test_a_release_that_crosses_its_client_s_close_goes_to_another_connection(front: str, node: str) -> None:
     """Guards against a lost release: the end is at hand first, and its client is gone before it is told."""
-    world = World(front, node)
-    other = world.join(front)
+    world = FakeCluster(front, node)
+    other = world.connect_client(front)
     for client, uid in ((world.client, 5), (other, 6)):
-        client.ask(uid, Conduct.RUN)
-        world.until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
+        client.ask(uid, NodeBehavior.RUN)
+        world.run_until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
     core = world.service.core
-    core.inbox.append(Finished(core._tasks[5].machine, 5, Outcome.OK))
+    core.inbox.append(TaskFinished(core.tasks_by_uid[5].machine, 5, Outcome.OK))
     leave(world.client, "closes")
-    world.until(lambda: 5 in other.heard)
+    world.run_until(lambda: 5 in other.heard)
 
 
 def hangs_up(loop: Loop, sock: socket.socket) -> list[int]:
     told: list[int] = []
-    loop.on_hang_up(sock.fileno(), lambda: told.append(loop.now))
+    loop.on_peer_close(sock.fileno(), lambda: told.append(loop.now))
     return told
 
 
@@ -211,7 +211,7 @@
     for _ in range(5):
         loop.turn(True)
     assert order == ["read, told"] and len(told) == 1
-    loop.forget(ours.fileno())
+    loop.unregister(ours.fileno())
     ours.close()
     theirs.close()
     loop.close()
@@ -235,7 +235,7 @@
 
     What wants no answer counts all the same: a task that stands, and the end of another.
     """
-    world = World()
+    world = FakeCluster()
     parsed, usual = list[bytes](), jsonl.parse_line
 
     def counted(text: bytes) -> jsonl.Line:
@@ -243,14 +243,14 @@
         return usual(text)
 
     monkeypatch.setattr(jsonl, "parse_line", counted)
-    world.client.ask(3, Conduct.RUN)
-    world.heard(3)
+    world.client.ask(3, NodeBehavior.RUN)
+    world.wait_for_events(3)
     parsed.clear()
     lines = [a_set_up(uid) for uid in range(100, 300)]
     lines[150:150] = [a_set_up(5, ";at:s-00000001"), jsonl.encode_line("stop", 3, reason=16)]
     world.client.send(b"".join(lines))
     leave(world.client, "closes")
-    world.until(lambda: [task.setup.uid for task in world.service.core.tasks()] == [5])
+    world.run_until(lambda: [task.request.uid for task in world.service.core.all_tasks()] == [5])
     assert len(parsed) == 2
     assert not any(kind == "offer" and uid >= 100 for node in world.nodes for kind, uid in node.seen)
 
@@ -270,4 +270,4 @@
 )
 def test_only_a_line_that_surely_wants_an_answer_is_passed_over(line: bytes, sure: bool) -> None:
     """All else is parsed, whatever it holds."""
-    assert jsonl.wants_answer(line) is sure
+    assert jsonl.is_plain_launch(line) is sure
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from glenshift import interface as api
-from glenshift.brain import Placer
 from tests.conftest import ask, entry, listing, offers, settings
 from tests.test_turns import a_loop
-from thornshelf.core import Dispatcher, ListChange, NodeEntry
-from thornshelf.core.model import Node
+from thornshelf.core import Dispatcher, EndpointListUpdate, NodeEndpoint
+from thornshelf.core.messages import NodeConnection
+from thornshelf.placement import interface as api
+from thornshelf.placement.placer import Placer
 
 FALL_S, COLD_S = 3.0, 14.0
 COLD = 7  # the machine
@@ -24,14 +24,18 @@
 
     def __init__(self, count: int, budget: float) -> None:
         self.count, self.budget, self.sent, self.asked = count, budget, list[float](), 0
-        self.machines: tuple[api.MachineEntry, ...] = ()
+        self.machines: tuple[api.Endpoint, ...] = ()
         self.placers = [self.born(me) for me in range(count)]
 
     def born(self, me: int) -> Placer:
-        rules = {"cold_offers": float(self.budget), "fall_s": FALL_S, "cold_s": COLD_S}
+        rules = {
+            "slow_start_attempts": float(self.budget),
+            "slow_start_window_s": FALL_S,
+            "slow_start_s": COLD_S,
+        }
         return Placer(settings(me=me, placers=self.count, **rules), me)
 
-    def told(self, now: float, *machines: api.MachineEntry, complete: bool = True) -> None:
+    def told(self, now: float, *machines: api.Endpoint, complete: bool = True) -> None:
         self.machines = machines
         for one in self.placers:
             one.handle(now, [listing(*machines, complete=complete)])
@@ -60,7 +64,7 @@
     return budget + 2.0 * math.sqrt(budget) + 2.0
 
 
-def up(started: float) -> api.MachineEntry:
+def up(started: float) -> api.Endpoint:
     return entry(COLD, started_at=started)
 
 
@@ -125,7 +129,7 @@
 def test_all_processes_deal_by_one_clock_whenever_each_has_started() -> None:
     """Guards against turns that are dealt to all at once: each counted them from its own start."""
 
-    def no_node(machine: int, entry: NodeEntry, core: Dispatcher) -> Node:
+    def no_node(machine: int, entry: NodeEndpoint, core: Dispatcher) -> NodeConnection:
         raise AssertionError
 
     cores, offset = [], time.time_ns() // 1000 - time.monotonic_ns() // 1000
@@ -134,12 +138,12 @@
         clock.ns = time.monotonic_ns() + later_us * 1000
         loop.turn(True)
         core = Dispatcher(loop, settings(), 1, no_node, lambda *_: None, unix_offset_us=offset)
-        core.list_changed(ListChange(True, 1, ()))
+        core.update_endpoints(EndpointListUpdate(True, 1, ()))
         cores.append((core, loop.now))
     (one, at), (other, _) = cores
-    assert one.seconds(at) == other.seconds(at) == (at + offset) / 1e6
+    assert one.unix_seconds(at) == other.unix_seconds(at) == (at + offset) / 1e6
     assert all(
-        core.seconds(core._micros(at_s)) >= at_s
+        core.unix_seconds(core._loop_us(at_s)) >= at_s
         for core, _ in cores
-        for at_s in (one.seconds(at) + k * 0.0137 for k in range(200))
+        for at_s in (one.unix_seconds(at) + k * 0.0137 for k in range(200))
     )
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -13,13 +13,13 @@
 
 from thornshelf import __version__
 from thornshelf.cli import cli
-from thornshelf.config import ConfigError, read_config
+from thornshelf.configuration import ConfigError, read_config
 from thornshelf.lab import translation
-from thornshelf.lab.standins import CONFIG
-from thornshelf.translate.words import Form
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
+from thornshelf.translation.failures import WireFormat
 
 ROOT = Path(__file__).parent.parent
-ENVIRONMENT = {"LB_CONFIG": str(CONFIG), "LB_LISTEN": "127.0.0.1:0"}
+ENVIRONMENT = {"LB_CONFIG": str(EXAMPLE_CONFIG), "LB_LISTEN": "127.0.0.1:0"}
 
 
 def test_help_and_version_need_no_configuration() -> None:
@@ -37,11 +37,12 @@
 def test_a_dispatcher_without_an_operators_file_loads_none_of_this() -> None:
     """Guards the memory of the platform's dispatchers."""
     code = (
-        "import os, sys; from thornshelf.config import read_config; from thornshelf.service import Service\n"
+        "import os, sys; from thornshelf.configuration import read_config; from thornshelf.service import Service\n"
         "Service(read_config(os.environ)).close()\n"
-        "heavy = ('click', 'msgspec', 'google', 'h2', 'thornshelf.translate.desk', 'thornshelf.translate.table',"
-        " 'thornshelf.core.names', 'thornshelf.admission', 'thornshelf.handover', 'thornshelf.retries.budget',"
-        " 'thornshelf.retries.spread', 'thornshelf.schema', 'thornshelf.lab')\n"
+        "heavy = ('click', 'msgspec', 'google', 'h2', 'thornshelf.translation.translator',"
+        " 'thornshelf.translation.field_mapping', 'thornshelf.core.idempotency', 'thornshelf.admission',"
+        " 'thornshelf.socket_handover', 'thornshelf.retries.budget',"
+        " 'thornshelf.retries.jitter', 'thornshelf.schema', 'thornshelf.lab')\n"
         "print([one for one in heavy if one in sys.modules])"
     )
     environment = os.environ | ENVIRONMENT
@@ -53,15 +54,15 @@
 
 def test_the_shipped_files_are_sound() -> None:
     config = read_config(ENVIRONMENT, str(ROOT / "deploy" / "admission.toml"))
-    assert config.gate is not None and config.shares is not None and config.translate is None
-    assert [one.known for one in config.gate.door.rules] == [True, True]
-    assert config.shares.shares == {"hollis-county": 0.72, "pruett-county": 0.28}
+    assert config.admission is not None and config.fair_queue is not None and config.translation is None
+    assert [one.known for one in config.admission.controller.rules] == [True, True]
+    assert config.fair_queue.weights == {"hollis-county": 0.72, "pruett-county": 0.28}
     for name in ("grpc.toml", "translate.toml"):
         config = read_config(ENVIRONMENT, str(ROOT / "deploy" / name))
-        assert (config.translate is not None) == (name == "translate.toml")
-    assert config.translate is not None and config.translate.retries
-    assert config.translate.otherwise == (Form.V2, Form.MESSAGES)
-    assert config.translate.gaps["lookup"].assumed_us == 15_000_000
+        assert (config.translation is not None) == (name == "translate.toml")
+    assert config.translation is not None and config.translation.limits_retries
+    assert config.translation.default_formats == (WireFormat.GRPC_V2, WireFormat.BINARY)
+    assert config.translation.missing_field_policies["lookup"].assumed_hint_us == 15_000_000
 
 
 @pytest.mark.parametrize(
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -17,29 +17,35 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenshift.interface import Outcome
 from thornshelf import errors
-from thornshelf.control import frames
-from thornshelf.control.core_tables import flat
-from thornshelf.control.history import History, Tallies
-from thornshelf.control.readers import DEAF_US, MOST_OPEN, TURN_BYTES, TURN_US, Readers
-from thornshelf.control.tables import INTEGER, TEXT, Catalog, Reading, Table, columns
-from thornshelf.core.tasks import Runs
-from thornshelf.membership import asking
-from thornshelf.membership.asking import Answerer, Asker
-from thornshelf.parts.control import make_socket
-from thornshelf.shell import output, ready
-from thornshelf.shell.client import Answered
-from thornshelf.shell.engine import Engine, Limits, Result
-from thornshelf.shell.prompt import _unquoted
-from thornshelf.shell.reasons import is_task, node_reasons
+from thornshelf.components.control import make_socket
+from thornshelf.control import framing
+from thornshelf.control.core_tables import flatten_settings
+from thornshelf.control.history import ErrorCounters, History
+from thornshelf.control.query_sessions import (
+    MAX_QUERIES_PER_CLIENT,
+    STALLED_CLIENT_TIMEOUT_US,
+    TURN_BYTE_BUDGET,
+    TURN_TIME_BUDGET_US,
+    QuerySessions,
+)
+from thornshelf.control.tables import INTEGER, TEXT, Catalog, Table, TableReader, declare_columns
+from thornshelf.core.task import TaskPages
+from thornshelf.membership import scatter_gather
+from thornshelf.membership.scatter_gather import QueryGatherer, QueryResponder
+from thornshelf.placement.interface import Outcome
+from thornshelf.shell import output, saved_queries
+from thornshelf.shell.client import ResponseSummary
+from thornshelf.shell.engine import QueryEngine, QueryLimits, QueryResult
+from thornshelf.shell.explanations import is_task_id, placement_reasons
+from thornshelf.shell.prompt import unquote
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
 
 
 def numbers(count: int, name: str = "numbers") -> Table:
     """Rows of a number and a text; every tenth item is gone."""
-    shape = columns(("n", INTEGER, "a number"), ("text", TEXT, "a text"))
+    shape = declare_columns(("n", INTEGER, "a number"), ("text", TEXT, "a text"))
     return Table(
         name, "numbers", shape, lambda: range(count), lambda n: None if n % 10 == 9 else (n, f"t{n}")
     )
@@ -61,25 +67,25 @@
 
 
 def test_a_reading_is_cut_into_slices_by_the_clock_and_loses_nothing() -> None:
-    reading, found, slices = Reading(numbers(100_000), ["n"], {}), list[Any](), 0
+    reading, found, slices = TableReader(numbers(100_000), ["n"], {}), list[Any](), 0
     clock = Clock(10)
-    while not reading.over:
+    while not reading.exhausted:
         before = clock.at
-        found += reading.step(clock, before + 300, 10_000)
+        found += reading.read_rows(clock, before + 300, 10_000)
         slices += 1
         assert clock.at - before <= 300 + 2 * clock.step  # so long a slice, whatever the table's size
     assert [row[0] for row in found] == [n for n in range(100_000) if n % 10 != 9]
-    assert slices > 100 and reading.looked == 100_000
+    assert slices > 100 and reading.examined_count == 100_000
 
 
 def test_a_reading_gives_only_what_is_asked_for_and_no_more_than_it_may() -> None:
-    reading = Reading(numbers(30), ["text", "n"], {"n": 7})
-    assert reading.step(lambda: 0, 1, 99) == [["t7", 7]] and reading.over
-    reading = Reading(numbers(30), ["n"], {}, most=5)
-    assert len(reading.step(lambda: 0, 1, 99)) == 5 and reading.over and reading.cut
+    reading = TableReader(numbers(30), ["text", "n"], {"n": 7})
+    assert reading.read_rows(lambda: 0, 1, 99) == [["t7", 7]] and reading.exhausted
+    reading = TableReader(numbers(30), ["n"], {}, max_rows=5)
+    assert len(reading.read_rows(lambda: 0, 1, 99)) == 5 and reading.exhausted and reading.truncated
     for wanted, only in ((["x"], {}), (["n"], {"y": 1})):
         with pytest.raises(errors.UnknownTableError, match="has no column"):
-            Reading(numbers(3), wanted, only)
+            TableReader(numbers(3), wanted, only)
     with pytest.raises(errors.UnknownTableError, match="no table"):
         Catalog().table("x")
 
@@ -87,24 +93,24 @@
 def test_history_is_bounded_and_errors_are_counted_also_where_lines_are_left_out() -> None:
     history = History(1000)
     for number in range(2000):
-        history.note(number, number, 1, "ended", 3, Outcome.TIMED_OUT, "", "untold")
+        history.record(number, number, 1, "ended", 3, Outcome.TIMED_OUT, "", "untold")
     gc.collect()
-    kept = [step for run in history.runs for step in run]
+    kept = [step for run in history.pages for step in run]
     assert [step[1] for step in kept] == list(range(history.dropped, 2000)) and 1000 <= len(kept) <= 1600
     assert kept[-1][5] == "timed_out" and not any(gc.is_tracked(step) for step in kept)
-    tallies = Tallies()
+    tallies = ErrorCounters()
     for number in range(70):
-        tallies.line(number, {"code": "TS2001"}, f"line {number}")
-    tallies.line(5, {"code": "nonsense"}, "x")
-    tallies.line(5, {}, "no error")
+        tallies.count_line(number, {"code": "TS2001"}, f"line {number}")
+    tallies.count_line(5, {"code": "nonsense"}, "x")
+    tallies.count_line(5, {}, "no error")
     assert set(tallies.by_code) == {"TS2001"}
     assert tallies.by_code["TS2001"].count == 70 and tallies.by_code["TS2001"].text == "line 69"
 
 
 def test_settings_are_told_without_the_key() -> None:
-    from thornshelf.membership.terms import Terms
+    from thornshelf.membership.config import MembershipConfig
 
-    told = dict(flat(Terms(fleet="f", name="n", address="a:1", key=b"secret" * 4)))
+    told = dict(flatten_settings(MembershipConfig(fleet="f", name="n", address="a:1", key=b"secret" * 4)))
     assert told["fleet"] == "f" and not any("secret" in str(value) for value in told.values())
 
 
@@ -115,21 +121,21 @@
 @given(st.lists(st.binary(max_size=300), max_size=8), st.lists(st.integers(1, 400), max_size=20))
 def test_words_are_the_same_however_they_are_cut(bodies: list[bytes], cuts: list[int]) -> None:
     stream = b"".join(len(body).to_bytes(4, "big") + body for body in bodies)
-    words, found = frames.Words(1000), list[bytes]()
+    words, found = framing.FrameDecoder(1000), list[bytes]()
     for cut in cuts:
-        found += words.take(stream[:cut])
+        found += words.feed(stream[:cut])
         stream = stream[cut:]
-    assert found + words.take(stream) == bodies
+    assert found + words.feed(stream) == bodies
 
 
 @FIXED
 @given(st.binary(max_size=200))
 def test_what_is_no_word_is_an_error_of_its_own(data: bytes) -> None:
-    for read in (frames.read_asked, frames.read_answer):
-        with suppress(errors.ReaderError):
+    for read in (framing.decode_request, framing.decode_reply):
+        with suppress(errors.ControlProtocolError):
             read(data)
-    with pytest.raises(errors.ReaderError):
-        frames.Words(100).take(b"\xff\xff\xff\xff" + data)
+    with pytest.raises(errors.ControlProtocolError):
+        framing.FrameDecoder(100).feed(b"\xff\xff\xff\xff" + data)
 
 
 # questions to the fleet
@@ -138,15 +144,15 @@
 class Wire:
     """Members' answers and one asker on one clock, over links that lose, double and reorder."""
 
-    def __init__(self, seed: int, members: dict[str, Answerer], loss: float, count: int = 1) -> None:
+    def __init__(self, seed: int, members: dict[str, QueryResponder], loss: float, count: int = 1) -> None:
         self.chance, self.members, self.loss = random.Random(seed), members, loss
         self.now, self.sent, self.dead = 0, 0, set[str]()
-        self.asker = Asker(count, "numbers", ["n"], {}, members, 0)
+        self.asker = QueryGatherer(count, "numbers", ["n"], {}, members, 0)
 
     def run(self, until: int = 20_000_000) -> dict[str, list[int]]:
         """Until all have told or are given up; the rows of each."""
         found: dict[str, list[int]] = {name: [] for name in self.members}
-        while not self.asker.over and self.now < until:
+        while not self.asker.finished and self.now < until:
             self.turn(found)
         self.turn(found)
         return found
@@ -154,34 +160,36 @@
     def turn(self, found: dict[str, list[int]]) -> None:
         """One millisecond."""
         self.now += 1_000
-        self.asker.pass_time(self.now)
-        for name, data in self._links(self.asker.out):
+        self.asker.tick(self.now)
+        for name, data in self._links(self.asker.outgoing):
             if name not in self.dead:
-                self.members[name].take("me", data, self.now)
+                self.members[name].receive("me", data, self.now)
         for name, answerer in self.members.items():
-            answerer.step(self.now, 7, lambda: 0, 1)
-            for _, data in self._links(answerer.out):
+            answerer.serve(self.now, 7, lambda: 0, 1)
+            for _, data in self._links(answerer.outgoing):
                 if name not in self.dead:
                     self.sent += 1
-                    self.asker.take(name, data, self.now)
-        for name, at_ms, rows in self.asker.found:
+                    self.asker.receive(name, data, self.now)
+        for name, at_ms, rows in self.asker.batches:
             assert at_ms == 7
             found[name] += [int(str(row[0])) for row in rows]
-        self.asker.found.clear()
+        self.asker.batches.clear()
 
     def _links(self, out: list[tuple[str, bytes]]) -> Iterator[tuple[str, bytes]]:
         carried = [one for one in out for _ in range(1 + (self.chance.random() < self.loss))]
         out.clear()
         self.chance.shuffle(carried)
         for _, data in carried:
-            assert len(data) <= asking.PIECE + 180  # beside a sender's own row it fits a datagram
+            assert (
+                len(data) <= scatter_gather.MAX_CHUNK_BYTES + 180
+            )  # beside a sender's own row it fits a datagram
         return iter([one for one in carried if self.chance.random() >= self.loss])
 
 
-def teller(count: int) -> Answerer:
+def teller(count: int) -> QueryResponder:
     catalog = Catalog()
     catalog.add(numbers(count))
-    return Answerer(lambda table, wanted, only: Reading(catalog.table(table), wanted, only))
+    return QueryResponder(lambda table, wanted, only: TableReader(catalog.table(table), wanted, only))
 
 
 def wanted(count: int) -> list[int]:
@@ -195,12 +203,12 @@
     wire = Wire(seed, {name: teller(count) for name, count in counts.items()}, loss)
     found = wire.run()
     for name, count in counts.items():
-        if name in wire.asker.missing:  # named, and what came of it is its beginning
+        if name in wire.asker.incomplete:  # named, and what came of it is its beginning
             assert loss and found[name] == wanted(count)[: len(found[name])]
         else:
             assert found[name] == wanted(count)
-    assert loss or not wire.asker.missing
-    assert set(wire.asker.told) | set(wire.asker.missing) == set(counts)
+    assert loss or not wire.asker.incomplete
+    assert set(wire.asker.complete_members) | set(wire.asker.incomplete) == set(counts)
     if not loss:
         assert not any(len(answerer) for answerer in wire.members.values())  # and nothing is kept of it
 
@@ -213,10 +221,12 @@
         wire.turn(found)
     wire.dead.add("a")
     found["b"] += wire.run()["b"]
-    assert wire.asker.over and wire.now < 5_000_000
-    why = wire.asker.missing["a"]
+    assert wire.asker.finished and wire.now < 5_000_000
+    why = wire.asker.incomplete["a"]
     assert "does not answer" in why or "fell silent after" in why
-    assert set(wire.asker.missing) <= {"a", "b"} and ("b" in wire.asker.missing or found["b"] == wanted(50))
+    assert set(wire.asker.incomplete) <= {"a", "b"} and (
+        "b" in wire.asker.incomplete or found["b"] == wanted(50)
+    )
 
 
 def test_a_member_that_was_started_anew_in_the_middle_says_so() -> None:
@@ -226,124 +236,130 @@
         wire.turn(found)
     wire.members["a"] = teller(60_000)
     wire.run()
-    assert "started anew" in wire.asker.missing["a"]
+    assert "started anew" in wire.asker.incomplete["a"]
 
 
 def test_an_answer_has_a_longest_and_a_member_answers_so_many_at_once() -> None:
     chance = random.Random(3)
     noise = [chance.getrandbits(62) for _ in range(120_000)]
-    shape = columns(("n", INTEGER, "noise"))
+    shape = declare_columns(("n", INTEGER, "noise"))
     table = Table("numbers", "noise", shape, lambda: noise, lambda one: (one,))
-    wire = Wire(1, {"a": Answerer(lambda *_: Reading(table, ["n"], {}))}, 0.0)
+    wire = Wire(1, {"a": QueryResponder(lambda *_: TableReader(table, ["n"], {}))}, 0.0)
     wire.run()
-    assert "too long" in wire.asker.missing["a"]
+    assert "too long" in wire.asker.incomplete["a"]
     busy = teller(60_000)
-    for number in range(asking.MOST_OPEN):
-        busy.take("other", msgspec.msgpack.encode([number, "numbers", ["n"], {}, 0]), 0)
+    for number in range(scatter_gather.MAX_OPEN_QUERIES):
+        busy.receive("other", msgspec.msgpack.encode([number, "numbers", ["n"], {}, 0]), 0)
     late = Wire(1, {"a": busy}, 0.0, 99)
     late.run()
-    assert "too many questions" in late.asker.missing["a"]
-    busy.step(asking.FORGET_US + 10_000_000, 7, lambda: 0, 1)
+    assert "too many questions" in late.asker.incomplete["a"]
+    busy.serve(scatter_gather.IDLE_TIMEOUT_US + 10_000_000, 7, lambda: 0, 1)
     assert not len(busy)  # nobody asked on
 
 
 def test_a_lying_member_costs_no_more_than_its_own_answer() -> None:
     import zlib
 
-    bomb = zlib.compress(bytes(50_000_000), 9)[: asking.PIECE - 4]
+    bomb = zlib.compress(bytes(50_000_000), 9)[: scatter_gather.MAX_CHUNK_BYTES - 4]
     wrong = zlib.compress(msgspec.msgpack.encode((7, [["one", "too many"]])))
     for block in (bomb, wrong, b"\x00" * 50):
-        asker = Asker(1, "numbers", ["n"], {}, ["liar", "b"], 0)
+        asker = QueryGatherer(1, "numbers", ["n"], {}, ["liar", "b"], 0)
         data = len(block).to_bytes(4, "big") + block
-        asker.take("liar", msgspec.msgpack.encode([1, 0, False, data, ""]), 5)
-        assert asker.missing == {"liar": "its answer can't be read"} and not asker.found
-    asker.take("stranger", msgspec.msgpack.encode([1, 0, True, b"", ""]), 5)
-    asker.take("b", b"\xc1", 5)
-    asker.take("b", msgspec.msgpack.encode([1, 9999, True, b"", ""]), 5)  # far beyond what is on its way
-    assert not asker.over
+        asker.receive("liar", msgspec.msgpack.encode([1, 0, False, data, ""]), 5)
+        assert asker.incomplete == {"liar": "its answer can't be read"} and not asker.batches
+    asker.receive("stranger", msgspec.msgpack.encode([1, 0, True, b"", ""]), 5)
+    asker.receive("b", b"\xc1", 5)
+    asker.receive("b", msgspec.msgpack.encode([1, 9999, True, b"", ""]), 5)  # far beyond what is on its way
+    assert not asker.finished
 
 
 # readers
 
 
-class Reader:
+class FakeQueryClient:
     """A shell that reads, or not."""
 
     def __init__(self) -> None:
-        self.takes = self.open = True
+        self.can_accept = self.is_open = True
         self.said: list[Any] = []
         self.fault: errors.ThornshelfError | None = None
 
-    def say(self, word: Any) -> int:
+    def send(self, word: Any) -> int:
         self.said.append(word)
-        return len(frames.pack(word))
+        return len(framing.encode_frame(word))
 
-    def drop(self, fault: errors.ThornshelfError) -> None:
-        self.fault, self.open = fault, False
+    def close_with_error(self, fault: errors.ThornshelfError) -> None:
+        self.fault, self.is_open = fault, False
 
 
-def readers(count: int = 20_000, most: int = 2) -> Readers:
+def readers(count: int = 20_000, most: int = 2) -> QuerySessions:
     catalog = Catalog()
     catalog.add(numbers(count))
-    return Readers("me", catalog, None, lambda: 1, most)
+    return QuerySessions("me", catalog, None, lambda: 1, most)
 
 
 def test_questions_take_turns_within_the_time_of_a_turn() -> None:
     served, clock = readers(), Clock(10)
-    shells = [Reader(), Reader()]
+    shells = [FakeQueryClient(), FakeQueryClient()]
     for shell in shells:
-        served.take(shell, frames.Asked(4, "numbers", ["n"]), 0)
+        served.start(shell, framing.QueryRequest(4, "numbers", ["n"]), 0)
     turns = 0
     while len(served):
         before = clock.at
-        served.step(turns, 7, clock, behind=False)
-        assert clock.at - before <= TURN_US + 4 * clock.step
+        served.run_turn(turns, 7, clock, has_backlog=False)
+        assert clock.at - before <= TURN_TIME_BUDGET_US + 4 * clock.step
         turns += 1
         if turns == 5:  # both are on their way
             assert all(shell.said for shell in shells)
     for shell in shells:
-        rows = [row[0] for word in shell.said if isinstance(word, frames.Page) for row in word.rows]
+        rows = [row[0] for word in shell.said if isinstance(word, framing.RowPage) for row in word.rows]
         assert rows == wanted(20_000)
-        assert shell.said[-1] == frames.End(4, ["me"], [])
+        assert shell.said[-1] == framing.QueryEnd(4, ["me"], [])
     assert turns > 3
 
 
 def test_one_that_reads_nothing_loses_its_connection_and_holds_up_nobody() -> None:
-    served, deaf, well = readers(), Reader(), Reader()
-    served.take(deaf, frames.Asked(1, "numbers", ["n"]), 0)
-    served.take(well, frames.Asked(2, "numbers", ["n"]), 0)
-    deaf.takes = False
-    for now in range(0, DEAF_US + 2_000_000, 100_000):
-        served.step(now, 7, Clock(1), behind=False)
-    assert isinstance(deaf.fault, errors.ReaderError) and not deaf.said
-    assert isinstance(well.said[-1], frames.End) and not len(served)
+    served, deaf, well = readers(), FakeQueryClient(), FakeQueryClient()
+    served.start(deaf, framing.QueryRequest(1, "numbers", ["n"]), 0)
+    served.start(well, framing.QueryRequest(2, "numbers", ["n"]), 0)
+    deaf.can_accept = False
+    for now in range(0, STALLED_CLIENT_TIMEOUT_US + 2_000_000, 100_000):
+        served.run_turn(now, 7, Clock(1), has_backlog=False)
+    assert isinstance(deaf.fault, errors.ControlProtocolError) and not deaf.said
+    assert isinstance(well.said[-1], framing.QueryEnd) and not len(served)
 
 
 def test_a_turn_sends_no_more_than_its_bytes_and_one_page() -> None:
     catalog = Catalog()
     catalog.add(
-        Table("numbers", "wide", columns(("n", TEXT, "")), lambda: range(2_000), lambda n: ("x" * 2_000,))
+        Table(
+            "numbers",
+            "wide",
+            declare_columns(("n", TEXT, "")),
+            lambda: range(2_000),
+            lambda n: ("x" * 2_000,),
+        )
     )
-    served, shells = Readers("me", catalog, None, lambda: 1, 4), [Reader() for _ in range(4)]
+    served, shells = QuerySessions("me", catalog, None, lambda: 1, 4), [FakeQueryClient() for _ in range(4)]
     for shell in shells:
-        served.take(shell, frames.Asked(1, "numbers", ["n"]), 0)
+        served.start(shell, framing.QueryRequest(1, "numbers", ["n"]), 0)
     sent = 0
     while len(served):
-        served.step(0, 7, lambda: 0, behind=False)  # no time passes: the bytes alone bound it
-        now = sum(len(frames.pack(word)) for shell in shells for word in shell.said)
-        assert now - sent < TURN_BYTES + 1_100_000
+        served.run_turn(0, 7, lambda: 0, has_backlog=False)  # no time passes: the bytes alone bound it
+        now = sum(len(framing.encode_frame(word)) for shell in shells for word in shell.said)
+        assert now - sent < TURN_BYTE_BUDGET + 1_100_000
         sent = now
     assert sent > 4 * 2_000 * 2_000
 
 
 def test_a_question_that_cannot_be_served_is_declined_by_its_error() -> None:
-    served, shell = readers(), Reader()
-    served.take(shell, frames.Asked(1, "nothing", []), 0)
-    served.take(shell, frames.Asked(2, "numbers", ["x"]), 0)
-    for number in range(MOST_OPEN + 1):
-        served.take(shell, frames.Asked(10 + number, "numbers", ["n"]), 0)
+    served, shell = readers(), FakeQueryClient()
+    served.start(shell, framing.QueryRequest(1, "nothing", []), 0)
+    served.start(shell, framing.QueryRequest(2, "numbers", ["x"]), 0)
+    for number in range(MAX_QUERIES_PER_CLIENT + 1):
+        served.start(shell, framing.QueryRequest(10 + number, "numbers", ["n"]), 0)
     assert [(one.number, one.code) for one in shell.said] == [(1, "TS5004"), (2, "TS5004"), (14, "TS5005")]
-    served.forget(shell)
+    served.remove_client(shell)
     assert not len(served)
 
 
@@ -360,7 +376,7 @@
     finally:
         os.umask(before)
     assert os.stat(place).st_mode & 0o777 == 0o600
-    with pytest.raises(errors.SocketTakenError):
+    with pytest.raises(errors.SocketInUseError):
         make_socket(place)
     sock.close()
     make_socket(place).close()  # what a process that died left behind makes way
@@ -395,31 +411,31 @@
         self.told, self.missing = rows, missing or []
         self.asked: list[tuple[str, list[str]]] = []
 
-    def known(self) -> frames.Known:
+    def fetch_catalog(self) -> framing.CatalogReply:
         shapes = [
-            frames.Shape(name, "x", [(column, "TEXT", "") for column in (rows[0] if rows else {})])
+            framing.TableSchema(name, "x", [(column, "TEXT", "") for column in (rows[0] if rows else {})])
             for name, rows in self.told.items()
         ]
-        return frames.Known(0, "m0", "1", True, shapes)
+        return framing.CatalogReply(0, "m0", "1", True, shapes)
 
-    def rows(
-        self, table: str, names: list[str], fleet: bool, only: Any, told: Answered
-    ) -> Iterator[frames.Page]:
+    def fetch_rows(
+        self, table: str, names: list[str], fleet: bool, only: Any, told: ResponseSummary
+    ) -> Iterator[framing.RowPage]:
         self.asked.append((table, names))
         told.missing += self.missing
-        page = frames.Page(1, "m0", 5, [[row[name] for name in names] for row in self.told[table]])
-        told.page(page)
+        page = framing.RowPage(1, "m0", 5, [[row[name] for name in names] for row in self.told[table]])
+        told.add_page(page)
         yield page
 
 
 ODD = 's-"q" [red]x[/red] \'\x1b[2J\n\u202e'
 
 
-def engine(limits: Limits = Limits(seconds=1.0), **more: Any) -> tuple[Engine, Teller]:  # noqa: B008
+def engine(limits: QueryLimits = QueryLimits(timeout_s=1.0), **more: Any) -> tuple[QueryEngine, Teller]:  # noqa: B008
     teller = Teller(
         {"nodes": [{"node": ODD, "health": "up"}, {"node": "b", "health": "draining"}], "t": []}, **more
     )
-    return Engine(teller, limits), teller  # type: ignore[arg-type]
+    return QueryEngine(teller, limits), teller  # type: ignore[arg-type]
 
 
 def test_only_what_a_query_reads_is_asked_for() -> None:
@@ -451,18 +467,18 @@
 
 def test_a_query_that_never_ends_or_gives_too_much_is_bounded_and_told() -> None:
     endless = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n) SELECT "
-    found, _ = engine(Limits(seconds=0.2, rows=10))
+    found, _ = engine(QueryLimits(timeout_s=0.2, max_rows=10))
     with pytest.raises(errors.QueryLimitError, match="not over"):
         found.query(endless + "sum(i) FROM n")
     cut = found.query(endless + "i FROM n")
-    assert len(cut.rows) == 10 and not cut.complete and "first 10 rows" in cut.cut
+    assert len(cut.rows) == 10 and not cut.complete and "first 10 rows" in cut.truncation
 
 
 def test_who_told_nothing_is_in_the_result_and_in_a_table() -> None:
     found, _ = engine(missing=[("m3", "it does not answer")])
     result = found.query("SELECT u.member, u.why FROM unanswered u, nodes LIMIT 1")
     assert result.rows == [("m3", "it does not answer")] and not result.complete
-    assert "NOT ALL MEMBERS: m3: it does not answer" in output.notes(result)
+    assert "NOT ALL MEMBERS: m3: it does not answer" in output.summary_lines(result)
     assert '"unanswered": [{"member": "m3"' in output.as_json(result)
 
 
@@ -473,29 +489,39 @@
     from rich.console import Console
 
     console = Console(width=200, record=True, file=open(os.devnull, "w"))  # noqa: SIM115
-    console.print(output.table(result))
+    console.print(output.render_table(result))
     shown = console.export_text()
-    for text in (shown, output.as_csv(result), output.plain(ODD), output.as_json(result)):
+    for text in (shown, output.as_csv(result), output.sanitize(ODD), output.as_json(result)):
         assert "\x1b" not in text and "\u202e" not in text
     assert "[red]x[/red]" in shown and "\\x1b[2J\\n\\u202e" in shown
-    assert _unquoted(output.plain(ODD)) == ODD  # as it is shown it can be typed
+    assert unquote(output.sanitize(ODD)) == ODD  # as it is shown it can be typed
 
 
 def test_ready_queries_and_differences_are_sql_over_the_tables() -> None:
     from thornshelf.control.core_tables import CoreTables
-    from thornshelf.control.fleet_tables import allowances, evidence, members, news
+    from thornshelf.control.fleet_tables import (
+        drain_gossip_table,
+        members_table,
+        outlier_evidence_table,
+        quota_table,
+    )
 
     nothing: Any = None
-    core: Any = SimpleNamespace(in_runs=lambda: None)
-    made = (*CoreTables(core, History(1), Tallies(), nothing).tables(nothing), members(nothing))
-    shown = (*made, evidence(nothing, nothing), news(nothing), allowances(nothing))
+    core: Any = SimpleNamespace(page_tasks=lambda: None)
+    made = (*CoreTables(core, History(1), ErrorCounters(), nothing).tables(nothing), members_table(nothing))
+    shown = (
+        *made,
+        outlier_evidence_table(nothing, nothing),
+        drain_gossip_table(nothing),
+        quota_table(nothing),
+    )
     teller = Teller({table.name: [{column.name: None for column in table.columns}] for table in shown})
-    found = Engine(teller)  # type: ignore[arg-type]
-    for one in ready.READY:
-        assert found.reads(one.sql), one.name
-    for name in ready.ALIKE:
-        assert found.reads(str(ready.difference(name)))
-    assert ready.difference("tasks") is None
+    found = QueryEngine(teller)  # type: ignore[arg-type]
+    for one in saved_queries.SAVED_QUERIES:
+        assert found.referenced_columns(one.sql), one.name
+    for name in saved_queries.COMPARED_COLUMNS:
+        assert found.referenced_columns(str(saved_queries.difference_query(name)))
+    assert saved_queries.difference_query("tasks") is None
     assert len(shown) == len({table.name for table in shown}) == 12
 
 
@@ -528,24 +554,29 @@
 )
 def test_each_reason_against_a_node_is_said(change: dict[str, Any], said: str) -> None:
     seen = [{"by": "m2", "sight": "silent", "member": "m1"}, {"by": "m1", "sight": "silent", "member": "m1"}]
-    assert node_reasons(FINE, [], False) == []
-    (reason,) = node_reasons(FINE | change, seen, False)
+    assert placement_reasons(FINE, [], False) == []
+    (reason,) = placement_reasons(FINE | change, seen, False)
     assert said in reason
-    assert "by others' word" in node_reasons(FINE | {"health": "draining"}, seen, True)[0]
+    assert "by others' word" in placement_reasons(FINE | {"health": "draining"}, seen, True)[0]
 
 
 def test_a_task_is_known_by_its_form() -> None:
-    assert is_task("9b1f03aa5c7e2d41") and is_task("7F") and not is_task("s-00000001") and not is_task("")
+    assert (
+        is_task_id("9b1f03aa5c7e2d41")
+        and is_task_id("7F")
+        and not is_task_id("s-00000001")
+        and not is_task_id("")
+    )
 
 
 def test_numbers_and_nothing_are_shown_as_they_are() -> None:
-    result = Result(["a", "b"], [(1, None), (2.5, "x")], Answered())
+    result = QueryResult(["a", "b"], [(1, None), (2.5, "x")], ResponseSummary())
     assert output.as_csv(result) == "a,b\r\n1,\r\n2.5,x\r\n" and result.complete
 
 
 def test_a_peer_is_told_who_it_is_by_the_system(tmp_path: Path) -> None:
     """What the dispatcher reads of a shell's user comes from the kernel, in this shape."""
-    from thornshelf.parts.control import PEER
+    from thornshelf.components.control import PEER
 
     left, right = socket.socketpair(socket.AF_UNIX)
     process, user, _ = PEER.unpack(left.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER.size))
@@ -556,22 +587,22 @@
 
 def test_tasks_in_runs_are_the_tasks_and_a_table_reads_them_run_by_run_as_they_change() -> None:
     chance, known = random.Random(5), dict[int, Any]({1: "early"})
-    runs: Any = Runs(known)
+    runs: Any = TaskPages(known)
     for number in range(2, 6_000):
         runs[number] = known[number] = f"t{number}"
         if chance.random() < 0.6:
             gone = chance.choice(list(known)[-50:])
             del runs[gone], known[gone]
     assert runs == known and len(runs) == len(known) > 1_000
-    assert {n: t for run in runs.runs.values() for n, t in run.items()} == known and all(runs.runs.values())
+    assert {n: t for run in runs.pages.values() for n, t in run.items()} == known and all(runs.pages.values())
 
     def run(place: int) -> list[Any]:
-        return list(runs.runs.get(place, {}).values())
+        return list(runs.pages.get(place, {}).values())
 
-    table = Table("t", "", columns(("t", TEXT, "")), lambda: list(runs.runs), lambda t: (t,), run)
-    reading, found, stayed = Reading(table, ["t"], {}), list[Any](), set(known)
-    while not reading.over:
-        found += [row[0] for row in reading.step(Clock(100), 200, 40)]
+    table = Table("t", "", declare_columns(("t", TEXT, "")), lambda: list(runs.pages), lambda t: (t,), run)
+    reading, found, stayed = TableReader(table, ["t"], {}), list[Any](), set(known)
+    while not reading.exhausted:
+        found += [row[0] for row in reading.read_rows(Clock(100), 200, 40)]
         gone = chance.choice(list(known))
         del runs[gone], known[gone]
         stayed.discard(gone)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -17,14 +17,15 @@
 
 import pytest
 
-from thornshelf import changelog, syslog
-from thornshelf.changelog import ChangeLog
-from thornshelf.config import Config, ConfigError, read_config
-from thornshelf.core import ListChange
-from thornshelf.lab.standins import CONFIG, HOST, LIMIT_S, World
+from thornshelf import syslog
+from thornshelf.configuration import Config, ConfigError, read_config
+from thornshelf.core import EndpointListUpdate
+from thornshelf.discovery import endpoint_watch
+from thornshelf.discovery.endpoint_watch import EndpointWatch
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, HOST, TIMEOUT_S, FakeCluster
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
-from thornshelf.service import shared
+from thornshelf.service import descriptor_limits
 from thornshelf.syslog import Syslog
 
 ROOT = Path(__file__).parent.parent
@@ -32,7 +33,7 @@
 
 def changed(tmp_path: Path, change: Callable[[dict[str, Any]], object]) -> dict[str, str]:
     """The variables of a start with a changed copy of the example."""
-    value = json.loads(CONFIG.read_text())
+    value = json.loads(EXAMPLE_CONFIG.read_text())
     change(value)
     path = tmp_path / "config.json"
     path.write_text(json.dumps(value))
@@ -76,13 +77,16 @@
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(ConfigError, match=key.replace(".", r"\.")):
-        read_config({"LB_CONFIG": str(CONFIG)}, str(path))
+        read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}, str(path))
 
 
 def test_the_operator_files_of_the_repository_are_good() -> None:
-    config = read_config({"LB_CONFIG": str(CONFIG)}, str(ROOT / "deploy" / "grpc.toml"))
-    assert config.grpc.listen is not None and not config.grpc.speaks("s-00000001")
-    assert read_config({"LB_CONFIG": str(CONFIG), "LB_LISTEN": "127.0.0.2:5"}).listen == ("127.0.0.2", 5)
+    config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}, str(ROOT / "deploy" / "grpc.toml"))
+    assert config.grpc.listen is not None and not config.grpc.is_grpc_node("s-00000001")
+    assert read_config({"LB_CONFIG": str(EXAMPLE_CONFIG), "LB_LISTEN": "127.0.0.2:5"}).listen == (
+        "127.0.0.2",
+        5,
+    )
 
 
 def start(environment: dict[str, str]) -> subprocess.Popen[str]:
@@ -94,16 +98,16 @@
 
 def test_the_process_ends_with_a_plain_message_or_on_sigterm(tmp_path: Path) -> None:
     with start({"LB_CONFIG": str(tmp_path / "none.json")}) as process:
-        _, said = process.communicate(timeout=LIMIT_S)
+        _, said = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2
     assert said.startswith("thornshelf: LB_CONFIG: ") and said.count("\n") == 1
-    with start({"LB_CONFIG": str(CONFIG), "LB_LISTEN": f"{HOST}:0"}) as process:
-        assert process.stdout is not None and " start [" in process.stdout.readline()
+    with start({"LB_CONFIG": str(EXAMPLE_CONFIG), "LB_LISTEN": f"{HOST}:0"}) as process:
+        assert process.stdout is not None and " dispatcher-started [" in process.stdout.readline()
         process.send_signal(signal.SIGHUP)  # left alone, it would end the process
-        assert " reload " in process.stdout.readline()
+        assert " config-reloaded " in process.stdout.readline()
         process.send_signal(signal.SIGTERM)
-        rest, said = process.communicate(timeout=LIMIT_S)
-    assert process.returncode == 0 and " stop [" in rest and not said
+        rest, said = process.communicate(timeout=TIMEOUT_S)
+    assert process.returncode == 0 and " dispatcher-stopped [" in rest and not said
 
 
 class Feed:
@@ -143,9 +147,9 @@
 
 
 def test_the_change_log_goes_on_after_breaks_silence_and_garbage(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("POLL_MS", 50), ("SILENCE_US", 50_000), ("PAUSE_US", 2_000)):
-        monkeypatch.setattr(changelog, name, value)
-    world = World(nodes=0)
+    for name, value in (("POLL_TIMEOUT_MS", 50), ("RESPONSE_GRACE_US", 50_000), ("MIN_BACKOFF_US", 2_000)):
+        monkeypatch.setattr(endpoint_watch, name, value)
+    world = FakeCluster(nodes=0)
     feed = Feed(
         world.loop,
         [
@@ -160,20 +164,20 @@
             http({"seq": 7, "results": [event(7, "d")]}),
         ],
     )
-    told: list[ListChange] = []
+    told: list[EndpointListUpdate] = []
     logged: list[str] = []
 
-    def tell(change: ListChange) -> None:
+    def tell(change: EndpointListUpdate) -> None:
         told.append(change)
         if len(told) == 4:
             raise KeyError("whatever")
 
-    ChangeLog(
+    EndpointWatch(
         world.loop, feed.sock.getsockname(), 3, lambda us: us, tell, lambda *line: logged.append(line[3])
     )
-    world.until(lambda: any(why.startswith("fault: KeyError") for why in logged) and len(feed.asked) > 9)
+    world.run_until(lambda: any(why.startswith("fault: KeyError") for why in logged) and len(feed.asked) > 9)
     feed.sock.close()
-    assert [change.entries[0].name for change in told] == ["a", "b", "c", "d"]
+    assert [change.endpoints[0].name for change in told] == ["a", "b", "c", "d"]
     assert since(feed)[:9] == [3, 4, 4, 6, 6, 6, 6, 6, 6]
     # The first is answered at once: nothing is sent before it is known what changed while the process started.
     assert [path.partition("timeout=")[2] for path in feed.asked[:3]] == ["1", "50", "50"]
@@ -186,14 +190,14 @@
 
 def test_reload_moves_the_change_log_at_once_and_keeps_its_number() -> None:
     """The old address stays open and silent: nothing of the new one may wait for it."""
-    world = World(nodes=1)
+    world = FakeCluster(nodes=1)
     old = Feed(world.loop, [http({"seq": 7, "results": [event(7, "a")]}), None])
     new = Feed(world.loop, [http({"seq": 8, "results": [event(8, "b")]}), None])
     known = world.service.config
     configs: list[Config | ConfigError] = [
-        replace(known, changelog=old.sock.getsockname()),
+        replace(known, endpoint_source=old.sock.getsockname()),
         ConfigError("changelog: not of the form host:port"),
-        replace(known, changelog=new.sock.getsockname(), sockets=256, seed=5),
+        replace(known, endpoint_source=new.sock.getsockname(), max_descriptors=256, seed=5),
     ]
 
     def reread() -> Config:
@@ -204,18 +208,20 @@
 
     world.service._reread = reread
     world.service.reload()
-    world.until(lambda: len(old.asked) == 2)
+    world.run_until(lambda: len(old.asked) == 2)
     world.service.reload()  # a faulty file leaves the old one in force
-    world.settle(10)
-    assert world.logged[-1][:3] == (4, "reload", {"kept": "old", "code": "TS1001"}) and not new.asked
+    world.run_for(10)
+    assert world.logged[-1][:3] == (4, "config-reloaded", {"kept": "old", "code": "TS1001"}) and not new.asked
     begun = world.loop.now
     world.service.reload()
-    assert world.logged[-1][:3] == (5, "reload", {"restart": "seed"})
-    world.until(lambda: len(new.asked) == 2)
-    assert world.loop.now - begun < changelog.POLL_MS * 1000
+    assert world.logged[-1][:3] == (5, "config-reloaded", {"restart": "seed"})
+    world.run_until(lambda: len(new.asked) == 2)
+    assert world.loop.now - begun < endpoint_watch.POLL_TIMEOUT_MS * 1000
     assert since(old) == [1, 7] and since(new) == [7, 8]
-    assert {"a", "b"} <= world.service.core.roster._machines.keys()
-    assert world.service.front.listener.budget.total == shared(world.service.config)[0] < 256
+    assert {"a", "b"} <= world.service.core.endpoints._machine_by_name.keys()
+    assert (
+        world.service.json_frontend.listener.budget.total == descriptor_limits(world.service.config)[0] < 256
+    )
 
 
 def test_the_log_never_blocks_and_says_what_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -241,23 +247,23 @@
 
 def test_a_flood_of_one_kind_of_line_is_cut_in_number_and_length(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against bad clients that fill the log and cost the dispatcher's time."""
-    monkeypatch.setattr(syslog, "MOST_A_SECOND", 5)
+    monkeypatch.setattr(syslog, "MAX_LINES_PER_SECOND", 5)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind((HOST, 0))
-        collector.settimeout(LIMIT_S)
+        collector.settimeout(TIMEOUT_S)
         loop = Loop()
         log = Syslog(loop, "n0", "thornshelf", 0, ("udp", collector.getsockname()))
         loop.now = 5_000_000
-        for _ in range(syslog.MOST_A_SECOND + 7):
+        for _ in range(syslog.MAX_LINES_PER_SECOND + 7):
             log(4, "bad-line", {"odd": "v" * 9999}, "x" * 9999)
         log(6, "other", {}, "goes through")
         log.flush()
-        lines = [collector.recv(1 << 16) for _ in range(syslog.MOST_A_SECOND + 1)]
+        lines = [collector.recv(1 << 16) for _ in range(syslog.MAX_LINES_PER_SECOND + 1)]
         loop.now = 6_000_000
         log(6, "later", {}, "")
         log.flush()
         told = collector.recv(1 << 16)
-    assert lines[-1].endswith(b" goes through") and max(map(len, lines)) < 2 * syslog.MOST_TEXT + 200
+    assert lines[-1].endswith(b" goes through") and max(map(len, lines)) < 2 * syslog.MAX_TEXT_CHARS + 200
     assert b' log [thornshelf@32473 id="bad-line" left_out="7"]' in told
     loop.close()
 
@@ -265,7 +271,7 @@
 def test_the_log_goes_to_a_collector() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind((HOST, 0))
-        collector.settimeout(LIMIT_S)
+        collector.settimeout(TIMEOUT_S)
         loop = Loop()
         log = Syslog(loop, "n0", "thornshelf", 0, ("udp", collector.getsockname()))
         log(4, "bad-line", {"peer": HOST}, "two\nlines")
@@ -278,20 +284,20 @@
 def test_the_log_goes_on_when_a_collectors_connection_breaks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(syslog, "RECONNECT_US", 5_000)
     with socket.create_server((HOST, 0)) as collector:
-        collector.settimeout(LIMIT_S)
-        world = World(nodes=0)
+        collector.settimeout(TIMEOUT_S)
+        world = FakeCluster(nodes=0)
         log = Syslog(world.loop, "n0", "thornshelf", 0, ("tcp", collector.getsockname()))
         for number in range(2):
             log(6, "test", {}, f"line {number}")
             world.loop.turn()
-            world.settle(20)  # the connection waits in the backlog
+            world.run_for(20)  # the connection waits in the backlog
             theirs, _ = collector.accept()
-            theirs.settimeout(LIMIT_S)
-            world.settle(50)
+            theirs.settimeout(TIMEOUT_S)
+            world.run_for(50)
             length, _, line = theirs.recv(4096).partition(b" ")
             assert int(length) == len(line) and line.endswith(b"test - line %d" % number)
             theirs.close()
-            world.settle(50)
+            world.run_for(50)
 
 
 def test_a_coroutines_fault_costs_itself() -> None:
@@ -323,15 +329,15 @@
 
 def test_the_build_leaves_nothing_to_be_compiled_at_a_start(tmp_path: Path) -> None:
     """Guards against starts that compile all sources anew: on a share of a core each restart took as long again."""
-    for name in ("glenshift", "thornshelf", "deploy"):
+    for name in ("thornshelf.placement", "thornshelf", "deploy"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
     for name in ("requirements.txt", ".venv/requirements.txt"):
         shutil.copy(ROOT / "requirements.txt", tmp_path / name)
     build = tomllib.loads((tmp_path / "deploy" / "balancer.toml").read_text())["build"]
-    subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=LIMIT_S * 3)
-    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith(('glenshift', 'thornshelf'))]"
+    subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=TIMEOUT_S * 3)
+    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith(('thornshelf.placement', 'thornshelf'))]"
     script = f"import sys, thornshelf.start; print(*{ours}, sep='\\n')"
     command = [sys.executable, "-B", "-c", script]
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,8 +11,8 @@
 
 from thornshelf import errors
 from thornshelf.cli import cli
-from thornshelf.config import ConfigError, read_config
-from thornshelf.lab.standins import CONFIG
+from thornshelf.configuration import ConfigError, read_config
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
 
 ROOT = Path(__file__).parent.parent
 SOURCES = [path for path in sorted((ROOT / "thornshelf").rglob("*.py")) if not path.name.endswith("_pb2.py")]
@@ -25,9 +25,9 @@
 
 
 def test_each_error_has_a_code_of_its_own_and_says_what_can_be_done() -> None:
-    found = [one for one in subclasses(errors.ThornshelfError) if one is not errors.RefusedDatagramError]
-    assert set(found) == set(errors.KINDS.values())
-    for error in errors.KINDS.values():
+    found = [one for one in subclasses(errors.ThornshelfError) if one is not errors.RejectedDatagramError]
+    assert set(found) == set(errors.ERRORS_BY_CODE.values())
+    for error in errors.ERRORS_BY_CODE.values():
         assert error.remedy != errors.ThornshelfError.remedy and len(error.remedy) > 20
         assert error.meaning != errors.ThornshelfError.meaning and "|" not in error.meaning + error.remedy
         assert error.__doc__
@@ -61,7 +61,7 @@
 
 
 def test_the_page_is_the_table() -> None:
-    assert (ROOT / "docs" / "errors.md").read_text() == errors.page()
+    assert (ROOT / "docs" / "errors.md").read_text() == errors.render_page()
 
 
 def test_explain() -> None:
@@ -69,8 +69,8 @@
     done = runner.invoke(cli, ["explain", "ts4002"])
     assert done.exit_code == 0 and "What to do: Give each process a name of its own" in done.output
     assert runner.invoke(cli, ["explain", "TS9999"]).exit_code == 2
-    assert runner.invoke(cli, ["explain"]).output.count("\n") == len(errors.KINDS)
-    assert runner.invoke(cli, ["explain", "--page"]).output == errors.page()
+    assert runner.invoke(cli, ["explain"]).output.count("\n") == len(errors.ERRORS_BY_CODE)
+    assert runner.invoke(cli, ["explain", "--page"]).output == errors.render_page()
 
 
 def imports(path: Path) -> set[str]:
@@ -127,4 +127,4 @@
         (tmp_path / "fleet.key").chmod(mode)
     (tmp_path / "operator.toml").write_text(text)
     with pytest.raises(ConfigError, match=f"^{named}"):
-        read_config({"LB_CONFIG": str(CONFIG)}, str(tmp_path / "operator.toml"))
+        read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}, str(tmp_path / "operator.toml"))
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -9,29 +9,29 @@
 
 import pytest
 
-from thornshelf.lab.fleet import Member, World
+from thornshelf.lab.fleet import FleetTestbed, MemberProcess
 
 LIMIT_S = 40.0  # nothing waits longer
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
-    found = World(7, True, None, 4, 3, tmp_path)
+def world(tmp_path: Path) -> Iterator[FleetTestbed]:
+    found = FleetTestbed(7, True, None, 4, 3, tmp_path)
     found.start(*found.members)
     wait(found, found.agreed)
     yield found
     found.end()
 
 
-def wait(world: World, done: Callable[[], bool]) -> None:
+def wait(world: FleetTestbed, done: Callable[[], bool]) -> None:
     assert world.until(done, LIMIT_S) is not None, {one.name: one.states for one in world.members}
 
 
-def log(member: Member) -> str:
+def log(member: MemberProcess) -> str:
     return "".join(path.read_text(errors="replace") for path in member.logs)
 
 
-def test_a_killed_one_is_found_and_comes_back_and_tasks_are_served_throughout(world: World) -> None:
+def test_a_killed_one_is_found_and_comes_back_and_tasks_are_served_throughout(world: FleetTestbed) -> None:
     world.loading = True
     world.load()
     world.kill(world.members[3])
@@ -45,7 +45,7 @@
     assert not world.truth.lost(world.loop.now, 2_000_000)
 
 
-def test_a_stopped_one_that_wakes_holds_nobody_for_dead(world: World) -> None:
+def test_a_stopped_one_that_wakes_holds_nobody_for_dead(world: FleetTestbed) -> None:
     stopped = world.members[2]
     assert stopped.process is not None
     world.kill(stopped, number=signal.SIGSTOP)
@@ -57,7 +57,7 @@
     assert 'after="dead"' in log(world.members[0])
 
 
-def test_a_partition_heals(world: World) -> None:
+def test_a_partition_heals(world: FleetTestbed) -> None:
     world.relays.cut = lambda sender, receiver: (sender < 2) != (receiver < 2)
     halves = {"m00", "m01"}, {"m02", "m03"}
     wait(world, lambda: all(one.live == halves[one.index >= 2] for one in world.members))
@@ -65,12 +65,12 @@
     wait(world, world.agreed)
 
 
-def test_of_two_processes_of_one_name_the_later_start_wins(world: World) -> None:
+def test_of_two_processes_of_one_name_the_later_start_wins(world: FleetTestbed) -> None:
     """By its error the earlier one says so, and goes on serving."""
     earlier, gone = world.members[1], world.members[3]
     world.kill(gone)
     wait(world, world.agreed)
-    later = Member(3)
+    later = MemberProcess(3)
     later.name, later.starts = "m01", 5  # at another address
     world.members.append(later)
     world.start(later)
@@ -80,19 +80,19 @@
     assert earlier.process is not None and earlier.process.process.poll() is None
     world.members.remove(later)
     assert later.process is not None
-    later.process.end()
+    later.process.terminate()
 
 
-def test_a_drain_reaches_the_one_whose_change_log_is_silent(world: World) -> None:
+def test_a_drain_reaches_the_one_whose_change_log_is_silent(world: FleetTestbed) -> None:
     world.keeper.silent.add(2)
     wait(world, lambda: "silent" in log(world.members[2]))
-    world.keeper.tell([world.entry(1, "terminating")])
+    world.keeper.publish([world.entry(1, "terminating")])
     wait(world, lambda: "kept-away" in log(world.members[2]))
     assert 'node="s-00000002"' in log(world.members[2])
     assert not any("kept-away" in log(world.members[index]) for index in (0, 1, 3))
 
 
-def test_forged_and_replayed_datagrams_cost_a_line_and_a_counter(world: World) -> None:
+def test_forged_and_replayed_datagrams_cost_a_line_and_a_counter(world: FleetTestbed) -> None:
     world.relays.keep = True
     wait(world, lambda: len(world.relays.kept) > 20)
     world.relays.keep = False
@@ -105,7 +105,7 @@
     wait(world, world.agreed)
 
 
-def test_a_member_that_leaves_in_order_is_held_for_left(world: World) -> None:
+def test_a_member_that_leaves_in_order_is_held_for_left(world: FleetTestbed) -> None:
     leaver = world.members[3]
     world.kill(leaver, number=signal.SIGTERM)
     wait(world, lambda: all(one.states.get("m03") == "left" for one in world.members[:3]))
@@ -118,11 +118,11 @@
 
 
 @pytest.fixture
-def make(tmp_path: Path) -> Iterator[Callable[[int], World]]:
-    made: list[World] = []
+def make(tmp_path: Path) -> Iterator[Callable[[int], FleetTestbed]]:
+    made: list[FleetTestbed] = []
 
-    def one(members: int) -> World:
-        made.append(World(7, True, None, members, 2, tmp_path))
+    def one(members: int) -> FleetTestbed:
+        made.append(FleetTestbed(7, True, None, members, 2, tmp_path))
         return made[-1]
 
     yield one
@@ -130,7 +130,7 @@
         world.end()
 
 
-def test_ten_join_at_once_through_one_seed_that_then_dies(make: Callable[[int], World]) -> None:
+def test_ten_join_at_once_through_one_seed_that_then_dies(make: Callable[[int], FleetTestbed]) -> None:
     world = make(11)
     world.seeds = 1
     world.start(world.members[0])
@@ -142,7 +142,9 @@
     assert world.members[5].live == {f"m{index:02d}" for index in range(1, 11)}
 
 
-def test_all_seeds_dead_at_a_start_are_called_until_they_are_there(make: Callable[[int], World]) -> None:
+def test_all_seeds_dead_at_a_start_are_called_until_they_are_there(
+    make: Callable[[int], FleetTestbed],
+) -> None:
     world = make(4)
     world.absent = {"m00", "m01"}
     world.start(*world.members[2:])
@@ -153,7 +155,7 @@
 
 
 def test_a_crash_is_found_through_loss_doubles_and_reordering_and_all_agree_once_the_links_are_well(
-    make: Callable[[int], World],
+    make: Callable[[int], FleetTestbed],
 ) -> None:
     """That nobody is held for dead meanwhile is shown in virtual time, where it hangs on no machine's load."""
     world = make(6)
@@ -168,7 +170,7 @@
     wait(world, world.agreed)
 
 
-def test_nearly_all_restarted_within_seconds(make: Callable[[int], World]) -> None:
+def test_nearly_all_restarted_within_seconds(make: Callable[[int], FleetTestbed]) -> None:
     world = make(8)
     world.start(*world.members)
     wait(world, world.agreed)
@@ -179,13 +181,13 @@
     assert all(member.live == {f"m{index:02d}" for index in range(8)} for member in world.members)
 
 
-def test_another_name_at_an_address_that_was_used(make: Callable[[int], World]) -> None:
+def test_another_name_at_an_address_that_was_used(make: Callable[[int], FleetTestbed]) -> None:
     world = make(3)
     world.start(*world.members)
     wait(world, world.agreed)
     old = world.members[2]
     world.kill(old)
-    world.members[2] = new = Member(2)
+    world.members[2] = new = MemberProcess(2)
     new.name = "other"
     world.start(new)
     there = {"m00", "m01", "other"}
@@ -193,7 +195,7 @@
 
 
 def test_a_partition_in_three_parts_longer_than_the_time_to_forget_heals(
-    make: Callable[[int], World],
+    make: Callable[[int], FleetTestbed],
 ) -> None:
     world = make(6)
     world.more = "remember_s = 10\n"
@@ -206,7 +208,7 @@
 
 
 def test_members_of_two_versions_serve_on_and_say_that_they_do_not_see_each_other(
-    make: Callable[[int], World],
+    make: Callable[[int], FleetTestbed],
 ) -> None:
     found = make(3)
     found.start(*found.members[:2])
@@ -227,7 +229,7 @@
     wait(found, found.agreed)  # once it is of their version
 
 
-def test_a_restart_within_the_time_to_refute_with_the_clock_stepped_back(world: World) -> None:
+def test_a_restart_within_the_time_to_refute_with_the_clock_stepped_back(world: FleetTestbed) -> None:
     one = world.members[2]
     world.kill(one)
     world.start(one, odd="clock-back")  # before the others can hold it for dead
@@ -241,7 +243,7 @@
 
 @pytest.mark.parametrize("away_s", [1.0, 20.0])
 def test_one_that_is_stopped_for_a_while_holds_nobody_for_dead_when_it_wakes(
-    world: World, away_s: float
+    world: FleetTestbed, away_s: float
 ) -> None:
     stopped = world.members[1]
     assert stopped.process is not None
@@ -253,7 +255,7 @@
     assert 'after="dead"' not in log(stopped)
 
 
-def test_after_a_link_that_worked_one_way_all_agree(world: World) -> None:
+def test_after_a_link_that_worked_one_way_all_agree(world: FleetTestbed) -> None:
     world.relays.cut = lambda sender, receiver: (sender, receiver) == (1, 2)
     world.rest(6.0)
     wait(
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thornshelf.changelog import read_events
+from thornshelf.discovery.endpoint_watch import decode_events
 from thornshelf.loop import Chunk
 from thornshelf.wire import binary, grpc, http2, jsonl, rfc5424
 from thornshelf.wire import placement_pb2 as pb
@@ -147,8 +147,8 @@
         kept = place.get(key)
         place[key] = value
         with contextlib.suppress(WireError):
-            last, changes = read_events(answer, 0, lambda us: us, lambda _: None)
-            assert last >= 0 and all(entry.name for change in changes for entry in change.entries)
+            last, changes = decode_events(answer, 0, lambda us: us, lambda _: None)
+            assert last >= 0 and all(entry.name for change in changes for entry in change.endpoints)
         place[key] = kept
 
 
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -11,7 +11,7 @@
 import pytest
 from h2.settings import SettingCodes
 
-from thornshelf.lab.standins import DESCRIPTION, GRPC, JSON, Conduct, Order, World
+from thornshelf.lab.fakes.cluster import DESCRIPTION, GRPC, JSON, NodeBehavior, ReceivedOrder, FakeCluster
 from thornshelf.loop import Chunk
 from thornshelf.wire import grpc, http2
 from thornshelf.wire import placement_pb2 as pb
@@ -20,27 +20,29 @@
 ONCE_ONLY = "ledger-batch"
 
 
-def place(world: World, conduct: Conduct, task_class: str = "lookup", **headers: str) -> dict[str, str]:
+def place(
+    world: FakeCluster, conduct: NodeBehavior, task_class: str = "lookup", **headers: str
+) -> dict[str, str]:
     """A unary call and the trailers it ends with."""
     client = world.client
     call = client.open("Place", **headers)
     client.h2.send(call, grpc.frame(client.message(5, conduct, task_class)))
     client.h2.finish(call, [])
-    world.until(lambda: call in client.status)
+    world.run_until(lambda: call in client.status)
     return dict(client.status[call])
 
 
 @pytest.mark.parametrize(
     ("conduct", "task_class", "status"),
     [
-        (Conduct.RUN, ONCE_ONLY, grpc.OK),
-        (Conduct.FULL, "lookup", grpc.RESOURCE_EXHAUSTED),
-        (Conduct.CUT, ONCE_ONLY, grpc.ABORTED),
-        (Conduct.RUN, "no-such-class", grpc.INVALID_ARGUMENT),
+        (NodeBehavior.RUN, ONCE_ONLY, grpc.OK),
+        (NodeBehavior.FULL, "lookup", grpc.RESOURCE_EXHAUSTED),
+        (NodeBehavior.CUT, ONCE_ONLY, grpc.ABORTED),
+        (NodeBehavior.RUN, "no-such-class", grpc.INVALID_ARGUMENT),
     ],
 )
-def test_place_tells_its_outcome_by_status(conduct: Conduct, task_class: str, status: int) -> None:
-    world = World(GRPC, GRPC)
+def test_place_tells_its_outcome_by_status(conduct: NodeBehavior, task_class: str, status: int) -> None:
+    world = FakeCluster(GRPC, GRPC)
     trailers = place(world, conduct, task_class)
     assert trailers["grpc-status"] == str(status)
     assert trailers.get("grpc-retry-pushback-ms") == ("1000" if status == grpc.RESOURCE_EXHAUSTED else None)
@@ -48,16 +50,16 @@
 
 
 def test_grpc_timeout_ends_the_call_and_gives_the_offer_up() -> None:
-    world = World(GRPC, GRPC)
-    trailers = place(world, Conduct.SILENT, grpc_timeout="150m")
+    world = FakeCluster(GRPC, GRPC)
+    trailers = place(world, NodeBehavior.SILENT, grpc_timeout="150m")
     assert trailers["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
-    world.until(lambda: any(("release", 5) in one.seen for one in world.nodes))
+    world.run_until(lambda: any(("release", 5) in one.seen for one in world.nodes))
     client = world.client
     client.call = client.open("Dispatch", grpc_timeout="100m")
-    client.ask(6, Conduct.SILENT)
-    world.until(lambda: client.call in client.status)
+    client.ask(6, NodeBehavior.SILENT)
+    world.run_until(lambda: client.call in client.status)
     assert client.status[client.call]["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
-    world.until(lambda: any(("release", 6) in one.seen for one in world.nodes))
+    world.run_until(lambda: any(("release", 6) in one.seen for one in world.nodes))
 
 
 @pytest.mark.parametrize(
@@ -69,49 +71,49 @@
     ],
 )
 def test_calls_that_are_not_taken(method: str, headers: dict[str, str], status: int) -> None:
-    world = World(GRPC, GRPC)
+    world = FakeCluster(GRPC, GRPC)
     call = world.client.open(method, **headers)
-    world.until(lambda: call in world.client.status)
+    world.run_until(lambda: call in world.client.status)
     assert world.client.status[call]["grpc-status"] == str(status)
-    world.client.ask(5, Conduct.RUN)  # the connection goes on
-    world.heard(5)
+    world.client.ask(5, NodeBehavior.RUN)  # the connection goes on
+    world.wait_for_events(5)
 
 
 def test_unreadable_message_ends_its_stream_alone() -> None:
-    world = World(GRPC, GRPC)
+    world = FakeCluster(GRPC, GRPC)
     call = world.client.open("Dispatch")
     world.client.h2.send(call, b"\x00\x00\x00\x00\x02\xff\xff")
-    world.until(lambda: call in world.client.status)
+    world.run_until(lambda: call in world.client.status)
     assert world.client.status[call]["grpc-status"] == str(grpc.INTERNAL)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
 
 
 def test_rst_stream_by_a_client_gives_up_its_open_tasks() -> None:
-    world = World(GRPC, GRPC)
-    world.client.ask(5, Conduct.SILENT)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster(GRPC, GRPC)
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.run_until(lambda: world.offer_count(5) == 1)
     world.client.h2.reset(world.client.call)
-    world.until(lambda: any(("release", 5) in one.seen for one in world.nodes))
+    world.run_until(lambda: any(("release", 5) in one.seen for one in world.nodes))
     assert world.service.core.open_count == 0
 
 
 def test_refused_stream_never_ran() -> None:
     """REFUSED_STREAM proves that the offer was not looked at: even an unsafe task is then refused."""
-    world = World(GRPC, GRPC)
+    world = FakeCluster(GRPC, GRPC)
     for node in world.nodes:
         refuse: Any = lambda _, say: say.h2.reset(say.stream, http2.REFUSED_STREAM)  # noqa: E731
         node.order = refuse  # type: ignore[method-assign]
-    world.client.ask(5, Conduct.RUN, ONCE_ONLY)
-    assert world.heard(5) == [("refused", "1000")]
+    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    assert world.wait_for_events(5) == [("refused", "1000")]
 
 
 def test_goaway_by_a_node_lets_open_offers_end_and_sends_new_ones_elsewhere() -> None:
-    world = World(GRPC, GRPC, nodes=1)
+    world = FakeCluster(GRPC, GRPC, nodes=1)
     node, usual = world.nodes[0], world.nodes[0].order
     held: list[Any] = []
 
-    def order(order: Order, say: Any) -> None:
+    def order(order: ReceivedOrder, say: Any) -> None:
         if not held:
             node.seen.append((order.kind, order.uid))
             held.append(say)
@@ -120,24 +122,24 @@
             usual(order, say)
 
     node.order = order  # type: ignore[method-assign]
-    world.client.ask(5, Conduct.RUN, ONCE_ONLY)
-    world.until(lambda: bool(held))
-    world.settle(20)
-    world.client.ask(6, Conduct.RUN, ONCE_ONLY)
-    world.settle(20)
+    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    world.run_until(lambda: bool(held))
+    world.run_for(20)
+    world.client.ask(6, NodeBehavior.RUN, ONCE_ONLY)
+    world.run_for(20)
     assert node.offers(6) == 0  # it waits: the connection that goes away takes nothing new
     held[0].bind(5)
-    assert world.heard(5) == world.heard(6) == [("placed", DESCRIPTION)]
+    assert world.wait_for_events(5) == world.wait_for_events(6) == [("placed", DESCRIPTION)]
     assert len(node.streams) == 2 and node.offers(5) == 1
 
 
 def test_ending_dispatcher_answers_what_is_open_and_goes_away() -> None:
-    world = World(GRPC, GRPC)
-    world.client.ask(5, Conduct.SILENT, left=1500)
-    world.until(lambda: world.offers(5) == 1)
-    world.service.end()
-    assert world.heard(5) == [("failed", None)]
-    world.until(lambda: world.client.closed or not world.service.core.open_count)
+    world = FakeCluster(GRPC, GRPC)
+    world.client.ask(5, NodeBehavior.SILENT, left=1500)
+    world.run_until(lambda: world.offer_count(5) == 1)
+    world.service.shut_down()
+    assert world.wait_for_events(5) == [("failed", None)]
+    world.run_until(lambda: world.client.closed or not world.service.core.open_count)
 
 
 def test_flow_control_sends_no_more_than_the_windows_allow() -> None:
@@ -163,7 +165,7 @@
     server.respond(stream, [(":status", "200")])
     sent = server.send(stream, grpc.frame(pb.Binding(description=b"x" * 100)))
     blocked = server.send(stream, grpc.frame(pb.Binding(description=b"y")))
-    assert sent.offset == 10 and not sent.whole
+    assert sent.offset == 10 and not sent.fully_sent
     assert server.retract(stream, blocked) and not server.retract(stream, sent)
     received: list[http2.Event] = []
     for _ in range(40):
@@ -180,17 +182,17 @@
     assert not server.send(1, b"late").chunks and server.streams == 0
 
 
-def serve_from_thread(world: World, work: Callable[[], Any]) -> Any:
+def serve_from_thread(world: FakeCluster, work: Callable[[], Any]) -> Any:
     """Run grpcio's blocking calls in a thread while the loop turns here."""
     with futures.ThreadPoolExecutor(1) as pool:
         future = pool.submit(work)
-        world.until(future.done)
+        world.run_until(future.done)
         return future.result()
 
 
 def test_grpcio_client_and_our_front() -> None:
-    world = World(JSON, GRPC)
-    address = "%s:%d" % world.service.fronts[1].listener.address
+    world = FakeCluster(JSON, GRPC)
+    address = "%s:%d" % world.service.frontends[1].listener.address
     ask = pb.Ask(uid=5, task_class=ONCE_ONLY, left_ms=8000, key=5, cores=1, memory=2, service=7)
 
     def work() -> tuple[Any, ...]:
@@ -204,15 +206,15 @@
                 method + "Dispatch", pb.ClientMessage.SerializeToString, pb.Verdict.FromString
             )
             passed = check(pb.CheckRequest(), timeout=10).passed
-            ask.description = Conduct.RUN.value
+            ask.description = NodeBehavior.RUN.value
             placed = place(ask, timeout=10).binding.description
-            ask.uid, ask.description = 7, Conduct.SILENT.value
+            ask.uid, ask.description = 7, NodeBehavior.SILENT.value
             with pytest.raises(grpcio.RpcError) as late:
                 place(ask, timeout=0.3)
-            ask.uid, ask.description = 8, Conduct.END.value
+            ask.uid, ask.description = 8, NodeBehavior.END.value
             verdicts = dispatch(iter([pb.ClientMessage(ask=ask)]), timeout=10)
             kinds = [one.WhichOneof("kind") for one in verdicts]
-            ask.uid, ask.description = 6, Conduct.FULL.value
+            ask.uid, ask.description = 6, NodeBehavior.FULL.value
             with pytest.raises(grpcio.RpcError) as refused:
                 place(ask, timeout=10)
             return passed, placed, refused.value.code(), late.value.code(), kinds
@@ -258,15 +260,15 @@
     port = server.add_insecure_port("127.0.0.1:0")
     server.start()
     try:
-        world = World(JSON, GRPC, nodes=1)
+        world = FakeCluster(JSON, GRPC, nodes=1)
         world.nodes[0].port = port
-        world.tell(0, "in_service")  # the same name at grpcio's address
-        world.settle(10)
-        world.client.ask(5, Conduct.RUN, ONCE_ONLY)
-        assert world.heard(5) == [("placed", Conduct.RUN.value)]
-        world.service.core.roster.nodes[1].probe()
+        world.update_lifecycle(0, "in_service")  # the same name at grpcio's address
+        world.run_for(10)
+        world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+        assert world.wait_for_events(5) == [("placed", NodeBehavior.RUN.value)]
+        world.service.core.endpoints.nodes[1].check_health()
         world.client.give_up(5)
-        world.until(lambda: handler.orders.qsize() == 2)
+        world.run_until(lambda: handler.orders.qsize() == 2)
         assert [handler.orders.get(), handler.orders.get()] == [("offer", 5), ("release", 5)]
     finally:
         server.stop(None).wait(10)
