--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -13,18 +13,34 @@
 from hypothesis import strategies as st
 
 from thornshelf import errors
-from thornshelf.lab import members as lab
-from thornshelf.lab.members import SECOND, Network, settle
-from thornshelf.membership.compare import Buckets, pack_names
-from thornshelf.membership.datagrams import Item, Kind, Message, Row, Sealer, Windows
-from thornshelf.membership.dissemination import Dissemination
+from thornshelf.lab import membership as lab
+from thornshelf.lab.membership import SECOND, Network, run_until_settled
+from thornshelf.membership.anti_entropy import BucketIndex, pack_hashes
+from thornshelf.membership.config import MAX_DATAGRAM_BYTES, MembershipConfig
+from thornshelf.membership.datagrams import (
+    MapEntry,
+    Message,
+    MessageKind,
+    ReceivedRecord,
+    ReplayWindows,
+    Sealer,
+)
+from thornshelf.membership.dissemination import DisseminationBuffer
 from thornshelf.membership.join_candidates import JoinCandidates
-from thornshelf.membership.member_table import MemberTable, Myself
+from thornshelf.membership.member_table import LocalMember, MemberTable
 from thornshelf.membership.prober import Prober
-from thornshelf.membership.shared import MOST_OF_ONE, SharedMap
-from thornshelf.membership.states import LIVE, TRANSITIONS, Claim, Event, Member, State, Word, greater
-from thornshelf.membership.terms import MOST_DATAGRAM, Terms
-from thornshelf.membership.view import View
+from thornshelf.membership.protocol import MembershipProtocol
+from thornshelf.membership.replicated_map import MAX_ENTRIES_PER_WRITER, ReplicatedMap
+from thornshelf.membership.states import (
+    LIVE_STATES,
+    TRANSITIONS,
+    Member,
+    MemberEvent,
+    MemberRecord,
+    MemberState,
+    RecordStatus,
+    prevailing_record,
+)
 
 
 def names(count: int) -> list[str]:
@@ -34,7 +50,7 @@
 def fleet(count: int, seed: int = 1, **terms: Any) -> tuple[Network, list[str]]:
     """A settled fleet."""
     network, all_of_them = Network(seed, **terms), names(count)
-    assert settle(network, all_of_them, 30 * SECOND) is not None
+    assert run_until_settled(network, all_of_them, 30 * SECOND) is not None
     network.run(network.now + 2 * SECOND)
     return network, all_of_them
 
@@ -44,7 +60,7 @@
     found: list[tuple[str, str]] = []
 
     def changed(who: str, change: Any) -> None:
-        if change.before in LIVE and change.after not in LIVE:
+        if change.before in LIVE_STATES and change.after not in LIVE_STATES:
             found.append((who, change.name))
 
     network.on_change = changed
@@ -55,19 +71,24 @@
 
 
 def test_every_state_has_a_transition_for_every_event() -> None:
-    assert set(TRANSITIONS) == set(product(State, Event))
+    assert set(TRANSITIONS) == set(product(MemberState, MemberEvent))
 
 
 def test_nobody_is_gone_by_another_s_word_without_time_to_answer() -> None:
     """Guards against a member with the right key that calls healthy members dead."""
-    for state in LIVE:
-        for event in (Event.SAID_SUSPECT, Event.SAID_DEAD, Event.SAID_LEFT, Event.NO_ANSWER):
-            assert TRANSITIONS[state, event] in LIVE
-        assert TRANSITIONS[state, Event.REFUTES] is State.ALIVE
+    for state in LIVE_STATES:
+        for event in (
+            MemberEvent.REPORTED_SUSPECT,
+            MemberEvent.REPORTED_DEAD,
+            MemberEvent.REPORTED_LEFT,
+            MemberEvent.PROBE_FAILED,
+        ):
+            assert TRANSITIONS[state, event] in LIVE_STATES
+        assert TRANSITIONS[state, MemberEvent.REFUTED] is MemberState.ALIVE
 
 
 CLAIMS = st.builds(
-    Claim,
+    MemberRecord,
     name=st.just("x"),
     address=st.sampled_from(["a:1", "b:1"]),
     incarnation=st.integers(0, 3),
@@ -80,14 +101,14 @@
 @given(st.lists(CLAIMS, min_size=1, max_size=8), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200, deadline=None)
 def test_claims_merge_to_the_same_in_any_order_and_however_often(
-    claims: list[Claim], chance: random.Random
+    claims: list[MemberRecord], chance: random.Random
 ) -> None:
-    def merged(order: list[Claim]) -> tuple[int, int, int]:
-        held: Claim | None = None
+    def merged(order: list[MemberRecord]) -> tuple[int, int, int]:
+        held: MemberRecord | None = None
         for one in order:
-            held = greater(held, one)
+            held = prevailing_record(held, one)
         assert held is not None
-        return held.key
+        return held.precedence
 
     shuffled = claims * 2
     chance.shuffle(shuffled)
@@ -96,47 +117,49 @@
 
 @given(st.lists(CLAIMS, min_size=1, max_size=8), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_rolls_that_heard_the_same_claims_hold_the_same(claims: list[Claim], chance: random.Random) -> None:
+def test_rolls_that_heard_the_same_claims_hold_the_same(
+    claims: list[MemberRecord], chance: random.Random
+) -> None:
     """Whatever the order, once times to refute are over."""
     states = []
     for order in (claims, chance.sample(claims, len(claims))):
-        table = MemberTable(Terms("f", "me", "me:1"), random.Random(1), lambda name: None)
-        table.enter(Claim("x", "a:1", 0, 1, 0, 0), 0)
+        table = MemberTable(MembershipConfig("f", "me", "me:1"), random.Random(1), lambda name: None)
+        table.add(MemberRecord("x", "a:1", 0, 1, 0, 0), 0)
         for one in order:
-            table.claimed(one, 1)
-        table.pass_time(60 * SECOND)
+            table.update_from_gossip(one, 1)
+        table.tick(60 * SECOND)
         member = table.members["x"]
-        states.append((member.claim.key[:2], member.live))
+        states.append((member.record.precedence[:2], member.is_live))
     assert states[0] == states[1]
 
 
 def test_a_suspicion_shrinks_with_confirmations_and_grows_with_ones_own_bad_health() -> None:
-    terms = Terms("f", "me", "me:1")
-    times = [terms.suspicion(12, doubters, 0) for doubters in (1, 2, 3, 4, 9)]
+    terms = MembershipConfig("f", "me", "me:1")
+    times = [terms.suspicion_timeout_us(12, doubters, 0) for doubters in (1, 2, 3, 4, 9)]
     assert times == sorted(times, reverse=True)
     assert abs(times[0] - 3 * times[3]) <= 3 and times[3] == times[4]
-    assert abs(terms.suspicion(12, 1, 2) - 2 * times[0]) <= 1
-    assert terms.suspicion(1024, 4, 0) > times[3]
+    assert abs(terms.suspicion_timeout_us(12, 1, 2) - 2 * times[0]) <= 1
+    assert terms.suspicion_timeout_us(1024, 4, 0) > times[3]
 
 
 def test_a_refutation_outbids_whatever_was_claimed() -> None:
-    me = Myself(Terms("f", "me", "me:1"), 7, 1, 0)
-    assert me.heard(Claim("me", "me:1", 1, 7, int(Word.DEAD), 0), SECOND)
-    assert me.claim.incarnation == 2 and me.claim.word == Word.ALIVE
-    assert not me.heard(Claim("me", "me:1", 1, 7, int(Word.DEAD), 0), SECOND)  # old
-    assert me.heard(
-        Claim("me", "me:1", 500, 7, int(Word.ALIVE), 0), SECOND
+    me = LocalMember(MembershipConfig("f", "me", "me:1"), 7, 1, 0)
+    assert me.refute(MemberRecord("me", "me:1", 1, 7, int(RecordStatus.DEAD), 0), SECOND)
+    assert me.record.incarnation == 2 and me.record.status == RecordStatus.ALIVE
+    assert not me.refute(MemberRecord("me", "me:1", 1, 7, int(RecordStatus.DEAD), 0), SECOND)  # old
+    assert me.refute(
+        MemberRecord("me", "me:1", 500, 7, int(RecordStatus.ALIVE), 0), SECOND
     )  # nobody else gives it incarnations
-    assert me.claim.incarnation == 501
+    assert me.record.incarnation == 501
 
 
 def test_a_former_life_is_outbid_and_a_live_rival_is_not_outbid_for_ever() -> None:
-    terms = Terms("f", "me", "me:1")
-    older, newer = Myself(terms, 5, 10, 0), Myself(terms, 9, 1, 100 * SECOND)
+    terms = MembershipConfig("f", "me", "me:1")
+    older, newer = LocalMember(terms, 5, 10, 0), LocalMember(terms, 9, 1, 100 * SECOND)
     now = 101 * SECOND
     for _ in range(6):
-        newer.heard(older.claim, now)
-        older.heard(newer.claim, now)
+        newer.refute(older.record, now)
+        older.refute(newer.record, now)
     assert older.superseded and not newer.superseded
 
 
@@ -144,8 +167,8 @@
 
 
 def message(sealer: Sealer, sender: str = "a", counter: int = 1, **changes: Any) -> bytes:
-    row = Row(sender, f"{sender}:1", 1, 5, 0, 0)
-    return sealer.seal(sealer.encode(Message(Kind.PING, row, 9, counter, **changes)))
+    row = ReceivedRecord(sender, f"{sender}:1", 1, 5, 0, 0)
+    return sealer.seal(sealer.encode(Message(MessageKind.PING, row, 9, counter, **changes)))
 
 
 def test_each_kind_of_bad_datagram_has_an_error_of_its_own() -> None:
@@ -159,10 +182,10 @@
         (good[:-1], errors.ForgedDatagramError),
         (good[:-1] + bytes((good[-1] ^ 1,)), errors.ForgedDatagramError),
         (good[:2] + b"\0" + good[3:], errors.ForgedDatagramError),
-        (good[:2] + b"\2" + good[3:], errors.NewerDatagramError),
+        (good[:2] + b"\2" + good[3:], errors.UnsupportedDatagramVersionError),
         (message(theirs), errors.ForeignDatagramError),
         (message(other), errors.ForgedDatagramError),
-        (good + b"x" * MOST_DATAGRAM, errors.OversizedDatagramError),
+        (good + b"x" * MAX_DATAGRAM_BYTES, errors.OversizedDatagramError),
         (ours.seal(b"\xc1"), errors.UnreadableDatagramError),
         (ours.seal(ours.encode([99])), errors.UnreadableDatagramError),
     ]
@@ -174,19 +197,19 @@
 @given(st.binary(max_size=1300))
 @settings(derandomize=True, max_examples=300, deadline=None)
 def test_whatever_comes_costs_a_counter_and_nothing_else(data: bytes) -> None:
-    view = View(Terms("f", "me", "me:1", key=b"k" * 32), 9, SECOND, random.Random(1))
-    view.take(data, SECOND)
-    view.take(view._sealer.seal(data[:1000]), SECOND)
-    assert view.count == 1 and sum(view.counters.values()) == 2
+    view = MembershipProtocol(MembershipConfig("f", "me", "me:1", key=b"k" * 32), 9, SECOND, random.Random(1))
+    view.receive(data, SECOND)
+    view.receive(view._sealer.seal(data[:1000]), SECOND)
+    assert view.live_count == 1 and sum(view.counters.values()) == 2
 
 
 @given(st.lists(st.integers(1, 600), max_size=60))
 @settings(derandomize=True, max_examples=200, deadline=None)
 def test_a_number_is_taken_once_in_any_order(numbers: list[int]) -> None:
-    windows, taken = Windows(10), set[int]()
+    windows, taken = ReplayWindows(10), set[int]()
     for number in numbers:
         try:
-            windows.take("a", 1, number)
+            windows.accept("a", 1, number)
         except errors.ReplayedDatagramError:
             assert number in taken or max(taken) - number >= 256
         else:
@@ -195,9 +218,9 @@
 
 
 def test_windows_are_bounded() -> None:
-    windows = Windows(10)
+    windows = ReplayWindows(10)
     for number in range(100):
-        windows.take(f"n{number}", 1, 1)
+        windows.accept(f"n{number}", 1, 1)
     assert len(windows) == 10
 
 
@@ -205,12 +228,12 @@
 
 
 def test_a_rumour_is_told_a_bounded_number_of_times_and_the_least_told_first() -> None:
-    rumours = Dissemination()
+    rumours = DisseminationBuffer()
     for number in range(10):
         rumours.add(number)
     told: list[Any] = []
     while len(rumours):
-        told += [key for key, _ in rumours.pick(3, 4, lambda key: b"x")]
+        told += [key for key, _ in rumours.select(3, 4, lambda key: b"x")]
     assert sorted(told) == sorted(list(range(10)) * 4)
     assert set(told[:9]) == set(range(9)) or len(set(told[:9])) == 9
 
@@ -226,33 +249,33 @@
 )
 @settings(derandomize=True, max_examples=60, deadline=None)
 def test_comparing_finds_all_that_differs(one: dict[int, int], other: dict[int, int]) -> None:
-    sides = Buckets(), Buckets()
+    sides = BucketIndex(), BucketIndex()
     held = one, other
     for buckets, things in zip(sides, held, strict=True):
         for key, stamp in things.items():
-            buckets.put(key, stamp + 1)
-            buckets.put(key, stamp)
+            buckets.record(key, stamp + 1)
+            buckets.record(key, stamp)
     for _ in range(200):
-        differing = sides[1].differing(sides[0].digest(), 0)
+        differing = sides[1].differing_buckets(sides[0].digest(), 0)
         if not differing:
             break
         for page in sides[1].summaries(differing, 400):
-            send, want = sides[0].against(page)
+            send, want = sides[0].compare_summary(page)
             for key in map(cast_int, send):
                 if held[0][key] > other.get(key, -1):
                     other[key] = held[0][key]
-                    sides[1].put(key, other[key])
-            for key in map(cast_int, sides[1].named(pack_names(want))):
+                    sides[1].record(key, other[key])
+            for key in map(cast_int, sides[1].keys_of_hashes(pack_hashes(want))):
                 if held[1][key] > one.get(key, -1):
                     one[key] = held[1][key]
-                    sides[0].put(key, one[key])
+                    sides[0].record(key, one[key])
     assert one == other and sides[0].digest() == sides[1].digest()
 
 
 def item(
     writer: str, version: int, value: bytes = b"v", kind: str = "k", part: int = 0, incarnation: int = 1
-) -> Item:
-    return Item(writer, kind, part, incarnation, version, 0, value)
+) -> MapEntry:
+    return MapEntry(writer, kind, part, incarnation, version, 0, value)
 
 
 ITEMS = st.builds(
@@ -262,27 +285,29 @@
 
 @given(st.lists(ITEMS, max_size=10), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_entries_merge_to_the_same_in_any_order(items: list[Item], chance: random.Random) -> None:
-    maps = [SharedMap("me"), SharedMap("me")]
+def test_entries_merge_to_the_same_in_any_order(items: list[MapEntry], chance: random.Random) -> None:
+    maps = [ReplicatedMap("me"), ReplicatedMap("me")]
     for held, order in zip(maps, (items, chance.sample(items, len(items)) * 2), strict=True):
         for one in order:
             held.merge(one, 0)
-    assert [{one.item for one in held.all()} for held in maps] == [{one.item for one in maps[0].all()}] * 2
+    assert [{one.entry for one in held.all_entries()} for held in maps] == [
+        {one.entry for one in maps[0].all_entries()}
+    ] * 2
 
 
 def test_the_map_is_bounded_and_forgets() -> None:
-    held = SharedMap("me", most_bytes=10_000)
+    held = ReplicatedMap("me", max_value_bytes=10_000)
     for writer, part, kind in product("abcdefghijkl", range(16), ("x", "y")):
         held.merge(item(writer, 1, b"v" * 100, kind, part), 0)
-    assert held.bytes <= 10_000
-    assert max(len(held.keys(writer)) for writer in "abcdefghijkl") <= MOST_OF_ONE
+    assert held.value_bytes <= 10_000
+    assert max(len(held.ids_of(writer)) for writer in "abcdefghijkl") <= MAX_ENTRIES_PER_WRITER
     for writer in "abcdefghijkl":
-        held.forget(writer)
-    assert held.bytes == 0
+        held.remove_writer(writer)
+    assert held.value_bytes == 0
 
 
 def test_a_writer_goes_above_what_its_former_process_wrote() -> None:
-    held = SharedMap("me")
+    held = ReplicatedMap("me")
     mine = held.write("k", 0, b"mine", 1, 0)
     assert held.merge(item("me", 40, b"former", incarnation=3), 0)
     again = held.write("k", 0, b"mine", 1, 0)
@@ -315,7 +340,7 @@
     network.tap = lambda sender, receiver, data: called.append(receiver)
     network.run(network.now + 10 * SECOND)
     assert "m03" not in called
-    assert network.views["m01"].states()["m03"] is State.LEFT
+    assert network.views["m01"].states()["m03"] is MemberState.LEFT
 
 
 @pytest.mark.parametrize("away", [1, 4, 20])
@@ -348,7 +373,7 @@
     for name in names(4)[2:]:
         network.start(name, names(4)[:2])
     network.run(network.now + 20 * SECOND)
-    assert all(view.count == 1 for view in network.views.values())
+    assert all(view.live_count == 1 for view in network.views.values())
     for name in names(4)[:2]:
         network.start(name, names(4)[:2])
     assert network.until_agreed(10 * SECOND) is not None
@@ -365,8 +390,8 @@
         assert took is not None
         network.run(network.now + 2 * SECOND)
         assert {
-            network.views[name].table.members["m04"].claim.life for name in names(12) if name != "m04"
-        } == {network.views["m04"].me.claim.life}
+            network.views[name].table.members["m04"].record.instance_id for name in names(12) if name != "m04"
+        } == {network.views["m04"].local.record.instance_id}
 
 
 def test_of_two_live_processes_of_one_name_the_later_start_wins_and_the_earlier_says_so() -> None:
@@ -376,10 +401,12 @@
     network.views["m02b"] = older
     view = network.start("m02", ["m00"])
     assert view is network.views["m02"]
-    moved = Terms(**{field: getattr(older.terms, field) for field in Terms.__dataclass_fields__})
+    moved = MembershipConfig(
+        **{field: getattr(older.config, field) for field in MembershipConfig.__dataclass_fields__}
+    )
     object.__setattr__(moved, "address", "m02b:1")
-    older.terms = moved
-    older.me.claim = msgspec.structs.replace(older.me.claim, address="m02b:1")
+    older.config = moved
+    older.local.record = msgspec.structs.replace(older.local.record, address="m02b:1")
     network._wakes["m02b"] = network.now
     network._turn("m02b", older)
     network.run(network.now + 10 * SECOND)
@@ -404,7 +431,7 @@
     assert view.name == "m05"
     for name in names(5):
         states = network.views[name].states()
-        assert states["new"] is State.ALIVE and states["m05"] not in LIVE
+        assert states["new"] is MemberState.ALIVE and states["m05"] not in LIVE_STATES
 
 
 @pytest.mark.parametrize("parts", [2, 3])
@@ -414,7 +441,7 @@
     network.cut = lambda sender, receiver: group[sender] != group[receiver]
     network.run(network.now + 40 * SECOND)
     assert all(
-        set(network.views[name].live()) == {one for one in group if group[one] == group[name]}
+        set(network.views[name].live_names()) == {one for one in group if group[one] == group[name]}
         for name in group
     )
     assert not any(network.views[name].table.members.keys() - {one for one in group if group[one] == group[name]}
@@ -456,7 +483,7 @@
 # trust
 
 
-def lying(network: Network, claims: Callable[[Network], list[Claim]], rounds: int) -> None:
+def lying(network: Network, claims: Callable[[Network], list[MemberRecord]], rounds: int) -> None:
     """The member m00 says what is not so, to all others, again and again."""
     liar = network.views["m00"]
     for _ in range(rounds):
@@ -464,17 +491,17 @@
         for first in range(0, len(told), 12):
             for name in names(12)[1:]:
                 rows = [msgspec.Raw(liar._sealer.encode(one)) for one in told[first : first + 12]]
-                liar._counter += 1
+                liar._datagram_counter += 1
                 sent = [
-                    int(Kind.NEWS),
-                    liar.me.claim,
-                    network.views[name].me.claim.life,
-                    liar._counter,
+                    int(MessageKind.GOSSIP),
+                    liar.local.record,
+                    network.views[name].local.record.instance_id,
+                    liar._datagram_counter,
                     0,
                     "",
                     rows,
                 ]
-                liar.out.append((f"{name}:1", liar._sealer.seal(liar._sealer.encode([*sent, [], b""]))))
+                liar.outgoing.append((f"{name}:1", liar._sealer.seal(liar._sealer.encode([*sent, [], b""]))))
         network._flush("m00", liar)
         network.run(network.now + SECOND)
 
@@ -483,9 +510,11 @@
     network, _ = fleet(12)
     gone = held_dead(network)
 
-    def claims(network: Network) -> list[Claim]:
-        chosen = [network.views[name].me.claim for name in names(12)[1:]]
-        return [msgspec.structs.replace(one, word=int(Word.DEAD), by="m00") for one in chosen]
+    def claims(network: Network) -> list[MemberRecord]:
+        chosen = [network.views[name].local.record for name in names(12)[1:]]
+        return [
+            msgspec.structs.replace(one, status=int(RecordStatus.DEAD), reported_by="m00") for one in chosen
+        ]
 
     lying(network, claims, 10)
     assert not gone
@@ -496,9 +525,11 @@
     network, _ = fleet(12)
     gone = held_dead(network)
 
-    def claims(network: Network) -> list[Claim]:
-        chosen = [network.views[name].me.claim for name in names(12)[1:]]
-        return [msgspec.structs.replace(one, incarnation=1 << 61, word=int(Word.DEAD)) for one in chosen]
+    def claims(network: Network) -> list[MemberRecord]:
+        chosen = [network.views[name].local.record for name in names(12)[1:]]
+        return [
+            msgspec.structs.replace(one, incarnation=1 << 61, status=int(RecordStatus.DEAD)) for one in chosen
+        ]
 
     lying(network, claims, 3)
     assert not gone and network.until_agreed(5 * SECOND) is not None
@@ -509,9 +540,9 @@
     network, _ = fleet(12)
     gone = held_dead(network)
 
-    def claims(network: Network) -> list[Claim]:
+    def claims(network: Network) -> list[MemberRecord]:
         return [
-            Claim(f"invented-{network.chance.randrange(1 << 40)}", "nowhere:1", 1, 3, 0, 0)
+            MemberRecord(f"invented-{network.chance.randrange(1 << 40)}", "nowhere:1", 1, 3, 0, 0)
             for _ in range(600)
         ]
 
@@ -519,37 +550,41 @@
     assert max(len(view.table.members) for view in network.views.values()) <= 4096
     network.start("late", ["m01"])
     network.run(network.now + 15 * SECOND)
-    assert all(network.views[name].states()["late"] is State.ALIVE for name in names(12)[1:])
+    assert all(network.views[name].states()["late"] is MemberState.ALIVE for name in names(12)[1:])
     network.kill("m11")
     network.run(network.now + 15 * SECOND)
-    assert all(network.views[name].states().get("m11") not in LIVE for name in names(11)[1:])
+    assert all(network.views[name].states().get("m11") not in LIVE_STATES for name in names(11)[1:])
     assert {name for _, name in gone if not name.startswith("inv")} == {"m11"}
     network.run(network.now + 60 * SECOND)
-    assert all(not name.startswith("inv") for view in network.views.values() for name in view.table.live)
+    assert all(
+        not name.startswith("inv") for view in network.views.values() for name in view.table.live_names
+    )
 
 
 def test_one_that_speaks_is_tried_before_hearsay_and_room_is_bounded() -> None:
     strangers, now = JoinCandidates(random.Random(1)), 0
     for number in range(2000):
-        strangers.heard(Claim(f"x{number}", "n:1", 1, 1, 0, 0), f"t{number // 60}", now)
+        strangers.add(MemberRecord(f"x{number}", "n:1", 1, 1, 0, 0), f"t{number // 60}", now)
     assert len(strangers) == 512
-    assert strangers.heard(Claim("real", "r:1", 1, 1, 0, 0), "real", now)
-    first = strangers.tries(now)[0]
-    assert first.claim.name == "real" and strangers.answered(first.seq) == first.claim
+    assert strangers.add(MemberRecord("real", "r:1", 1, 1, 0, 0), "real", now)
+    first = strangers.due_pings(now)[0]
+    assert first.record.name == "real" and strangers.ack_received(first.sequence) == first.record
     pinged = 0
     while len(strangers):
         now += 10_000
-        pinged += len(strangers.tries(now))
+        pinged += len(strangers.due_pings(now))
     assert pinged > 2000 and now >= 20 * SECOND  # a hundred a second, and then they are dropped
 
 
 def test_where_the_table_is_full_those_that_are_gone_make_room() -> None:
-    table = MemberTable(Terms("f", "me", "me:1", most_members=1024), random.Random(1), lambda name: None)
+    table = MemberTable(
+        MembershipConfig("f", "me", "me:1", max_members=1024), random.Random(1), lambda name: None
+    )
     for number in range(1024):
-        assert table.enter(Claim(f"x{number}", f"n{number}:1", 1, 1, 0, 0), 0)
-    assert not table.enter(Claim("more", "m:1", 1, 1, 0, 0), 1) and table.counters["no-room"] == 1
-    table.own_word(Claim("x7", "n7:1", 1, 1, int(Word.LEFT), 0), 2)
-    assert table.enter(Claim("more", "m:1", 1, 1, 0, 0), 3) and "x7" not in table.members
+        assert table.add(MemberRecord(f"x{number}", f"n{number}:1", 1, 1, 0, 0), 0)
+    assert not table.add(MemberRecord("more", "m:1", 1, 1, 0, 0), 1) and table.counters["no-room"] == 1
+    table.update_from_sender(MemberRecord("x7", "n7:1", 1, 1, int(RecordStatus.LEFT), 0), 2)
+    assert table.add(MemberRecord("more", "m:1", 1, 1, 0, 0), 3) and "x7" not in table.members
 
 
 def test_replayed_datagrams_are_refused_also_by_a_process_that_was_started_since() -> None:
@@ -565,7 +600,7 @@
     for receiver, data in kept:
         view = network.views[receiver]
         before = view.counters["replayed"]
-        view.take(data, network.now)
+        view.receive(data, network.now)
         network._flush(receiver, view)
         assert view.counters["replayed"] == before + 1
     network.run(network.now + 5 * SECOND)
@@ -576,46 +611,46 @@
     network = Network(2)
     sizes: list[int] = []
     network.tap = lambda sender, receiver, data: sizes.append(len(data))
-    assert settle(network, names(40), 30 * SECOND) is not None
+    assert run_until_settled(network, names(40), 30 * SECOND) is not None
     for name in names(40):
-        network.views[name].put("k", 1, b"v" * 700)
+        network.views[name].publish("k", 1, b"v" * 700)
     network.run(network.now + 60 * SECOND)
-    assert max(sizes) <= MOST_DATAGRAM
-    assert all(len(list(view.shared.of("k"))) == 40 for view in network.views.values())
+    assert max(sizes) <= MAX_DATAGRAM_BYTES
+    assert all(len(list(view.replicated_map.entries_of_kind("k"))) == 40 for view in network.views.values())
 
 
 def test_entries_of_one_that_is_forgotten_go_with_it() -> None:
     network, _ = fleet(4, remember_us=4 * SECOND)
-    network.views["m03"].put("k", 0, b"value")
+    network.views["m03"].publish("k", 0, b"value")
     network.run(network.now + 5 * SECOND)
-    assert all(network.views[name].shared.get("m03", "k") is not None for name in names(4))
+    assert all(network.views[name].replicated_map.get("m03", "k") is not None for name in names(4))
     network.kill("m03")
     network.run(network.now + 20 * SECOND)
     assert all("m03" not in network.views[name].states() for name in names(3))
-    assert all(network.views[name].shared.get("m03", "k") is None for name in names(3))
-    digests = {network.views[name]._buckets.digest() for name in names(3)}
+    assert all(network.views[name].replicated_map.get("m03", "k") is None for name in names(3))
+    digests = {network.views[name]._bucket_index.digest() for name in names(3)}
     assert len(digests) == 1
 
 
 def test_a_prober_comes_to_each_in_turn() -> None:
-    terms = Terms("f", "me", "me:1")
+    terms = MembershipConfig("f", "me", "me:1")
     table = MemberTable(terms, random.Random(1), lambda name: None)
     for name in names(12):
-        table.enter(Claim(name, f"{name}:1", 1, 1, 0, 0), 0)
+        table.add(MemberRecord(name, f"{name}:1", 1, 1, 0, 0), 0)
     prober = Prober(terms, table, random.Random(2), 0)
     pinged: list[str] = []
     now = 0
     while len(pinged) < 24:
-        now = max(now + 1_000, prober.due_us())
-        for order in prober.pass_time(now):
+        now = max(now + 1_000, prober.next_due_us())
+        for order in prober.tick(now):
             if type(order).__name__ == "Ping":
-                pinged.append(order.name)  # type: ignore[union-attr]
-                prober.answered(order.name, order.seq)  # type: ignore[union-attr]
+                pinged.append(order.target)  # type: ignore[union-attr]
+                prober.ack_received(order.target, order.sequence)  # type: ignore[union-attr]
     assert sorted(pinged[:12]) == sorted(pinged[12:]) == names(12)
 
 
 def test_a_member_keeps_its_time_since_it_came_back() -> None:
-    member = Member(Claim("x", "x:1", 1, 1, 0, 0))
-    assert member.happens(Event.SAID_DEAD, 5) and member.happens(Event.TIME_OVER, 6)
-    assert member.state is State.DEAD
-    assert member.happens(Event.REFUTES, 9) and (member.alive_us, member.live) == (9, True)
+    member = Member(MemberRecord("x", "x:1", 1, 1, 0, 0))
+    assert member.apply(MemberEvent.REPORTED_DEAD, 5) and member.apply(MemberEvent.REFUTATION_TIMEOUT, 6)
+    assert member.state is MemberState.DEAD
+    assert member.apply(MemberEvent.REFUTED, 9) and (member.live_since_us, member.is_live) == (9, True)
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -7,36 +7,38 @@
 
 import pytest
 
-from glenshift.brain import BOUND, OUT
-from thornshelf.core.tasks import State
-from thornshelf.lab.standins import BINARY, GRPC, JSON, USUAL, World
+from thornshelf.core.task import TaskState
+from thornshelf.lab.fakes.cluster import BINARY, COMMON_BEHAVIORS, GRPC, JSON, FakeCluster
+from thornshelf.placement.placer import BOUND, PENDING
 
 
-def check_picture(world: World) -> Counter[str]:
+def check_picture(world: FakeCluster) -> Counter[str]:
     """In flight, standing and their cores, by machine: the same to module, core and connection."""
     core, seen = world.service.core, Counter[str]()
-    if core.inbox or core._events or core._endings or core.queue:
+    if core.inbox or core._events or core._ended_attempts or core.queue:
         return seen  # the turn's end has left something to the next
     believed, attempts = Counter[tuple[int, int]](), list[tuple[int, float]]()
     for request in core.placer.requests.values():
         for attempt in request.attempts:
             if attempt.live:
                 believed[attempt.machine.id, attempt.state] += 1
-                attempts.append((attempt.machine.id, request.need[0]))
-    standing = Counter(t.machine for t in core._tasks.values() if t.state in (State.STANDING, State.ENDING))
-    for machine, node in core.roster.nodes.items():
-        on_wire = len(node.out) + len(node.pending)  # type: ignore[attr-defined]
-        assert believed[machine, OUT] == on_wire, "in flight"
+                attempts.append((attempt.machine.id, request.demand[0]))
+    standing = Counter(
+        t.machine for t in core.tasks_by_uid.values() if t.state in (TaskState.RUNNING, TaskState.CANCELLING)
+    )
+    for machine, node in core.endpoints.nodes.items():
+        on_wire = len(node.in_flight) + len(node.pending)  # type: ignore[attr-defined]
+        assert believed[machine, PENDING] == on_wire, "in flight"
         assert believed[machine, BOUND] == standing[machine], "standing"
         taken = sum(cores for where, cores in attempts if where == machine)
-        assert abs(core.placer.machines[machine].own[0] - taken) < 1e-6, "cores"
+        assert abs(core.placer.machines[machine].own_demand[0] - taken) < 1e-6, "cores"
         seen += Counter(out=on_wire, standing=standing[machine])
     return seen
 
 
 @pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 def test_the_module_s_picture_is_what_the_sockets_carry(front: str, node: str) -> None:
-    world, draw = World(front, node, nodes=3), random.Random(7)
+    world, draw = FakeCluster(front, node, nodes=3), random.Random(7)
     clock = [world.loop.clock()]
     world.loop.clock = lambda: clock[0]  # a busy machine must not make tasks late
 
@@ -50,24 +52,26 @@
         if step < 120:
             uid += 1
             task_class = draw.choice(("lookup", "lookup", "ledger-batch"))
-            world.client.ask(uid, draw.choice(USUAL), task_class, left=str(draw.choice((60, 4000))))
+            world.client.ask(
+                uid, draw.choice(COMMON_BEHAVIORS), task_class, left=str(draw.choice((60, 4000)))
+            )
         if draw.random() < 0.2 and uid > 5:
             world.client.give_up(draw.randrange(1, uid))
         if step % 40 == 20:
             draw.choice(world.nodes).break_streams()
         if step == 100:
-            world.tell(2, "terminating")
+            world.update_lifecycle(2, "terminating")
             drained = True
         for _ in range(4):
             turn()
             seen += check_picture(world)
     assert drained and seen["out"] > 20 and seen["standing"] > 20
-    world.tell(2, "terminated")
+    world.update_lifecycle(2, "terminated")
     for number in range(1, uid + 1):
         world.client.give_up(number)
     for _ in range(20_000):
-        if world.service.core._tasks:
+        if world.service.core.tasks_by_uid:
             turn()
-    assert not world.service.core._tasks
+    assert not world.service.core.tasks_by_uid
     check_picture(world)
     assert not world.service.core.placer.requests
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,11 +12,11 @@
 
 import pytest
 
-from glenshift import interface as api
-from thornshelf.core import Attempt, Started
-from thornshelf.lab.standins import DESCRIPTION, JSON, LIMIT_S, Conduct, World
+from thornshelf.core import Attempt, TaskStarted
+from thornshelf.lab.fakes.cluster import DESCRIPTION, JSON, TIMEOUT_S, NodeBehavior, FakeCluster
 from thornshelf.loop import Loop, Stream
-from thornshelf.nodes.base import BaseLink
+from thornshelf.nodes.node_connection import NodeLink
+from thornshelf.placement import interface as api
 from thornshelf.wire import binary, jsonl
 from thornshelf.wire import placement_pb2 as pb
 
@@ -24,112 +24,114 @@
 PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
 
 
-def raw(world: World) -> socket.socket:
+def raw(world: FakeCluster) -> socket.socket:
     """A blocking client socket."""
-    sock = socket.create_connection(world.service.front.listener.address)
+    sock = socket.create_connection(world.service.json_frontend.listener.address)
     sock.settimeout(5.0)
     return sock
 
 
-def launch(uid: int, conduct: Conduct) -> bytes:
+def launch(uid: int, conduct: NodeBehavior) -> bytes:
     meta = {"class": "lookup", "left": 8000, "extras": "cores:1;memory:2"}
     value = {"kind": "launch", "uid": f"{uid:016x}", "meta": meta, "body": conduct.value.decode()}
     return json.dumps(value).encode() + b"\n"
 
 
 def test_a_test_is_passed() -> None:
-    world = World()
+    world = FakeCluster()
     world.client.send(b'{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}\n')
-    assert world.heard(1) == [("checked", 1)]
+    assert world.wait_for_events(1) == [("checked", 1)]
 
 
 @pytest.mark.parametrize(
     "line", [b"no json\n", b"[]\n", b'{"kind":"launch"}\n', b'{"uid":5}\n', b"\xff\xfe\n"]
 )
 def test_an_unreadable_line_costs_itself(line: bytes) -> None:
-    world = World()
+    world = FakeCluster()
     world.client.send(line)
-    world.client.ask(5, Conduct.RUN)
-    assert world.heard(5) == [PLACED]
+    world.client.ask(5, NodeBehavior.RUN)
+    assert world.wait_for_events(5) == [PLACED]
     assert [entry[1] for entry in world.logged] == ["bad-line"]
 
 
 def test_an_endless_line_costs_its_connection_alone() -> None:
-    world = World()
-    other = world.join(JSON)
+    world = FakeCluster()
+    other = world.connect_client(JSON)
     world.client.send(b"x" * (jsonl.MAX_MESSAGE + 1))
-    world.until(lambda: world.client.closed)
-    other.ask(5, Conduct.RUN)
-    world.until(lambda: 5 in other.heard)
+    world.run_until(lambda: world.client.closed)
+    other.ask(5, NodeBehavior.RUN)
+    world.run_until(lambda: 5 in other.heard)
     assert [entry[1] for entry in world.logged] == ["bad-line"]
 
 
 def test_half_closed_and_reset_connections_give_up_what_is_open() -> None:
-    world = World()
+    world = FakeCluster()
     for uid, end in ((5, "half"), (6, "reset")):
         sock = raw(world)
-        sock.sendall(launch(uid, Conduct.SILENT))
-        world.until(lambda uid=uid: world.offers(uid) == 1)  # type: ignore[misc]
+        sock.sendall(launch(uid, NodeBehavior.SILENT))
+        world.run_until(lambda uid=uid: world.offer_count(uid) == 1)  # type: ignore[misc]
         if end == "half":
             sock.shutdown(socket.SHUT_WR)
         else:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             sock.close()
-        world.until(lambda uid=uid: any(("release", uid) in n.seen for n in world.nodes))  # type: ignore[misc]
+        world.run_until(lambda uid=uid: any(("release", uid) in n.seen for n in world.nodes))  # type: ignore[misc]
         sock.close()
     assert world.service.core.open_count == 0
 
 
 def test_a_full_table_closes_an_idle_connection_and_keeps_busy_ones() -> None:
     """Guards against running out of descriptors: idle clients make room, those with open set-ups don't."""
-    world = World()
-    world.client.ask(5, Conduct.SILENT)
-    world.until(lambda: world.offers(5) == 1)
-    budget = world.service.front.listener.budget
-    budget.total = budget.floor = 2
-    idle = world.join(JSON)
-    world.settle(10)
-    third = world.join(JSON)
-    world.until(lambda: idle.closed)
-    third.ask(6, Conduct.RUN)
-    world.until(lambda: 6 in third.heard)
-    assert not world.client.closed and budget.used == 2
+    world = FakeCluster()
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.run_until(lambda: world.offer_count(5) == 1)
+    budget = world.service.json_frontend.listener.budget
+    budget.total = budget.client_floor = 2
+    idle = world.connect_client(JSON)
+    world.run_for(10)
+    third = world.connect_client(JSON)
+    world.run_until(lambda: idle.closed)
+    third.ask(6, NodeBehavior.RUN)
+    world.run_until(lambda: 6 in third.heard)
+    assert not world.client.closed and budget.client_count == 2
 
 
 def test_a_new_node_at_the_address_of_one_that_is_gone() -> None:
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
-    world.tell(0, "terminated")
-    assert world.heard(5, 2)[1][0] == "released"
-    entry = world.entry(0) | {"instanceId": "s-00000009"}
-    world.tell_entry(entry)
-    world.client.ask(6, Conduct.RUN)
-    assert world.heard(6) == [PLACED]
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
+    world.update_lifecycle(0, "terminated")
+    assert world.wait_for_events(5, 2)[1][0] == "released"
+    entry = world.endpoint(0) | {"instanceId": "s-00000009"}
+    world.update_endpoint(entry)
+    world.client.ask(6, NodeBehavior.RUN)
+    assert world.wait_for_events(6) == [PLACED]
 
 
 def test_a_process_that_started_anew_holds_nothing() -> None:
     """The list shows a later start under the same name: what stood there is over."""
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN, ONCE_ONLY)
-    world.heard(5)
-    world.settle(5)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    world.wait_for_events(5)
+    world.run_for(5)
     started = (world.loop.now + world.service._unix_offset_us) // 1000
-    world.tell_entry(world.entry(0, started=started))
-    assert world.heard(5, 2)[1][0] == "released"
+    world.update_endpoint(world.endpoint(0, started=started))
+    assert world.wait_for_events(5, 2)[1][0] == "released"
 
 
 def test_a_node_is_connected_to_before_it_has_a_task() -> None:
     """What it tells of tasks that are handed over goes to an open connection, and else is lost."""
-    world = World(nodes=1)
-    world.until(lambda: bool(world.nodes[0].streams))
-    world.client.ask(5, Conduct.RUN, at="s-00000001")
-    world.until(lambda: 5 in world.service.core._tasks)
+    world = FakeCluster(nodes=1)
+    world.run_until(lambda: bool(world.nodes[0].streams))
+    world.client.ask(5, NodeBehavior.RUN, at="s-00000001")
+    world.run_until(lambda: 5 in world.service.core.tasks_by_uid)
     for name in (b"use_cpu", b"use_ram"):
         note = {binary.NOTE_NAME: name, binary.FIGURE: b"0.25"}
         world.nodes[0].streams[0].send(binary.encode(binary.NOTE, 5, note))
     placer = world.service.core.placer
-    world.until(lambda: [a.use for r in placer.requests.values() for a in r.attempts] == [[0.25, 0.25]])
+    world.run_until(
+        lambda: [a.measured_usage for r in placer.requests.values() for a in r.attempts] == [[0.25, 0.25]]
+    )
     assert len(world.nodes[0].streams) == 1
 
 
@@ -138,23 +140,23 @@
 )
 def test_a_task_whose_time_is_over_as_it_starts(described: bool, heard: list[tuple[Any, ...]]) -> None:
     """The node's release with cause 16 is answer and end in one, if it has a description; else a reset."""
-    world = World()
-    world.client.ask(5, Conduct.SILENT, ONCE_ONLY)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster()
+    world.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
+    world.run_until(lambda: world.offer_count(5) == 1)
     values = {binary.CAUSE: b"\x10", binary.REPORT: b"x0:3;x1:4"}
     if described:
         values[binary.DESCRIPTION] = DESCRIPTION
     holder = next(one for one in world.nodes if one.seen)
     holder.streams[0].send(binary.encode(binary.RELEASE, 5, values))
-    assert world.heard(5, len(heard)) == heard
-    assert world.offers(5) == 1
+    assert world.wait_for_events(5, len(heard)) == heard
+    assert world.offer_count(5) == 1
 
 
 def test_our_own_full_table_proves_nothing_of_a_node(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against releasing what still runs: only a refused connect proves a process dead."""
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN, ONCE_ONLY)
-    world.heard(5)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    world.wait_for_events(5)
 
     def full(*_: object) -> socket.socket:
         raise OSError(errno.EMFILE, "full")
@@ -162,154 +164,154 @@
     with monkeypatch.context() as patch:
         patch.setattr(socket, "socket", full)
         world.nodes[0].break_streams()
-        world.settle()
+        world.run_for()
     assert world.client.heard[5] == [PLACED]
-    world.until(lambda: len(world.nodes[0].streams) == 2)
+    world.run_until(lambda: len(world.nodes[0].streams) == 2)
 
 
 def test_a_refused_connection_never_ran() -> None:
-    world = World(nodes=1)
+    world = FakeCluster(nodes=1)
     world.nodes[0].die()
-    world.client.ask(5, Conduct.RUN, ONCE_ONLY)
-    assert world.heard(5) == [REFUSED]  # an unsafe task may be refused only where nothing ran
+    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    assert world.wait_for_events(5) == [REFUSED]  # an unsafe task may be refused only where nothing ran
 
 
 def test_a_late_answer_and_answers_for_unknown_tasks_change_nothing() -> None:
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.SILENT, left="200")
-    assert world.heard(5) == [FAILED]
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.SILENT, left="200")
+    assert world.wait_for_events(5) == [FAILED]
     stream = world.nodes[0].streams[0]
     for uid in (5, 77):
         stream.send(binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: b"late"}))
         stream.send(binary.encode(binary.RELEASE, uid, {binary.CAUSE: b"\x10"}))
-    world.client.ask(6, Conduct.RUN)
-    world.heard(6)
+    world.client.ask(6, NodeBehavior.RUN)
+    world.wait_for_events(6)
     assert world.client.heard == {5: [FAILED], 6: [PLACED]}
 
 
 def test_garbage_from_a_node_costs_its_connection() -> None:
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.SILENT, ONCE_ONLY)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
+    world.run_until(lambda: world.offer_count(5) == 1)
     world.nodes[0].streams[0].send(b"\xff\xff garbage")
-    assert world.heard(5) == [FAILED]  # it may have run
-    assert world.offers(5) == 1
+    assert world.wait_for_events(5) == [FAILED]  # it may have run
+    assert world.offer_count(5) == 1
 
 
 def test_a_release_waits_for_the_clients_next_connection() -> None:
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
     world.client.stream.close()
-    world.settle(10)
-    world.tell(0, "terminated")
-    world.settle(10)
-    late = world.join(JSON)
+    world.run_for(10)
+    world.update_lifecycle(0, "terminated")
+    world.run_for(10)
+    late = world.connect_client(JSON)
     # a client that never heard the answer reads the release's cause as a refusal or failure
-    world.until(lambda: 5 in late.heard)
+    world.run_until(lambda: 5 in late.heard)
 
 
 def test_a_refusal_tells_when_to_come_again_within_the_limit() -> None:
-    world = World()
+    world = FakeCluster()
     asked = world.service.core
     for uid, wait, expected in ((5, 1.5, "1500"), (6, 99.0, "3000"), (7, None, None)):
-        world.client.ask(uid, Conduct.SILENT)
-        world.until(lambda uid=uid: uid in asked._tasks)  # type: ignore[misc]
-        asked._act(api.Refuse(asked._tasks[uid].number, wait))
-        assert world.heard(uid) == [("refused", expected)]
+        world.client.ask(uid, NodeBehavior.SILENT)
+        world.run_until(lambda uid=uid: uid in asked.tasks_by_uid)  # type: ignore[misc]
+        asked.apply_action(api.Reject(asked.tasks_by_uid[uid].number, wait))
+        assert world.wait_for_events(uid) == [("refused", expected)]
 
 
 def test_move_tells_the_client_and_the_node() -> None:
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.RUN)
-    world.heard(5)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.RUN)
+    world.wait_for_events(5)
     core = world.service.core
-    core._act(api.Move(core._tasks[5].number))
-    world.until(lambda: ("release", 5) in world.nodes[0].seen and 5 not in core._tasks)
-    world.settle(10)
+    core.apply_action(api.Migrate(core.tasks_by_uid[5].number))
+    world.run_until(lambda: ("release", 5) in world.nodes[0].seen and 5 not in core.tasks_by_uid)
+    world.run_for(10)
     assert world.client.heard[5] == [PLACED]  # the move itself is no answer or release
 
 
 def test_one_attempt_in_flight_whatever_the_module_asks() -> None:
-    world = World()
-    world.client.ask(5, Conduct.SILENT)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster()
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.run_until(lambda: world.offer_count(5) == 1)
     core = world.service.core
     for machine in (1, 2):
-        core._act(api.Offer(core._tasks[5].number, machine, None))
-    world.settle(20)
-    assert world.offers(5) == 1
+        core.apply_action(api.StartAttempt(core.tasks_by_uid[5].number, machine, None))
+    world.run_for(20)
+    assert world.offer_count(5) == 1
 
 
 def test_a_fault_in_the_module_costs_neither_the_process_nor_the_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World()
+    world = FakeCluster()
     core = world.service.core
     usual = core.placer.handle
 
     def fault(now: float, events: Any) -> Any:
-        core.placer.out = []
+        core.placer.actions = []
         raise KeyError("odd")
 
     monkeypatch.setattr(core.placer, "handle", fault)
-    world.client.ask(5, Conduct.RUN, left="100")
-    assert world.heard(5) == [FAILED]
+    world.client.ask(5, NodeBehavior.RUN, left="100")
+    assert world.wait_for_events(5) == [FAILED]
     monkeypatch.setattr(core.placer, "handle", usual)
-    world.client.ask(6, Conduct.RUN)
-    assert world.heard(6) == [PLACED]
-    assert {"module-fault", "overdue"} <= {entry[1] for entry in world.logged}
+    world.client.ask(6, NodeBehavior.RUN)
+    assert world.wait_for_events(6) == [PLACED]
+    assert {"placement-failed", "deadline-exceeded"} <= {entry[1] for entry in world.logged}
 
 
 def test_what_starts_for_a_connection_that_has_just_closed_is_ended() -> None:
     """Guards against a task that stands and nobody knows of: its owner would ask anew and start it twice."""
-    world = World(nodes=1)
-    world.client.ask(5, Conduct.SILENT, ONCE_ONLY)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster(nodes=1)
+    world.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
+    world.run_until(lambda: world.offer_count(5) == 1)
     core = world.service.core
-    core._tasks[5].holders[5].stream.close()  # type: ignore[attr-defined]
-    core.inbox.appendleft(Started(1, 5, b"it runs"))
-    world.until(lambda: ("release", 5) in world.nodes[0].seen)
+    core.tasks_by_uid[5].subscribers[5].stream.close()  # type: ignore[attr-defined]
+    core.inbox.appendleft(TaskStarted(1, 5, b"it runs"))
+    world.run_until(lambda: ("release", 5) in world.nodes[0].seen)
     assert world.client.heard == {}
 
 
 def test_no_more_open_requests_than_the_settings_allow() -> None:
-    world = World()
+    world = FakeCluster()
     core = world.service.core
-    core.settings = replace(core.settings, limits=replace(core.settings.limits, open_requests=1))
-    world.client.ask(5, Conduct.SILENT)
-    world.client.ask(6, Conduct.RUN)
-    assert world.heard(6) == [("refused", None)]
+    core.settings = replace(core.settings, limits=replace(core.settings.limits, max_open_requests=1))
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.client.ask(6, NodeBehavior.RUN)
+    assert world.wait_for_events(6) == [("refused", None)]
 
 
 def test_sigterm_with_open_work_answers_it_first() -> None:
-    world = World()
-    world.client.ask(5, Conduct.SILENT, left="1200")
-    world.until(lambda: world.offers(5) == 1)
-    world.service.end()
+    world = FakeCluster()
+    world.client.ask(5, NodeBehavior.SILENT, left="1200")
+    world.run_until(lambda: world.offer_count(5) == 1)
+    world.service.shut_down()
     world.loop.run()  # ends by itself, within the longest deadline
-    assert world.service.core.open_count == 0 and world.service.core.counts["failed"] == 1
+    assert world.service.core.open_count == 0 and world.service.core.counters["failed"] == 1
 
 
-class SlowLink(BaseLink):
+class SlowLink(NodeLink):
     """A connection on which nothing has left yet."""
 
-    def offer(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         pass
 
-    def withdraw(self, uid: int) -> bool:
+    def withdraw_attempt(self, uid: int) -> bool:
         return uid % 2 == 0
 
-    def left(self, uid: int) -> bool:
+    def may_have_arrived(self, uid: int) -> bool:
         return uid % 2 == 1
 
 
 def test_what_is_buffered_for_a_draining_node_is_called_back() -> None:
     """Drains are measured to the first byte sent."""
-    world = World(nodes=1)
+    world = FakeCluster(nodes=1)
     core = world.service.core
-    world.settle(5)
-    node: Any = core.roster.nodes[1]
+    world.run_for(5)
+    node: Any = core.endpoints.nodes[1]
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     with theirs:
         node.link = SlowLink(node, Stream(world.loop, ours, "node"))
@@ -334,13 +336,13 @@
     assert not stream.retract(chunks[-1])
     total = 0
     theirs.setblocking(False)  # to wait here would keep the loop from writing
-    limit = time.monotonic() + LIMIT_S
+    limit = time.monotonic() + TIMEOUT_S
     while total < 15 * 60_000 and time.monotonic() < limit:
         loop.after(1000, lambda: None)
         loop.turn()
         with contextlib.suppress(BlockingIOError):
             total += len(theirs.recv(1 << 20))
-    assert total == 15 * 60_000 and stream.unsent == 0
+    assert total == 15 * 60_000 and stream.buffered_bytes == 0
     stream.close()
     theirs.close()
     listener.close()
@@ -349,20 +351,20 @@
 
 def test_a_broken_stream_holds_nothing_back() -> None:
     """Guards against a reader that waits for room that never comes, as what was unsent counted on."""
-    world = World()
+    world = FakeCluster()
     sock = raw(world)
-    world.until(lambda: len(world.service.front._connections) == 2)
-    stream = list(world.service.front._connections)[1].stream
+    world.run_until(lambda: len(world.service.json_frontend._connections) == 2)
+    stream = list(world.service.json_frontend._connections)[1].stream
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
     stream.send(bytes(300_000))
     sock.close()
-    world.until(lambda: not stream.open)
-    assert len(world.service.front._connections) == 1
+    world.run_until(lambda: not stream.open)
+    assert len(world.service.json_frontend._connections) == 1
 
 
 def test_a_listener_outlives_a_fault_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
-    world = World()
-    world.until(lambda: all(node.streams for node in world.nodes))
+    world = FakeCluster()
+    world.run_until(lambda: all(node.streams for node in world.nodes))
     usual, faults = socket.socket.accept, [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")]
 
     def accept(sock: socket.socket) -> Any:
@@ -371,49 +373,49 @@
         return usual(sock)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
-    world.client = world.join(JSON)
-    world.client.ask(5, Conduct.RUN)
-    assert world.heard(5) == [PLACED] and not faults
+    world.client = world.connect_client(JSON)
+    world.client.ask(5, NodeBehavior.RUN)
+    assert world.wait_for_events(5) == [PLACED] and not faults
 
 
 def test_what_is_remembered_of_releases_and_attempts_stays_bounded() -> None:
-    world = World(nodes=1)
+    world = FakeCluster(nodes=1)
     for uid in range(1, 100):
-        world.client.ask(uid, Conduct.END)
-        world.heard(uid, 2)
-    (connection,) = world.service.front._connections
-    node: Any = world.service.core.roster.nodes[1]
-    assert len(connection.releases) <= 32 and not node.out and not node.standing
+        world.client.ask(uid, NodeBehavior.END)
+        world.wait_for_events(uid, 2)
+    (connection,) = world.service.json_frontend._connections
+    node: Any = world.service.core.endpoints.nodes[1]
+    assert len(connection.sent_releases) <= 32 and not node.in_flight and not node.running
 
 
 def test_closed_connections_are_counted_back() -> None:
-    world = World()
+    world = FakeCluster()
     for _ in range(3):
-        world.join(JSON).stream.close()
-    world.until(lambda: world.service.front.listener.budget.used == 1)
+        world.connect_client(JSON).stream.close()
+    world.run_until(lambda: world.service.json_frontend.listener.budget.client_count == 1)
 
 
 def test_what_is_out_at_a_process_that_was_replaced_is_given_up_and_goes_elsewhere() -> None:
-    world = World()
-    world.until(lambda: all(node.streams for node in world.nodes))
-    world.client.ask(5, Conduct.SILENT)
-    world.until(lambda: world.offers(5) == 1)
+    world = FakeCluster()
+    world.run_until(lambda: all(node.streams for node in world.nodes))
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.run_until(lambda: world.offer_count(5) == 1)
     index = next(i for i, node in enumerate(world.nodes) if node.offers(5))
     old = world.nodes[index].streams[0]
     at_ms = time.time_ns() // 1_000_000 + 1
-    world.tell_entry(world.entry(index, started=at_ms - 3_600_000))  # the one that it is connected to
-    world.settle(10)
-    assert world.offers(5) == 1 and old.open
-    world.tell_entry(world.entry(index, started=at_ms))
-    world.until(lambda: world.offers(5) == 2)
-    world.until(lambda: not old.open)
+    world.update_endpoint(world.endpoint(index, started=at_ms - 3_600_000))  # the one that it is connected to
+    world.run_for(10)
+    assert world.offer_count(5) == 1 and old.open
+    world.update_endpoint(world.endpoint(index, started=at_ms))
+    world.run_until(lambda: world.offer_count(5) == 2)
+    world.run_until(lambda: not old.open)
 
 
 def test_an_attempt_is_given_up_before_its_task_goes_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against two copies at once: two tasks whose time is over in one turn change places."""
-    world = World()
+    world = FakeCluster()
     core, written = world.service.core, list[tuple[int, int, int]]()
-    world.until(lambda: all(node.streams for node in world.nodes))
+    world.run_until(lambda: all(node.streams for node in world.nodes))
     usual = Stream._write
 
     def write(stream: Stream) -> bool:
@@ -426,20 +428,22 @@
     def handle(now: float, events: Any) -> list[api.Action]:
         offers: list[api.Action] = []
         for event in events:
-            if isinstance(event, api.Ask):
-                offers.append(api.Offer(event.request, event.request, 0.05))
+            if isinstance(event, api.PlacementRequest):
+                offers.append(api.StartAttempt(event.request_id, event.request_id, 0.05))
             elif (
-                isinstance(event, api.Ended) and event.outcome is api.Outcome.TIMED_OUT and not event.attempt
+                isinstance(event, api.AttemptEnded)
+                and event.outcome is api.Outcome.TIMED_OUT
+                and not event.attempt
             ):
-                offers.append(api.Offer(event.request, 3 - event.request, 5.0))
+                offers.append(api.StartAttempt(event.request_id, 3 - event.request_id, 5.0))
         return offers
 
     ports = tuple(f":{node.port}" for node in world.nodes)
     monkeypatch.setattr(core.placer, "handle", handle)
     monkeypatch.setattr(Stream, "_write", write)
-    world.client.ask(5, Conduct.SILENT)
-    world.client.ask(6, Conduct.SILENT)
-    world.until(lambda: all(len(one.seen) >= 3 for one in world.nodes))
+    world.client.ask(5, NodeBehavior.SILENT)
+    world.client.ask(6, NodeBehavior.SILENT)
+    world.run_until(lambda: all(len(one.seen) >= 3 for one in world.nodes))
     here, there = (node.port for node in world.nodes)
     for uid, first, second in ((5, here, there), (6, there, here)):
         given_up, again = (first, binary.RELEASE, uid), (second, binary.SET_UP, uid)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -10,41 +10,43 @@
 from hypothesis import strategies as st
 
 from thornshelf.cli import cli
-from thornshelf.record import entries as rec
-from thornshelf.record.plan import (
-    Ask,
-    Fleet,
-    Hold,
-    Memory,
-    Status,
-    Task,
-    Tell,
-    Verdict,
-    Wait,
-    Word,
-    fold,
-    judge,
-    plan,
+from thornshelf.wal import entries as rec
+from thornshelf.wal.recovery_plan import (
+    AdoptTask,
+    BlockKey,
+    FleetSnapshot,
+    NodeAnswer,
+    QueryNode,
+    RecoveredState,
+    RecoveredTask,
+    Resolution,
+    SendRelease,
+    TaskStatus,
+    plan_recovery,
+    replay,
+    resolve,
 )
 
 NODE = "s-1"
-STANDS = rec.Stands(5, 50, 50, "ledger-batch", "hollis-county", 7, 6.0, 14.0, None, NODE, "10.1.0.1", 1_000)
+STANDS = rec.TaskRunning(
+    5, 50, 50, "ledger-batch", "hollis-county", 7, 6.0, 14.0, None, NODE, "10.1.0.1", 1_000
+)
 LIFE: list[rec.AnyEntry] = [
-    rec.Began(3, 500),
-    rec.Intent(5, 50, "ledger-batch", NODE, 900),
+    rec.ProcessStarted(3, 500),
+    rec.AttemptIntent(5, 50, "ledger-batch", NODE, 900),
     STANDS,
-    rec.Owed(50, "10.1.0.1", 1, 0, 2_000),
-    rec.Told(50),
-    rec.Clean(),
+    rec.ReleasePending(50, "10.1.0.1", 1, 0, 2_000),
+    rec.ReleaseDone(50),
+    rec.CleanShutdown(),
 ]
-FLEET = Fleet(frozenset({NODE, "s-2"}), frozenset({NODE}))
+FLEET = FleetSnapshot(frozenset({NODE, "s-2"}), frozenset({NODE}))
 FIXED = settings(derandomize=True, max_examples=80, deadline=None)
 
 
-def whole(data: bytes) -> tuple[list[rec.AnyEntry], rec.Torn | None]:
+def whole(data: bytes) -> tuple[list[rec.AnyEntry], rec.TornTail | None]:
     found, torn = [], None
-    for one in rec.read(data):
-        if isinstance(one, rec.Torn):
+    for one in rec.read_frames(data):
+        if isinstance(one, rec.TornTail):
             torn = one
         else:
             found.append(one[1])
@@ -52,13 +54,13 @@
 
 
 def test_what_was_written_is_read() -> None:
-    assert whole(b"".join(map(rec.frame, LIFE))) == (LIFE, None)
+    assert whole(b"".join(map(rec.encode_frame, LIFE))) == (LIFE, None)
     with pytest.raises(ValueError):
-        rec.frame(rec.Owed(1, "x" * 70_000, 1, 0, 0))
+        rec.encode_frame(rec.ReleasePending(1, "x" * 70_000, 1, 0, 0))
 
 
 def test_a_record_cut_at_any_byte_loses_its_tail_and_nothing_else() -> None:
-    frames = list(map(rec.frame, LIFE))
+    frames = list(map(rec.encode_frame, LIFE))
     data, ends = b"".join(frames), [sum(map(len, frames[:n])) for n in range(len(frames) + 1)]
     for cut in range(len(data) + 1):
         found, torn = whole(data[:cut])
@@ -70,7 +72,7 @@
 @FIXED
 @given(st.data())
 def test_a_damaged_byte_never_makes_another_entry(data: st.DataObject) -> None:
-    frames = list(map(rec.frame, LIFE))
+    frames = list(map(rec.encode_frame, LIFE))
     whole_data = bytearray(b"".join(frames))
     at = data.draw(st.integers(0, len(whole_data) - 1))
     whole_data[at] ^= data.draw(st.integers(1, 255))
@@ -82,88 +84,100 @@
 @FIXED
 @given(st.binary(max_size=300))
 def test_garbage_is_no_record(data: bytes) -> None:
-    for one in rec.read(data):
-        assert isinstance(one, rec.Torn)
+    for one in rec.read_frames(data):
+        assert isinstance(one, rec.TornTail)
 
 
 def test_a_newer_version_is_refused_and_named() -> None:
     payload = b"\x91\x63"
-    head = rec._HEAD.pack(rec.MARK, 9, len(payload), rec._checksum(9, payload))
-    with pytest.raises(rec.NewerVersionError, match="version 9 at byte"):
-        list(rec.read(rec.frame(LIFE[0]) + head + payload))
+    head = rec._HEADER.pack(rec.MAGIC, 9, len(payload), rec._checksum(9, payload))
+    with pytest.raises(rec.UnsupportedVersionError, match="version 9 at byte"):
+        list(rec.read_frames(rec.encode_frame(LIFE[0]) + head + payload))
 
 
 @pytest.mark.parametrize(
     ("count", "steps"),
     [
         (1, []),  # killed before the intent: nothing may run
-        (2, [Ask(5, 50, NODE)]),  # between intent and offer, or offer and yes: the node tells
-        (3, [Hold(STANDS)]),  # between yes and end
-        (4, [Tell(rec.Owed(50, "10.1.0.1", 1, 0, 2_000))]),  # between end and release
+        (2, [QueryNode(5, 50, NODE)]),  # between intent and offer, or offer and yes: the node tells
+        (3, [AdoptTask(STANDS)]),  # between yes and end
+        (4, [SendRelease(rec.ReleasePending(50, "10.1.0.1", 1, 0, 2_000))]),  # between end and release
         (5, []),
         (6, []),
     ],
 )
 def test_a_kill_at_each_point_of_a_life(count: int, steps: list[object]) -> None:
-    memory = fold(LIFE[:count])
-    assert plan(memory, FLEET, 3_000, 30_000) == steps
-    assert memory.clean == (count == 6) and memory.epoch == 3
-    assert plan(fold(memory.snapshot()), FLEET, 3_000, 30_000) == steps  # a compaction changes nothing
-    assert fold(memory.snapshot()).clean == memory.clean
+    memory = replay(LIFE[:count])
+    assert plan_recovery(memory, FLEET, 3_000, 30_000) == steps
+    assert memory.clean_shutdown == (count == 6) and memory.epoch == 3
+    assert (
+        plan_recovery(replay(memory.snapshot()), FLEET, 3_000, 30_000) == steps
+    )  # a compaction changes nothing
+    assert replay(memory.snapshot()).clean_shutdown == memory.clean_shutdown
 
 
 def test_an_attempt_that_never_ran_frees_the_name_and_one_that_may_have_does_not() -> None:
-    intent = rec.Intent(5, 50, "ledger-batch", "s-2", 900)
-    assert fold([intent, rec.AttemptOver(5, 50, True)]).by_uid == {}
-    memory = fold([intent, rec.AttemptOver(5, 50, False)])
-    assert plan(memory, FLEET, 1_000, 30_000) == [Wait(5, 50, 30_900)]  # s-2 can't be asked
-    assert plan(memory, FLEET, 31_000, 30_000) == []  # long after, it is another task
+    intent = rec.AttemptIntent(5, 50, "ledger-batch", "s-2", 900)
+    assert replay([intent, rec.AttemptEnded(5, 50, True)]).by_uid == {}
+    memory = replay([intent, rec.AttemptEnded(5, 50, False)])
+    assert plan_recovery(memory, FLEET, 1_000, 30_000) == [BlockKey(5, 50, 30_900)]  # s-2 can't be asked
+    assert plan_recovery(memory, FLEET, 31_000, 30_000) == []  # long after, it is another task
 
 
 def test_nodes_that_are_gone_or_began_anew() -> None:
-    gone = Fleet(frozenset({"s-2"}))
-    assert plan(fold([STANDS]), gone, 3_000, 30_000) == [Tell(rec.Owed(50, "10.1.0.1", 5, 0, 3_000))]
-    anew = Fleet(frozenset({NODE}), frozenset({NODE}), {NODE: 2_500})
-    assert isinstance(plan(fold([STANDS]), anew, 3_000, 30_000)[0], Tell)
-    assert plan(fold(LIFE[:2]), anew, 3_000, 30_000) == [Wait(5, 50, 30_900)]
+    gone = FleetSnapshot(frozenset({"s-2"}))
+    assert plan_recovery(replay([STANDS]), gone, 3_000, 30_000) == [
+        SendRelease(rec.ReleasePending(50, "10.1.0.1", 5, 0, 3_000))
+    ]
+    anew = FleetSnapshot(frozenset({NODE}), frozenset({NODE}), {NODE: 2_500})
+    assert isinstance(plan_recovery(replay([STANDS]), anew, 3_000, 30_000)[0], SendRelease)
+    assert plan_recovery(replay(LIFE[:2]), anew, 3_000, 30_000) == [BlockKey(5, 50, 30_900)]
 
 
 def test_a_clock_that_stepped_back() -> None:
-    late = rec.Intent(5, 50, "ledger-batch", "s-2", 900_000)
-    assert plan(fold([late]), FLEET, 1_000, 30_000) == [Wait(5, 50, 31_000)]  # no longer than it may be
+    late = rec.AttemptIntent(5, 50, "ledger-batch", "s-2", 900_000)
+    assert plan_recovery(replay([late]), FLEET, 1_000, 30_000) == [
+        BlockKey(5, 50, 31_000)
+    ]  # no longer than it may be
 
 
 def test_a_second_id_of_one_name_and_releases_of_unknown_tasks() -> None:
-    memory = fold(
-        [rec.Intent(5, 50, "x", NODE, 1), rec.Intent(5, 51, "x", NODE, 2), rec.AttemptOver(5, 50, True)]
+    memory = replay(
+        [
+            rec.AttemptIntent(5, 50, "x", NODE, 1),
+            rec.AttemptIntent(5, 51, "x", NODE, 2),
+            rec.AttemptEnded(5, 50, True),
+        ]
     )
     assert memory.by_key == {5: 51}
-    assert fold([rec.Owed(9, "h", 1, 0, 1)]).by_uid[9].status is Status.OWED
-    assert fold([rec.Told(9)]).by_uid == {}
+    assert replay([rec.ReleasePending(9, "h", 1, 0, 1)]).by_uid[9].status is TaskStatus.RELEASE_PENDING
+    assert replay([rec.ReleaseDone(9)]).by_uid == {}
 
 
-@pytest.mark.parametrize("status", list(Status))
-@pytest.mark.parametrize("word", [None, *Word])
+@pytest.mark.parametrize("status", list(TaskStatus))
+@pytest.mark.parametrize("word", [None, *NodeAnswer])
 @pytest.mark.parametrize("young", [False, True])
 @pytest.mark.parametrize("handed", [None, NODE])
-def test_the_order_of_trust(status: Status, word: Word | None, young: bool, handed: str | None) -> None:
-    task = Task(5, 50, status, NODE, since_us=1_000)
-    verdict = judge(task, word, 2_000 if young else 0, handed)
-    if word is Word.RUNS:
-        assert verdict is Verdict.ADOPT
-    elif word is Word.RAN:
-        assert verdict is Verdict.OVER
-    elif word is Word.NEVER and not young:
-        assert verdict is Verdict.START  # by the node's own word, whatever the record says
+def test_the_order_of_trust(
+    status: TaskStatus, word: NodeAnswer | None, young: bool, handed: str | None
+) -> None:
+    task = RecoveredTask(5, 50, status, NODE, since_us=1_000)
+    verdict = resolve(task, word, 2_000 if young else 0, handed)
+    if word is NodeAnswer.RUNNING:
+        assert verdict is Resolution.ADOPT
+    elif word is NodeAnswer.ENDED:
+        assert verdict is Resolution.ENDED
+    elif word is NodeAnswer.NEVER_RAN and not young:
+        assert verdict is Resolution.START  # by the node's own word, whatever the record says
     elif handed:
-        assert verdict is Verdict.ADOPT
-    elif status is Status.IN_DOUBT:
-        assert verdict is Verdict.DOUBT  # never started on the record's word
-    elif status is Status.STANDS:
-        assert verdict is (Verdict.OVER if young else Verdict.ADOPT)
+        assert verdict is Resolution.ADOPT
+    elif status is TaskStatus.UNCERTAIN:
+        assert verdict is Resolution.UNCERTAIN  # never started on the record's word
+    elif status is TaskStatus.RUNNING:
+        assert verdict is (Resolution.ENDED if young else Resolution.ADOPT)
     else:
-        assert verdict is Verdict.START
-    assert judge(None, None, 0) is Verdict.START
+        assert verdict is Resolution.START
+    assert resolve(None, None, 0) is Resolution.START
 
 
 @FIXED
@@ -171,31 +185,38 @@
     st.lists(
         st.one_of(
             st.builds(
-                rec.Intent,
+                rec.AttemptIntent,
                 st.integers(1, 3),
                 st.integers(1, 6),
                 st.just("x"),
                 st.just(NODE),
                 st.integers(0, 99),
             ),
-            st.builds(rec.AttemptOver, st.integers(1, 3), st.integers(1, 6), st.booleans()),
-            st.builds(rec.Owed, st.integers(1, 6), st.just("h"), st.just(1), st.just(0), st.integers(0, 99)),
-            st.builds(rec.Told, st.integers(1, 6)),
-            st.just(rec.Clean()),
+            st.builds(rec.AttemptEnded, st.integers(1, 3), st.integers(1, 6), st.booleans()),
+            st.builds(
+                rec.ReleasePending,
+                st.integers(1, 6),
+                st.just("h"),
+                st.just(1),
+                st.just(0),
+                st.integers(0, 99),
+            ),
+            st.builds(rec.ReleaseDone, st.integers(1, 6)),
+            st.just(rec.CleanShutdown()),
         ),
         max_size=30,
     )
 )
 def test_a_snapshot_folds_to_the_same_plan(found: list[rec.AnyEntry]) -> None:
-    memory = fold(found)
-    again = fold(memory.snapshot())
-    assert plan(again, FLEET, 100, 1_000) == plan(memory, FLEET, 100, 1_000)
+    memory = replay(found)
+    again = replay(memory.snapshot())
+    assert plan_recovery(again, FLEET, 100, 1_000) == plan_recovery(memory, FLEET, 100, 1_000)
     assert all(memory.by_uid[uid].key == key for key, uid in memory.by_key.items())
 
 
 def test_the_record_can_be_looked_at(tmp_path: Path) -> None:
     file, run = tmp_path / "record", CliRunner().invoke
-    file.write_bytes(b"".join(map(rec.frame, LIFE[:3])))
+    file.write_bytes(b"".join(map(rec.encode_frame, LIFE[:3])))
     said = run(cli, ["record", "inspect", str(file)])
     assert (
         said.exit_code == 0
@@ -206,9 +227,12 @@
     said = run(cli, ["record", "verify", str(file)])
     assert said.exit_code == 1 and "torn at byte" in said.output and "Intent" not in said.output
     payload = b"\x91\x63"
-    file.write_bytes(rec._HEAD.pack(rec.MARK, 9, len(payload), rec._checksum(9, payload)) + payload)
+    file.write_bytes(rec._HEADER.pack(rec.MAGIC, 9, len(payload), rec._checksum(9, payload)) + payload)
     assert run(cli, ["record", "verify", str(file)]).exit_code == 2
 
 
 def test_an_empty_record() -> None:
-    assert fold([]).snapshot() == [rec.Began(0, 0), rec.Clean()] and plan(Memory(), FLEET, 0, 1) == []
+    assert (
+        replay([]).snapshot() == [rec.ProcessStarted(0, 0), rec.CleanShutdown()]
+        and plan_recovery(RecoveredState(), FLEET, 0, 1) == []
+    )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -9,11 +9,11 @@
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 
-from glenshift import interface as api
 from tests.conftest import SAFE, answers, ask, ended, entry, listing, offers, placer, settings
+from thornshelf.placement import interface as api
 
-KEYED = replace(SAFE, effect=api.Effect.KEYED, window_s=5.0)
-UNSAFE = replace(SAFE, effect=api.Effect.UNSAFE)
+KEYED = replace(SAFE, idempotency=api.Idempotency.WITH_KEY, idempotency_window_s=5.0)
+UNSAFE = replace(SAFE, idempotency=api.Idempotency.NEVER)
 PROVEN = (api.Outcome.REFUSED, api.Outcome.NOT_CONNECTED, api.Outcome.NOT_SENT)
 UNPROVEN = (api.Outcome.TIMED_OUT, api.Outcome.ERROR, api.Outcome.BROKEN, api.Outcome.CANCELLED)
 
@@ -23,7 +23,7 @@
     actions = one.handle(1.0, [ask(1, budget_s=2.0)])
     due = next(action for action in actions if isinstance(action, api.SetTimer) and action.token == 1)
     assert 2.9 < due.at < 3.0
-    assert answers(one.handle(due.at, [api.Timer(1)])) == [api.Fail(1)]
+    assert answers(one.handle(due.at, [api.TimerFired(1)])) == [api.Fail(1)]
     assert not offers(one.handle(3.1, [ended(1, 1, api.Outcome.REFUSED)]))
 
 
@@ -53,7 +53,7 @@
     ],
 )
 def test_rule_2_a_keyed_task_stays_in_its_group(group: api.Scope, zone: str, cell: int, sent: bool) -> None:
-    one = placer(entry(1), using=settings(replace(KEYED, group=group)))
+    one = placer(entry(1), using=settings(replace(KEYED, idempotency_scope=group)))
     one.handle(1.0, [ask(1)])
     one.handle(1.1, [listing(entry(2, zone=zone, cell=cell), complete=False)])
     actions = one.handle(1.5, [ended(1, 1, api.Outcome.TIMED_OUT)])
@@ -65,7 +65,7 @@
 def test_rule_2_a_keyed_task_is_not_sent_after_its_window_but_may_be_refused_in_group_all() -> None:
     one = placer(entry(1), entry(2), using=settings(KEYED))
     first = offers(one.handle(1.0, [ask(1, budget_s=9.0)]))[0].machine
-    assert answers(one.handle(6.0, [ended(1, first, api.Outcome.TIMED_OUT)])) == [api.Refuse(1)]
+    assert answers(one.handle(6.0, [ended(1, first, api.Outcome.TIMED_OUT)])) == [api.Reject(1)]
 
 
 def test_rule_3_nothing_goes_to_a_machine_that_drains_or_is_gone() -> None:
@@ -73,7 +73,7 @@
     one.handle(1.0, [listing(entry(1, health=api.Health.DRAINING), complete=False)])
     one.handle(1.1, [listing(entry(1, health=api.Health.DRAINING), entry(2))])
     assert {offer.machine for offer in offers(one.handle(2.0, [ask(n) for n in range(30)]))} == {2}
-    one.handle(2.1, [listing(entry(2, health=api.Health.GONE), complete=False)])
+    one.handle(2.1, [listing(entry(2, health=api.Health.REMOVED), complete=False)])
     assert not offers(one.handle(2.2, [ask(n) for n in range(40, 50)]))
 
 
@@ -102,9 +102,9 @@
 def test_rule_5_spread_counts_adopted_tasks_and_attempts(
     scope: api.Scope, zone: str, cell: int, sent: int
 ) -> None:
-    spread = replace(SAFE, spread_over=scope, most_together=2)
+    spread = replace(SAFE, spread_scope=scope, max_per_domain=2)
     one = placer(entry(1), using=settings(spread))
-    one.handle(0.5, [api.Adopted(ask(90), 1)])
+    one.handle(0.5, [api.TaskAdopted(ask(90), 1)])
     assert len(offers(one.handle(1.0, [ask(1), ask(2)]))) == 1
     one.handle(1.1, [listing(entry(2, zone=zone, cell=cell), complete=False)])
     assert len(offers(one.handle(1.2, [ask(3)]))) == sent
@@ -121,7 +121,7 @@
 )
 
 
-def together(spread: api.Scope, one: api.MachineEntry, other: api.MachineEntry) -> bool:
+def together(spread: api.Scope, one: api.Endpoint, other: api.Endpoint) -> bool:
     """Whether two machines lie in one place of the spread."""
     if spread is api.Scope.MACHINE:
         return one.machine == other.machine
@@ -131,21 +131,28 @@
 @runs(derandomize=True, deadline=None, max_examples=150)
 @given(
     steps=st.lists(STEP, max_size=60),
-    effect=st.sampled_from(list(api.Effect)),
+    effect=st.sampled_from(list(api.Idempotency)),
     group=st.sampled_from([api.Scope.ALL, api.Scope.ZONE, api.Scope.CELL]),
     spread=st.sampled_from([api.Scope.NONE, api.Scope.MACHINE, api.Scope.CELL, api.Scope.ZONE]),
     running=st.booleans(),
 )
 def test_all_rules_over_any_sequence(
     steps: list[tuple[str, int, api.Outcome, api.Health, float]],
-    effect: api.Effect,
+    effect: api.Idempotency,
     group: api.Scope,
     spread: api.Scope,
     running: bool,
 ) -> None:
-    terms = replace(SAFE, effect=effect, group=group, window_s=2.0, spread_over=spread, most_together=2)
+    terms = replace(
+        SAFE,
+        idempotency=effect,
+        idempotency_scope=group,
+        idempotency_window_s=2.0,
+        spread_scope=spread,
+        max_per_domain=2,
+    )
     using = settings(
-        terms, placers=3, peer_messages=True, accepts_before_running=not running, cold_offers=5.0
+        terms, placers=3, may_gossip=True, accepts_before_running=not running, slow_start_attempts=5.0
     )
     entries = {
         n: entry(n, zone=("here", "there")[n % 2], cell=n % 3, started_at=float(n == 3)) for n in range(6)
@@ -165,7 +172,7 @@
             for n, one_try in enumerate(made)
             if one_try[2] in ("out", "bound")
         ]
-        events: list[api.Event] = [api.Timer(r) for r, at in owed.items() if clock >= at - 0.005]
+        events: list[api.Event] = [api.TimerFired(r) for r, at in owed.items() if clock >= at - 0.005]
         if kind == "ask":
             fresh += 1
             owed[fresh] = clock + 1.0 + wait
@@ -176,7 +183,7 @@
             request, number = alive[pick % len(alive)]
             machine, at, state = tries[request][number]
             if kind == "note":
-                events.append(api.Note(request, machine, number, api.Fact.CORES_USED, wait))
+                events.append(api.TaskUpdate(request, machine, number, api.TaskUpdateKind.CORES_USED, wait))
             elif kind == "end":
                 proven = outcome in PROVEN and state == "out"
                 tries[request][number] = (machine, at, "never" if proven else "maybe")
@@ -184,7 +191,7 @@
             elif state == "out" and request in owed:
                 tries[request][number] = (machine, at, "bound")
                 del owed[request]
-                events.append(api.Placed(request, machine, number, 0.1))
+                events.append(api.AttemptAccepted(request, machine, number, 0.1))
         elif kind == "list":
             machine = pick % 6
             entries[machine] = replace(entries[machine], health=health)
@@ -193,23 +200,23 @@
             fresh += 1
             service[fresh] = pick % 3
             tries[fresh] = [(pick % 6, clock, "bound")]
-            events.append(api.Adopted(ask(fresh, service=pick % 3), pick % 6))
+            events.append(api.TaskAdopted(ask(fresh, service=pick % 3), pick % 6))
         elif kind == "abandon" and owed and not events:
             gone = sorted(owed)[pick % len(owed)]
             del owed[gone]
-            events = [api.Abandoned(gone)]
+            events = [api.RequestCancelled(gone)]
         elif kind == "peer":
-            events.append(api.PeerMessage(pick % 3, bytes([1, *range(pick)])))
+            events.append(api.GossipMessage(pick % 3, bytes([1, *range(pick)])))
         for action in one.handle(clock, events):
             match action:
-                case api.Offer(request, machine, _):
+                case api.StartAttempt(request, machine, _):
                     assert request in owed
                     made = tries[request]
                     assert all(state != "out" for _, _, state in made)
                     maybe = [(m, at) for m, at, state in made if state == "maybe"]
-                    if maybe and effect is api.Effect.UNSAFE:
+                    if maybe and effect is api.Idempotency.NEVER:
                         pytest.fail("an unsafe task was sent again")
-                    if maybe and effect is api.Effect.KEYED:
+                    if maybe and effect is api.Idempotency.WITH_KEY:
                         assert clock <= min(at for _, at in maybe) + 2.0
                         for m, _ in maybe:
                             assert group is not api.Scope.ZONE or entries[m].zone == entries[machine].zone
@@ -227,12 +234,12 @@
                             for m, _, state in made
                         )
                         assert there <= 2
-                case api.Refuse(request, _):
+                case api.Reject(request, _):
                     assert request in owed
                     del owed[request]
                     if any(state != "never" for _, _, state in tries[request]):
-                        assert effect is api.Effect.SAFE or (
-                            effect is api.Effect.KEYED and group is api.Scope.ALL
+                        assert effect is api.Idempotency.ALWAYS or (
+                            effect is api.Idempotency.WITH_KEY and group is api.Scope.ALL
                         )
                 case api.Fail(request):
                     assert request in owed
@@ -257,22 +264,22 @@
 
 def test_odd_input_breaks_no_rule_and_blames_no_machine() -> None:
     """A clock that jumps, peers' words cut short, foreign or repeated, and events long after their time."""
-    quiet = settings(placers=3, peer_messages=True)
+    quiet = settings(placers=3, may_gossip=True)
     one = placer(entry(1), entry(2), using=quiet)
     words = [b"", b"\x01", b"\x02abcdefgh", b"\x01short", b"\x01" + b"\xff" * 8, b"\x01" + b"\xff" * 8]
-    one.handle(1.0, [api.PeerMessage(sender, data) for sender in (1, 2, 99) for data in words])
+    one.handle(1.0, [api.GossipMessage(sender, data) for sender in (1, 2, 99) for data in words])
     first = offers(one.handle(1.1, [ask(1, budget_s=6.0)]))[0].machine
-    jumped = one.handle(500.0, [api.Timer(1), ended(1, first, api.Outcome.TIMED_OUT)])
+    jumped = one.handle(500.0, [api.TimerFired(1), ended(1, first, api.Outcome.TIMED_OUT)])
     assert len(answers(jumped)) == 1 and not offers(jumped)
-    assert not [action for action in jumped if isinstance(action, api.Log | api.Probe)]
-    one.handle(500.1, [ended(1, first, api.Outcome.OK), api.Placed(1, first, 0, 499.0)])
+    assert not [action for action in jumped if isinstance(action, api.Log | api.CheckHealth)]
+    one.handle(500.1, [ended(1, first, api.Outcome.OK), api.AttemptAccepted(1, first, 0, 499.0)])
     assert len(offers(one.handle(500.2, [ask(n, service=n) for n in range(2, 6)]))) == 4
 
 
 def test_a_report_does_not_undo_what_is_known_to_run() -> None:
     """Guards against a late report that shows a machine empty while own tasks fill it."""
     one = placer(entry(1))
-    one.handle(1.0, [api.Adopted(ask(n, cores=2.0), 1) for n in range(4)])
-    empty = api.Report(free_cores=8.0, free_memory=16.0)
-    one.handle(5.0, [api.ProbeAnswer(1, api.Outcome.OK, 0.1, empty)])
-    assert answers(one.handle(5.1, [ask(9)])) == [api.Refuse(9)]
+    one.handle(1.0, [api.TaskAdopted(ask(n, cores=2.0), 1) for n in range(4)])
+    empty = api.LoadReport(free_cores=8.0, free_memory=16.0)
+    one.handle(5.0, [api.HealthCheckResult(1, api.Outcome.OK, 0.1, empty)])
+    assert answers(one.handle(5.1, [ask(9)])) == [api.Reject(9)]
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -13,7 +13,7 @@
 from thornshelf.capacity.rows import Aspect
 from thornshelf.lab.scale import quantities
 from thornshelf.lab.scale.bounds import Bounds, is_tracker
-from thornshelf.lab.scale.run import MOST_GROWTH, SHORT, Jobs, Plan, run, troubles
+from thornshelf.lab.scale.run import MOST_GROWTH, SHORT, Jobs, Plan, run, run_faults
 from thornshelf.lab.scale.sizes import Spans
 
 TINY: Plan = replace(
@@ -72,7 +72,7 @@
     """The rules that the troubles break with a planted fault."""
     port = 7_380 + sorted(PLANTED).index(plant)
     with Jobs(1, plant, Bounds(100.0), lambda _: None) as jobs:
-        (counted,) = jobs.run("planted", [partial(troubles, 84, 5, port, 100.0, 4, 10.0, plant)])
+        (counted,) = jobs.run("planted", [partial(run_faults, 84, 5, port, 100.0, 4, 10.0, plant)])
     return list(counted.rules)
 
 
--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -16,13 +16,13 @@
 
 import pytest
 
-from thornshelf.control.frames import Asked, pack
-from thornshelf.errors import BusyError, ThornshelfError
-from thornshelf.lab.fleet import Member, World
+from thornshelf.control.framing import QueryRequest, encode_frame
+from thornshelf.errors import ThornshelfError, TooManySessionsError
+from thornshelf.lab.fleet import FleetTestbed, MemberProcess
 from thornshelf.lab.shell import CONTROL, place
-from thornshelf.shell.client import Client
-from thornshelf.shell.engine import Engine, Limits, Result
-from thornshelf.shell.reasons import why_node, why_task
+from thornshelf.shell.client import ControlClient
+from thornshelf.shell.engine import QueryEngine, QueryLimits, QueryResult
+from thornshelf.shell.explanations import explain_node, explain_task
 
 LIMIT_S = 30.0  # nothing waits longer
 LARGE = 700  # bytes: only pieces of long answers are so large here
@@ -33,16 +33,16 @@
 class Asking:
     """A fleet, and shells beside it."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: FleetTestbed) -> None:
         self.world = world
         self.pool = ThreadPoolExecutor(12)
 
-    def begin(self, call: Callable[[Engine], T], member: int = 0, seconds: float = 15.0) -> Future[T]:
+    def begin(self, call: Callable[[QueryEngine], T], member: int = 0, seconds: float = 15.0) -> Future[T]:
         """Something that a shell does at a member."""
 
         def do() -> T:
-            with Client(place(self.world, self.world.members[member]), seconds) as client:
-                return call(Engine(client, Limits(seconds)))
+            with ControlClient(place(self.world, self.world.members[member]), seconds) as client:
+                return call(QueryEngine(client, QueryLimits(seconds)))
 
         return self.pool.submit(do)
 
@@ -51,7 +51,7 @@
         assert self.world.until(future.done, LIMIT_S) is not None
         return future.result()
 
-    def query(self, sql: str, member: int = 0) -> Result:
+    def query(self, sql: str, member: int = 0) -> QueryResult:
         """One question to all."""
         return self.wait(self.begin(lambda engine: engine.query(sql, True), member))
 
@@ -75,8 +75,8 @@
         return subprocess.CompletedProcess(arguments, process.returncode, out, err)
 
 
-def make(folder: Path, members: int, more: str = CONTROL) -> World:
-    world = World(7, True, None, members, 3, folder)
+def make(folder: Path, members: int, more: str = CONTROL) -> FleetTestbed:
+    world = FleetTestbed(7, True, None, members, 3, folder)
     world.more = more
     world.start(*world.members)
     assert world.until(world.agreed, LIMIT_S) is not None
@@ -104,7 +104,7 @@
     world.loading = False
 
 
-def in_the_middle(asking: Asking, fault: Callable[[Member], None]) -> Result:
+def in_the_middle(asking: Asking, fault: Callable[[MemberProcess], None]) -> QueryResult:
     """The last member's answer is long, and after some pieces of it the fault happens; its relays pass no more."""
     world, victim, seen = asking.world, asking.world.members[3], [0]
     load(asking, 300)
@@ -130,16 +130,16 @@
 def test_a_member_that_goes_in_the_middle_of_its_answer_is_named_and_the_others_are_whole(
     asking: Asking, how: str
 ) -> None:
-    def fault(victim: Member) -> None:
+    def fault(victim: MemberProcess) -> None:
         if how == "dies":
             asking.world.kill(victim)
         elif how == "hangs":
             asking.world.kill(victim, number=signal.SIGSTOP)
 
     result = in_the_middle(asking, fault)
-    assert [name for name, _ in result.told.missing] == ["m03"]
-    assert "rows" in result.told.missing[0][1] or "held for dead" in result.told.missing[0][1]
-    assert not result.complete and result.told.members >= {"m00", "m01", "m02"}
+    assert [name for name, _ in result.summary.missing] == ["m03"]
+    assert "rows" in result.summary.missing[0][1] or "held for dead" in result.summary.missing[0][1]
+    assert not result.complete and result.summary.members >= {"m00", "m01", "m02"}
     counts = dict(asking.query("SELECT member, count(*) FROM history GROUP BY member").rows)
     for name in ("m00", "m01", "m02"):  # whole: what has come since then is more, and nothing is less
         told = [row for row in result.rows if row[0] == name]
@@ -154,7 +154,7 @@
     assert world.until(world.agreed, LIMIT_S) is not None
     result = asking.query("SELECT DISTINCT member FROM counters ORDER BY member")
     assert result.rows == [("m00",), ("m01",), ("m03",)]
-    assert result.told.missing == [("m02", "it is held for dead")]
+    assert result.summary.missing == [("m02", "it is held for dead")]
     world.start(dead)
     asking.until("SELECT DISTINCT member FROM counters ORDER BY member", [(f"m0{i}",) for i in range(4)])
     assert asking.query("SELECT 1 FROM counters").complete
@@ -189,13 +189,13 @@
     asking.until(sql.format("answered"), lambda: count("placed"))
     asking.until("SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node", running)
     given_up = next(uid for uid, one in world.truth.asked.items() if one.void)
-    story = asking.wait(asking.begin(lambda engine: why_task(engine, f"{given_up:x}")))
+    story = asking.wait(asking.begin(lambda engine: explain_task(engine, f"{given_up:x}")))
     assert any("taken" in line for line in story) and any("given-up" in line for line in story)
 
 
 def test_members_of_which_one_has_no_control_socket_and_one_no_word_for_questions(tmp_path: Path) -> None:
     """A fleet is updated member by member: what can't answer says so, or is named."""
-    world = World(7, True, None, 3, 2, tmp_path)
+    world = FleetTestbed(7, True, None, 3, 2, tmp_path)
     asking = Asking(world)
     try:
         world.more = CONTROL
@@ -204,7 +204,7 @@
         world.start(world.members[2])
         assert world.until(world.agreed, LIMIT_S) is not None
         result = asking.query("SELECT DISTINCT member FROM counters")
-        assert result.told.missing == [("m02", "it has no control socket")]
+        assert result.summary.missing == [("m02", "it has no control socket")]
         assert {row[0] for row in result.rows} == {"m00", "m01"}
     finally:
         asking.pool.shutdown()
@@ -216,17 +216,17 @@
     world = asking.world
     try:
         at = place(world, world.members[0])
-        clients = [Client(at) for _ in range(10)]
+        clients = [ControlClient(at) for _ in range(10)]
         futures = [
-            asking.pool.submit(Engine(client).query, "SELECT * FROM nodes", True) for client in clients
+            asking.pool.submit(QueryEngine(client).query, "SELECT * FROM nodes", True) for client in clients
         ]
         for future in futures:
             result = asking.wait(future)
             assert result.complete and len(result.rows) == 6
-        late = Client(at)
-        with pytest.raises(BusyError, match="10 shells are connected"):
-            late.known()
-        said = f'code="{BusyError.code}"'
+        late = ControlClient(at)
+        with pytest.raises(TooManySessionsError, match="10 shells are connected"):
+            late.fetch_catalog()
+        said = f'code="{TooManySessionsError.code}"'
         assert world.until(lambda: said in world.members[0].logs[0].read_text(), LIMIT_S) is not None
         clients.pop().close()
         asking.until("SELECT count(*) FROM nodes", [(6,)])
@@ -244,7 +244,7 @@
     at = place(asking.world, asking.world.members[0])
     deaf = socket.socket(socket.AF_UNIX)
     deaf.connect(at)
-    asked = [pack(Asked(number, "history", ["uid", "key"] * 32)) for number in range(4)]
+    asked = [encode_frame(QueryRequest(number, "history", ["uid", "key"] * 32)) for number in range(4)]
     deaf.sendall(b"".join(asked))  # the answers are more than any buffer holds
     odd = socket.socket(socket.AF_UNIX)
     odd.connect(at)
@@ -267,9 +267,9 @@
 def test_a_name_of_quotes_brackets_and_control_characters(asking: Asking) -> None:
     odd = 's-"q" [bold]\'\x1b[2J'
     entry = asking.world.entry(1) | {"instanceId": odd}
-    asking.world.keeper.tell([entry])
+    asking.world.keeper.publish([entry])
     asking.until("SELECT count(*) FROM nodes WHERE node LIKE 's-\"q\"%'", [(4,)])
-    lines = asking.wait(asking.begin(lambda engine: why_node(engine, odd)))
+    lines = asking.wait(asking.begin(lambda engine: explain_node(engine, odd)))
     assert sum(line.startswith("m0") for line in lines) == 4
     at = place(asking.world, asking.world.members[0])
     for form in ([], ["--csv"], ["--json"]):
@@ -330,7 +330,7 @@
 
 
 def test_what_a_killed_process_left_behind_makes_way_and_a_live_one_does_not(tmp_path: Path) -> None:
-    world = World(7, True, None, 2, 2, tmp_path)
+    world = FleetTestbed(7, True, None, 2, 2, tmp_path)
     asking = Asking(world)
     at = tmp_path / "one.sock"
     try:
@@ -342,8 +342,8 @@
         world.kill(world.members[0])
         assert at.exists()
         world.start(world.members[1])
-        with Client(at) as client:
-            assert client.known().member == "m01"
+        with ControlClient(at) as client:
+            assert client.fetch_catalog().member == "m01"
         (tmp_path / "open").mkdir()
         (tmp_path / "open").chmod(0o777)
         world.members[0].process = None
@@ -357,7 +357,7 @@
 
 
 def test_a_hundred_thousand_tasks_are_told_while_others_are_served(tmp_path: Path) -> None:
-    world = World(7, True, None, 2, 3, tmp_path)
+    world = FleetTestbed(7, True, None, 2, 3, tmp_path)
     asking = Asking(world)
     try:
         world.more = CONTROL
@@ -372,10 +372,10 @@
             result = asking.wait(begun)
             crowd = [row for row in result.rows if row[0] >= f"{1 << 60:016x}"]
             assert (
-                len({row[0] for row in crowd}) == len(crowd) > 9_000 and result.cut
+                len({row[0] for row in crowd}) == len(crowd) > 9_000 and result.truncation
             )  # of the rows it may give
-            if result.told.missing:  # what travels of one answer is bounded, and it says so
-                assert member == 1 and "too long" in result.told.missing[0][1]
+            if result.summary.missing:  # what travels of one answer is bounded, and it says so
+                assert member == 1 and "too long" in result.summary.missing[0][1]
             assert len(world.truth.asked) > before
         count = "SELECT count(DISTINCT uid) FROM tasks WHERE uid >= '1000000000000000'"
         assert asking.query(count).rows == [(100_000,)]
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -10,22 +10,22 @@
 
 import pytest
 
-from thornshelf.lab.links import free_port, private
+from thornshelf.lab.fakes.network import free_port, private
 from thornshelf.lab.scale.bounds import Bounds
 from thornshelf.lab.scale.hollow import Count, Kill, Nodes, Rise
 from thornshelf.lab.scale.layout import Layout
-from thornshelf.lab.scale.world import Dispatcher, World
+from thornshelf.lab.scale.testbed import Dispatcher, ScaleTestbed
 
 NODES = 84  # three a zone
 ZONE = range(1, NODES, 28)  # the subset's own
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[World]:
+def world(tmp_path: Path) -> Iterator[ScaleTestbed]:
     """One dispatcher that holds all nodes, and one of zone 1, over hollow nodes in a process of their own."""
     layout = Layout(11, free_port([private(0)]))
     nodes = Nodes(layout, NODES, NODES)
-    made = World(layout, nodes, NODES, 2, tmp_path, Bounds(100.0), 2)
+    made = ScaleTestbed(layout, nodes, NODES, 2, tmp_path, Bounds(100.0), 2)
     try:
         made.start_real(0, False)
         made.start_real(1, True)
@@ -38,16 +38,18 @@
 
 def held(one: Dispatcher, what: str) -> int:
     """What a dispatcher said last that it holds."""
-    found = re.findall(rf' subset \[thornshelf@32473 .*?{what}="(\d+)"', one.process.log_path.read_text())
+    found = re.findall(
+        rf' subset-changed \[thornshelf@32473 .*?{what}="(\d+)"', one.process.log_path.read_text()
+    )
     return int(found[-1]) if found else -1
 
 
-def served(world: World, one: Dispatcher) -> int:
+def served(world: ScaleTestbed, one: Dispatcher) -> int:
     assert one.county is not None
     return sum(bool(task.get("placed")) for task in one.county.tasks.values())
 
 
-def settled(world: World) -> tuple[int, int, int]:
+def settled(world: ScaleTestbed) -> tuple[int, int, int]:
     """Tasks lost, doubled, and sent to a drained node, by the stand-ins' own count."""
     world.rest(3.0)
     tally = world.nodes.tell(Count())
@@ -56,7 +58,9 @@
     return len(lost), len(doubled), tally.late
 
 
-def test_a_stopped_process_of_a_lost_zone_goes_on_with_others_nodes_and_loses_nothing(world: World) -> None:
+def test_a_stopped_process_of_a_lost_zone_goes_on_with_others_nodes_and_loses_nothing(
+    world: ScaleTestbed,
+) -> None:
     """It is stopped as its zone is lost, and cut off from the list as that returns; another holds the whole list."""
     whole, part = world.real
     assert held(part, "own") == 3 and held(part, "known") == NODES and held(whole, "own") == -1
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -10,42 +10,42 @@
 
 import pytest
 
-from thornshelf.config import ConfigError, SubsetConfig, read_config
-from thornshelf.lab.clients import JsonClient
-from thornshelf.lab.conduct import HOST, Conduct
-from thornshelf.lab.links import ListKeeper, private
-from thornshelf.lab.nodes import StandInNode
-from thornshelf.lab.standins import CONFIG, LIMIT_S
+from thornshelf.components.subsetting import SubsettingComponent
+from thornshelf.configuration import ConfigError, ZoneSubsetConfig, read_config
+from thornshelf.lab.fakes.behavior import HOST, NodeBehavior
+from thornshelf.lab.fakes.clients import FakeJsonLinesClient
+from thornshelf.lab.fakes.network import FakeEndpointSource, private
+from thornshelf.lab.fakes.nodes import FakeNode
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, TIMEOUT_S
 from thornshelf.loop import Loop
-from thornshelf.parts.subset import SubsetPart
 from thornshelf.service import Service
-from thornshelf.subsetting import SubsetTerms
+from thornshelf.subsetting import SubsetConfig
 from thornshelf.wire import jsonl
 
 OWN, OTHER = "zone-a", "zone-b"
-TERMS = SubsetTerms(OWN, "n0", spare_step=2, most_spare=4, review_us=50_000, quiet_us=60_000_000)
+TERMS = SubsetConfig(OWN, "n0", spare_step=2, max_spares=4, review_interval_us=50_000, cooldown_us=60_000_000)
 
 
 class Rig:
     """A dispatcher of zone a, with two nodes there and some in zone b, and the change log, all on one loop."""
 
-    def __init__(self, others: int = 3, terms: SubsetTerms = TERMS, placers: int = 1) -> None:
+    def __init__(self, others: int = 3, terms: SubsetConfig = TERMS, placers: int = 1) -> None:
         """``placers``: dispatchers in all; this zone has one of them."""
         self.loop, self.logged = Loop(), list[tuple[int, str, dict[str, object], str]]()
-        self.nodes, self.own = [StandInNode(self.loop) for _ in range(2 + others)], {0, 1}
-        self.keeper = ListKeeper(self.loop, 1)
-        self.keeper.tell([self.entry(index) for index in range(len(self.nodes))], True)
-        given = read_config({"LB_CONFIG": str(CONFIG)})
+        self.nodes, self.own = [FakeNode(self.loop) for _ in range(2 + others)], {0, 1}
+        self.keeper = FakeEndpointSource(self.loop, 1)
+        self.keeper.publish([self.entry(index) for index in range(len(self.nodes))], True)
+        given = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
         config = replace(
             given,
             settings=replace(given.settings, placers=placers),
             listen=(HOST, 0),
-            changelog=(private(0), self.keeper.ports[0]),
-            known={"seq": 1, "results": self.keeper.events[:1]},
-            subset=SubsetConfig(terms, 1),
+            endpoint_source=(private(0), self.keeper.ports[0]),
+            initial_endpoints={"seq": 1, "results": self.keeper.events[:1]},
+            subset=ZoneSubsetConfig(terms, 1),
         )
         self.service = Service(config, self.loop, lambda *line: self.logged.append(line))
-        self.client = JsonClient(self.loop, self.service.front.listener.address)
+        self.client = FakeJsonLinesClient(self.loop, self.service.json_frontend.listener.address)
         self.until(lambda: self.client.stream is not None and self.connected(0) and self.connected(1))
 
     def entry(self, index: int, lifecycle: str = "in_service", started_ms: int = 0) -> dict[str, Any]:
@@ -61,7 +61,7 @@
 
     def until(self, done: Any) -> None:
         """Turn until something holds; fails where it does not come about."""
-        end = self.loop.now + int(LIMIT_S * 1e6)
+        end = self.loop.now + int(TIMEOUT_S * 1e6)
         while not done():
             assert self.loop.now < end, "it did not come about in time"
             self.loop.after(5_000, lambda: None)
@@ -116,48 +116,50 @@
 def test_only_nodes_of_the_own_zone_are_connected_and_offered_tasks(rigs: list[Rig]) -> None:
     rigs.append(rig := Rig())
     for uid in range(1, 9):
-        rig.client.ask(uid, Conduct.RUN)
+        rig.client.ask(uid, NodeBehavior.RUN)
     rig.until(lambda: len(rig.client.heard) == 8)
     assert not any(rig.connected(index) for index in (2, 3, 4))
     assert rig.offers(0) + rig.offers(1) == 8
-    assert len(rig.service.core.roster.entries) == 2
+    assert len(rig.service.core.endpoints.entries) == 2
 
 
 def test_a_lost_zone_is_served_by_others_and_its_return_loses_nothing(rigs: list[Rig]) -> None:
-    rigs.append(rig := Rig(terms=replace(TERMS, quiet_us=100_000)))
+    rigs.append(rig := Rig(terms=replace(TERMS, cooldown_us=100_000)))
     for index in (0, 1):
         rig.nodes[index].die()
-    rig.keeper.tell([rig.entry(index, "terminated") for index in (0, 1)])
+    rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
-    rig.client.ask(21, Conduct.RUN)
+    rig.client.ask(21, NodeBehavior.RUN)
     rig.until(lambda: 21 in rig.client.placed)
     where = next(index for index in (2, 3, 4) if rig.offers(index))
     for index in (0, 1):
         rig.nodes[index].rise()
-    rig.keeper.tell([rig.entry(index, started_ms=1) for index in (0, 1)])
-    rig.until(lambda: len(rig.service.core.roster.nodes) == 3)  # the own two, and the one where a task stands
+    rig.keeper.publish([rig.entry(index, started_ms=1) for index in (0, 1)])
+    rig.until(
+        lambda: len(rig.service.core.endpoints.nodes) == 3
+    )  # the own two, and the one where a task stands
     rig.settle(300)
-    assert len(rig.service.core.roster.nodes) == 3 and not rig.released(21)
-    rig.client.ask(22, Conduct.RUN)
+    assert len(rig.service.core.endpoints.nodes) == 3 and not rig.released(21)
+    rig.client.ask(22, NodeBehavior.RUN)
     rig.until(lambda: 22 in rig.client.placed)
     assert rig.offers(where) == 1
     rig.end_task(21, where)
     rig.until(lambda: rig.released(21))
-    rig.until(lambda: len(rig.service.core.roster.nodes) == 2)
+    rig.until(lambda: len(rig.service.core.endpoints.nodes) == 2)
 
 
 def test_the_drain_of_a_spare_node_holds_in_the_turn_that_reads_it(rigs: list[Rig]) -> None:
     rigs.append(rig := Rig(others=1))
     for index in (0, 1):
         rig.nodes[index].die()
-    rig.keeper.tell([rig.entry(index, "terminated") for index in (0, 1)])
+    rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.until(lambda: rig.connected(2))
-    rig.client.ask(31, Conduct.RUN)
+    rig.client.ask(31, NodeBehavior.RUN)
     rig.until(lambda: 31 in rig.client.placed)
-    rig.keeper.tell([rig.entry(2, "terminating")])
-    machine = rig.service.core.roster.machine("s-00000003")
-    rig.until(lambda: not rig.service.core.roster.takes(machine))
-    rig.client.ask(32, Conduct.RUN)
+    rig.keeper.publish([rig.entry(2, "terminating")])
+    machine = rig.service.core.endpoints.machine_id("s-00000003")
+    rig.until(lambda: not rig.service.core.endpoints.is_up(machine))
+    rig.client.ask(32, NodeBehavior.RUN)
     rig.until(lambda: 32 in rig.client.heard)
     rig.settle(200)
     assert rig.offers(2) == 1 and not rig.released(31)
@@ -166,15 +168,15 @@
 def test_a_task_of_a_predecessor_on_a_node_that_is_not_held_is_heard_to_end(rigs: list[Rig]) -> None:
     """The node came after the first event, and no entry of it is kept: the list is read again, and drops nobody."""
     rigs.append(rig := Rig(others=40))
-    rig.nodes.append(StandInNode(rig.loop))
+    rig.nodes.append(FakeNode(rig.loop))
     own = len(rig.nodes) - 1
     rig.own.add(own)
-    rig.keeper.tell([rig.entry(own)])
+    rig.keeper.publish([rig.entry(own)])
     rig.until(lambda: rig.connected(own))
-    part = next(part for part in rig.service.parts if isinstance(part, SubsetPart))
+    part = next(part for part in rig.service.components if isinstance(part, SubsettingComponent))
     sampled = {entry.name for zone in part.subset.zones.values() for entry in zone.sample}
     far = next(index for index in range(2, own) if f"s-{index + 1:08x}" not in sampled)
-    rig.client.ask(41, Conduct.RUN)
+    rig.client.ask(41, NodeBehavior.RUN)
     rig.until(lambda: 41 in rig.client.placed)
     rig.stand(51, far)
     rig.until(lambda: bool(rig.nodes[far].voices))
@@ -182,21 +184,23 @@
     rig.until(lambda: rig.released(51))
     rig.settle(200)
     assert not rig.released(41) and rig.connected(own)
-    assert any("read again" in text for _, name, _, text in rig.logged if name == "subset")
-    rig.until(lambda: far not in {int(e.name[2:], 16) - 1 for e in rig.service.core.roster.entries.values()})
+    assert any("read again" in text for _, name, _, text in rig.logged if name == "subset-changed")
+    rig.until(
+        lambda: far not in {int(e.name[2:], 16) - 1 for e in rig.service.core.endpoints.entries.values()}
+    )
 
 
 def test_who_is_cut_off_from_the_change_log_keeps_what_it_holds_and_catches_up(rigs: list[Rig]) -> None:
     rigs.append(rig := Rig())
     rig.keeper.silent.add(0)
     rig.settle(100)
-    rig.keeper.tell([rig.entry(index, "terminated") for index in (0, 1)])
-    rig.client.ask(61, Conduct.RUN)
+    rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
+    rig.client.ask(61, NodeBehavior.RUN)
     rig.until(
         lambda: 61 in rig.client.placed
     )  # by a node that the others know to have left: told to nobody here
     rig.settle(1_500)
-    assert len(rig.service.core.roster.nodes) == 2 and not rig.released(61)
+    assert len(rig.service.core.endpoints.nodes) == 2 and not rig.released(61)
     rig.keeper.silent.clear()
     rig.until(lambda: rig.released(61))
     rig.until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
@@ -204,10 +208,10 @@
 
 def test_a_spoilt_entry_costs_itself(rigs: list[Rig]) -> None:
     rigs.append(rig := Rig())
-    rig.keeper.tell([{"instanceId": "s-0000000a", "lifecycle": "asleep"}, rig.entry(0, "terminating")])
-    machine = rig.service.core.roster.machine("s-00000001")
-    rig.until(lambda: not rig.service.core.roster.takes(machine))
-    assert len(rig.logs("bad-entry")) == 1
+    rig.keeper.publish([{"instanceId": "s-0000000a", "lifecycle": "asleep"}, rig.entry(0, "terminating")])
+    machine = rig.service.core.endpoints.machine_id("s-00000001")
+    rig.until(lambda: not rig.service.core.endpoints.is_up(machine))
+    assert len(rig.logs("endpoint-invalid")) == 1
 
 
 @pytest.mark.parametrize(
@@ -223,7 +227,7 @@
 def test_a_faulty_table_is_refused_by_its_key(tmp_path: Path, table: str, key: str) -> None:
     (tmp_path / "key").write_text("k" * 32)
     (tmp_path / "key").chmod(0o600)
-    (tmp_path / "config.json").write_text(json.dumps(json.loads(CONFIG.read_text())))
+    (tmp_path / "config.json").write_text(json.dumps(json.loads(EXAMPLE_CONFIG.read_text())))
     (tmp_path / "operator.toml").write_text(table)
     with pytest.raises(ConfigError, match=key):
         read_config({"LB_CONFIG": str(tmp_path / "config.json")}, str(tmp_path / "operator.toml"))
@@ -233,6 +237,6 @@
     """Allowances of a zone are divided by its own dispatchers, those of cold nodes and quotas by all."""
     rigs.append(rig := Rig(placers=8))
     placer = rig.service.core.placer
-    assert placer.s.placers == 1 and placer.cold_placers == 8 and placer.s.zone == OWN
+    assert placer.settings.placers == 1 and placer.slow_start_placers == 8 and placer.settings.zone == OWN
     for one in rig.service.config.settings.tenants:
         assert placer.quota[one.name] == pytest.approx(one.quota_cores / 8)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -9,15 +9,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from glenshift.interface import Health
-from thornshelf.errors import TermsError
-from thornshelf.subsetting import Load, Subset, SubsetTerms
-from thornshelf.subsetting.summary import ZoneSummary, draw
+from thornshelf.errors import InvalidParameterError
+from thornshelf.placement.interface import Health
+from thornshelf.subsetting import RequestCounts, Subset, SubsetConfig
+from thornshelf.subsetting.zone_summary import ZoneSummary, rendezvous_rank
 
 SECOND = 1_000_000
-UP, DRAINING, GONE = Health.UP, Health.DRAINING, Health.GONE
+UP, DRAINING, GONE = Health.UP, Health.DRAINING, Health.REMOVED
 OWN, ZONES = "zone-00", ("zone-00", "zone-01", "zone-02", "zone-03")
-TERMS = SubsetTerms(OWN, "m01", spare_step=4, most_spare=12, spares_a_review=5, quiet_us=5 * SECOND)
+TERMS = SubsetConfig(OWN, "m01", spare_step=4, max_spares=12, spares_per_review=5, cooldown_us=5 * SECOND)
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,13 +65,13 @@
                 self.known[node.name] = node
 
     def change(self, *nodes: Node, complete: bool = False) -> None:
-        self.hear(self.subset.change(complete, nodes, self.now), complete)
+        self.hear(self.subset.apply(complete, nodes, self.now), complete)
 
     def review(self, count: int = 1, taken: int = 0, refused: int = 0) -> None:
         for _ in range(count):
-            self.now += TERMS.review_us
+            self.now += TERMS.review_interval_us
             self.taken, self.refused = self.taken + taken, self.refused + refused
-            self.hear(self.subset.review(Load(self.taken, self.refused), self.now))
+            self.hear(self.subset.review(RequestCounts(self.taken, self.refused), self.now))
 
     def up(self, zone: str | None = None) -> set[str]:
         """Nodes that this core may offer tasks to: of its own zone, or of others."""
@@ -124,7 +124,7 @@
         elif kind == "busy":
             core.busy = core.busy | {name} if what and name in core.known else core.busy - {name}
         elif kind == "seek":
-            core.hear(core.subset.hold(name))
+            core.hear(core.subset.retain(name))
         elif kind == "list":
             core.change(*(node for node in truth.values() if node.health is not GONE), complete=True)
         listed = {name: node for name, node in truth.items() if node.health is not GONE}
@@ -136,22 +136,25 @@
             assert node.health is listed[name].health or node.health is DRAINING
             assert node.zone != OWN or node.health is listed[name].health
         assert core.lost == []
-        assert len(core.subset.spares) <= TERMS.most_spare
+        assert len(core.subset.spare_nodes) <= TERMS.max_spares
         assert (
-            set(core.known) == core.subset.own.keys() | core.subset.spares.keys() | core.subset.leaving.keys()
+            set(core.known)
+            == core.subset.own_zone_nodes.keys()
+            | core.subset.spare_nodes.keys()
+            | core.subset.draining_nodes.keys()
         )
         for zone in ZONES[1:]:
             alive = sum(node.zone == zone and node.health is UP for node in truth.values())
             summary = core.subset.zones.get(zone)
-            assert (summary.count if summary else 0) == alive
-            assert summary is None or len(summary.sample) <= TERMS.sample(1)
+            assert (summary.up_count if summary else 0) == alive
+            assert summary is None or len(summary.sample) <= TERMS.sample_size(1)
 
 
 def test_in_calm_only_the_own_zone_is_held() -> None:
     core = settled()
     core.review(20, taken=100, refused=2)
     assert core.up(OWN) == set(core.known) and len(core.known) == 20
-    assert core.subset.known == 80 and not core.subset.spares
+    assert core.subset.known_up_count == 80 and not core.subset.spare_nodes
 
 
 def test_a_lost_zone_is_made_up_for_by_all_others_alike_and_by_steps() -> None:
@@ -159,17 +162,17 @@
     core.change(*(replace(node, health=GONE) for node in a_list() if node.zone == OWN))
     assert not core.known
     core.review()
-    assert len(core.up()) == TERMS.spares_a_review
+    assert len(core.up()) == TERMS.spares_per_review
     core.review(4)
-    assert len(core.up()) == TERMS.most_spare
+    assert len(core.up()) == TERMS.max_spares
     assert {zone: len(core.up(zone)) for zone in ZONES[1:]} == dict.fromkeys(ZONES[1:], 4)
 
 
 def test_two_members_hold_other_spare_nodes() -> None:
     """So that a lost zone is not made up for by the same few nodes of each other zone."""
     nodes = [f"n{number}" for number in range(1000)]
-    first = set(sorted(nodes, key=lambda name: draw("m01", name))[:100])
-    second = set(sorted(nodes, key=lambda name: draw("m02", name))[:100])
+    first = set(sorted(nodes, key=lambda name: rendezvous_rank("m01", name))[:100])
+    second = set(sorted(nodes, key=lambda name: rendezvous_rank("m02", name))[:100])
     assert len(first & second) < 30
 
 
@@ -180,7 +183,7 @@
     core.busy = set(sorted(core.up())[:2])
     core.change(*(replace(node, life=1) for node in a_list() if node.zone == OWN))
     core.review(9)
-    assert len(core.up()) == TERMS.most_spare  # the own zone is cold yet
+    assert len(core.up()) == TERMS.max_spares  # the own zone is cold yet
     core.review(80)
     assert core.up() == set() and len(core.up(OWN)) == 20
     assert {name for name in core.known if core.known[name].zone != OWN} == core.busy
@@ -196,7 +199,7 @@
     core.review(1, taken=40, refused=8)
     assert len(core.up()) == TERMS.spare_step
     core.review(4, taken=40, refused=8)
-    assert len(core.up()) == TERMS.most_spare
+    assert len(core.up()) == TERMS.max_spares
     core.review(200, taken=40, refused=0)
     assert not core.up() and len(core.known) == 20
 
@@ -223,15 +226,15 @@
     core.change(replace(core.known[name], health=DRAINING))
     assert core.known[name].health is DRAINING
     core.review()
-    assert len(core.up()) == TERMS.most_spare and name not in core.up() and name in core.known
+    assert len(core.up()) == TERMS.max_spares and name not in core.up() and name in core.known
 
 
 def test_what_is_kept_of_other_zones_does_not_grow_with_them() -> None:
     small, large = settled(20), Core()
     large.change(*a_list(2_000), complete=True)
     kept = [sum(len(zone.sample) for zone in core.subset.zones.values()) for core in (small, large)]
-    assert kept[0] == kept[1] == 3 * TERMS.sample(3)
-    assert large.subset.known == 8_000 and len(large.known) == 2_000
+    assert kept[0] == kept[1] == 3 * TERMS.sample_size(3)
+    assert large.subset.known_up_count == 8_000 and len(large.known) == 2_000
 
 
 def test_a_sample_that_runs_thin_asks_for_the_whole_list_and_no_more_than_once_a_minute() -> None:
@@ -240,11 +243,11 @@
     core.review(130)
     gone = [replace(node, health=GONE) for zone in core.subset.zones.values() for node in zone.sample]
     core.change(*gone)
-    assert core.subset.wants_list(core.now) and not core.subset.wants_list(core.now + SECOND)
+    assert core.subset.needs_relist(core.now) and not core.subset.needs_relist(core.now + SECOND)
     names = {node.name for node in gone}
     core.change(*(node for node in a_list(40) if node.name not in names), complete=True)
-    core.now += 2 * TERMS.reread_us
-    assert not core.subset.wants_list(core.now)
+    core.now += 2 * TERMS.relist_interval_us
+    assert not core.subset.needs_relist(core.now)
 
 
 def test_a_node_that_a_client_names_is_held_for_its_end_only() -> None:
@@ -257,11 +260,11 @@
         next(n.name for n in a_list(200) if n.zone != OWN and n.name not in sampled),
     )
     core.busy = {near, far}
-    core.hear(core.subset.hold(near))
-    core.hear(core.subset.hold(far))
+    core.hear(core.subset.retain(near))
+    core.hear(core.subset.retain(far))
     assert core.known[near].health is DRAINING and far not in core.known
     core.now += SECOND
-    assert core.subset.wants_list(core.now)
+    assert core.subset.needs_relist(core.now)
     core.change(*a_list(200), complete=True)
     assert core.known[far].health is DRAINING and core.known[near].health is DRAINING
     core.review(3)
@@ -275,23 +278,23 @@
     """Guards against reading the list without end: an old event names a node that has long gone."""
     core = settled()
     core.change(Node("n00-99", OWN, GONE), Node("n01-99", "zone-01", GONE))
-    assert "n00-99" not in core.known and not core.subset.wants_list(core.now + SECOND)
+    assert "n00-99" not in core.known and not core.subset.needs_relist(core.now + SECOND)
 
 
 def test_a_summary_counts_each_node_once() -> None:
     zone = ZoneSummary[Node]("m01")
     for life in range(3):
-        zone.put(Node("a", "zone-01", UP, life), 2)
-    zone.put(Node("b", "zone-01"), 2)
-    zone.put(Node("c", "zone-01"), 2)
-    zone.take_out("c")
-    zone.take_out("c")
-    assert zone.count == 2 and len(zone.sample) <= 2
+        zone.add(Node("a", "zone-01", UP, life), 2)
+    zone.add(Node("b", "zone-01"), 2)
+    zone.add(Node("c", "zone-01"), 2)
+    zone.remove("c")
+    zone.remove("c")
+    assert zone.up_count == 2 and len(zone.sample) <= 2
 
 
 @pytest.mark.parametrize(
-    "changes", [{"zone": ""}, {"member": ""}, {"spare_step": 0}, {"spare_step": 600}, {"short_share": 0.0}]
+    "changes", [{"zone": ""}, {"member": ""}, {"spare_step": 0}, {"spare_step": 600}, {"short_fraction": 0.0}]
 )
 def test_terms_that_contradict_each_other_are_refused(changes: dict[str, object]) -> None:
-    with pytest.raises(TermsError):
-        replace(SubsetTerms(OWN, "m01"), **changes)  # type: ignore[arg-type]
+    with pytest.raises(InvalidParameterError):
+        replace(SubsetConfig(OWN, "m01"), **changes)  # type: ignore[arg-type]
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -6,13 +6,20 @@
 from dataclasses import replace
 from typing import Any
 
-from glenshift import interface as api
-from glenshift.interface import Health, Outcome
 from tests.conftest import SAFE, settings
-from thornshelf.core import Dispatcher, Finished, ListChange, NodeEntry, SetUp, Started
-from thornshelf.core.model import NodeLost
-from thornshelf.core.tasks import Expired, State
+from thornshelf.core import (
+    Dispatcher,
+    EndpointListUpdate,
+    NodeEndpoint,
+    TaskFinished,
+    TaskRequest,
+    TaskStarted,
+)
+from thornshelf.core.messages import NodeLost
+from thornshelf.core.task import AttemptTimedOut, TaskState
 from thornshelf.loop import Loop, Wait
+from thornshelf.placement import interface as api
+from thornshelf.placement.interface import Health, Outcome
 
 NODES = 1024
 TERMS = settings(SAFE, placers=1024, fleet=0.2, retry_after=True, max_retry_after_s=3.0)
@@ -38,25 +45,25 @@
 class Owner:
     """Hears answers."""
 
-    alive, lasting, form, peer = True, True, None, "127.0.0.1"
+    is_connected, accepts_any_release, wire_form, peer = True, True, None, "127.0.0.1"
 
     def __init__(self) -> None:
         self.heard: list[tuple[str, int, Any]] = []
         self.gone = False
 
-    def wants(self, uid: int) -> bool:
+    def awaits_answer(self, uid: int) -> bool:
         return not self.gone
 
-    def refuse(self, uid: int, wait_us: int | None, why: Any = None) -> None:
-        self.heard.append(("refused", uid, wait_us))
+    def send_rejected(self, uid: int, retry_after_us: int | None, detail: Any = None) -> None:
+        self.heard.append(("refused", uid, retry_after_us))
 
-    def fail(self, uid: int, why: Any = None) -> None:
+    def send_failed(self, uid: int, detail: Any = None) -> None:
         self.heard.append(("failed", uid, None))
 
-    def release(self, uid: int, outcome: Outcome, reason: Any, why: Any = None) -> None:
+    def send_release(self, uid: int, outcome: Outcome, reason: Any, detail: Any = None) -> None:
         self.heard.append(("released", uid, None))
 
-    def answer(self, uid: int, description: bytes, aside: Any = None) -> None:
+    def send_running(self, uid: int, description: bytes, metadata: Any = None) -> None:
         self.heard.append(("running", uid, None))
 
 
@@ -66,13 +73,13 @@
     def __init__(self, machine: int, rig: Rig) -> None:
         self.machine, self.rig, self.draining = machine, rig, False
 
-    def offer(self, attempt: Any) -> None:
+    def send_attempt(self, attempt: Any) -> None:
         assert not self.draining
         self.rig.offered.append(self.machine)
         if not self.rig.silent:
-            self.rig.core.inbox.append(Started(self.machine, attempt.uid, b"x"))
+            self.rig.core.inbox.append(TaskStarted(self.machine, attempt.uid, b"x"))
 
-    def withdraw(self, attempt: Any) -> bool:
+    def withdraw_attempt(self, attempt: Any) -> bool:
         self.rig.withdrawn.append(self.machine)
         return False
 
@@ -84,8 +91,10 @@
         return lambda *_: False
 
 
-def entries(health: Health = Health.UP, nodes: range = range(NODES)) -> list[NodeEntry]:
-    return [NodeEntry(f"s-{n + 1:08x}", "127.0.0.1:9", health, "large", "here", 1, 1.0, None) for n in nodes]
+def entries(health: Health = Health.UP, nodes: range = range(NODES)) -> list[NodeEndpoint]:
+    return [
+        NodeEndpoint(f"s-{n + 1:08x}", "127.0.0.1:9", health, "large", "here", 1, 1.0, None) for n in nodes
+    ]
 
 
 class Rig:
@@ -97,7 +106,7 @@
         self.withdrawn: list[int] = []
         self.silent = silent
 
-        def make_node(machine: int, entry: NodeEntry, core: Dispatcher) -> Any:
+        def make_node(machine: int, entry: NodeEndpoint, core: Dispatcher) -> Any:
             return FakeNode(machine, self)
 
         self.core = Dispatcher(self.loop, TERMS, 1, make_node, lambda *_: None)
@@ -105,20 +114,21 @@
         usual = self.core.placer.handle
 
         def handle(now: float, events: Any) -> Any:
-            asks = sum(isinstance(one, api.Ask) for one in events)
+            asks = sum(isinstance(one, api.PlacementRequest) for one in events)
             self.handled.append(asks)
             self.clock.ns += asks * cost_us * 1000
             return usual(now, events)
 
         self.core.placer.handle = handle  # type: ignore[method-assign]
-        self.core.list_changed(ListChange(True, 1, entries()))
+        self.core.update_endpoints(EndpointListUpdate(True, 1, entries()))
         self.owner = Owner()
         self.loop.turn(True)
 
     def ask(self, first: int, count: int, left_us: int = 6_000_000) -> None:
         for uid in range(first, first + count):
             due = self.loop.now + left_us
-            self.core.inbox.append(SetUp(self.owner, uid, "safe", None, uid, due, None, uid, 1.0, 1.0, b"x"))  # type: ignore[arg-type]
+            request = TaskRequest(self.owner, uid, "safe", None, uid, due, None, uid, 1.0, 1.0, b"x")  # type: ignore[arg-type]
+            self.core.inbox.append(request)
 
 
 def test_a_turn_gives_the_module_no_more_set_ups_than_it_has_time_for() -> None:
@@ -140,7 +150,7 @@
     rig = Rig(cost_us=1000)
     rig.ask(1, 4000)
     rig.loop.turn(True)
-    rig.core.list_changed(ListChange(False, 2, entries(Health.DRAINING, range(NODES // 2))))
+    rig.core.update_endpoints(EndpointListUpdate(False, 2, entries(Health.DRAINING, range(NODES // 2))))
     so_far = len(rig.offered)
     while rig.loop.turn(True):  # the nodes themselves object to an offer while they drain
         pass
@@ -151,11 +161,11 @@
     """Guards against offers to nodes whose drain was told while the process was starting."""
     rig = Rig()
     stale = True
-    rig.core.stale = lambda: stale
+    rig.core.is_endpoint_list_stale = lambda: stale
     rig.ask(1, 20)
     rig.loop.turn(True)
     assert not rig.offered and not rig.owner.heard
-    rig.core.list_changed(ListChange(False, 2, entries(Health.DRAINING, range(NODES // 2))))
+    rig.core.update_endpoints(EndpointListUpdate(False, 2, entries(Health.DRAINING, range(NODES // 2))))
     stale = False
     rig.loop.turn(True)
     assert len(rig.offered) == 20 and min(rig.offered) > NODES // 2
@@ -163,7 +173,7 @@
 
 def test_a_change_log_that_says_nothing_holds_set_ups_up_for_a_moment_only() -> None:
     rig = Rig()
-    rig.core.stale = lambda: True
+    rig.core.is_endpoint_list_stale = lambda: True
     rig.ask(1, 20)
     rig.loop.turn(True)
     assert not rig.offered
@@ -190,7 +200,7 @@
     usual = rig.core.placer.handle
 
     def handle(now: float, events: Any) -> Any:
-        asked.extend(one.task for one in events if isinstance(one, api.Ask))
+        asked.extend(one.task for one in events if isinstance(one, api.PlacementRequest))
         return usual(now, events)
 
     rig.core.placer.handle = handle  # type: ignore[method-assign]
@@ -205,12 +215,12 @@
     rig.ask(1, 600)
     while rig.loop.turn(True):
         pass
-    out = [task for task in rig.core._numbers.values() if task.attempt is not None]
+    out = [task for task in rig.core.tasks_by_number.values() if task.attempt is not None]
     assert len(out) > 300
     for task in out:
         assert task.attempt is not None
-        rig.core.inbox.append(Finished(task.attempt.machine, task.node_uid, Outcome.BROKEN))
-    while rig.core.inbox or rig.core._endings:
+        rig.core.inbox.append(TaskFinished(task.attempt.machine, task.node_uid, Outcome.BROKEN))
+    while rig.core.inbox or rig.core._ended_attempts:
         before = len(rig.offered)
         rig.loop.turn(True)
         assert len(rig.offered) - before <= 16
@@ -222,11 +232,11 @@
     rig.ask(1, 1)
     while rig.loop.turn(True):
         pass
-    (task,) = rig.core._numbers.values()
+    (task,) = rig.core.tasks_by_number.values()
     attempt = task.attempt
     assert attempt is not None
-    rig.core.inbox.append(Expired(task, attempt))
-    rig.core.inbox.append(Started(attempt.machine, attempt.uid, b"x"))
+    rig.core.inbox.append(AttemptTimedOut(task, attempt))
+    rig.core.inbox.append(TaskStarted(attempt.machine, attempt.uid, b"x"))
     while rig.loop.turn(True):
         pass
     assert rig.owner.heard == [("running", 1, None)] and len(rig.offered) == 1
@@ -242,11 +252,11 @@
     rig.ask(100, 100)
     while rig.loop.turn(True):
         pass
-    for wanted in (State.OPEN, State.STANDING):
-        for task in rig.core._numbers.values():
+    for wanted in (TaskState.OPEN, TaskState.RUNNING):
+        for task in rig.core.tasks_by_number.values():
             if task.state is wanted:
                 machine = task.machine if task.attempt is None else task.attempt.machine
-                rig.core.inbox.append(Finished(machine, task.node_uid, Outcome.BROKEN))
+                rig.core.inbox.append(TaskFinished(machine, task.node_uid, Outcome.BROKEN))
     rig.loop.turn(True)
     assert [word for word, _, _ in rig.owner.heard].count("released") == 50
 
@@ -265,12 +275,12 @@
         rig.loop.spawn(read())
     rig.loop.turn(True)
     rig.clock.ns += 1000
-    while not rig.loop.behind:
+    while not rig.loop.has_backlog:
         rig.loop.turn(True)
     for _ in range(20):
         before = len(rig.handled)
         rig.loop.turn(True)
-        assert rig.loop.behind and sum(rig.handled[before:]) == 4
+        assert rig.loop.has_backlog and sum(rig.handled[before:]) == 4
 
 
 def test_a_node_that_goes_costs_its_own_tasks_and_no_others() -> None:
@@ -285,13 +295,13 @@
             looked.append(1)
             return super().values()
 
-    rig.core._numbers = Watched(rig.core._numbers)
-    rig.core.list_changed(ListChange(False, 2, entries(Health.GONE, range(500))))
+    rig.core.tasks_by_number = Watched(rig.core.tasks_by_number)
+    rig.core.update_endpoints(EndpointListUpdate(False, 2, entries(Health.REMOVED, range(500))))
     while rig.loop.turn(True):
         pass
     gone = sum(machine <= 500 for machine in rig.offered)
     assert not looked and gone == [word for word, _, _ in rig.owner.heard].count("released") > 0
-    assert len(rig.core._at) == len({machine for machine in rig.offered if machine > 500})
+    assert len(rig.core.tasks_by_machine) == len({machine for machine in rig.offered if machine > 500})
 
 
 def test_an_offer_that_left_for_a_new_process_is_out_there() -> None:
@@ -307,7 +317,7 @@
     rig.clock.ns += 300_000_000
     rig.loop.turn(True)
     entry = replace(entries()[machine - 1], started_us=rig.loop.now - 200_000)
-    rig.core.list_changed(ListChange(False, 2, [entry]))
+    rig.core.update_endpoints(EndpointListUpdate(False, 2, [entry]))
     while rig.loop.turn(True):
         pass
     assert len(rig.offered) == 1 and not rig.owner.heard
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -60,7 +60,7 @@
 def drill(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     """Run the adapter on some input."""
     env = {**os.environ, "PYTHONHASHSEED": seed}
-    command = [sys.executable, "-m", "glenshift.drill"]
+    command = [sys.executable, "-m", "thornshelf.placement.simulator"]
     return subprocess.run(command, input=text, capture_output=True, text=True, env=env, check=False)
 
 
@@ -124,7 +124,7 @@
     done = drill(f"{START}TICK\t9\n{line}\nEOB\n")
     assert done.returncode not in (0, None)
     number = START.count("\n") + 2
-    assert done.stderr.startswith(f"glenshift: line {number}: ") and fault in done.stderr
+    assert done.stderr.startswith(f"thornshelf.placement: line {number}: ") and fault in done.stderr
     assert done.stderr.count("\n") == 1
 
 
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -9,166 +9,212 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from glenshift.interface import Outcome, Reason
-from thornshelf import audit
-from thornshelf.translate import table
-from thornshelf.translate.doubt import Doubt, Doubts, Live, Move, Settled, settle
-from thornshelf.translate.gaps import GapPolicy, Gaps, OnGap, Said
-from thornshelf.translate.profiles import FormChoice, Hello, Profile, Requirement
-from thornshelf.translate.routing import Router
-from thornshelf.translate.words import (
-    Advice,
-    Form,
-    Ran,
-    Trouble,
-    for_module,
-    peers_text,
-    ran,
-    trouble_of,
-    why,
+from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.translation import field_mapping, field_mapping_audit
+from thornshelf.translation.capabilities import (
+    NodeCapabilities,
+    NodeProfile,
+    RequiredField,
+    WireFormatNegotiation,
+)
+from thornshelf.translation.failures import (
+    ExecutionGuarantee,
+    FailureReason,
+    RetryAdvice,
+    WireFormat,
+    decode_reason,
+    execution_guarantee,
+    failure_cause,
+    sanitize_text,
+    to_placement_outcome,
+)
+from thornshelf.translation.missing_fields import (
+    DeclaredFields,
+    MissingFieldAction,
+    MissingFieldPolicies,
+    MissingFieldPolicy,
+)
+from thornshelf.translation.routing import Router
+from thornshelf.translation.uncertain_attempts import (
+    ActiveKey,
+    IdempotencyKeys,
+    KeyAction,
+    Resolution,
+    UncertainKey,
+    resolve_status,
 )
 
-NOTHING = Said(None, None, 0, 0)
-ALL = Said(1000, "hollis-county", 5, 7)
+NOTHING = DeclaredFields(None, None, 0, 0)
+ALL = DeclaredFields(1000, "hollis-county", 5, 7)
 
 
 def test_the_table_is_total_and_the_page_is_its_own() -> None:
-    assert audit.undeclared() == []
+    assert field_mapping_audit.find_problems() == []
     page = Path(__file__).parent.parent / "docs" / "fates.md"
-    assert page.read_text() == audit.page()
+    assert page.read_text() == field_mapping_audit.render_page()
 
 
-@pytest.mark.parametrize("form", list(Form))
-def test_a_field_without_a_fate_is_found(form: Form, monkeypatch: pytest.MonkeyPatch) -> None:
-    bound = dict(table.BINDINGS[form])
+@pytest.mark.parametrize("form", list(WireFormat))
+def test_a_field_without_a_fate_is_found(form: WireFormat, monkeypatch: pytest.MonkeyPatch) -> None:
+    bound = dict(field_mapping.ELEMENT_BINDINGS[form])
     gone = next(name for name, thing in bound.items() if not thing.startswith("="))
     del bound[gone]
-    monkeypatch.setitem(table.BINDINGS, form, bound)
-    assert f"{form.value}: {gone} has no binding" in audit.undeclared()
+    monkeypatch.setitem(field_mapping.ELEMENT_BINDINGS, form, bound)
+    assert f"{form.value}: {gone} has no binding" in field_mapping_audit.find_problems()
 
 
 def test_a_fate_that_the_form_has_no_word_for_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    row = dict(table.REPORTS["advice"]) | {Form.V1: table.CARRIED}
-    monkeypatch.setitem(table.REPORTS, "advice", row)
-    assert any("advice is said to be carried" in one for one in audit.undeclared())
+    row = dict(field_mapping.RESPONSE_MAPPINGS["advice"]) | {WireFormat.GRPC_V1: field_mapping.CARRIED}
+    monkeypatch.setitem(field_mapping.RESPONSE_MAPPINGS, "advice", row)
+    assert any("advice is said to be carried" in one for one in field_mapping_audit.find_problems())
 
 
-@pytest.mark.parametrize("trouble", list(Trouble))
+@pytest.mark.parametrize("trouble", list(FailureReason))
 @pytest.mark.parametrize("outcome", list(Outcome))
-def test_no_translation_promises_more_than_the_node(outcome: Outcome, trouble: Trouble) -> None:
-    told, reason = for_module(outcome, trouble)
-    assert ran(told) <= ran(outcome)
-    if trouble <= Trouble.SENT_AWAY:
+def test_no_translation_promises_more_than_the_node(outcome: Outcome, trouble: FailureReason) -> None:
+    told, reason = to_placement_outcome(outcome, trouble)
+    assert execution_guarantee(told) <= execution_guarantee(outcome)
+    if trouble <= FailureReason.SENT_AWAY:
         assert (told, reason) == (outcome, Reason(int(trouble)))
 
 
 def test_the_tasks_own_troubles_do_not_shut_a_node() -> None:
-    assert for_module(Outcome.REFUSED, Trouble.HINT_NEEDED)[0] is Outcome.NOT_SENT
-    assert for_module(Outcome.REFUSED, Trouble.QUARANTINED) == (Outcome.REFUSED, Reason.NOT_HERE)
-    assert ran(Outcome.BROKEN) is Ran.MAYBE and ran(Outcome.NOT_SENT) is Ran.NEVER
+    assert to_placement_outcome(Outcome.REFUSED, FailureReason.HINT_NEEDED)[0] is Outcome.NOT_SENT
+    assert to_placement_outcome(Outcome.REFUSED, FailureReason.QUARANTINED) == (
+        Outcome.REFUSED,
+        Reason.NOT_SERVING,
+    )
+    assert (
+        execution_guarantee(Outcome.BROKEN) is ExecutionGuarantee.MAY_HAVE_RUN
+        and execution_guarantee(Outcome.NOT_SENT) is ExecutionGuarantee.NEVER_RAN
+    )
 
 
 def test_words_of_a_newer_generation_are_the_weakest_of_this_one() -> None:
-    assert trouble_of(99) is Trouble.UNTOLD
-    assert why(Trouble.LICENCE).advice is Advice.CHANGED
-    assert why(Trouble.LICENCE, advice=Advice.LATER).advice is Advice.LATER
-    assert peers_text("a\nb\x00" + "c" * 500) == "a b " + "c" * 196
+    assert decode_reason(99) is FailureReason.UNTOLD
+    assert failure_cause(FailureReason.LICENCE).advice is RetryAdvice.CHANGED
+    assert failure_cause(FailureReason.LICENCE, advice=RetryAdvice.LATER).advice is RetryAdvice.LATER
+    assert sanitize_text("a\nb\x00" + "c" * 500) == "a b " + "c" * 196
 
 
 def test_gap_policies() -> None:
-    gaps = Gaps({"lookup": GapPolicy(OnGap.ASSUME, 15_000)})
-    hint = {Requirement.HINT.value}
-    assert gaps.missing("lookup", NOTHING, hint) == []
-    assert gaps.missing("ledger-batch", NOTHING, hint) == [Requirement.HINT]
-    assert gaps.missing("lookup", NOTHING, {Requirement.OWN_HINT.value}) == [Requirement.OWN_HINT]
-    assert gaps.missing("lookup", ALL, set(Requirement)) == [] and gaps.missing("lookup", NOTHING, {77}) == []
-    assert [one.name for one in gaps.missing("lookup", NOTHING, {3, 4, 5})] == ["TENANT", "KEY", "SERVICE"]
-    filled = gaps.hint("lookup", NOTHING, hint)
-    assert filled is not None and (filled.us, filled.assumed) == (15_000, True)
-    assert gaps.hint("lookup", NOTHING, set()) is None  # not required: not made up
-    own = gaps.hint("lookup", ALL, hint)
-    assert own is not None and (own.us, own.assumed) == (1000, False)
+    gaps = MissingFieldPolicies({"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000)})
+    hint = {RequiredField.HINT.value}
+    assert gaps.missing_fields("lookup", NOTHING, hint) == []
+    assert gaps.missing_fields("ledger-batch", NOTHING, hint) == [RequiredField.HINT]
+    assert gaps.missing_fields("lookup", NOTHING, {RequiredField.CLIENT_HINT.value}) == [
+        RequiredField.CLIENT_HINT
+    ]
+    assert (
+        gaps.missing_fields("lookup", ALL, set(RequiredField)) == []
+        and gaps.missing_fields("lookup", NOTHING, {77}) == []
+    )
+    assert [one.name for one in gaps.missing_fields("lookup", NOTHING, {3, 4, 5})] == [
+        "TENANT",
+        "KEY",
+        "SERVICE",
+    ]
+    filled = gaps.effective_hint("lookup", NOTHING, hint)
+    assert filled is not None and (filled.duration_us, filled.assumed) == (15_000, True)
+    assert gaps.effective_hint("lookup", NOTHING, set()) is None  # not required: not made up
+    own = gaps.effective_hint("lookup", ALL, hint)
+    assert own is not None and (own.duration_us, own.assumed) == (1000, False)
     with pytest.raises(ValueError):
-        GapPolicy(OnGap.ASSUME)
+        MissingFieldPolicy(MissingFieldAction.ASSUME)
     with pytest.raises(ValueError):
-        GapPolicy(OnGap.REFUSE, 5)
+        MissingFieldPolicy(MissingFieldAction.REJECT, 5)
 
 
 def test_routes_by_generation_and_by_what_a_node_requires() -> None:
-    router = Router(Gaps({}), {"ledger-batch": 2})
-    old, new = Profile("s-1"), Profile("s-2")
-    assert router.verdict("ledger-batch", ALL, old) is None  # not known yet: its own word comes first
-    old.connected(Form.MESSAGES)
-    new.connected(Form.V2)
-    new.greeted(Hello(2, "s-2", frozenset({Requirement.HINT.value}), True))
-    found = router.verdict("ledger-batch", ALL, old)
-    assert found is not None and found.trouble is Trouble.WRONG_GENERATION and "generation 2" in found.text
-    assert router.nowhere("ledger-batch", ALL, [old, new]) is None
-    nowhere = router.nowhere("ledger-batch", NOTHING, [old, new])
-    assert nowhere is not None and nowhere.trouble is Trouble.HINT_NEEDED and nowhere.advice is Advice.CHANGED
-    assert router.nowhere("lookup", NOTHING, []) is None and router.plain("lookup", old)
-    assert not router.plain("ledger-batch", old) and not router.plain("lookup", new)
+    router = Router(MissingFieldPolicies({}), {"ledger-batch": 2})
+    old, new = NodeProfile("s-1"), NodeProfile("s-2")
+    assert router.rejection_by("ledger-batch", ALL, old) is None  # not known yet: its own word comes first
+    old.reset_for_connection(WireFormat.BINARY)
+    new.reset_for_connection(WireFormat.GRPC_V2)
+    new.update_capabilities(NodeCapabilities(2, "s-2", frozenset({RequiredField.HINT.value}), True))
+    found = router.rejection_by("ledger-batch", ALL, old)
+    assert (
+        found is not None and found.reason is FailureReason.WRONG_GENERATION and "generation 2" in found.text
+    )
+    assert router.rejection_by_all("ledger-batch", ALL, [old, new]) is None
+    nowhere = router.rejection_by_all("ledger-batch", NOTHING, [old, new])
+    assert (
+        nowhere is not None
+        and nowhere.reason is FailureReason.HINT_NEEDED
+        and nowhere.advice is RetryAdvice.CHANGED
+    )
+    assert router.rejection_by_all("lookup", NOTHING, []) is None and router.accepts_every_task("lookup", old)
+    assert not router.accepts_every_task("ledger-batch", old) and not router.accepts_every_task("lookup", new)
 
 
 def test_a_hello_that_contradicts_what_is_known() -> None:
-    node = Profile("s-1")
-    node.connected(Form.V2)
-    assert node.greeted(Hello(2, "s-1", frozenset(), True)) == [] and node.answers
-    assert node.greeted(Hello(2, "s-9", frozenset(), True)) and node.stranger == "s-9" and not node.answers
-    assert Router(Gaps({})).verdict("lookup", ALL, node) is not None
-    assert node.greeted(Hello(1, "s-1", frozenset({55}), True)) and not node.answers
-    node.greeted(Hello(2, "s-1", frozenset(), True))
-    assert node.refused(Trouble.HINT_NEEDED) and not node.refused(Trouble.HINT_NEEDED)
-    assert node.requires == {Requirement.HINT} and not node.refused(Trouble.LICENCE)
+    node = NodeProfile("s-1")
+    node.reset_for_connection(WireFormat.GRPC_V2)
+    assert (
+        node.update_capabilities(NodeCapabilities(2, "s-1", frozenset(), True)) == [] and node.answers_queries
+    )
+    assert (
+        node.update_capabilities(NodeCapabilities(2, "s-9", frozenset(), True))
+        and node.mismatched_name == "s-9"
+        and not node.answers_queries
+    )
+    assert Router(MissingFieldPolicies({})).rejection_by("lookup", ALL, node) is not None
+    assert node.greeted(NodeCapabilities(1, "s-1", frozenset({55}), True)) and not node.answers
+    node.greeted(NodeCapabilities(2, "s-1", frozenset(), True))
+    assert node.refused(FailureReason.HINT_NEEDED) and not node.refused(FailureReason.HINT_NEEDED)
+    assert node.requires == {RequiredField.HINT} and not node.refused(FailureReason.LICENCE)
     for _ in range(2):
         node.broke_word()
     assert not node.answers
-    node.connected(Form.V1)
+    node.connected(WireFormat.GRPC_V1)
     assert node.requires == set() and not node.answers
 
 
 def test_the_form_of_a_node_is_found_and_found_again() -> None:
-    choice = FormChoice((Form.MESSAGES, Form.V2, Form.V1))
-    assert choice.form is Form.V2 and not choice.sure
-    choice.unknown()
-    after = choice.form  # but one that was proven older is not waited for twice
+    choice = WireFormatNegotiation((WireFormat.BINARY, WireFormat.GRPC_V2, WireFormat.GRPC_V1))
+    assert choice.current is WireFormat.GRPC_V2 and not choice.is_fixed
+    choice.reject_current()
+    after = choice.current  # but one that was proven older is not waited for twice
     assert after.value == "thornshelf.v1"
-    choice.ended(False)  # it has never been heard in this form: one silent end is enough
-    assert choice.form.value == "binary messages" and choice.untried
-    choice.unknown()
-    assert not choice.untried  # all have been tried: what waits is not held any longer
-    choice.form = Form.MESSAGES
-    choice.heard()
+    choice.connection_closed(False)  # it has never been heard in this form: one silent end is enough
+    assert choice.current.value == "binary messages" and choice.has_untried_format
+    choice.reject_current()
+    assert not choice.has_untried_format  # all have been tried: what waits is not held any longer
+    choice.form = WireFormat.BINARY
+    choice.confirm()
     assert choice.untried
     choice.ended(True)
     assert choice.form.value == "thornshelf.v2"  # a node that was restarted may be a newer one
     choice.ended(False)
     assert choice.form.value == "thornshelf.v1"  # but one that was proven older is not waited for twice
-    assert FormChoice((Form.V2,)).sure
+    assert WireFormatNegotiation((WireFormat.GRPC_V2,)).sure
     with pytest.raises(ValueError):
-        FormChoice(())
+        WireFormatNegotiation(())
 
 
 def test_what_a_nodes_word_means() -> None:
-    assert settle(1, believed=True) is Settled.NEVER
-    assert settle(1, believed=False) is Settled.OPEN  # it has broken its word before
-    assert [settle(n, True) for n in (0, 2, 3, 4, 99)] == [
-        Settled.OPEN, Settled.WAIT, Settled.STANDS, Settled.ENDED, Settled.OPEN
+    assert resolve_status(1, trusted=True) is Resolution.NEVER_RAN
+    assert resolve_status(1, trusted=False) is Resolution.UNRESOLVED  # it has broken its word before
+    assert [resolve_status(n, True) for n in (0, 2, 3, 4, 99)] == [
+        Resolution.UNRESOLVED, Resolution.PENDING, Resolution.RUNNING, Resolution.ENDED, Resolution.UNRESOLVED
     ]  # fmt: skip
 
 
 def test_doubts_age_and_are_bounded() -> None:
-    doubts = Doubts(remember_us=100, most=2)
+    doubts = IdempotencyKeys(retention_us=100, max_uncertain=2)
     for key in (1, 2, 3):
-        doubts.doubt(key, 9, key, key)
-    assert doubts.find(1, 3) is None and doubts.forgotten == 1 and doubts.in_doubt == 2
-    assert doubts.move(2, 50, True) is Move.ASK and doubts.move(2, 50, False) is Move.REFUSE
-    assert doubts.move(2, 102, True) is Move.START  # long after it is another task
-    doubts.live(3, 7)
-    assert doubts.move(3, 10_000, False) is Move.JOIN  # what is live does not age
-    doubts.over_if(3, 8)
-    assert doubts.find(3, 0) == Live(7)
-    doubts.over_if(3, 7)
+        doubts.mark_uncertain(key, 9, key, key)
+    assert doubts.lookup(1, 3) is None and doubts.evicted_count == 1 and doubts.uncertain_count == 2
+    assert (
+        doubts.action_for(2, 50, True) is KeyAction.QUERY_NODE
+        and doubts.action_for(2, 50, False) is KeyAction.FAIL
+    )
+    assert doubts.action_for(2, 102, True) is KeyAction.START  # long after it is another task
+    doubts.mark_active(3, 7)
+    assert doubts.action_for(3, 10_000, False) is KeyAction.JOIN  # what is live does not age
+    doubts.discard_if_active_as(3, 8)
+    assert doubts.lookup(3, 0) == ActiveKey(7)
+    doubts.discard_if_active_as(3, 7)
     assert len(doubts) == 0
 
 
@@ -177,7 +223,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.doubts, self.plain, self.now = Doubts(remember_us=50, most=1000), dict[int, Live | Doubt](), 0
+        self.doubts, self.plain, self.now = (
+            IdempotencyKeys(retention_us=50, max_uncertain=1000),
+            dict[int, ActiveKey | UncertainKey](),
+            0,
+        )
 
     @rule(passed=st.integers(0, 30))
     def wait(self, passed: int) -> None:
@@ -185,27 +235,27 @@
 
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99))
     def live(self, key: int, uid: int) -> None:
-        self.doubts.live(key, uid)
-        self.plain[key] = Live(uid)
+        self.doubts.mark_active(key, uid)
+        self.plain[key] = ActiveKey(uid)
 
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99), machine=st.integers(1, 3))
     def doubt(self, key: int, uid: int, machine: int) -> None:
-        self.doubts.doubt(key, machine, uid, self.now)
-        self.plain[key] = Doubt(machine, uid, self.now)
+        self.doubts.mark_uncertain(key, machine, uid, self.now)
+        self.plain[key] = UncertainKey(machine, uid, self.now)
 
     @rule(key=st.integers(1, 5))
     def over(self, key: int) -> None:
-        self.doubts.over(key)
+        self.doubts.discard(key)
         self.plain.pop(key, None)
 
     @invariant()
     def same(self) -> None:
         for key in range(1, 6):
             known = self.plain.get(key)
-            if isinstance(known, Doubt) and self.now - known.since_us >= 50:
+            if isinstance(known, UncertainKey) and self.now - known.since_us >= 50:
                 known = None
-            assert self.doubts.find(key, self.now) == known
-        assert self.doubts.in_doubt <= len(self.doubts)
+            assert self.doubts.lookup(key, self.now) == known
+        assert self.doubts.uncertain_count <= len(self.doubts)
 
 
 def test_the_table_of_names_against_a_plain_one() -> None:
@@ -216,5 +266,5 @@
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.text(max_size=300))
 def test_a_peers_text_can_go_anywhere(text: str) -> None:
-    said = peers_text(text)
+    said = sanitize_text(text)
     assert len(said) <= 200 and all(one.isprintable() for one in said)
--- a/thornshelf/admission/descriptors.py
+++ b/thornshelf/admission/descriptors.py
@@ -9,61 +9,61 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from thornshelf.errors import TermsError
+from thornshelf.errors import InvalidParameterError
 
-KINDS = ("listeners", "clients", "nodes", "changelog", "log", "spare")
+DESCRIPTOR_KINDS = ("listeners", "clients", "nodes", "changelog", "log", "spare")
 
 
 @dataclass(frozen=True, slots=True)
-class LedgerTerms:
+class DescriptorLedgerConfig:
     """``limit``: descriptors in all; ``base``: those that are not counted by kind; ``floors``: by kind."""
 
     limit: int
-    base: int
+    baseline: int
     floors: Mapping[str, int]
 
     def __post_init__(self) -> None:
-        if unknown := set(self.floors) - set(KINDS):
-            raise TermsError(f"no such kind: {sorted(unknown)}")
-        if sum(self.floors.values()) + self.base > self.limit:
-            raise TermsError("the floors are more than there is")
+        if unknown := set(self.floors) - set(DESCRIPTOR_KINDS):
+            raise InvalidParameterError(f"no such kind: {sorted(unknown)}")
+        if sum(self.floors.values()) + self.baseline > self.limit:
+            raise InvalidParameterError("the floors are more than there is")
 
 
-class Ledger:
+class DescriptorLedger:
     """What is open, by kind."""
 
-    def __init__(self, terms: LedgerTerms) -> None:
-        self.terms = terms
-        self.used = dict.fromkeys(KINDS, 0)
-        self.peak = terms.base
-        self.refused = dict.fromkeys(KINDS, 0)
+    def __init__(self, config: DescriptorLedgerConfig) -> None:
+        self.config = config
+        self.used = dict.fromkeys(DESCRIPTOR_KINDS, 0)
+        self.peak = config.baseline
+        self.rejected = dict.fromkeys(DESCRIPTOR_KINDS, 0)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """All of them."""
-        return self.terms.base + sum(self.used.values())
+        return self.config.baseline + sum(self.used.values())
 
-    def room(self, kind: str) -> int:
+    def available(self, kind: str) -> int:
         """How many more of a kind may be opened: the limit, less what is open and what others' floors keep."""
         kept = sum(
-            max(0, floor - self.used[other]) for other, floor in self.terms.floors.items() if other != kind
+            max(0, floor - self.used[other]) for other, floor in self.config.floors.items() if other != kind
         )
-        return max(0, self.terms.limit - self.open - kept)
+        return max(0, self.config.limit - self.open_count - kept)
 
-    def take(self, kind: str) -> bool:
+    def acquire(self, kind: str) -> bool:
         """Open one more; false where there is no room for it."""
-        if self.room(kind) <= 0:
-            self.refused[kind] += 1
+        if self.available(kind) <= 0:
+            self.rejected[kind] += 1
             return False
         self.used[kind] += 1
-        self.peak = max(self.peak, self.open)
+        self.peak = max(self.peak, self.open_count)
         return True
 
-    def give(self, kind: str) -> None:
+    def release(self, kind: str) -> None:
         """One was closed."""
         self.used[kind] -= 1
 
-    def lowered(self, terms: LedgerTerms) -> int:
+    def reconfigure(self, config: DescriptorLedgerConfig) -> int:
         """New terms, maybe below what is open: nothing is dropped by them; how many are too many now."""
-        self.terms = terms
-        return max(0, self.open - terms.limit)
+        self.config = config
+        return max(0, self.open_count - config.limit)
--- a/thornshelf/admission/shares.py
+++ b/thornshelf/admission/fair_queue.py
@@ -14,25 +14,25 @@
 from dataclasses import dataclass, field
 from typing import Generic, TypeVar
 
-from thornshelf.admission.gcra import Rate, after
-from thornshelf.admission.pressure import Pressure, PressureTerms
+from thornshelf.admission.gcra import Rate, next_arrival_time
+from thornshelf.admission.overload import OverloadConfig, OverloadDetector
 
 T = TypeVar("T")
-STRIDE = 1 << 20
-OTHERS = ""  # the county of set-ups that name none, or one without a share
+STRIDE_SCALE = 1 << 20
+UNASSIGNED_TENANT = ""  # the county of set-ups that name none, or one without a share
 
 
 @dataclass(frozen=True, slots=True)
-class ShareTerms:
+class FairQueueConfig:
     """``shares``: weights by county; ``quotas``: set-ups within the share, by county (none: all are);
     ``a_turn``, ``least_us`` and ``most`` as in ``retries.queue``."""
 
-    shares: Mapping[str, float] = field(default_factory=dict)
+    weights: Mapping[str, float] = field(default_factory=dict)
     quotas: Mapping[str, Rate] = field(default_factory=dict)
-    a_turn: int = 16
-    least_us: int = 20_000
-    most: int = 10_000
-    pressure: PressureTerms = field(default_factory=PressureTerms)
+    batch_size: int = 16
+    min_remaining_us: int = 20_000
+    max_waiting: int = 10_000
+    overload: OverloadConfig = field(default_factory=OverloadConfig)
 
 
 @dataclass(slots=True)
@@ -52,16 +52,16 @@
 
     def __init__(self, weight: float) -> None:
         self.heap: list[tuple[int, int, int]] = []
-        self.stride = max(1, int(STRIDE / max(weight, 1e-6)))
+        self.stride = max(1, int(STRIDE_SCALE / max(weight, 1e-6)))
         self.passed = 0
 
 
-class ShareQueue(Generic[T]):
+class FairQueue(Generic[T]):
     """Waiting set-ups; takes the place of ``retries.queue.AskQueue``."""
 
-    def __init__(self, terms: ShareTerms) -> None:
-        self.terms, self.most = terms, terms.most
-        self.pressure = Pressure(terms.pressure)
+    def __init__(self, config: FairQueueConfig) -> None:
+        self.config, self.max_waiting = config, config.max_waiting
+        self.overload = OverloadDetector(config.overload)
         self._tickets = itertools.count()
         self._items: dict[int, _Waiting[T]] = {}
         self._lanes: dict[tuple[str, bool], _Lane] = {}
@@ -69,7 +69,7 @@
         self._tats: dict[str, int] = {}
         self._passed = {True: 0, False: 0}  # how far each order has come
         self._spared: list[T] = []  # turned away under pressure, to be given back
-        self.turned_away = 0
+        self.shed_count = 0
 
     def __len__(self) -> int:
         return len(self._items)
@@ -78,65 +78,68 @@
         return bool(self._items or self._spared)
 
     def put(
-        self, item: T, priority: int, deadline_us: int, county: str | None = None, now_us: int = 0
+        self, item: T, priority: int, deadline_us: int, tenant: str | None = None, now_us: int = 0
     ) -> int:
         """Add one; the ticket takes it back."""
-        name = county if county in self.terms.shares else OTHERS
-        within = self._within(name or OTHERS, now_us)
-        lane = self._lane(name or OTHERS, within)
+        name = tenant if tenant in self.config.weights else UNASSIGNED_TENANT
+        within = self._within(name or UNASSIGNED_TENANT, now_us)
+        lane = self._lane(name or UNASSIGNED_TENANT, within)
         ticket = next(self._tickets)
         if not lane.heap:
             # A county that was idle has no claim on what it did not ask for then.
             lane.passed = max(lane.passed, self._passed[within])
-        self._items[ticket] = _Waiting(item, name or OTHERS, within, priority, deadline_us, now_us)
+        self._items[ticket] = _Waiting(item, name or UNASSIGNED_TENANT, within, priority, deadline_us, now_us)
         heapq.heappush(lane.heap, (-priority, deadline_us, ticket))
         heapq.heappush(self._deadlines, (deadline_us, ticket))
         return ticket
 
-    def take_back(self, ticket: int) -> None:
+    def remove(self, ticket: int) -> None:
         """Its owner gave it up."""
         self._items.pop(ticket, None)
 
-    def hopeless(self, now_us: int) -> list[T]:
+    def pop_expired(self, now_us: int) -> list[T]:
         """Those that can't start any more, those beyond the most, and those turned away under pressure."""
         found, self._spared = self._spared, []
-        while self._deadlines and self._deadlines[0][0] - now_us < self.terms.least_us:
+        while self._deadlines and self._deadlines[0][0] - now_us < self.config.min_remaining_us:
             ticket = heapq.heappop(self._deadlines)[1]
             if ticket in self._items:
                 found.append(self._items.pop(ticket).item)
-        while len(self._items) > self.most:
+        while len(self._items) > self.max_waiting:
             found.append(self._items.pop(self._last()).item)
         if len(self._deadlines) > 64 + 2 * len(self._items):
             self._deadlines = [one for one in self._deadlines if one[1] in self._items]
             heapq.heapify(self._deadlines)
         return found
 
-    def turn(self, now_us: int = 0) -> list[T]:
+    def pop_batch(self, now_us: int = 0) -> list[T]:
         """The next ones for the module."""
         found: list[T] = []
-        while len(found) < self.terms.a_turn and (ticket := self._next()) is not None:
+        while len(found) < self.config.batch_size and (ticket := self._next()) is not None:
             one = self._items.pop(ticket)
             found.append(one.item)
-            if self.pressure.waited(now_us - one.came_us, now_us) and (spare := self._spare()) is not None:
+            if (
+                self.overload.record_wait(now_us - one.came_us, now_us)
+                and (spare := self._spare()) is not None
+            ):
                 self._spared.append(self._items.pop(spare).item)
-                self.turned_away += 1
+                self.shed_count += 1
         if not self._items:
-            self.pressure.idle()
+            self.overload.reset()
         return found
 
     def _within(self, county: str, now_us: int) -> bool:
-        quota = self.terms.quotas.get(county)
+        quota = self.config.quotas.get(county)
         if quota is None:
-            return county in self.terms.shares or not self.terms.shares
-        tat = after(quota, self._tats.get(county, 0), now_us)
+            return county in self.config.weights or not self.config.weights
+        tat = next_arrival_time(quota, self._tats.get(county, 0), now_us)
         if tat is not None:
             self._tats[county] = tat
         return tat is not None
 
     def _lane(self, county: str, within: bool) -> _Lane:
         if (lane := self._lanes.get((county, within))) is None:
-            least = min(self.terms.shares.values(), default=1.0)
-            lane = self._lanes[county, within] = _Lane(self.terms.shares.get(county, least))
+            least = min(self.config.weights.values(), default=1.0)
+            lane = self._lanes[county, within] = _Lane(self.config.weights.get(county, least))
         return lane
 
     def _top(self, lane: _Lane) -> int | None:
--- a/thornshelf/admission/gcra.py
+++ b/thornshelf/admission/gcra.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from thornshelf.errors import TermsError
+from thornshelf.errors import InvalidParameterError
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,27 +22,27 @@
 
     def __post_init__(self) -> None:
         if self.count < 1 or self.period_us < 1 or self.burst < 1:
-            raise TermsError("a rate needs a count, a period and a burst of at least 1")
+            raise InvalidParameterError("a rate needs a count, a period and a burst of at least 1")
 
 
-def after(rate: Rate, tat: int, now_us: int) -> int | None:
+def next_arrival_time(rate: Rate, arrival_time: int, now_us: int) -> int | None:
     """The new theoretical arrival time where one more conforms; none where it does not.
 
     ``tat``: the one before, 0 where nothing was seen. In units of 1/rate.count microseconds.
     """
     now = now_us * rate.count
-    tat = max(tat, now)
-    if tat - now > (rate.burst - 1) * rate.period_us:
+    arrival_time = max(arrival_time, now)
+    if arrival_time - now > (rate.burst - 1) * rate.period_us:
         return None
-    return tat + rate.period_us
+    return arrival_time + rate.period_us
 
 
-def wait_us(rate: Rate, tat: int, now_us: int) -> int:
+def wait_us(rate: Rate, arrival_time: int, now_us: int) -> int:
     """How long until one more would conform; 0 for at once."""
-    over = tat - now_us * rate.count - (rate.burst - 1) * rate.period_us
+    over = arrival_time - now_us * rate.count - (rate.burst - 1) * rate.period_us
     return max(0, -(-over // rate.count))
 
 
-def rested(rate: Rate, tat: int, now_us: int) -> bool:
+def is_idle(rate: Rate, arrival_time: int, now_us: int) -> bool:
     """Nothing of the past counts any more: its state need not be kept."""
-    return tat <= now_us * rate.count
+    return arrival_time <= now_us * rate.count
--- a/thornshelf/admission/heavy.py
+++ b/thornshelf/admission/heavy_hitters.py
@@ -10,18 +10,18 @@
 from collections.abc import Hashable
 from typing import Generic, TypeVar
 
-from thornshelf.errors import TermsError
+from thornshelf.errors import InvalidParameterError
 
 K = TypeVar("K", bound=Hashable)
 
 
-class HeavySources(Generic[K]):
+class SpaceSavingCounter(Generic[K]):
     """Counts by source. Whole numbers; ``halve`` lets the past count half."""
 
-    def __init__(self, size: int) -> None:
-        if size < 1:
-            raise TermsError("at least one source has to be kept")
-        self.size = size
+    def __init__(self, capacity: int) -> None:
+        if capacity < 1:
+            raise InvalidParameterError("at least one source has to be kept")
+        self.capacity = capacity
         self.total = 0
         self._weights: dict[K, int] = {}
         self._over: dict[K, int] = {}  # how much of it may be others'
@@ -31,11 +31,11 @@
     def __len__(self) -> int:
         return len(self._weights)
 
-    def weight(self, source: K) -> int:
+    def upper_bound(self, source: K) -> int:
         """At least its count; 0 where it is not kept."""
         return self._weights.get(source, 0)
 
-    def surely(self, source: K) -> int:
+    def lower_bound(self, source: K) -> int:
         """At most its count: what can't be others'."""
         return self._weights.get(source, 0) - self._over.get(source, 0)
 
@@ -44,7 +44,7 @@
         self.total += count
         weight = self._weights.get(source)
         if weight is None:
-            if len(self._weights) < self.size:
+            if len(self._weights) < self.capacity:
                 weight = 0
                 self._over[source] = 0
             else:
@@ -62,7 +62,7 @@
         self._least = min(self._least, weight) if len(self._weights) > 1 else weight
         return weight
 
-    def halve(self) -> None:
+    def decay(self) -> None:
         """Decay: all weights count half, and what comes to nothing goes."""
         weights, over = self._weights, self._over
         self._weights, self._over, self._buckets, self.total = {}, {}, {}, self.total // 2
@@ -72,9 +72,9 @@
                 self._buckets.setdefault(half, {})[source] = None
         self._least = min(self._buckets, default=0)
 
-    def heaviest(self, most: int) -> list[tuple[K, int]]:
+    def top(self, count: int) -> list[tuple[K, int]]:
         """The heaviest, with their weights."""
-        return sorted(self._weights.items(), key=lambda one: -one[1])[:most]
+        return sorted(self._weights.items(), key=lambda one: -one[1])[:count]
 
     def _leave(self, source: K, weight: int) -> None:
         bucket = self._buckets[weight]
--- a/thornshelf/admission/prefixes.py
+++ b/thornshelf/admission/prefixes.py
@@ -15,7 +15,7 @@
 Prefix = tuple[int, int, int]  # version, the bits that count (right-aligned), how many
 
 
-def read_address(text: str) -> tuple[int, int]:
+def parse_address(text: str) -> tuple[int, int]:
     """Version and value of an address; ValueError where it is none. A mapped IPv4 address is the IPv4 one."""
     try:
         return 4, int.from_bytes(
@@ -29,7 +29,7 @@
     return address.version, int(address)
 
 
-def read_prefix(text: str) -> Prefix:
+def parse_prefix(text: str) -> Prefix:
     """A prefix as in 10.0.0.0/8 or fd00::/8; ValueError where it is none, or has bits beyond its length."""
     network = ipaddress.ip_network(text)
     return (
@@ -39,7 +39,7 @@
     )
 
 
-WIDTH = {4: 32, 6: 128}
+ADDRESS_BITS = {4: 32, 6: 128}
 
 
 class _Node(Generic[T]):
@@ -55,13 +55,13 @@
     """Values by prefix; None is no value."""
 
     def __init__(self) -> None:
-        self._roots: dict[int, _Node[T]] = {version: _Node(0, 0) for version in WIDTH}
+        self._roots: dict[int, _Node[T]] = {version: _Node(0, 0) for version in ADDRESS_BITS}
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
-    def put(self, prefix: Prefix, value: T) -> None:
+    def insert(self, prefix: Prefix, value: T) -> None:
         """Set the value of a prefix."""
         version, bits, length = prefix
         node = self._roots[version]
@@ -85,7 +85,7 @@
 
     def matches(self, version: int, address: int) -> Iterator[T]:
         """The values of all prefixes that contain an address, the shortest first."""
-        width = WIDTH[version]
+        width = ADDRESS_BITS[version]
         node: _Node[T] | None = self._roots[version]
         while node is not None:
             if address >> (width - node.length) != node.bits:
@@ -96,7 +96,7 @@
                 return
             node = node.children[address >> (width - node.length - 1) & 1]
 
-    def longest(self, version: int, address: int) -> T | None:
+    def longest_match(self, version: int, address: int) -> T | None:
         """The value of the longest prefix that contains an address."""
         found = None
         for found in self.matches(version, address):  # noqa: B007
@@ -111,13 +111,13 @@
     return least - differ.bit_length()
 
 
-class LengthDicts(Generic[T]):
+class PerLengthPrefixTable(Generic[T]):
     """The plain one: a dict for each length that occurs."""
 
     def __init__(self) -> None:
         self._by_length: dict[int, dict[int, dict[int, T]]] = {4: {}, 6: {}}
 
-    def put(self, prefix: Prefix, value: T) -> None:
+    def insert(self, prefix: Prefix, value: T) -> None:
         """Set the value of a prefix."""
         version, bits, length = prefix
         self._by_length[version].setdefault(length, {})[bits] = value
@@ -125,7 +125,7 @@
 
     def matches(self, version: int, address: int) -> Iterator[T]:
         """The values of all prefixes that contain an address, the shortest first."""
-        width = WIDTH[version]
+        width = ADDRESS_BITS[version]
         for length, table in self._by_length[version].items():
             if (value := table.get(address >> (width - length))) is not None:
                 yield value
--- a/thornshelf/admission/conduct.py
+++ b/thornshelf/admission/reputation.py
@@ -10,40 +10,40 @@
 from collections.abc import Hashable
 from dataclasses import dataclass
 
-from thornshelf.admission.heavy import HeavySources
+from thornshelf.admission.heavy_hitters import SpaceSavingCounter
 
 
 @dataclass(frozen=True, slots=True)
-class ConductTerms:
+class ReputationConfig:
     """``placed``: so many tasks placed make a source known; ``half_life_us``: after which they count half."""
 
-    placed: int = 4
+    known_after: int = 4
     half_life_us: int = 60_000_000
-    most: int = 4096
+    max_sources: int = 4096
 
 
-class Conduct:
+class Reputation:
     """Who is known."""
 
-    def __init__(self, terms: ConductTerms, now_us: int = 0) -> None:
-        self.terms = terms
-        self._placed: HeavySources[Hashable] = HeavySources(terms.most)
+    def __init__(self, config: ReputationConfig, now_us: int = 0) -> None:
+        self.config = config
+        self._placements: SpaceSavingCounter[Hashable] = SpaceSavingCounter(config.max_sources)
         self._halved_us = now_us
 
-    def placed(self, source: Hashable, now_us: int) -> None:
+    def record_placement(self, source: Hashable, now_us: int) -> None:
         """A task was placed for a source."""
         self._decay(now_us)
-        self._placed.add(source)
+        self._placements.add(source)
 
-    def known(self, source: Hashable, now_us: int) -> bool:
+    def is_known(self, source: Hashable, now_us: int) -> bool:
         """It has had tasks placed lately."""
         self._decay(now_us)
-        return self._placed.surely(source) >= self.terms.placed
+        return self._placements.lower_bound(source) >= self.config.known_after
 
     def _decay(self, now_us: int) -> None:
         # A long gap is a few halvings, not one for each half-life that has passed.
-        steps = min(32, max(0, now_us - self._halved_us) // self.terms.half_life_us)
+        steps = min(32, max(0, now_us - self._halved_us) // self.config.half_life_us)
         for _ in range(steps):
-            self._placed.halve()
+            self._placements.decay()
         if steps:
             self._halved_us = now_us
--- a/thornshelf/admission/reserve.py
+++ b/thornshelf/admission/reserved_connections.py
@@ -9,68 +9,68 @@
 
 from dataclasses import dataclass
 
-from thornshelf.errors import TermsError
+from thornshelf.errors import InvalidParameterError
 
 
 @dataclass(frozen=True, slots=True)
-class ReserveTerms:
+class ReservedConnectionsConfig:
     """``capacity``: connections in all; ``reserve`` of them for known sources; ``floor`` of these are never lent:
     as many as known sources may open in the time that it takes to close a lent one."""
 
     capacity: int
-    reserve: int
+    reserved: int
     floor: int
 
     def __post_init__(self) -> None:
-        if not 0 <= self.floor <= self.reserve <= self.capacity:
-            raise TermsError("0 <= floor <= reserve <= capacity")
+        if not 0 <= self.floor <= self.reserved <= self.capacity:
+            raise InvalidParameterError("0 <= floor <= reserve <= capacity")
 
 
-class Reserve:
+class ReservedConnections:
     """Counts of open connections; ``busy``: unknown ones that can't be closed now."""
 
-    def __init__(self, terms: ReserveTerms) -> None:
-        self.terms = terms
-        self.known = 0
-        self.unknown = 0
+    def __init__(self, config: ReservedConnectionsConfig) -> None:
+        self.config = config
+        self.known_count = 0
+        self.unknown_count = 0
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """All of them."""
-        return self.known + self.unknown
+        return self.known_count + self.unknown_count
 
-    def kept(self, busy: int) -> int:
+    def withheld_from_unknown(self, busy: int) -> int:
         """Places that unknown sources may not take now."""
-        terms = self.terms
-        unused = max(0, terms.reserve - self.known)
+        terms = self.config
+        unused = max(0, terms.reserved - self.known_count)
         # What is lent has to come back at once: only closable connections may stand on it.
-        closable = max(0, self.unknown - busy)
+        closable = max(0, self.unknown_count - busy)
         return max(min(unused, terms.floor), unused - closable)
 
-    def may_open(self, known: bool, busy: int) -> bool:
+    def can_open(self, known: bool, busy: int) -> bool:
         """There is a place as things are."""
-        room = self.terms.capacity - self.open
-        return room > 0 if known else room > self.kept(busy)
+        room = self.config.capacity - self.open_count
+        return room > 0 if known else room > self.withheld_from_unknown(busy)
 
-    def may_take(self, busy: int) -> bool:
+    def can_replace(self, busy: int) -> bool:
         """A known source may have the place of an unknown connection that can be closed."""
-        return self.unknown > busy
+        return self.unknown_count > busy
 
-    def opened(self, known: bool) -> None:
+    def record_open(self, known: bool) -> None:
         """One more."""
         if known:
-            self.known += 1
+            self.known_count += 1
         else:
-            self.unknown += 1
+            self.unknown_count += 1
 
-    def closed(self, known: bool) -> None:
+    def record_close(self, known: bool) -> None:
         """One less."""
         if known:
-            self.known -= 1
+            self.known_count -= 1
         else:
-            self.unknown -= 1
+            self.unknown_count -= 1
 
-    def turned(self) -> None:
+    def record_promotion(self) -> None:
         """A source has become known by its conduct: one of its connections counts as known from now on."""
-        self.unknown -= 1
-        self.known += 1
+        self.unknown_count -= 1
+        self.known_count += 1
--- a/thornshelf/capacity/roles.py
+++ b/thornshelf/capacity/roles.py
@@ -62,7 +62,15 @@
         "nodes/base.py, connections.py",
         waits_for=LIST,
     ),
-    RowTerms(LIST, Aspect.MEMORY, "KB", "held_kb", "one", "core/roster.py, nodes, glenshift", Budget.MEMORY),
+    RowTerms(
+        LIST,
+        Aspect.MEMORY,
+        "KB",
+        "held_kb",
+        "one",
+        "core/roster.py, nodes, thornshelf.placement",
+        Budget.MEMORY,
+    ),
     RowTerms(LIST, Aspect.STATE, "bytes", "list_bytes", "one", "changelog.py"),
     RowTerms(
         LIST, Aspect.PROCESSOR, "us/s", "rest_us", "one", "loop, core, nodes at rest", Budget.CORE, LIST
--- a/thornshelf/cli.py
+++ b/thornshelf/cli.py
@@ -13,7 +13,7 @@
 import click
 
 from thornshelf import __version__
-from thornshelf.config import ConfigError, read_config
+from thornshelf.configuration import ConfigError, read_config
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -43,31 +43,35 @@
     except ConfigError as fault:
         click.echo(f"thornshelf: {fault} [{fault.code}]", err=True)
         sys.exit(2)
-    click.echo(f"name {config.name}, listen {config.listen[0]}:{config.listen[1]}, sockets {config.sockets}")
+    click.echo(
+        f"name {config.name}, listen {config.listen[0]}:{config.listen[1]}, sockets {config.max_descriptors}"
+    )
     if (fleet := config.fleet) is not None:
-        click.echo(f"fleet {fleet.terms.fleet} as {config.name}, {len(fleet.terms.seeds)} seeds; used for: ")
-        click.echo("  " + (", ".join(sorted(fleet.uses)) or "nothing"))
+        click.echo(
+            f"fleet {fleet.membership.fleet} as {config.name}, {len(fleet.membership.seeds)} seeds; used for: "
+        )
+        click.echo("  " + (", ".join(sorted(fleet.policies)) or "nothing"))
     if (control := config.control) is not None:
         click.echo(f"control socket {control.socket}, {control.readers} shells, {control.history} steps kept")
     click.echo(f"gRPC {'at ' + '%s:%d' % config.grpc.listen if config.grpc.listen else 'off'}")
-    if config.gate is not None:
-        door = config.gate.door
+    if config.admission is not None:
+        door = config.admission.controller
         click.echo(
-            f"door on; {door.reserve.reserve} of {door.reserve.capacity} connections are kept for known counties"
+            f"door on; {door.reserved_connections.reserved} of {door.reserved_connections.capacity} connections are kept for known counties"
         )
         for rule in door.rules:
-            click.echo(f"  {rule.name}{', known' if rule.known else ''}: {rule.together}")
-        click.echo(f"  order by share {'on' if config.shares else 'off'}")
-    if (terms := config.translate) is None:
+            click.echo(f"  {rule.name}{', known' if rule.known else ''}: {rule.prefix_limits}")
+        click.echo(f"  order by share {'on' if config.fair_queue else 'off'}")
+    if (terms := config.translation) is None:
         click.echo("translation layer off")
         return
-    click.echo("translation layer on; nodes speak " + ", ".join(form.value for form in terms.otherwise))
-    for name, forms in sorted(terms.forms.items()):
+    click.echo("translation layer on; nodes speak " + ", ".join(form.value for form in terms.default_formats))
+    for name, forms in sorted(terms.node_formats.items()):
         click.echo(f"  {name}: " + ", ".join(form.value for form in forms))
-    for name, policy in sorted(terms.gaps.items()):
-        assumed = f" of {policy.assumed_us // 1000} ms" if policy.assumed_us else ""
+    for name, policy in sorted(terms.missing_field_policies.items()):
+        assumed = f" of {policy.assumed_hint_us // 1000} ms" if policy.assumed_hint_us else ""
         click.echo(f"  class {name}: a missing hint is {policy.on_missing_hint.value}d{assumed}")
-    click.echo(f"  retry budget {'on' if terms.retries else 'off'}")
+    click.echo(f"  retry budget {'on' if terms.limits_retries else 'off'}")
 
 
 @cli.command()
@@ -82,13 +86,13 @@
 @click.option("--check", is_flag=True, help="Only look for fields without a declared fate.")
 def fates(check: bool) -> None:
     """Print what becomes of each field and word between the forms."""
-    from thornshelf import audit
+    from thornshelf.translation import field_mapping_audit
 
-    if missing := audit.undeclared():
+    if missing := field_mapping_audit.find_problems():
         click.echo("\n".join(missing), err=True)
         sys.exit(1)
     if not check:
-        click.echo(audit.page(), nl=False)
+        click.echo(field_mapping_audit.render_page(), nl=False)
 
 
 @cli.command()
@@ -99,9 +103,9 @@
     from thornshelf import errors
 
     if page:
-        click.echo(errors.page(), nl=False)
+        click.echo(errors.render_page(), nl=False)
         return
-    for one in [code] if code else sorted(errors.KINDS):
+    for one in [code] if code else sorted(errors.ERRORS_BY_CODE):
         text = errors.explain(one)
         if text is None:
             click.echo(f"no error has the code {one}; `thornshelf explain` lists all", err=True)
@@ -130,11 +134,11 @@
 def shell(place: str, fleet: bool | None, seconds: float, rows: int) -> None:
     """Ask a dispatcher, or its whole fleet, line by line."""
     from thornshelf.errors import ThornshelfError
-    from thornshelf.shell.engine import Limits
+    from thornshelf.shell.engine import QueryLimits
     from thornshelf.shell.prompt import run
 
     try:
-        sys.exit(run(place, Limits(seconds, rows), fleet))
+        sys.exit(run(place, QueryLimits(seconds, rows), fleet))
     except ThornshelfError as fault:
         click.echo(f"thornshelf: {fault} [{fault.code}]\nWhat to do: {fault.remedy}", err=True)
         sys.exit(2)
@@ -152,15 +156,19 @@
     4 a bound of time or rows was met.
     """
     from thornshelf.errors import QueryError, QueryLimitError, ThornshelfError
-    from thornshelf.shell import output, ready
-    from thornshelf.shell.client import Client
-    from thornshelf.shell.engine import Engine, Limits
+    from thornshelf.shell import output, saved_queries
+    from thornshelf.shell.client import ControlClient
+    from thornshelf.shell.engine import QueryEngine, QueryLimits
 
     try:
-        with Client(place, seconds) as client:
-            engine = Engine(client, Limits(seconds, rows))
-            text = ready.BY_NAME[sql].sql if sql in ready.BY_NAME else sql.strip().rstrip(";")
-            result = engine.query(text, engine.known.in_fleet if fleet is None else fleet)
+        with ControlClient(place, seconds) as client:
+            engine = QueryEngine(client, QueryLimits(seconds, rows))
+            text = (
+                saved_queries.QUERIES_BY_NAME[sql].sql
+                if sql in saved_queries.QUERIES_BY_NAME
+                else sql.strip().rstrip(";")
+            )
+            result = engine.query(text, engine.catalog.in_fleet if fleet is None else fleet)
     except ThornshelfError as fault:
         click.echo(f"thornshelf: {fault} [{fault.code}]\nWhat to do: {fault.remedy}", err=True)
         sys.exit(1 if isinstance(fault, QueryError) else 4 if isinstance(fault, QueryLimitError) else 2)
@@ -171,13 +179,13 @@
     else:
         from rich.console import Console
 
-        from thornshelf.shell.prompt import WIDE
+        from thornshelf.shell.prompt import OUTPUT_WIDTH
 
-        width = None if sys.stdout.isatty() else WIDE
-        Console(highlight=False, width=width).print(output.table(result))
+        width = None if sys.stdout.isatty() else OUTPUT_WIDTH
+        Console(highlight=False, width=width).print(output.render_table(result))
     if form != "json":
-        click.echo("\n".join(output.notes(result)), err=True)
-    sys.exit(4 if result.cut else 3 if result.told.missing else 0)
+        click.echo("\n".join(output.summary_lines(result)), err=True)
+    sys.exit(4 if result.truncation else 3 if result.summary.missing else 0)
 
 
 @cli.group()
@@ -200,27 +208,27 @@
 
 
 def _read_record(file: Path, say: Callable[[str], object]) -> None:
-    from thornshelf.record import entries
-    from thornshelf.record.plan import Memory
+    from thornshelf.wal import entries
+    from thornshelf.wal.recovery_plan import RecoveredState
 
-    memory, count, torn = Memory(), 0, None
+    memory, count, torn = RecoveredState(), 0, None
     try:
-        for one in entries.read(file.read_bytes()):
-            if isinstance(one, entries.Torn):
+        for one in entries.read_frames(file.read_bytes()):
+            if isinstance(one, entries.TornTail):
                 torn = one
             else:
                 say(f"{one[0]:>10} {one[1]}")
-                memory.take(one[1])
+                memory.apply(one[1])
                 count += 1
-    except entries.NewerVersionError as fault:
+    except entries.UnsupportedVersionError as fault:
         click.echo(f"{file}: {fault}", err=True)
         sys.exit(2)
     states = Counter(task.status.value for task in memory.by_uid.values())
     click.echo(
-        f"{count} entries, epoch {memory.epoch}, {dict(states)}, {'clean' if memory.clean else 'not ended in order'}"
+        f"{count} entries, epoch {memory.epoch}, {dict(states)}, {'clean' if memory.clean_shutdown else 'not ended in order'}"
     )
     if torn is not None:
-        click.echo(f"torn at byte {torn.offset}: {torn.why}", err=True)
+        click.echo(f"torn at byte {torn.offset}: {torn.reason}", err=True)
         sys.exit(1)
 
 
@@ -283,7 +291,7 @@
 @click.option("--json", "as_json", is_flag=True, help="Only the JSON object.")
 def door(seed: int, door: str, plant: str | None, as_json: bool) -> None:
     """A flood at the door, while two known counties go on as ever."""
-    from thornshelf.lab import door as experiment
+    from thornshelf.lab import admission as experiment
 
     said = experiment.run(seed, door == "on", plant)
     _verdict(said, experiment.passed(said), as_json)
@@ -333,7 +341,7 @@
 )
 def members_at_size(members: int, seed: int, as_json: bool, plot: Path | None) -> None:
     """The view alone in virtual time: joins, crashes, a partition and its end; beside 16 members."""
-    from thornshelf.lab import members as experiment
+    from thornshelf.lab import membership as experiment
 
     said = experiment.run(members, seed, plot)
     _verdict(said, experiment.passed(said), as_json)
--- a/thornshelf/parts/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -9,20 +9,20 @@
 from importlib import import_module
 from typing import TYPE_CHECKING, Protocol
 
-from thornshelf.config import Config
+from thornshelf.configuration import Config
 
 if TYPE_CHECKING:
-    from glenshift import interface as api
-    from thornshelf.changelog import ChangeLog
     from thornshelf.control.tables import Catalog
-    from thornshelf.core import Dispatcher, ListChange, LogCall, Node, NodeEntry
-    from thornshelf.fronts.gate import Gate
-    from thornshelf.fronts.grpc import GrpcFront
-    from thornshelf.fronts.listener import Budget
-    from thornshelf.fronts.platform import PlatformFront
-    from thornshelf.handover import Inherited
+    from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
+    from thornshelf.discovery.endpoint_watch import EndpointWatch
+    from thornshelf.frontends.admission_filter import AdmissionFilter
+    from thornshelf.frontends.grpc import GrpcFrontend
+    from thornshelf.frontends.json_lines import JsonLinesFrontend
+    from thornshelf.frontends.listener import ConnectionBudget
     from thornshelf.loop import Loop
-    from thornshelf.translate.desk import Desk
+    from thornshelf.placement import interface as api
+    from thornshelf.socket_handover import InheritedSockets
+    from thornshelf.translation.translator import Translator
 
 
 class Host(Protocol):
@@ -31,31 +31,31 @@
     config: Config
     settings: api.Settings  # as the core is going to have them
     loop: Loop
-    handed: Inherited | None
-    gate: Gate | None
-    desk: Desk | None
+    inherited: InheritedSockets | None
+    admission_filter: AdmissionFilter | None
+    translator: Translator | None
     core: Dispatcher
-    budget: Budget
-    fronts: list[PlatformFront | GrpcFront]
-    follower: ChangeLog | None
-    node_makers: list[
-        Callable[[int, NodeEntry, Dispatcher], Node | None]
+    connection_budget: ConnectionBudget
+    frontends: list[JsonLinesFrontend | GrpcFrontend]
+    endpoint_watch: EndpointWatch | None
+    node_factories: list[
+        Callable[[int, NodeEndpoint, Dispatcher], NodeConnection | None]
     ]  # the first that gives a node has it
-    on_list: list[Callable[[ListChange], None]]
-    narrow: (
-        Callable[[ListChange], ListChange] | None
+    endpoint_listeners: list[Callable[[EndpointListUpdate], None]]
+    endpoint_filter: (
+        Callable[[EndpointListUpdate], EndpointListUpdate] | None
     )  # what the core hears of the list, where that is not all
     catalog: Catalog | None  # the tables that a control socket shows: parts add theirs as they start
 
     @property
-    def log(self) -> LogCall:
+    def log(self) -> LogFunction:
         """One line."""
 
     def unix_ms(self, us: int) -> int:
         """A time of the loop's clock as Unix milliseconds."""
 
 
-class Part:
+class Component:
     """Does nothing by itself."""
 
     def __init__(self, host: Host) -> None:
@@ -70,20 +70,20 @@
     def reload(self, config: Config) -> None:
         """The configuration was read again; ``config`` is what is in force now."""
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """The loop has stopped."""
 
 
 KNOWN: tuple[tuple[Callable[[Config], bool], str], ...] = (
-    (lambda config: config.gate is not None, "thornshelf.parts.door"),
-    (lambda config: config.translate is not None, "thornshelf.parts.translate"),
-    (lambda config: config.grpc.listen is not None or config.grpc.any_nodes, "thornshelf.parts.grpc"),
-    (lambda config: config.subset is not None, "thornshelf.parts.subset"),
-    (lambda config: config.fleet is not None, "thornshelf.parts.fleet"),
-    (lambda config: config.control is not None, "thornshelf.parts.control"),
+    (lambda config: config.admission is not None, "thornshelf.components.admission"),
+    (lambda config: config.translation is not None, "thornshelf.components.translation"),
+    (lambda config: config.grpc.listen is not None or config.grpc.has_nodes, "thornshelf.components.grpc"),
+    (lambda config: config.subset is not None, "thornshelf.components.subsetting"),
+    (lambda config: config.fleet is not None, "thornshelf.components.fleet"),
+    (lambda config: config.control is not None, "thornshelf.components.control"),
 )
 
 
-def wanted(host: Host) -> list[Part]:
+def create_components(host: Host) -> list[Component]:
     """The parts that the configuration asks for; the others are not loaded."""
     return [import_module(module).make(host) for asks, module in KNOWN if asks(host.config)]
