--- a/thornshelf/parts/control.py
+++ b/thornshelf/components/control.py
@@ -1,6 +1,6 @@
 """The control socket: what shells ask of this dispatcher, and through it of all. Read only.
 
-The questions and their bounds are in ``thornshelf.control``, those to the others in ``thornshelf.membership.asking``.
+The questions and their bounds are in ``thornshelf.control``, those to the others in ``thornshelf.membership.scatter_gather``.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 from typing import TYPE_CHECKING
 
 from thornshelf import __version__
-from thornshelf.config import Config
+from thornshelf.components import Component, Host
+from thornshelf.configuration import Config
 from thornshelf.control.core_tables import CoreTables
-from thornshelf.control.frames import (
-    MOST_ASKED,
-    Answer,
-    Asked,
-    Declined,
-    Known,
-    Shape,
-    Words,
-    pack,
-    read_asked,
+from thornshelf.control.framing import (
+    MAX_REQUEST_BYTES,
+    CatalogReply,
+    ErrorReply,
+    FrameDecoder,
+    QueryRequest,
+    Reply,
+    TableSchema,
+    decode_request,
+    encode_frame,
 )
-from thornshelf.control.history import History, Tallies
-from thornshelf.control.readers import Fleet, Readers
-from thornshelf.control.tables import Catalog, Reading
+from thornshelf.control.history import ErrorCounters, History
+from thornshelf.control.query_sessions import FleetAccess, QuerySessions
+from thornshelf.control.tables import Catalog, TableReader
 from thornshelf.errors import (
-    BusyError,
+    ControlProtocolError,
     ControlSocketError,
-    ReaderError,
-    SocketTakenError,
+    SocketInUseError,
     ThornshelfError,
+    TooManySessionsError,
     UnknownTableError,
 )
 from thornshelf.loop import Stream, Timer, Wait
 from thornshelf.loop.loop import IN
-from thornshelf.membership.asking import Answerer, Asker
-from thornshelf.membership.datagrams import Kind
-from thornshelf.membership.states import LIVE, State
-from thornshelf.parts import Host, Part
+from thornshelf.membership.datagrams import MessageKind
+from thornshelf.membership.scatter_gather import QueryGatherer, QueryResponder
+from thornshelf.membership.states import LIVE_STATES, MemberState
 from thornshelf.syslog import Syslog
 
 if TYPE_CHECKING:
-    from thornshelf.parts.fleet import FleetPart
+    from thornshelf.components.fleet import FleetComponent
 
 MOST_UNSENT = 128 * 1024  # what is buffered for one reader
 MOST_TOLD = 1_000_000  # rows of one answer
@@ -112,7 +112,7 @@
             probe.settimeout(1.0)
             try:
                 probe.connect(short)
-                raise SocketTakenError(f"control.socket: {place}: another process answers there")
+                raise SocketInUseError(f"control.socket: {place}: another process answers there")
             except ConnectionRefusedError:
                 pass  # left behind by a process that died
     os.unlink(place)
@@ -121,28 +121,28 @@
 class Connection:
     """One shell."""
 
-    def __init__(self, part: ControlPart, sock: socket.socket) -> None:
+    def __init__(self, part: ControlComponent, sock: socket.socket) -> None:
         self.part = part
         self.stream = Stream(part.host.loop, sock, "shell")
-        self.words = Words(MOST_ASKED)
+        self.frame_decoder = FrameDecoder(MAX_REQUEST_BYTES)
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """It stands."""
         return self.stream.open
 
     @property
-    def takes(self) -> bool:
+    def can_accept(self) -> bool:
         """It reads what it is sent."""
-        return self.stream.open and self.stream.unsent < MOST_UNSENT
+        return self.stream.open and self.stream.buffered_bytes < MOST_UNSENT
 
-    def say(self, word: Answer) -> int:
+    def send(self, reply: Reply) -> int:
         """Send a word; its bytes."""
-        return len(self.stream.send(pack(word)).data)
+        return len(self.stream.send(encode_frame(reply)).data)
 
-    def drop(self, fault: ThornshelfError) -> None:
+    def close_with_error(self, error: ThornshelfError) -> None:
         """Close it, and say why."""
-        self.part.host.log(4, "shell", {"code": fault.code}, str(fault))
+        self.part.host.log(4, "shell", {"code": error.code}, str(error))
         self.stream.close()
 
     def run(self) -> Generator[Wait, int, None]:
@@ -150,24 +150,24 @@
         part, loop = self.part, self.part.host.loop
         try:
             while data := (yield from self.stream.read(loop.now + IDLE_US)):
-                for body in self.words.take(data):
-                    part.take(self, read_asked(body))
-        except ReaderError as fault:
-            self.drop(fault)
+                for body in self.frame_decoder.feed(data):
+                    part.take(self, decode_request(body))
+        except ControlProtocolError as fault:
+            self.close_with_error(fault)
         finally:
             self.stream.close()
             part.gone(self)
 
 
-class ControlPart(Part):
+class ControlComponent(Component):
     """The socket, its readers, and the answers to other members' questions."""
 
     def prepare(self) -> None:
         """Tables are declared as parts start; errors are counted from the first line on."""
         self.host.catalog = Catalog()
-        self._tallies = Tallies()
+        self._tallies = ErrorCounters()
         if isinstance(self.host.log, Syslog):
-            self.host.log.tally = self._tallies.line
+            self.host.log.on_line = self._tallies.count_line
 
     def start(self) -> None:
         """Listen."""
@@ -179,25 +179,27 @@
         self._tables = CoreTables(host.core, history, self._tallies, host.unix_ms)
         self._catalog.add(*self._tables.tables(lambda: host.config))
         self._connections: set[Connection] = set()
-        self._askers: dict[int, Asker] = {}
+        self._askers: dict[int, QueryGatherer] = {}
         self._timer: Timer | None = None
-        self._fleet: FleetPart | None = None
-        self._answerer = Answerer(self._begin)
+        self._fleet: FleetComponent | None = None
+        self._answerer = QueryResponder(self._begin)
         self._next = secrets.randbits(40)
         self._worst_us = self._worst_wall_us = self._turns = self._long_turns = 0
         fleet = None
         if host.config.fleet is not None:
             fleet = self._join()
-        self.readers = Readers(host.config.name, self._catalog, fleet, self._number, config.readers)
+        self.readers = QuerySessions(host.config.name, self._catalog, fleet, self._number, config.readers)
         self._tables.counters["control"] = self._counts
         self._place = config.socket
-        self._sock = make_socket(config.socket, host.handed is not None)
+        self._sock = make_socket(config.socket, host.inherited is not None)
         self._made = os.lstat(config.socket)
         host.loop.spawn(self._accept())
         host.loop.on_turn.append(self._turn)
-        host.log(6, "control", {"socket": str(config.socket), "readers": config.readers}, "listening")
+        host.log(
+            6, "control-socket-opened", {"socket": str(config.socket), "readers": config.readers}, "listening"
+        )
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """Nothing is left behind; what a successor has put there stays."""
         self._sock.close()
         try:
@@ -223,30 +225,32 @@
                 continue
             connection = Connection(self, sock)
             if len(self._connections) >= self._most:
-                busy = BusyError(f"{len(self._connections)} shells are connected")
+                busy = TooManySessionsError(f"{len(self._connections)} shells are connected")
                 self.host.log(4, "shell", {"code": busy.code}, str(busy))
-                connection.say(Declined(0, busy.code, str(busy)))
+                connection.send(ErrorReply(0, busy.code, str(busy)))
                 connection.stream.end()
                 continue
             self._connections.add(connection)
             self.host.loop.spawn(connection.run())
 
-    def take(self, connection: Connection, asked: Asked) -> None:
+    def take(self, connection: Connection, asked: QueryRequest) -> None:
         """A question."""
         if asked.table:
-            self.readers.take(connection, asked, self.host.loop.now)
+            self.readers.start(connection, asked, self.host.loop.now)
             return
         shapes = [
-            Shape(table.name, table.meaning, [(one.name, one.kind, one.meaning) for one in table.columns])
+            TableSchema(
+                table.name, table.meaning, [(one.name, one.sql_type, one.meaning) for one in table.columns]
+            )
             for table in self._catalog.tables.values()
         ]
         name = self.host.config.name
-        connection.say(Known(asked.number, name, __version__, self._fleet is not None, shapes))
+        connection.send(CatalogReply(asked.number, name, __version__, self._fleet is not None, shapes))
 
     def gone(self, connection: Connection) -> None:
         """A shell's connection is closed."""
         self._connections.discard(connection)
-        self.readers.forget(connection)
+        self.readers.remove_client(connection)
 
     # turns
 
@@ -254,28 +258,28 @@
         if not self.readers and not self._askers and not len(self._answerer):
             return False
         # How long it holds a turn: by the processor, and by the clock, which also counts what others ran meanwhile.
-        began, wall = time.thread_time_ns(), self.host.loop.spent()
+        began, wall = time.thread_time_ns(), self.host.loop.turn_elapsed_us()
         again = self._serve()
         spent_us = (time.thread_time_ns() - began) // 1000
         self._worst_us = max(self._worst_us, spent_us)
         self._turns += 1
         self._long_turns += spent_us > LONG_US
-        self._worst_wall_us = max(self._worst_wall_us, self.host.loop.spent() - wall)
+        self._worst_wall_us = max(self._worst_wall_us, self.host.loop.turn_elapsed_us() - wall)
         return again
 
     def _counts(self) -> dict[str, int]:
         worst = {"worst_turn_us": self._worst_us, "worst_turn_wall_us": self._worst_wall_us}
         worst |= {"turns": self._turns, "turns_over_5ms": self._long_turns}
-        return self.readers.counts | worst | {"shells": len(self._connections)}
+        return self.readers.counters | worst | {"shells": len(self._connections)}
 
     def _serve(self) -> bool:
         loop = self.host.loop
         unix_ms = self.host.unix_ms(loop.now)
-        again = self.readers.step(loop.now, unix_ms, loop.spent, loop.behind)
+        again = self.readers.run_turn(loop.now, unix_ms, loop.turn_elapsed_us, loop.has_backlog)
         if self._fleet is not None:
-            until = loop.spent() + 1_000
-            again = self._answerer.step(loop.now, unix_ms, loop.spent, until) or again
-            due = [asker.pass_time(loop.now) for asker in self._askers.values()]
+            until = loop.turn_elapsed_us() + 1_000
+            again = self._answerer.serve(loop.now, unix_ms, loop.turn_elapsed_us, until) or again
+            due = [asker.tick(loop.now) for asker in self._askers.values()]
             self._send()
             self._wake(min((one for one in due if one is not None), default=None))
         return again
@@ -295,61 +299,63 @@
         self._next += 1
         return self._next
 
-    def _join(self) -> Fleet:
-        from thornshelf.parts.fleet import FleetPart
+    def _join(self) -> FleetAccess:
+        from thornshelf.components.fleet import FleetComponent
 
-        part = self.host.core.peers
-        assert isinstance(part, FleetPart)
-        self._fleet, view = part, part.view
+        part = self.host.core.gossip
+        assert isinstance(part, FleetComponent)
+        self._fleet, view = part, part.membership
         self._tables.counters["fleet"] = lambda: view.counters
-        part.on_spoken = self._spoken
+        part.on_user_message = self._spoken
 
         def gone() -> dict[str, str]:
             """Held for dead: named, not asked. Those that left in order are no part of the fleet."""
-            members = view.table.gone()
+            members = view.table.departed()
             dead = [
-                one.claim.name for one in members if one.state not in LIVE and one.state is not State.LEFT
+                one.record.name
+                for one in members
+                if one.state not in LIVE_STATES and one.state is not MemberState.LEFT
             ]
             return dict.fromkeys(dead, "it is held for dead")
 
-        def ask(asker: Asker) -> None:
-            self._askers[asker.number] = asker
+        def ask(asker: QueryGatherer) -> None:
+            self._askers[asker.query_id] = asker
 
-        def asked(asker: Asker) -> None:
-            self._askers.pop(asker.number, None)
-            asker.stop()
-            self._say(Kind.ASK, asker.out)
+        def asked(asker: QueryGatherer) -> None:
+            self._askers.pop(asker.query_id, None)
+            asker.cancel()
+            self._say(MessageKind.QUERY, asker.outgoing)
 
-        return Fleet(view.live, gone, ask, asked)
+        return FleetAccess(view.live_names, gone, ask, asked)
 
-    def _spoken(self, name: str, kind: Kind, content: bytes) -> None:
+    def _spoken(self, name: str, kind: MessageKind, content: bytes) -> None:
         now = self.host.loop.now
-        if kind is Kind.ASK:
-            self._answerer.take(name, content, now)
+        if kind is MessageKind.QUERY:
+            self._answerer.receive(name, content, now)
         else:
             for asker in self._askers.values():
-                asker.take(name, content, now)
+                asker.receive(name, content, now)
 
     def _begin(
         self, table: str, wanted: list[str], only: dict[str, str | int | float | None]
-    ) -> Reading | str:
+    ) -> TableReader | str:
         try:
-            return Reading(self._catalog.table(table), wanted, only, MOST_TOLD)
+            return TableReader(self._catalog.table(table), wanted, only, MOST_TOLD)
         except UnknownTableError as fault:
             return str(fault)
 
     def _send(self) -> None:
-        self._say(Kind.TOLD, self._answerer.out)
+        self._say(MessageKind.QUERY_REPLY, self._answerer.outgoing)
         for asker in self._askers.values():
-            self._say(Kind.ASK, asker.out)
+            self._say(MessageKind.QUERY, asker.outgoing)
 
-    def _say(self, kind: Kind, out: list[tuple[str, bytes]]) -> None:
+    def _say(self, kind: MessageKind, out: list[tuple[str, bytes]]) -> None:
         """Words to other members, in datagrams."""
         part = self._fleet
         if part is None or not out:
             return
         for name, content in out:
-            part.view.say(name, kind, content)
+            part.membership.send_user_message(name, kind, content)
         out.clear()
         part.flush()
 
@@ -357,6 +363,6 @@
         """The table waits for a restart."""
 
 
-def make(host: Host) -> Part:
+def make(host: Host) -> Component:
     """The part."""
-    return ControlPart(host)
+    return ControlComponent(host)
--- a/thornshelf/config.py
+++ b/thornshelf/configuration.py
@@ -9,20 +9,20 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from glenshift import interface as api
-from glenshift.drill import WireError as SettingsError
-from glenshift.drill import read_settings
 from thornshelf.errors import ConfigError as ConfigError
-from thornshelf.errors import KeyFileError, SchemaError, TermsError
+from thornshelf.errors import InvalidParameterError, KeyFileError, SchemaError
+from thornshelf.errors import WireError as SettingsError
+from thornshelf.placement import interface as api
+from thornshelf.placement.simulator.__main__ import read_settings
 
 if TYPE_CHECKING:
     from thornshelf import schema
-    from thornshelf.admission.shares import ShareTerms
-    from thornshelf.fronts.gate import GateTerms
-    from thornshelf.membership.terms import FleetConfig
-    from thornshelf.retries.spread import SpreadTerms
-    from thornshelf.subsetting import SubsetTerms
-    from thornshelf.translate.desk import Terms
+    from thornshelf.admission.fair_queue import FairQueueConfig
+    from thornshelf.frontends.admission_filter import AdmissionFilterConfig
+    from thornshelf.membership.config import FleetConfig
+    from thornshelf.retries.jitter import JitterConfig
+    from thornshelf.subsetting import SubsetConfig
+    from thornshelf.translation.translator import TranslationConfig
 
 DEFAULT_SOCKETS = 1024
 LEAST_KEY, MOST_KEY = 16, 4096  # bytes of a key
@@ -41,11 +41,11 @@
     all_nodes: bool = False
 
     @property
-    def any_nodes(self) -> bool:
+    def has_nodes(self) -> bool:
         """Some nodes are called by gRPC."""
         return self.all_nodes or bool(self.nodes)
 
-    def speaks(self, name: str) -> bool:
+    def is_grpc_node(self, name: str) -> bool:
         """Whether a node is to be called by gRPC."""
         return self.all_nodes or name in self.nodes
 
@@ -60,10 +60,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SubsetConfig:
+class ZoneSubsetConfig:
     """Which nodes are held, and how many dispatchers hold those of this zone."""
 
-    terms: SubsetTerms
+    selection: SubsetConfig
     dispatchers: int
 
 
@@ -74,31 +74,33 @@
     name: str
     listen: tuple[str, int]
     seed: int
-    sockets: int
-    changelog: tuple[str, int] | None
-    known: Mapping[str, Any]
+    max_descriptors: int
+    endpoint_source: tuple[str, int] | None
+    initial_endpoints: Mapping[str, Any]
     settings: api.Settings
     grpc: GrpcConfig = field(default_factory=GrpcConfig)
-    collector: tuple[str, tuple[str, int]] | None = None  # "udp" or "tcp", and where
-    translate: Terms | None = None  # the translation layer, where the operator's file sets one up
-    gate: GateTerms | None = None  # the door, likewise
-    shares: ShareTerms | None = (
+    syslog_collector: tuple[str, tuple[str, int]] | None = None  # "udp" or "tcp", and where
+    translation: TranslationConfig | None = (
+        None  # the translation layer, where the operator's file sets one up
+    )
+    admission: AdmissionFilterConfig | None = None  # the door, likewise
+    fair_queue: FairQueueConfig | None = (
         None  # the order by share, likewise, and when those that are refused come again
     )
-    returns: SpreadTerms | None = None
+    retry_after_jitter: JitterConfig | None = None
     fleet: FleetConfig | None = None  # the view of the fleet, likewise
     control: ControlConfig | None = None  # the socket on which shells ask, likewise
-    subset: SubsetConfig | None = None  # the part of the nodes that is held, likewise
+    subset: ZoneSubsetConfig | None = None  # the part of the nodes that is held, likewise
 
     def reloaded(self, new: Config) -> tuple[Config, list[str]]:
         """This with what may change in a running process; and the changed keys that wait for a restart."""
-        kept = replace(self, changelog=new.changelog, sockets=new.sockets)
-        if self.gate is not None and new.gate is not None:
-            kept = replace(kept, gate=new.gate)  # a door can change, but neither come nor go
+        kept = replace(self, endpoint_source=new.endpoint_source, max_descriptors=new.max_descriptors)
+        if self.admission is not None and new.admission is not None:
+            kept = replace(kept, admission=new.admission)  # a door can change, but neither come nor go
         # 'known' is only a start's word: the change log itself goes on from the last number.
-        keys = {"collector": "syslog.collector", **{name: name for name in ("name", "listen", "seed")}}
-        keys |= {"settings": "settings", "grpc": "grpc", "translate": "translate"}
-        keys |= {"gate": "admission", "shares": "admission.shares", "fleet": "fleet"}
+        keys = {"syslog_collector": "syslog.collector", **{name: name for name in ("name", "listen", "seed")}}
+        keys |= {"settings": "settings", "grpc": "grpc", "translation": "translate"}
+        keys |= {"admission": "admission", "fair_queue": "admission.shares", "fleet": "fleet"}
         keys |= {"control": "control", "subset": "subset"}
         return kept, [key for name, key in keys.items() if getattr(kept, name) != getattr(new, name)]
 
@@ -177,9 +179,9 @@
         name=str(environment.get("LB_NAME") or value.get("name") or "thornshelf"),
         listen=read_address(environment.get("LB_LISTEN") or value.get("listen"), "listen"),
         seed=seed,
-        sockets=sockets,
-        changelog=None if changelog is None else read_address(changelog, "changelog"),
-        known=known,
+        max_descriptors=sockets,
+        endpoint_source=None if changelog is None else read_address(changelog, "changelog"),
+        initial_endpoints=known,
         settings=settings,
     )
     return read_operator_file(operator_file, config) if operator_file else config
@@ -214,10 +216,12 @@
         nodes=frozenset() if nodes == "all" else frozenset(nodes),
         all_nodes=nodes == "all",
     )
-    config = replace(config, grpc=grpc, collector=None if collector is None else read_collector(collector))
+    config = replace(
+        config, grpc=grpc, syslog_collector=None if collector is None else read_collector(collector)
+    )
     if tables.translate is not None:
         classes = [one.name for one in config.settings.classes]
-        config = replace(config, translate=read_terms(tables.translate, grpc, classes))
+        config = replace(config, translation=read_translation(tables.translate, grpc, classes))
     if (control := tables.control) is not None:
         place = Path(path).parent / control.socket  # named from the operator's file's folder
         config = replace(config, control=ControlConfig(place, control.readers, control.history))
@@ -228,29 +232,29 @@
     return config if tables.admission is None else read_admission(tables.admission, config)
 
 
-def read_subset(table: schema.SubsetTable, config: Config) -> SubsetConfig:
+def read_subset(table: schema.SubsetTable, config: Config) -> ZoneSubsetConfig:
     """The table ``subset``; the zone is the settings' own where the table names none."""
-    from thornshelf.subsetting import SubsetTerms
+    from thornshelf.subsetting import SubsetConfig
 
-    if config.fleet is not None and "allowances" in config.fleet.uses:
+    if config.fleet is not None and "allowances" in config.fleet.policies:
         text = "must be false beside a table subset, which divides allowances by the dispatchers of a zone"
         raise ConfigError(f"fleet.uses.allowances: {text}")
     if table.dispatchers > config.settings.placers:
         text = f"more than the {config.settings.placers} dispatchers of the settings"
         raise ConfigError(f"subset.dispatchers: {text}: {table.dispatchers}")
     try:
-        terms = SubsetTerms(
+        terms = SubsetConfig(
             zone=table.zone or config.settings.zone,
             member=config.name,
             spare_step=table.spare_step,
-            most_spare=table.most_spare,
-            short_share=table.short_share,
-            refused_share=table.refused_share,
-            quiet_us=table.quiet_s * 1_000_000,
+            max_spares=table.most_spare,
+            short_fraction=table.short_share,
+            rejected_fraction=table.refused_share,
+            cooldown_us=table.quiet_s * 1_000_000,
         )
-    except TermsError as fault:
+    except InvalidParameterError as fault:
         raise ConfigError(f"subset.{fault}") from None
-    return SubsetConfig(terms, table.dispatchers)
+    return ZoneSubsetConfig(terms, table.dispatchers)
 
 
 def read_key(path: Path, key: str) -> bytes:
@@ -268,7 +272,7 @@
 
 def read_fleet(table: schema.Fleet, config: Config, folder: Path) -> FleetConfig:
     """The table ``fleet`` in the units of the program; files are named from the operator's file's folder."""
-    from thornshelf.membership.terms import FleetConfig, Terms
+    from thornshelf.membership.config import FleetConfig, MembershipConfig
 
     listen = read_address(table.listen, "fleet.listen")
     if table.advertise is not None:
@@ -276,23 +280,23 @@
     for index, seed in enumerate(table.seeds):
         read_address(seed, f"fleet.seeds.{index}")
     try:
-        terms = Terms(
+        terms = MembershipConfig(
             fleet=table.name,
             name=config.name,
             address=table.advertise or "",
             seeds=tuple(table.seeds),
             key=read_key(folder / table.key_file, "fleet.key_file"),
-            probe_us=table.probe_ms * 1000,
-            answer_us=table.answer_ms * 1000,
-            suspicion_us=table.suspicion_ms * 1000,
-            grace_us=table.grace_ms * 1000,
-            recall_us=table.recall_ms * 1000,
-            sync_us=table.sync_ms * 1000,
-            remember_us=table.remember_s * 1_000_000,
-            most_members=table.most_members,
-            item_bytes_s=table.bytes_per_s,
+            probe_interval_us=table.probe_ms * 1000,
+            probe_timeout_us=table.answer_ms * 1000,
+            min_suspicion_us=table.suspicion_ms * 1000,
+            refutation_grace_us=table.grace_ms * 1000,
+            reconnect_interval_us=table.recall_ms * 1000,
+            push_pull_interval_us=table.sync_ms * 1000,
+            dead_retention_us=table.remember_s * 1_000_000,
+            max_members=table.most_members,
+            entry_bytes_per_s=table.bytes_per_s,
         )
-    except TermsError as fault:
+    except InvalidParameterError as fault:
         raise ConfigError(f"fleet.{fault}") from None
     uses = frozenset(name for name in table.uses.__struct_fields__ if getattr(table.uses, name))
     return FleetConfig(terms, listen, uses, table.hold_s * 1_000_000)
@@ -300,15 +304,15 @@
 
 def read_admission(table: schema.Admission, config: Config) -> Config:
     """The table ``admission`` in the units of the program; shares are those of the settings' tenants."""
-    from thornshelf.admission.conduct import ConductTerms
-    from thornshelf.admission.door import DoorTerms, Limits, Rule
+    from thornshelf.admission.controller import AdmissionConfig, Limits, PrefixRule
+    from thornshelf.admission.fair_queue import FairQueueConfig
     from thornshelf.admission.gcra import Rate
-    from thornshelf.admission.prefixes import read_prefix
-    from thornshelf.admission.pressure import PressureTerms
-    from thornshelf.admission.reserve import ReserveTerms
-    from thornshelf.admission.shares import ShareTerms
-    from thornshelf.fronts.gate import GateTerms
-    from thornshelf.retries.spread import SpreadTerms
+    from thornshelf.admission.overload import OverloadConfig
+    from thornshelf.admission.prefixes import parse_prefix
+    from thornshelf.admission.reputation import ReputationConfig
+    from thornshelf.admission.reserved_connections import ReservedConnectionsConfig
+    from thornshelf.frontends.admission_filter import AdmissionFilterConfig
+    from thornshelf.retries.jitter import JitterConfig
 
     def rate(per_s: int | None) -> Rate | None:
         return None if per_s is None else Rate(per_s, 1_000_000, per_s)
@@ -316,12 +320,12 @@
     def limits(connections: int | None, connections_per_s: int | None, set_ups_per_s: int | None) -> Limits:
         return Limits(connections, rate(connections_per_s), rate(set_ups_per_s))
 
-    rules: list[Rule] = []
+    rules: list[PrefixRule] = []
     names: set[str] = set()
     for index, one in enumerate(table.rule):
         key = f"admission.rule.{index}"
         try:
-            prefix = read_prefix(one.prefix)
+            prefix = parse_prefix(one.prefix)
         except ValueError as fault:
             raise ConfigError(f"{key}.prefix: {fault}") from None
         if one.name in names or prefix in (rule.prefix for rule in rules):
@@ -329,32 +333,32 @@
         names.add(one.name)
         each = (one.each_connections, one.each_connections_per_s, one.each_set_ups_per_s)
         rules.append(
-            Rule(
+            PrefixRule(
                 name=one.name,
                 prefix=prefix,
                 known=one.known,
-                together=limits(one.connections, one.connections_per_s, one.set_ups_per_s),
-                each=limits(*each) if any(each) else None,
+                prefix_limits=limits(one.connections, one.connections_per_s, one.set_ups_per_s),
+                source_limits=limits(*each) if any(each) else None,
             )
         )
     floors = {name: getattr(table.descriptors, name) for name in table.descriptors.__struct_fields__}
-    capacity = config.sockets - min(RESERVED, config.sockets // RESERVED_SHARE)
-    if sum(floors.values()) > config.sockets:
+    capacity = config.max_descriptors - min(RESERVED, config.max_descriptors // RESERVED_SHARE)
+    if sum(floors.values()) > config.max_descriptors:
         raise ConfigError("admission.descriptors: the floors are more than limits.sockets")
     try:
-        reserve = ReserveTerms(capacity, table.reserve, table.reserve_floor)
+        reserve = ReservedConnectionsConfig(capacity, table.reserve, table.reserve_floor)
     except ValueError:
         text = f"not between reserve_floor and the {capacity} connections that there are"
         raise ConfigError(f"admission.reserve: {text}: {table.reserve}") from None
-    door = DoorTerms(
-        reserve=reserve,
+    door = AdmissionConfig(
+        reserved_connections=reserve,
         rules=tuple(rules),
-        each=limits(table.connections, table.connections_per_s, table.set_ups_per_s),
-        unknown_set_ups=rate(table.unknown_set_ups_per_s),
-        conduct=ConductTerms(table.known_after, table.known_half_life_s * 1_000_000),
-        most_sources=table.most_sources,
+        source_limits=limits(table.connections, table.connections_per_s, table.set_ups_per_s),
+        unknown_request_rate=rate(table.unknown_set_ups_per_s),
+        reputation=ReputationConfig(table.known_after, table.known_half_life_s * 1_000_000),
+        max_sources=table.most_sources,
     )
-    config = replace(config, gate=GateTerms(door, floors))
+    config = replace(config, admission=AdmissionFilterConfig(door, floors))
     if (shares := table.shares) is None:
         return config
     tenants = config.settings.tenants
@@ -365,29 +369,29 @@
         for one in tenants
         if one.quota_per_s > 0.0
     }
-    terms = ShareTerms(
-        shares={one.name: one.fraction for one in tenants if one.fraction > 0.0},
+    terms = FairQueueConfig(
+        weights={one.name: one.fraction for one in tenants if one.fraction > 0.0},
         quotas=quotas,
-        a_turn=shares.asks_a_turn,
-        most=shares.most_waiting,
-        pressure=PressureTerms(shares.target_ms * 1000, shares.interval_ms * 1000),
+        batch_size=shares.asks_a_turn,
+        max_waiting=shares.most_waiting,
+        overload=OverloadConfig(shares.target_ms * 1000, shares.interval_ms * 1000),
     )
     longest = int(config.settings.limits.max_retry_after_s * 1e6)
-    return replace(config, shares=terms, returns=SpreadTerms(shares.returns_per_s, longest))
+    return replace(config, fair_queue=terms, retry_after_jitter=JitterConfig(shares.returns_per_s, longest))
 
 
-def read_terms(table: schema.Translate, grpc: GrpcConfig, classes: list[str]) -> Terms:
+def read_translation(table: schema.Translate, grpc: GrpcConfig, classes: list[str]) -> TranslationConfig:
     """The table ``translate`` in the units of the program; ``grpc.nodes`` holds for nodes it does not name."""
-    from thornshelf.retries.budget import MILLI, BudgetTerms
-    from thornshelf.retries.queue import QueueTerms
-    from thornshelf.retries.spread import SpreadTerms
-    from thornshelf.translate.desk import Terms
-    from thornshelf.translate.gaps import GapPolicy, OnGap
-    from thornshelf.translate.words import Form
+    from thornshelf.retries.budget import MILLI_PER_TOKEN, RetryBudgetConfig
+    from thornshelf.retries.deadline_queue import DeadlineQueueConfig
+    from thornshelf.retries.jitter import JitterConfig
+    from thornshelf.translation.failures import WireFormat
+    from thornshelf.translation.missing_fields import MissingFieldAction, MissingFieldPolicy
+    from thornshelf.translation.translator import TranslationConfig
 
-    names = {"binary": Form.MESSAGES, "v1": Form.V1, "v2": Form.V2}
+    names = {"binary": WireFormat.BINARY, "v1": WireFormat.GRPC_V1, "v2": WireFormat.GRPC_V2}
 
-    def forms(given: list[Any]) -> tuple[Form, ...]:
+    def forms(given: list[Any]) -> tuple[WireFormat, ...]:
         return tuple(names[one] for one in given)
 
     gaps, at_least = {}, {}
@@ -396,35 +400,37 @@
             raise ConfigError(f"translate.class.{name}: the settings know no such class")
         try:
             us = None if one.assumed_hint_ms is None else one.assumed_hint_ms * 1000
-            gaps[name] = GapPolicy(OnGap(one.missing_hint), us)
+            gaps[name] = MissingFieldPolicy(MissingFieldAction(one.missing_hint), us)
         except ValueError as fault:
             raise ConfigError(f"translate.class.{name}.assumed_hint_ms: {fault}") from None
         if one.generation:
             at_least[name] = one.generation
-    nodes = {name: (Form.V1,) for name in grpc.nodes} | {
+    nodes = {name: (WireFormat.GRPC_V1,) for name in grpc.nodes} | {
         name: forms(one) for name, one in table.nodes.items()
     }
-    terms = Terms(
-        gaps=gaps,
-        forms=nodes,
-        otherwise=(Form.V1,) if grpc.all_nodes else forms(table.otherwise),
-        at_least=at_least,
-        hello_us=table.hello_ms * 1000,
-        settle_us=table.settle_ms * 1000,
-        remember_us=table.remember_s * 1_000_000,
-        most_doubts=table.most_doubts,
+    terms = TranslationConfig(
+        missing_field_policies=gaps,
+        node_formats=nodes,
+        default_formats=(WireFormat.GRPC_V1,) if grpc.all_nodes else forms(table.otherwise),
+        minimum_generations=at_least,
+        hello_timeout_us=table.hello_ms * 1000,
+        query_timeout_us=table.settle_ms * 1000,
+        uncertain_retention_us=table.remember_s * 1_000_000,
+        max_uncertain=table.most_doubts,
     )
     if (retries := table.retries) is None:
         return terms
 
-    def budget(share: float, floor: float, most: int) -> BudgetTerms:
-        return BudgetTerms(round(share * MILLI), round(floor * MILLI), most * MILLI)
+    def budget(share: float, floor: float, most: int) -> RetryBudgetConfig:
+        return RetryBudgetConfig(
+            round(share * MILLI_PER_TOKEN), round(floor * MILLI_PER_TOKEN), most * MILLI_PER_TOKEN
+        )
 
     return replace(
         terms,
-        retries=True,
+        limits_retries=True,
         service_budget=budget(retries.service_share, retries.service_floor_per_s, retries.service_most),
         fleet_budget=budget(retries.fleet_share, retries.fleet_floor_per_s, retries.fleet_most),
-        spread=SpreadTerms(returns_per_s=retries.returns_per_s),
-        queue=QueueTerms(a_turn=retries.asks_a_turn, most=retries.most_waiting),
+        jitter=JitterConfig(returns_per_s=retries.returns_per_s),
+        queue=DeadlineQueueConfig(batch_size=retries.asks_a_turn, max_waiting=retries.most_waiting),
     )
--- a/thornshelf/control/tables.py
+++ b/thornshelf/control/tables.py
@@ -21,7 +21,7 @@
     """``kind``: how SQLite is to hold it."""
 
     name: str
-    kind: str
+    sql_type: str
     meaning: str
 
 
@@ -37,9 +37,9 @@
     columns: tuple[Column, ...]
     items: Callable[[], Sequence[Any]]
     row: Callable[[Any], Sequence[Value] | None]
-    run: Callable[[Any], Sequence[Any]] | None = None
+    page_items: Callable[[Any], Sequence[Any]] | None = None
 
-    def places(self, columns: Sequence[str]) -> list[int]:
+    def column_indexes(self, columns: Sequence[str]) -> list[int]:
         """Where some columns are; an error names one that it has not."""
         known = {column.name: place for place, column in enumerate(self.columns)}
         for name in columns:
@@ -48,7 +48,7 @@
         return [known[name] for name in columns]
 
 
-def columns(*lines: tuple[str, str, str]) -> tuple[Column, ...]:
+def declare_columns(*lines: tuple[str, str, str]) -> tuple[Column, ...]:
     """A declaration's columns."""
     return tuple(Column(*line) for line in lines)
 
@@ -73,53 +73,58 @@
         return found
 
 
-class Reading:
+class TableReader:
     """One table, or some columns of it, on its way out.
 
     ``only``: rows with exactly these values. ``rows`` and ``looked`` count what it has given, and gone through.
     """
 
-    LOOK_EVERY = 16  # rows between two looks at the clock
+    ROWS_PER_CLOCK_CHECK = 16  # rows between two looks at the clock
 
     def __init__(
-        self, table: Table, wanted: Sequence[str], only: Mapping[str, Value], most: int = 1_000_000
+        self, table: Table, columns: Sequence[str], filters: Mapping[str, Value], max_rows: int = 1_000_000
     ) -> None:
-        self._table, self._places = table, table.places(wanted)
-        self._only = list(zip(table.places(list(only)), only.values(), strict=True))
+        self._table, self._column_indexes = table, table.column_indexes(columns)
+        self._filters = list(zip(table.column_indexes(list(filters)), filters.values(), strict=True))
         self._items: Sequence[Any] = ()
-        self._runs: Iterator[Any] | None = None
-        self._place = 0  # in the items that are at hand
-        self._most = most
-        self.rows = self.looked = 0
-        self.cut = False  # there was more than may be told
-        self.over = False
-
-    def step(self, spent: Callable[[], int], until: int, most_rows: int) -> list[list[Value]]:
+        self._pages: Iterator[Any] | None = None
+        self._position = 0  # in the items that are at hand
+        self._max_rows = max_rows
+        self.row_count = self.examined_count = 0
+        self.truncated = False  # there was more than may be told
+        self.exhausted = False
+
+    def read_rows(self, spent: Callable[[], int], until: int, max_rows: int) -> list[list[Value]]:
         """The next rows: until ``spent()`` has come to ``until``, or so many are found."""
         found = list[list[Value]]()
-        while self._at_hand():
-            if self.rows >= self._most:
-                self.cut = True
+        while self._has_item():
+            if self.row_count >= self._max_rows:
+                self.truncated = True
                 break
-            values = self._table.row(self._items[self._place])
-            self._place += 1
-            self.looked += 1
-            if values is not None and all(values[place] == value for place, value in self._only):
-                found.append([values[place] for place in self._places])
-                self.rows += 1
-            if len(found) >= most_rows or (self.looked % self.LOOK_EVERY == 0 and spent() >= until):
+            values = self._table.row(self._items[self._position])
+            self._position += 1
+            self.examined_count += 1
+            if values is not None and all(values[place] == value for place, value in self._filters):
+                found.append([values[place] for place in self._column_indexes])
+                self.row_count += 1
+            if len(found) >= max_rows or (
+                self.examined_count % self.ROWS_PER_CLOCK_CHECK == 0 and spent() >= until
+            ):
                 return found
-        self.over, self._items, self._runs = True, (), iter(())
+        self.exhausted, self._items, self._pages = True, (), iter(())
         return found
 
-    def _at_hand(self) -> bool:
+    def _has_item(self) -> bool:
         """Whether there is an item to look at; takes up the next run where there is none."""
         table = self._table
-        if self._runs is None:
-            self._runs = iter([None] if table.run is None else table.items())
-        while self._place >= len(self._items):
-            for run in self._runs:
-                self._items, self._place = table.items() if table.run is None else table.run(run), 0
+        if self._pages is None:
+            self._pages = iter([None] if table.page_items is None else table.items())
+        while self._position >= len(self._items):
+            for run in self._pages:
+                self._items, self._position = (
+                    table.items() if table.page_items is None else table.page_items(run),
+                    0,
+                )
                 break
             else:
                 return False
--- /dev/null
+++ b/thornshelf/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Discovery: follows the list of nodes at its source."""
--- a/thornshelf/changelog.py
+++ b/thornshelf/discovery/endpoint_watch.py
@@ -12,25 +12,27 @@
 
 import h11
 
-from glenshift.interface import Health
-from thornshelf.core import ListChange, NodeEntry
+from thornshelf.core import EndpointListUpdate, NodeEndpoint
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.stream import connect
-from thornshelf.wire.errors import UNREADABLE, WireError, coded
+from thornshelf.placement.interface import Health
+from thornshelf.wire.errors import UNREADABLE_PREFIX, WireError, error_code_fields
 
-FIRST_POLL_MS = 1  # what was told since the configuration was written is to be known before anything is sent
-POLL_MS = 2_000  # shorter than the 5,000 allowed: silence is noticed sooner
-SILENCE_US = 1_000_000  # beyond the poll's own time, and the connection is given up
-CONNECT_US = 500_000
-PAUSE_US = 100_000
-LONGEST_PAUSE_US = 1_000_000
-MOST_BODY = 8 * 1024 * 1024  # a list of some 40,000 nodes
-MOST_MS = 1 << 50  # Unix time: no figure of a later start is carried further
+INITIAL_POLL_TIMEOUT_MS = (
+    1  # what was told since the configuration was written is to be known before anything is sent
+)
+POLL_TIMEOUT_MS = 2_000  # shorter than the 5,000 allowed: silence is noticed sooner
+RESPONSE_GRACE_US = 1_000_000  # beyond the poll's own time, and the connection is given up
+CONNECT_TIMEOUT_US = 500_000
+MIN_BACKOFF_US = 100_000
+MAX_BACKOFF_US = 1_000_000
+MAX_BODY_BYTES = 8 * 1024 * 1024  # a list of some 40,000 nodes
+MAX_UNIX_MS = 1 << 50  # Unix time: no figure of a later start is carried further
 
-_STATES = {"in_service": Health.UP, "terminating": Health.DRAINING, "terminated": Health.GONE}
+_STATES = {"in_service": Health.UP, "terminating": Health.DRAINING, "terminated": Health.REMOVED}
 
 
-def read_entry(value: Any, monotonic_us: Callable[[int], int]) -> NodeEntry:
+def decode_endpoint(value: Any, monotonic_us: Callable[[int], int]) -> NodeEndpoint:
     """One node of the list."""
     if not isinstance(value, dict):
         raise WireError("an instance is no object")
@@ -43,11 +45,11 @@
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
         raise WireError(f"hostPort of {name} is no address: {address!r:.60}")
     try:
-        started = min(int(value.get("startedAtMs") or 0), MOST_MS)
+        started = min(int(value.get("startedAtMs") or 0), MAX_UNIX_MS)
         cell, weight = int(value.get("cell") or 0), float(value.get("weight") or 0.0)
     except (TypeError, ValueError, OverflowError):
         raise WireError(f"startedAtMs, cell or weight of {name} is no number") from None
-    return NodeEntry(
+    return NodeEndpoint(
         name=name,
         address=f"{host}:{port}",
         health=_STATES[state],
@@ -59,9 +61,12 @@
     )
 
 
-def read_events(
-    value: Any, since: int, monotonic_us: Callable[[int], int], spoilt: Callable[[WireError], None]
-) -> tuple[int, list[ListChange]]:
+def decode_events(
+    value: Any,
+    after_sequence: int,
+    monotonic_us: Callable[[int], int],
+    on_invalid: Callable[[WireError], None],
+) -> tuple[int, list[EndpointListUpdate]]:
     """The events after ``since``, and the number of the last.
 
     ``spoilt`` hears of what can't be used; all else counts. Guards against one bad entry that keeps back each drain
@@ -69,10 +74,10 @@
     """
     if not isinstance(value, dict) or not isinstance(value.get("results"), list):
         raise WireError("no object with results")
-    last, changes = since, []
+    last, changes = after_sequence, []
     for event in value["results"]:
         if not isinstance(event, dict) or not isinstance(event.get("seq"), int):
-            spoilt(WireError("an event has no number"))
+            on_invalid(WireError("an event has no number"))
             continue
         if event["seq"] <= last:
             continue  # told before
@@ -81,91 +86,91 @@
         if isinstance(fleet, dict):
             instances = fleet.get("instances")
             if not isinstance(instances, list):
-                spoilt(WireError("instances are no list"))
+                on_invalid(WireError("instances are no list"))
                 continue
             entries = []
             for one in instances:
                 try:
-                    entries.append(read_entry(one, monotonic_us))
+                    entries.append(decode_endpoint(one, monotonic_us))
                 except WireError as fault:
-                    spoilt(fault)
+                    on_invalid(fault)
             generation = fleet.get("generation")
             version = generation if isinstance(generation, int) else last
             # A whole list that can't be read as a whole takes nobody away.
             complete = bool(fleet.get("reset")) and len(entries) == len(instances)
-            changes.append(ListChange(complete, version, entries))
+            changes.append(EndpointListUpdate(complete, version, entries))
     if isinstance(value.get("seq"), int):
         last = max(last, value["seq"])
     return last, changes
 
 
-def collapsed(changes: Sequence[ListChange]) -> ListChange:
+def merge_updates(changes: Sequence[EndpointListUpdate]) -> EndpointListUpdate:
     """What changes come to, taken one after another: a whole list where one of them is whole."""
-    entries: dict[str, NodeEntry] = {}
+    entries: dict[str, NodeEndpoint] = {}
     complete, version = False, 0
     for change in changes:
         if change.complete:
             complete = True
             entries.clear()
         version = change.version
-        entries |= {entry.name: entry for entry in change.entries}
-    last = [entry for entry in entries.values() if not complete or entry.health is not Health.GONE]
-    return ListChange(complete, version, last)
+        entries |= {entry.name: entry for entry in change.endpoints}
+    last = [entry for entry in entries.values() if not complete or entry.health is not Health.REMOVED]
+    return EndpointListUpdate(complete, version, last)
 
 
-class ChangeLog:
+class EndpointWatch:
     """Follows the change log and tells the core of it."""
 
     def __init__(
         self,
         loop: Loop,
         address: tuple[str, int],
-        since: int,
+        last_sequence: int,
         monotonic_us: Callable[[int], int],
-        tell: Callable[[ListChange], None],
+        on_update: Callable[[EndpointListUpdate], None],
         log: Callable[[int, str, dict[str, object], str], None],
     ) -> None:
-        self.loop, self.address, self.since = loop, address, since
-        self._monotonic_us, self._tell, self._log = monotonic_us, tell, log
+        self.loop, self.address, self.last_sequence = loop, address, last_sequence
+        self._monotonic_us, self._on_update, self._log = monotonic_us, on_update, log
         self._answered = False  # on this connection
-        self.heard_us = loop.now  # the last answer
-        self.speaks = False  # the connection stands, and has answered
+        self.last_response_us = loop.now  # the last answer
+        self.is_responding = False  # the connection stands, and has answered
         self._resume: int | None = None  # the next answer holds all events; without it, go on after this one
-        self.current = False  # an answer has come: the list is no longer that of the configuration alone
+        self.has_synced = False  # an answer has come: the list is no longer that of the configuration alone
         self._task = loop.spawn(self._run(), urgent=True)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def reconnect_to(self, address: tuple[str, int]) -> None:
         """Go on at another address, at once, from the number of the last event.
 
         Guards against waiting for the old one: it may stay open and silent for as long as a poll lasts.
         """
         self.loop.cancel(self._task)
-        self.address, self.speaks = address, False
+        self.address, self.is_responding = address, False
         self._task = self.loop.spawn(self._run(), urgent=True)
 
-    def read_again(self) -> None:
+    def relist(self) -> None:
         """Read the whole list once more, at once: all events from the first, told as what they come to.
 
         Guards against nodes that came later than the first event: told one after another, the first would drop them.
         """
         if self._resume is None:
-            self._resume = self.since
-        self.since = 0
-        self.move(self.address)
+            self._resume = self.last_sequence
+        self.last_sequence = 0
+        self.reconnect_to(self.address)
 
     def stop(self) -> None:
         """Follow no more."""
         self.loop.cancel(self._task)
 
-    def _spoilt(self, fault: WireError) -> None:
+    def _log_invalid(self, fault: WireError) -> None:
         """Bad input costs its message."""
-        self._log(4, "bad-entry", {"since": self.since, "code": fault.code}, str(fault))
+        self._log(4, "endpoint-invalid", {"since": self.last_sequence, "code": fault.code}, str(fault))
 
     def _run(self) -> Generator[Wait, int, None]:
         """Poll for ever; a broken or silent connection is replaced."""
-        pause = PAUSE_US
+        pause = MIN_BACKOFF_US
         while True:
-            stream = yield from connect(self.loop, *self.address, self.loop.now + CONNECT_US)
+            stream = yield from connect(self.loop, *self.address, self.loop.now + CONNECT_TIMEOUT_US)
             self._answered = False
             if isinstance(stream, int):
                 why = f"not connected: {os.strerror(stream)}"
@@ -176,24 +181,26 @@
                     why = f"fault: {type(fault).__name__} {fault}"
                 finally:
                     stream.close()
-            self.speaks = False
+            self.is_responding = False
             if self._resume is not None:
                 # Guards against asking in vain for ever: all events together may be more than is taken.
-                self.since, self._resume = self._resume, None
+                self.last_sequence, self._resume = self._resume, None
             if self._answered:
-                pause = PAUSE_US
-            self._log(5, "change-log", {"since": self.since, **coded(why)}, why)
+                pause = MIN_BACKOFF_US
+            self._log(
+                5, "endpoint-watch-closed", {"since": self.last_sequence, **error_code_fields(why)}, why
+            )
             yield Wait(until=self.loop.now + pause)
-            pause = min(2 * pause, LONGEST_PAUSE_US)
+            pause = min(2 * pause, MAX_BACKOFF_US)
 
     def _poll(self, stream: Stream) -> Generator[Wait, int, str]:
         http = h11.Connection(h11.CLIENT)
         host = f"{self.address[0]}:{self.address[1]}"
         while True:
-            target = f"/changes?since={self.since}&timeout={POLL_MS if self.current else FIRST_POLL_MS}"
+            target = f"/changes?since={self.last_sequence}&timeout={POLL_TIMEOUT_MS if self.has_synced else INITIAL_POLL_TIMEOUT_MS}"
             request = h11.Request(method="GET", target=target, headers=[("Host", host)])
             stream.send((http.send(request) or b"") + (http.send(h11.EndOfMessage()) or b""))
-            until = self.loop.now + POLL_MS * 1000 + SILENCE_US
+            until = self.loop.now + POLL_TIMEOUT_MS * 1000 + RESPONSE_GRACE_US
             body, status, received = b"", 0, False
             while not received:
                 try:
@@ -212,7 +219,7 @@
                     status = event.status_code
                 elif isinstance(event, h11.Data):
                     body += bytes(event.data)
-                    if len(body) > MOST_BODY:
+                    if len(body) > MAX_BODY_BYTES:
                         return "answer is too long"
                 elif isinstance(event, h11.EndOfMessage):
                     received = True
@@ -222,15 +229,17 @@
                 return f"status {status}"
             try:
                 value = json.loads(body)
-                self.since, changes = read_events(value, self.since, self._monotonic_us, self._spoilt)
+                self.last_sequence, changes = decode_events(
+                    value, self.last_sequence, self._monotonic_us, self._log_invalid
+                )
             except (ValueError, RecursionError, WireError) as fault:
-                return f"{UNREADABLE}{fault}"
-            self._answered = self.current = self.speaks = True
-            self.heard_us = self.loop.now
+                return f"{UNREADABLE_PREFIX}{fault}"
+            self._answered = self.has_synced = self.is_responding = True
+            self.last_response_us = self.loop.now
             if self._resume is not None:
-                changes, self._resume = [collapsed(changes)], None
+                changes, self._resume = [merge_updates(changes)], None
             for change in changes:
-                self._tell(change)
+                self._on_update(change)
             if http.our_state is h11.MUST_CLOSE or http.their_state is not h11.DONE:
                 return "closed"
             http.start_next_cycle()
--- a/thornshelf/errors.py
+++ b/thornshelf/errors.py
@@ -17,17 +17,17 @@
     remedy: ClassVar[str] = "Look at the text that goes with it, and at the log lines before it."
 
 
-KINDS: dict[str, type[ThornshelfError]] = {}
+ERRORS_BY_CODE: dict[str, type[ThornshelfError]] = {}
 
 
-def kind(error: type[ThornshelfError]) -> type[ThornshelfError]:
+def register(error: type[ThornshelfError]) -> type[ThornshelfError]:
     """Take a class into the table."""
-    assert error.code not in KINDS, error.code
-    KINDS[error.code] = error
+    assert error.code not in ERRORS_BY_CODE, error.code
+    ERRORS_BY_CODE[error.code] = error
     return error
 
 
-@kind
+@register
 class ConfigError(ThornshelfError):
     """A configuration that can't be used; the text names the key."""
 
@@ -36,7 +36,7 @@
     remedy = "Correct the key that the text names; `thornshelf check-config FILE` tries it without a start."
 
 
-@kind
+@register
 class SchemaError(ThornshelfError):
     """A value that the schema does not allow; ``key`` is its dotted path."""
 
@@ -49,8 +49,8 @@
         self.key = key
 
 
-@kind
-class TermsError(ThornshelfError, ValueError):
+@register
+class InvalidParameterError(ThornshelfError, ValueError):
     """Figures that contradict each other or what a part can do."""
 
     code = "TS1003"
@@ -58,8 +58,8 @@
     remedy = "Correct the figures that the text names; the pages in docs/ give the range of each."
 
 
-@kind
-class StartError(ThornshelfError):
+@register
+class StartupError(ThornshelfError):
     """A dispatcher that did not come up."""
 
     code = "TS1004"
@@ -67,7 +67,7 @@
     remedy = "The text holds the end of its log: correct what its last line names."
 
 
-@kind
+@register
 class WireError(ThornshelfError):
     """Input that its format does not allow.
 
@@ -85,7 +85,7 @@
         self.uid = uid
 
 
-@kind
+@register
 class EntryTooLargeError(ThornshelfError, ValueError):
     """An entry of the record that is larger than a frame may be."""
 
@@ -94,8 +94,8 @@
     remedy = "Shorten what the entry names (a node's or tenant's name); a task's description is never in it."
 
 
-@kind
-class NewerVersionError(ThornshelfError):
+@register
+class UnsupportedVersionError(ThornshelfError):
     """A frame of a version that this program does not know: the record is not to be touched."""
 
     code = "TS3002"
@@ -107,7 +107,7 @@
         self.version, self.offset = version, offset
 
 
-@kind
+@register
 class KeyFileError(ConfigError):
     """The fleet's key can't be used."""
 
@@ -116,8 +116,8 @@
     remedy = "Make it with `head -c 32 /dev/urandom > fleet.key` and `chmod 600 fleet.key`, the same for all."
 
 
-@kind
-class NameTakenError(ThornshelfError):
+@register
+class DuplicateNameError(ThornshelfError):
     """Another process goes by this member's name, and was started later."""
 
     code = "TS4002"
@@ -129,14 +129,14 @@
     )
 
 
-class RefusedDatagramError(ThornshelfError):
+class RejectedDatagramError(ThornshelfError):
     """A datagram that is not taken; ``reason`` is the counter that it goes to."""
 
     reason: ClassVar[str] = ""
 
 
-@kind
-class TruncatedDatagramError(RefusedDatagramError):
+@register
+class TruncatedDatagramError(RejectedDatagramError):
     """Shorter than its own head, or cut off."""
 
     code, reason = "TS4010", "truncated"
@@ -146,8 +146,8 @@
     )
 
 
-@kind
-class OversizedDatagramError(RefusedDatagramError):
+@register
+class OversizedDatagramError(RejectedDatagramError):
     """Longer than any that a member sends."""
 
     code, reason = "TS4011", "oversized"
@@ -155,8 +155,8 @@
     remedy = "Find what else sends to this port; members never send more than 1,200 bytes."
 
 
-@kind
-class ForeignDatagramError(RefusedDatagramError):
+@register
+class ForeignDatagramError(RejectedDatagramError):
     """Of another fleet."""
 
     code, reason = "TS4012", "foreign"
@@ -164,8 +164,8 @@
     remedy = "Compare `fleet.name` and `fleet.seeds`: its seeds hold an address of this one."
 
 
-@kind
-class NewerDatagramError(RefusedDatagramError):
+@register
+class UnsupportedDatagramVersionError(RejectedDatagramError):
     """Of a version that this program does not know."""
 
     code, reason = "TS4013", "newer"
@@ -173,8 +173,8 @@
     remedy = "Update this member; until then the two do not see each other, and both serve on."
 
 
-@kind
-class ForgedDatagramError(RefusedDatagramError):
+@register
+class ForgedDatagramError(RejectedDatagramError):
     """Its hash was not made with the fleet's key."""
 
     code, reason = "TS4014", "forged"
@@ -182,8 +182,8 @@
     remedy = "Compare the key files of the members; where they agree, somebody sends what is not his."
 
 
-@kind
-class UnreadableDatagramError(RefusedDatagramError):
+@register
+class UnreadableDatagramError(RejectedDatagramError):
     """Its hash is right, its content is not."""
 
     code, reason = "TS4015", "unreadable"
@@ -191,8 +191,8 @@
     remedy = "A member runs a changed program, or the key is in wrong hands: make a new key."
 
 
-@kind
-class ReplayedDatagramError(RefusedDatagramError):
+@register
+class ReplayedDatagramError(RejectedDatagramError):
     """It came before, or was meant for a process that has ended."""
 
     code, reason = "TS4016", "replayed"
@@ -202,8 +202,8 @@
     )
 
 
-@kind
-class FullTableError(RefusedDatagramError):
+@register
+class MemberTableFullError(RejectedDatagramError):
     """There is no room for one more member."""
 
     code, reason = "TS4017", "no-room"
@@ -211,7 +211,7 @@
     remedy = "Raise `fleet.most_members`, or find the member that names members which do not exist."
 
 
-@kind
+@register
 class ControlSocketError(ConfigError):
     """The control socket can't be made where it was named."""
 
@@ -224,8 +224,8 @@
     )
 
 
-@kind
-class SocketTakenError(ControlSocketError):
+@register
+class SocketInUseError(ControlSocketError):
     """Another process answers there."""
 
     code = "TS5002"
@@ -233,8 +233,8 @@
     remedy = "Give each process a socket of its own (`control.socket`), or end the one that answers there."
 
 
-@kind
-class ReaderError(ThornshelfError):
+@register
+class ControlProtocolError(ThornshelfError):
     """What came on a control socket is no word of a shell, or of a dispatcher."""
 
     code = "TS5003"
@@ -242,7 +242,7 @@
     remedy = "It cost that reader its connection and nothing else. Use a shell of this version; see who reads there."
 
 
-@kind
+@register
 class UnknownTableError(ThornshelfError):
     """A table or a column that this dispatcher has not."""
 
@@ -253,8 +253,8 @@
     )
 
 
-@kind
-class BusyError(ThornshelfError):
+@register
+class TooManySessionsError(ThornshelfError):
     """Too many read at once."""
 
     code = "TS5005"
@@ -262,8 +262,8 @@
     remedy = "End some of them, or raise `control.readers`."
 
 
-@kind
-class NoDispatcherError(ThornshelfError):
+@register
+class DispatcherUnavailableError(ThornshelfError):
     """Nobody answers at a control socket, or it broke off."""
 
     code = "TS5006"
@@ -273,7 +273,7 @@
     )
 
 
-@kind
+@register
 class QueryError(ThornshelfError):
     """SQL that is none, or that would do more than read."""
 
@@ -282,7 +282,7 @@
     remedy = "Correct it by what the text says; `.tables` lists the tables, `.queries` ready queries."
 
 
-@kind
+@register
 class QueryLimitError(ThornshelfError):
     """A query that takes more time or more rows than is allowed."""
 
@@ -291,7 +291,7 @@
     remedy = "Ask for less (WHERE, LIMIT, fewer tables), or allow more with `--seconds` and `--rows`."
 
 
-@kind
+@register
 class CapacityError(ThornshelfError):
     """A scale run, or the file that it writes, from which no figure can be worked out."""
 
@@ -300,8 +300,8 @@
     remedy = "Run `thornshelf lab scale` in full, and let it write the file and the page."
 
 
-@kind
-class RunBoundError(ThornshelfError):
+@register
+class ResourceLimitError(ThornshelfError):
     """A scale run that passed one of its own bounds."""
 
     code = "TS6002"
@@ -309,8 +309,8 @@
     remedy = "Run it on a machine with more memory, or with `--short`."
 
 
-@kind
-class FaultError(ThornshelfError):
+@register
+class InternalError(ThornshelfError):
     """A fault of the program itself."""
 
     code = "TS9001"
@@ -318,8 +318,8 @@
     remedy = "Keep the line and report it; restart the process if it comes again and again."
 
 
-@kind
-class ModuleFaultError(ThornshelfError):
+@register
+class PlacementFaultError(ThornshelfError):
     """A fault of the decision module."""
 
     code = "TS9002"
@@ -329,13 +329,13 @@
 
 def explain(code: str) -> str | None:
     """What a code means and what can be done; None where no such code was ever given out."""
-    error = KINDS.get(code.upper())
+    error = ERRORS_BY_CODE.get(code.upper())
     if error is None:
         return None
     return f"{error.code} {error.__name__}\n{error.meaning}\nWhat to do: {error.remedy}"
 
 
-def page() -> str:
+def render_page() -> str:
     """docs/errors.md."""
     lines = [
         "# Errors",
@@ -344,6 +344,6 @@
         "",
     ]
     lines += ["| code | error | what it means | what to do |", "| --- | --- | --- | --- |"]
-    for code, error in sorted(KINDS.items()):
+    for code, error in sorted(ERRORS_BY_CODE.items()):
         lines.append(f"| `{code}` | `{error.__name__}` | {error.meaning} | {error.remedy} |")
     return "\n".join(lines) + "\n"
--- /dev/null
+++ b/thornshelf/frontends/grpc_messages.py
@@ -0,0 +1,120 @@
+"""The two generations of the clients' gRPC, message by message: what each says, with what it has words for."""
+
+from __future__ import annotations
+
+from typing import Any, ClassVar
+
+from thornshelf.core import AnswerMetadata
+from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.translation.failures import FailureCause, FailureReason, WireFormat
+from thornshelf.wire import placement_pb2, placement_v2_pb2
+
+pb: Any = placement_pb2  # enum values go in by their numbers, which the made types don't allow for
+pb2: Any = placement_v2_pb2
+MAY_HAVE_RUN_TEXT = "it may have run"
+_OUTCOMES = {Outcome.OK: pb.ENDED, Outcome.CANCELLED: pb.CANCELLED}  # any other end: RESET
+
+
+def _wait_ms(wait_us: int | None) -> int | None:
+    return max(1, wait_us // 1000) if wait_us else None
+
+
+class GrpcCodecV1:
+    """thornshelf.v1. The numbers of its outcomes and reasons are the same in v2."""
+
+    wire_form: ClassVar[WireFormat] = WireFormat.GRPC_V1
+    service_path: ClassVar[str] = "/thornshelf.v1.Placement/"
+    client_message_type: ClassVar[Any] = pb.ClientMessage
+    task_request_type: ClassVar[Any] = pb.Ask
+    check_request_type: ClassVar[Any] = pb.CheckRequest
+    check_reply_type: ClassVar[Any] = pb.CheckReply
+    outcomes_in_messages = False  # a call's refusal is its status
+
+    def lifetime_hint_ms(self, request: Any) -> float | None:
+        """The lifetime hint of a set-up; none where it has none."""
+        return request.hint_ms if request.HasField("hint_ms") else None
+
+    def encode_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None) -> Any:
+        """The task stands; there is no room for what was assumed."""
+        return pb.Verdict(uid=uid, binding=pb.Binding(description=description))
+
+    def encode_rejected(self, uid: int, retry_after_us: int | None, cause: FailureCause | None) -> Any:
+        """Refused; there is no room for a reason."""
+        return pb.Verdict(uid=uid, refusal=pb.Refusal(wait_ms=_wait_ms(retry_after_us)))
+
+    def encode_failed(self, uid: int, cause: FailureCause | None) -> Any:
+        """Failed, with the reason in words."""
+        return pb.Verdict(uid=uid, failure=pb.Failure(why=cause.message if cause else MAY_HAVE_RUN_TEXT))
+
+    def encode_invalid_request(self, uid: int, text: str) -> Any:
+        """A set-up that could not be read: failed."""
+        return pb.Verdict(uid=uid, failure=pb.Failure(why=text))
+
+    def encode_release(self, uid: int, outcome: Outcome, reason: Reason, cause: FailureCause | None) -> Any:
+        """The task is over."""
+        release = pb.Release(outcome=_OUTCOMES.get(outcome, pb.RESET), reason=reason.value)
+        return pb.Verdict(uid=uid, release=release)
+
+    def encode_migrate(self, uid: int) -> Any:
+        """The task is stopped, to be asked for again."""
+        return pb.Verdict(uid=uid, move=pb.Move())
+
+
+class GrpcCodecV2(GrpcCodecV1):
+    """thornshelf.v2."""
+
+    wire_form = WireFormat.GRPC_V2
+    service_path = "/thornshelf.v2.Placement/"
+    client_message_type = pb2.ClientMessage
+    task_request_type = pb2.Ask
+    check_request_type = pb2.CheckRequest
+    check_reply_type = pb2.CheckReply
+    outcomes_in_messages = True
+
+    def lifetime_hint_ms(self, request: Any) -> float | None:
+        """The owner's own; one that another dispatcher assumed is no owner's word, and is not passed off as one."""
+        return request.hint.ms if request.HasField("hint") and not request.hint.assumed else None
+
+    def encode_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None) -> Any:
+        """The task stands; with the hint that was assumed for it, and whether it was asked for before."""
+        binding = pb2.Binding(description=description)
+        if metadata is not None:
+            binding.joined = metadata.joined_running_task
+            if metadata.assumed_hint is not None:
+                binding.hint.ms, binding.hint.assumed = (
+                    metadata.assumed_hint.duration_us / 1000.0,
+                    metadata.assumed_hint.assumed,
+                )
+        return pb2.Verdict(uid=uid, binding=binding)
+
+    def encode_rejected(self, uid: int, retry_after_us: int | None, cause: FailureCause | None) -> Any:
+        """Refused, and why, and what to make of it."""
+        refusal = pb2.Refusal(wait_ms=_wait_ms(retry_after_us))
+        if cause is not None:
+            refusal.reason = int(cause.reason)
+            refusal.text, refusal.advice = cause.text, int(cause.advice)
+        return pb2.Verdict(uid=uid, refusal=refusal)
+
+    def encode_failed(self, uid: int, cause: FailureCause | None) -> Any:
+        """Failed, and why."""
+        trouble = cause.reason if cause is not None else FailureReason.UNTOLD
+        text = cause.text if cause is not None else MAY_HAVE_RUN_TEXT
+        return pb2.Verdict(uid=uid, failure=pb2.Failure(reason=int(trouble), text=text))
+
+    def encode_invalid_request(self, uid: int, text: str) -> Any:
+        """A set-up that could not be read: failed."""
+        return pb2.Verdict(uid=uid, failure=pb2.Failure(text=text))
+
+    def encode_release(self, uid: int, outcome: Outcome, reason: Reason, cause: FailureCause | None) -> Any:
+        """The task is over, and why."""
+        number = int(cause.reason) if cause is not None else reason.value
+        release = pb2.Release(
+            outcome=int(_OUTCOMES.get(outcome, pb.RESET)),
+            reason=number,
+            text=cause.text if cause is not None else "",
+        )
+        return pb2.Verdict(uid=uid, release=release)
+
+    def encode_migrate(self, uid: int) -> Any:
+        """The task is stopped, to be asked for again."""
+        return pb2.Verdict(uid=uid, move=pb2.Move())
--- a/thornshelf/lab/door.py
+++ b/thornshelf/lab/admission.py
@@ -20,10 +20,10 @@
 
 from hdrh.histogram import HdrHistogram
 
+from thornshelf.lab.fakes.cluster import BINARY, GRPC2, HOST, JSON
 from thornshelf.lab.load import LOOKUP, LoadNode
+from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.lab.standins import BINARY, GRPC2, HOST, JSON
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import OUT
 from thornshelf.wire import grpc, http2, jsonl
@@ -88,7 +88,7 @@
             if (yield Wait(sock.fileno(), OUT, loop.now + wait_us)):
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     finally:
-        loop.forget(sock.fileno())
+        loop.unregister(sock.fileno())
         if code:
             sock.close()
     return code or Stream(loop, sock, source)
@@ -172,7 +172,7 @@
                     if line.kind == "running":
                         standing.add(line.uid)
                         tally.in_time += taken <= TARGET_US
-                elif line.uid == jsonl.UNNAMED:
+                elif line.uid == jsonl.UNKNOWN_UID:
                     tally.words["turned away"] += 1
                 else:
                     standing.discard(line.uid)
@@ -303,7 +303,7 @@
                         return
                     if isinstance(event, http2.Ended | http2.Broken):
                         why = (
-                            event.why
+                            event.reason
                             if isinstance(event, http2.Broken)
                             else event.trailers.get("grpc-message")
                         )
@@ -319,7 +319,7 @@
 
 def run(seed: int, door: bool = True, plant: str | None = None) -> dict[str, Any]:
     """The whole run; the object that is printed."""
-    rng, loop, truth = random.Random(seed), Loop(), Truth()
+    rng, loop, truth = random.Random(seed), Loop(), Oracle()
     nodes = [LoadNode(loop, BINARY, truth, rng) for _ in range(4)]
     for node in nodes:
         node.refuses, node.life_us = 0.0, 300_000
@@ -329,7 +329,7 @@
     with tempfile.TemporaryDirectory() as folder:
         ports = [node.port for node in nodes]
         dispatcher = DispatcherProcess(Path(folder), ports, operator, sockets=SOCKETS)
-        known = Known(loop, dispatcher.fronts[JSON], rng)
+        known = Known(loop, dispatcher.addresses[JSON], rng)
         peak, rss = [0], dispatcher.rss_kb
 
         def turn(seconds: float) -> Tally:
@@ -347,7 +347,7 @@
         rss = dispatcher.rss_kb
         context = get_context("spawn")
         results = context.Queue()
-        flood = context.Process(target=_flood, args=(dispatcher.fronts, seed, results))
+        flood = context.Process(target=_flood, args=(dispatcher.addresses, seed, results))
         flood.start()
         turn(0.5)
         parts = [turn(PHASE_S) for _ in range(6)]
@@ -358,7 +358,7 @@
         stormy = merged(parts)
         up = dispatcher.process.poll() is None
         grown = (dispatcher.rss_kb - rss) / 1024 if up else 0.0
-        code = dispatcher.end()
+        code = dispatcher.terminate()
         log = dispatcher.log_counts()
     loop.close()
     phases = [float(round(one.answers.get_value_at_percentile(99) / 1000, 1)) for one in parts]
--- a/thornshelf/lab/conduct.py
+++ b/thornshelf/lab/fakes/behavior.py
@@ -4,14 +4,14 @@
 
 import enum
 
-from thornshelf.translate.words import Form
+from thornshelf.translation.failures import WireFormat
 
 HOST = "127.0.0.1"
 JSON, BINARY, GRPC, GRPC2 = "json", "binary", "grpc", "grpc2"
-FORMS = {BINARY: Form.MESSAGES, GRPC: Form.V1, GRPC2: Form.V2}
+WIRE_FORMATS = {BINARY: WireFormat.BINARY, GRPC: WireFormat.GRPC_V1, GRPC2: WireFormat.GRPC_V2}
 
 
-class Conduct(enum.Enum):
+class NodeBehavior(enum.Enum):
     """What a node does with an offer."""
 
     RUN = b"run"
@@ -35,5 +35,7 @@
     CUT_BEFORE = b"break off before running"
 
 
-USUAL = list(Conduct)[:12]  # what nodes of all forms do; the others are for questions of translation
+COMMON_BEHAVIORS = list(NodeBehavior)[
+    :12
+]  # what nodes of all forms do; the others are for questions of translation
 DESCRIPTION = "v=0\r\no=\u00e9".encode()  # of every answer
--- a/thornshelf/lab/clients.py
+++ b/thornshelf/lab/fakes/clients.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Generator
 from typing import Any
 
-from thornshelf.lab.conduct import GRPC, GRPC2, HOST, JSON, Conduct
+from thornshelf.lab.fakes.behavior import GRPC, GRPC2, HOST, JSON, NodeBehavior
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.stream import connect
 from thornshelf.wire import grpc, http2, jsonl
@@ -14,7 +14,7 @@
 from thornshelf.wire import placement_v2_pb2 as pb2
 
 
-class StandInClient:
+class FakeClient:
     """A client; ``heard`` holds what came for each task, in words that both forms share."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
@@ -55,7 +55,7 @@
     def take(self, data: bytes) -> None:
         raise NotImplementedError
 
-    def ask(self, uid: int, conduct: Conduct, task_class: str = "lookup", **changes: Any) -> None:
+    def ask(self, uid: int, conduct: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
         raise NotImplementedError
 
     def give_up(self, uid: int) -> None:
@@ -70,20 +70,20 @@
 _ENDS = {16: pb.ENDED, 31: pb.CANCELLED, 41: pb.RESET}
 
 
-class JsonClient(StandInClient):
+class FakeJsonLinesClient(FakeClient):
     """The platform's form."""
 
     def begin(self, stream: Stream) -> None:
         self.reader = jsonl.LineReader()
         if self.hears:  # said at once, so that it holds from the first release on
-            stream.send(jsonl.encode_line("stopped", jsonl.UNNAMED))
+            stream.send(jsonl.encode_line("stopped", jsonl.UNKNOWN_UID))
 
     def send(self, data: bytes) -> None:
         assert self.stream is not None
         self.on_traffic(len(data), data.count(b"\n"))
         self.stream.send(data)
 
-    def ask(self, uid: int, conduct: Conduct, task_class: str = "lookup", **changes: Any) -> None:
+    def ask(self, uid: int, conduct: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
         extras = f"cores:1;memory:2;service:{7:016x}"
         if "at" in changes:
             extras += f";at:{changes.pop('at')}"
@@ -121,7 +121,7 @@
                 self.hear(line.uid, "checked", line.reason)
 
 
-class GrpcClient(StandInClient):
+class FakeGrpcV1Client(FakeClient):
     """gRPC: one Dispatch stream."""
 
     form = "thornshelf.v1"
@@ -140,7 +140,7 @@
         headers += [("te", "trailers"), ("content-type", "application/grpc")]
         return self.h2.call(headers + [(name.replace("_", "-"), value) for name, value in more.items()])
 
-    def message(self, uid: int, conduct: Conduct, task_class: str, **changes: Any) -> Any:
+    def message(self, uid: int, conduct: NodeBehavior, task_class: str, **changes: Any) -> Any:
         values: dict[str, Any] = {"left_ms": float(changes.pop("left", 8000)), "tenant": "hollis-county"}
         key, hint = changes.pop("key", f"{uid:x}"), changes.pop("hint", "8200")
         values |= {"key": int(key, 16)} | changes
@@ -152,7 +152,7 @@
             uid=uid, task_class=task_class, cores=1.0, memory=2.0, service=7, description=conduct.value, **values,
         )  # fmt: skip
 
-    def ask(self, uid: int, conduct: Conduct, task_class: str = "lookup", **changes: Any) -> None:
+    def ask(self, uid: int, conduct: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
         said = self.words.ClientMessage(ask=self.message(uid, conduct, task_class, **changes))
         self.h2.send(self.call, grpc.frame(said))
 
@@ -160,7 +160,7 @@
         self.h2.send(self.call, grpc.frame(self.words.ClientMessage(give_up=uid)))
 
     def ask_for(self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any) -> None:
-        ask = self.message(uid, Conduct.RUN, task_class, key=f"{key:x}", hint=hint)
+        ask = self.message(uid, NodeBehavior.RUN, task_class, key=f"{key:x}", hint=hint)
         ask.service, (ask.cores, ask.memory) = service, size
         self.h2.send(self.call, grpc.frame(self.words.ClientMessage(ask=ask)))
 
@@ -189,11 +189,15 @@
                 self.hear(verdict.uid, "released", verdict.release.outcome)
 
 
-class GrpcClient2(GrpcClient):
+class FakeGrpcV2Client(FakeGrpcV1Client):
     """The second generation."""
 
     form = "thornshelf.v2"
     words = pb2
 
 
-CLIENTS: dict[str, type[StandInClient]] = {JSON: JsonClient, GRPC: GrpcClient, GRPC2: GrpcClient2}
+CLIENT_TYPES: dict[str, type[FakeClient]] = {
+    JSON: FakeJsonLinesClient,
+    GRPC: FakeGrpcV1Client,
+    GRPC2: FakeGrpcV2Client,
+}
--- /dev/null
+++ b/thornshelf/lab/fakes/cluster.py
@@ -0,0 +1,131 @@
+"""A dispatcher with stand-in nodes and clients, all on one loop; the stand-ins themselves are beside this."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
+from typing import Any
+
+from thornshelf.configuration import GrpcConfig, read_config
+from thornshelf.core import EndpointListUpdate
+from thornshelf.discovery.endpoint_watch import decode_endpoint
+from thornshelf.lab.fakes.behavior import BINARY as BINARY
+from thornshelf.lab.fakes.behavior import COMMON_BEHAVIORS as COMMON_BEHAVIORS
+from thornshelf.lab.fakes.behavior import DESCRIPTION as DESCRIPTION
+from thornshelf.lab.fakes.behavior import GRPC as GRPC
+from thornshelf.lab.fakes.behavior import GRPC2 as GRPC2
+from thornshelf.lab.fakes.behavior import HOST as HOST
+from thornshelf.lab.fakes.behavior import JSON as JSON
+from thornshelf.lab.fakes.behavior import WIRE_FORMATS as WIRE_FORMATS
+from thornshelf.lab.fakes.behavior import NodeBehavior as NodeBehavior
+from thornshelf.lab.fakes.clients import CLIENT_TYPES as CLIENT_TYPES
+from thornshelf.lab.fakes.clients import FakeClient as FakeClient
+from thornshelf.lab.fakes.clients import FakeGrpcV1Client as FakeGrpcV1Client
+from thornshelf.lab.fakes.clients import FakeGrpcV2Client as FakeGrpcV2Client
+from thornshelf.lab.fakes.clients import FakeJsonLinesClient as FakeJsonLinesClient
+from thornshelf.lab.fakes.nodes import BinaryResponder as BinaryResponder
+from thornshelf.lab.fakes.nodes import FakeNode as FakeNode
+from thornshelf.lab.fakes.nodes import GrpcResponder as GrpcResponder
+from thornshelf.lab.fakes.nodes import NodeProfile as NodeProfile
+from thornshelf.lab.fakes.nodes import ReceivedOrder as ReceivedOrder
+from thornshelf.loop import Loop
+from thornshelf.service import Service
+from thornshelf.translation.failures import WireFormat
+from thornshelf.translation.translator import TranslationConfig
+
+EXAMPLE_CONFIG = Path(__file__).parents[3] / "examples" / "config.json"
+TIMEOUT_S = 20.0  # nothing in a test waits longer
+
+
+open_clusters: list[FakeCluster] = []  # to be closed at each test's end
+
+
+class FakeCluster:
+    """A dispatcher with two nodes and one client, all on one loop."""
+
+    def __init__(
+        self,
+        front: str = JSON,
+        node: str = BINARY,
+        nodes: int = 2,
+        terms: TranslationConfig | None = None,
+        manners: Callable[[FakeNode], None] = lambda _: None,
+        **more: Any,
+    ) -> None:
+        """``terms``: the translation layer, which nodes of the second generation need in any case."""
+        open_clusters.append(self)
+        self.loop = Loop()
+        self.logged: list[tuple[int, str, dict[str, object], str]] = []
+        self.nodes = [FakeNode(self.loop, node) for _ in range(nodes)]
+        for one in self.nodes:
+            manners(one)
+        if terms is None and node == GRPC2:
+            terms = TranslationConfig()
+        if terms is not None and not terms.node_formats and terms.default_formats == (WireFormat.BINARY,):
+            terms = replace(terms, default_formats=(WIRE_FORMATS[node],))
+        config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
+        events = {"seq": 1, "fleet": {"reset": True, "instances": [self.endpoint(i) for i in range(nodes)]}}
+        config = replace(
+            config,
+            listen=(HOST, 0),
+            initial_endpoints={"seq": 1, "results": [events]},
+            grpc=GrpcConfig(listen=(HOST, 0), all_nodes=node == GRPC),
+            translation=terms,
+            **more,
+        )
+        self.service = Service(config, self.loop, lambda *line: self.logged.append(line))
+        self.client = self.connect_client(front)
+
+    def close(self) -> None:
+        """Give back all sockets."""
+        self.service.close()
+        for node in self.nodes:
+            node.sock.close()
+
+    def endpoint(self, index: int, lifecycle: str = "in_service", started: int = 0) -> dict[str, Any]:
+        """A node as the change log shows it."""
+        return {
+            "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{self.nodes[index].port}",
+            "zone": "jackson-dc", "machineType": "node-small", "cell": 1, "lifecycle": lifecycle,
+            "weight": 1, "startedAtMs": started,
+        }  # fmt: skip
+
+    def update_lifecycle(self, index: int, lifecycle: str) -> None:
+        """A change of the list."""
+        self.update_endpoint(self.endpoint(index, lifecycle))
+
+    def update_endpoint(self, value: dict[str, Any]) -> None:
+        """A change of the list, as the change log words it."""
+        entry = decode_endpoint(value, self.service.monotonic_us)
+        self.service.core.update_endpoints(EndpointListUpdate(False, 2, [entry]))
+
+    def connect_client(self, front: str) -> Any:
+        """One more client, connected."""
+        at = self.service.frontends[0 if front == JSON else 1].listener.address
+        client = CLIENT_TYPES[front](self.loop, at)
+        self.run_until(lambda: client.stream is not None)
+        return client
+
+    def run_until(self, done: Callable[[], bool]) -> None:
+        """Turn the loop until something holds; fails where it takes too long."""
+        limit = time.monotonic() + TIMEOUT_S
+        while not done():
+            assert time.monotonic() < limit, "it did not come about in time"
+            self.loop.after(20_000, lambda: None)
+            self.loop.turn()
+
+    def run_for(self, milliseconds: int = 50) -> None:
+        """Turn for a while, to see that nothing more happens."""
+        end = self.loop.now + milliseconds * 1000
+        self.run_until(lambda: self.loop.now >= end)
+
+    def offer_count(self, uid: int) -> int:
+        """How often a task was offered, by all nodes together."""
+        return sum(node.offers(uid) for node in self.nodes)
+
+    def wait_for_events(self, uid: int, count: int = 1) -> list[tuple[Any, ...]]:
+        """What the client heard of a task, once that is so much."""
+        self.run_until(lambda: len(self.client.heard.get(uid, [])) >= count)
+        return list(self.client.heard[uid])
--- a/thornshelf/lab/links.py
+++ b/thornshelf/lab/fakes/network.py
@@ -42,7 +42,7 @@
                 sock.close()
 
 
-class Relays:
+class DatagramRelays:
     """All datagrams between members."""
 
     def __init__(self, loop: Loop, count: int, seed: int) -> None:
@@ -98,11 +98,11 @@
     def close(self) -> None:
         """Give back all sockets."""
         for sock in self._socks:
-            self.loop.forget(sock.fileno())
+            self.loop.unregister(sock.fileno())
             sock.close()
 
 
-class ListKeeper:
+class FakeEndpointSource:
     """The change log, at an address of its own for each member, so that it can fall silent for one."""
 
     def __init__(self, loop: Loop, count: int) -> None:
@@ -119,7 +119,7 @@
             self.ports.append(int(sock.getsockname()[1]))
             loop.spawn(self._accept(index, sock))
 
-    def tell(self, instances: list[dict[str, Any]], reset: bool = False) -> None:
+    def publish(self, instances: list[dict[str, Any]], reset: bool = False) -> None:
         """An event of the list."""
         number = len(self.events) + 1
         fleet = {"generation": number, "reset": reset, "instances": instances}
@@ -154,5 +154,5 @@
     def close(self) -> None:
         """Give back all sockets."""
         for sock in self._socks:
-            self.loop.forget(sock.fileno())
+            self.loop.unregister(sock.fileno())
             sock.close()
--- a/thornshelf/lab/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from thornshelf.lab.conduct import BINARY, DESCRIPTION, GRPC2, HOST, Conduct
+from thornshelf.lab.fakes.behavior import BINARY, DESCRIPTION, GRPC2, HOST, NodeBehavior
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.wire import binary, grpc, http2
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Order:
+class ReceivedOrder:
     """What came to a node, as far as its form can say it."""
 
     kind: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Manners:
+class NodeProfile:
     """What a node of the second generation says of itself, true or not."""
 
     generation: int = 2
@@ -47,17 +47,17 @@
     standings: dict[int, int] = field(default_factory=dict)  # answers about keys that are not the truth
 
 
-class StandInNode:
+class FakeNode:
     """A node; ``seen`` holds the offers and releases that came, in order."""
 
     def __init__(self, loop: Loop, form: str = BINARY, address: tuple[str, int] = (HOST, 0)) -> None:
         self.loop, self.form = loop, form
         self.host, self.port = address
-        self.manners = Manners()
-        self.orders: list[Order] = []
+        self.manners = NodeProfile()
+        self.orders: list[ReceivedOrder] = []
         self.runs: dict[int, int] = {}  # by key: the id under which it runs
         self.ran: dict[int, tuple[int, int]] = {}  # by key: the id, and the outcome
-        self.waiting: dict[int, tuple[Order, Any]] = {}  # by id: those that start when told to
+        self.waiting: dict[int, tuple[ReceivedOrder, Any]] = {}  # by id: those that start when told to
         self.voices: list[Any] = []  # on its open connections, the newest last
         self.deaf = False  # it reads, and does nothing at all
         self.seen: list[tuple[str, int]] = []
@@ -88,7 +88,7 @@
     def die(self) -> None:
         """Reset all connections and listen no more."""
         self.loop.cancel(self._accepting)
-        self.loop.forget(self.sock.fileno())
+        self.loop.unregister(self.sock.fileno())
         self.sock.close()
         self.break_streams()
 
@@ -115,7 +115,7 @@
         """One connection, in the form that the node speaks as it comes."""
         return _serve_binary(self, stream) if self.form == BINARY else _serve_grpc(self, stream)
 
-    def begin(self, order: Order, say: Any, tell: bool = True) -> None:
+    def begin(self, order: ReceivedOrder, say: Any, tell: bool = True) -> None:
         """The task runs."""
         self.running.add(order.uid)
         self.runs[order.key] = order.uid
@@ -131,7 +131,7 @@
                 del self.runs[key]
                 self.ran[key] = uid, outcome
 
-    def order(self, order: Order, say: Any) -> None:
+    def order(self, order: ReceivedOrder, say: Any) -> None:
         """Behave; ``say`` has a method for each thing that a node says."""
         uid = order.uid
         self.seen.append((order.kind, uid))
@@ -145,44 +145,50 @@
                 self.over(uid, pb.CANCELLED)
                 say.end(uid, 31, pb.CANCELLED)
             return
-        conduct = Conduct(order.description)
-        if conduct is Conduct.STRAY:
+        conduct = NodeBehavior(order.description)
+        if conduct is NodeBehavior.STRAY:
             say.bind(uid ^ 0xFF00)
-        if conduct in (Conduct.RUN, Conduct.END, Conduct.EVICT, Conduct.TWICE, Conduct.STRAY):
+        if conduct in (
+            NodeBehavior.RUN,
+            NodeBehavior.END,
+            NodeBehavior.EVICT,
+            NodeBehavior.TWICE,
+            NodeBehavior.STRAY,
+        ):
             self.begin(order, say)
-        if conduct is Conduct.TWICE:
+        if conduct is NodeBehavior.TWICE:
             say.bind(uid)
-        if conduct is Conduct.FULL_TWICE:
+        if conduct is NodeBehavior.FULL_TWICE:
             say.end(uid, 34, pb.FULL, "lack_cpu", pb.NO_CORES)
-        if conduct is Conduct.LATE:
+        if conduct is NodeBehavior.LATE:
             self.waiting[uid] = order, say
-        ends: dict[Conduct, tuple[Any, ...]] = {
-            Conduct.END: (16, pb.ENDED),
-            Conduct.EVICT: (41, pb.RESET, "killed", pb.EVICTED),
-            Conduct.FULL: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
-            Conduct.FULL_TWICE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
-            Conduct.FAULT: (47, pb.ERROR),
-            Conduct.MOOT: (102, pb.MOOT),
-            Conduct.RESET: (41, pb.RESET),
-            Conduct.NEEDS_HINT: (34, pb.FULL, "unfit", 8, "how long will it run?"),
-            Conduct.LICENCE: (34, pb.FULL, "unfit", 12, "no licence for this program"),
-            Conduct.QUARANTINED: (34, pb.FULL, "unfit", 10, "under repair"),
-            Conduct.NEWER: (34, pb.FULL, "", 99, "a word of tomorrow"),
+        ends: dict[NodeBehavior, tuple[Any, ...]] = {
+            NodeBehavior.END: (16, pb.ENDED),
+            NodeBehavior.EVICT: (41, pb.RESET, "killed", pb.EVICTED),
+            NodeBehavior.FULL: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
+            NodeBehavior.FULL_TWICE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
+            NodeBehavior.FAULT: (47, pb.ERROR),
+            NodeBehavior.MOOT: (102, pb.MOOT),
+            NodeBehavior.RESET: (41, pb.RESET),
+            NodeBehavior.NEEDS_HINT: (34, pb.FULL, "unfit", 8, "how long will it run?"),
+            NodeBehavior.LICENCE: (34, pb.FULL, "unfit", 12, "no licence for this program"),
+            NodeBehavior.QUARANTINED: (34, pb.FULL, "unfit", 10, "under repair"),
+            NodeBehavior.NEWER: (34, pb.FULL, "", 99, "a word of tomorrow"),
         }
         if conduct in ends:
             if uid in self.running:
                 self.over(uid, ends[conduct][1])
             say.end(uid, *ends[conduct])
-        if conduct is Conduct.CUT:
+        if conduct is NodeBehavior.CUT:
             self.begin(order, say, tell=False)  # it runs; its binding is cut midway
             say.cut(uid)
-        if conduct is Conduct.CUT_AFTER:
+        if conduct is NodeBehavior.CUT_AFTER:
             self.begin(order, say, tell=False)
             self.break_streams()
-        if conduct is Conduct.CUT_BEFORE:
+        if conduct is NodeBehavior.CUT_BEFORE:
             self.break_streams()
 
-    def answer(self, order: Order, say: Any) -> None:
+    def answer(self, order: ReceivedOrder, say: Any) -> None:
         """Whether a task of this name runs or ran here."""
         key = order.key
         if key in self.manners.standings:
@@ -202,8 +208,8 @@
         self.begin(order, say)
 
 
-def _serve_binary(node: StandInNode, stream: Stream) -> Generator[Wait, int, None]:
-    reader, say = binary.MessageReader(), SayBinary(node.loop, stream)
+def _serve_binary(node: FakeNode, stream: Stream) -> Generator[Wait, int, None]:
+    reader, say = binary.MessageReader(), BinaryResponder(node.loop, stream)
     node.came(say)
     while data := (yield from stream.read()):
         reader.feed(b"" if node.deaf else data)
@@ -215,7 +221,7 @@
                 else:
                     kind = "offer" if message.type == binary.SET_UP else "release"
                     node.order(
-                        Order(
+                        ReceivedOrder(
                             kind,
                             message.uid,
                             message.values.get(binary.DESCRIPTION, b""),
@@ -230,7 +236,7 @@
     stream.close()
 
 
-class SayBinary:
+class BinaryResponder:
     """What a node of the platform says."""
 
     def __init__(self, loop: Loop, stream: Stream) -> None:
@@ -255,12 +261,12 @@
         self.stream.end()
 
 
-def _serve_grpc(node: StandInNode, stream: Stream) -> Generator[Wait, int, None]:
+def _serve_grpc(node: FakeNode, stream: Stream) -> Generator[Wait, int, None]:
     h2 = http2.Http2(False, stream.send)
     newer = node.form == GRPC2
     form = "thornshelf.v2" if newer else "thornshelf.v1"
     paths: dict[int, str] = {}
-    says: dict[int, SayGrpc] = {}
+    says: dict[int, GrpcResponder] = {}
     headers = [(":status", "200"), ("content-type", "application/grpc")]
     while data := (yield from stream.read()):
         try:
@@ -276,7 +282,7 @@
                     continue
                 h2.respond(event.stream, headers)
                 if paths[event.stream] == "Bind":
-                    say = says[event.stream] = SayGrpc(h2, event.stream, pb2 if newer else pb)
+                    say = says[event.stream] = GrpcResponder(h2, event.stream, pb2 if newer else pb)
                     if newer and node.manners.greets:
                         say.hello(node.manners)
                     node.came(say)
@@ -288,20 +294,20 @@
             elif isinstance(event, http2.Received):
                 said = grpc.parse(pb.NodeOrder, event.data)
                 offer, kind = said.offer, said.WhichOneof("kind") or ""
-                order = Order(kind, said.uid, offer.description, offer.key, offer.task_class)
+                order = ReceivedOrder(kind, said.uid, offer.description, offer.key, offer.task_class)
                 node.order(order, says[event.stream])
     for one in says.values():
         node.went(one)
     stream.close()
 
 
-def _read_order2(data: bytes) -> Order:
+def _read_order2(data: bytes) -> ReceivedOrder:
     said = grpc.parse(pb2.NodeOrder, data)
     kind, offer = said.WhichOneof("kind") or "", said.offer
     if kind != "offer":
-        return Order(kind, said.uid, key=said.question.key)
+        return ReceivedOrder(kind, said.uid, key=said.question.key)
     hint = offer.hint.ms if offer.HasField("hint") else None
-    return Order(
+    return ReceivedOrder(
         kind,
         said.uid,
         offer.description,
@@ -314,7 +320,7 @@
     )
 
 
-class SayGrpc:
+class GrpcResponder:
     """What a node says by gRPC, in either generation."""
 
     def __init__(self, h2: http2.Http2, stream: int, words: Any) -> None:
@@ -324,7 +330,7 @@
     def _send(self, **kind: Any) -> None:
         self.h2.send(self.stream, grpc.frame(self.pb.NodeReport(**kind)))
 
-    def hello(self, manners: Manners) -> None:
+    def hello(self, manners: NodeProfile) -> None:
         self._send(
             hello=pb2.Hello(
                 generation=manners.generation,
@@ -346,7 +352,7 @@
         end = self.pb.End(outcome=outcome, reason=number, load=self.pb.Load(fields=self.load), **more)
         self._send(uid=uid, end=end)
 
-    def standing(self, order: Order, standing: Any, uid: int, outcome: Any) -> None:
+    def standing(self, order: ReceivedOrder, standing: Any, uid: int, outcome: Any) -> None:
         description = DESCRIPTION if standing in (pb2.RUNS_NOW, pb2.RAN) else b""
         answer = pb2.Answer(
             key=order.key, standing=standing, uid=uid, description=description, outcome=outcome
--- a/thornshelf/lab/planted.py
+++ b/thornshelf/lab/fault_injection.py
@@ -1,4 +1,4 @@
-"""A dispatcher with planted faults, which experiments must notice: python -m thornshelf.lab.planted NAME,... FILE."""
+"""A dispatcher with planted faults, which experiments must notice: python -m thornshelf.lab.fault_injection NAME,... FILE."""
 
 from __future__ import annotations
 
@@ -11,99 +11,106 @@
 
 import msgspec
 
-from glenshift.interface import Outcome
-from thornshelf.config import Config, read_config
-from thornshelf.control import frames, readers
-from thornshelf.core import Attempt, SetUp
+from thornshelf.configuration import Config, read_config
+from thornshelf.control import framing, query_sessions
+from thornshelf.core import Attempt, TaskRequest
 from thornshelf.core.dispatcher import Dispatcher
-from thornshelf.core.names import Names
-from thornshelf.core.releases import Absent
-from thornshelf.core.roster import Roster
-from thornshelf.core.tasks import State as TaskState
-from thornshelf.fronts.grpc import DispatchCall
-from thornshelf.fronts.platform import Connection
+from thornshelf.core.endpoint_registry import EndpointRegistry
+from thornshelf.core.idempotency import IdempotencyTable
+from thornshelf.core.releases import DisconnectedClient
+from thornshelf.core.task import TaskState as TaskState
+from thornshelf.frontends.grpc import DispatchCall
+from thornshelf.frontends.json_lines import JsonLinesConnection
 from thornshelf.membership import datagrams
-from thornshelf.membership.datagrams import Kind, Windows
-from thornshelf.membership.evidence import Row as Sight
-from thornshelf.membership.member_table import MemberTable, Myself
-from thornshelf.membership.states import LIVE, TRANSITIONS, Claim, Event, State, Word
-from thornshelf.membership.view import View
-from thornshelf.nodes.grpc import GrpcLink2
+from thornshelf.membership.datagrams import MessageKind, ReplayWindows
+from thornshelf.membership.member_table import LocalMember, MemberTable
+from thornshelf.membership.outlier_gossip import ObservationRow as Sight
+from thornshelf.membership.protocol import MembershipProtocol
+from thornshelf.membership.states import (
+    LIVE_STATES,
+    TRANSITIONS,
+    MemberEvent,
+    MemberRecord,
+    MemberState,
+    RecordStatus,
+)
+from thornshelf.nodes.grpc import GrpcLinkV2
+from thornshelf.placement.interface import Outcome
 from thornshelf.service import Service
 from thornshelf.subsetting import Subset
-from thornshelf.translate.gaps import Hint
+from thornshelf.translation.missing_fields import LifetimeHint
 
 
 def double_start() -> None:
     """What broke is taken to have never run, and names are not looked at."""
-    outcome = Dispatcher.outcome
+    outcome = Dispatcher.report_outcome
 
     def blind(self: Any, task: Any, attempt: Any, how: Outcome, *more: Any) -> None:
         maybe = how in (Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.CANCELLED)
         outcome(self, task, attempt, Outcome.NOT_CONNECTED if maybe else how, *more)
 
-    Dispatcher.outcome = blind  # type: ignore[method-assign, assignment]
-    Names.named = lambda self, setup: False  # type: ignore[method-assign]
-    Names.doubt = lambda self, *_: False  # type: ignore[method-assign]
+    Dispatcher.report_outcome = blind  # type: ignore[method-assign, assignment]
+    IdempotencyTable.deduplicates = lambda self, setup: False  # type: ignore[method-assign]
+    IdempotencyTable.resolve_uncertain = lambda self, *_: False  # type: ignore[method-assign]
 
 
 def drop_answer() -> None:
     """Each fiftieth answer goes nowhere."""
-    for owner in (Connection, DispatchCall):
-        count, answer = itertools.count(1), owner.answer
+    for owner in (JsonLinesConnection, DispatchCall):
+        count, answer = itertools.count(1), owner.send_running
 
         def some(self: Any, *args: Any, count: Any = count, answer: Any = answer) -> None:
             if next(count) % 50:
                 answer(self, *args)
 
-        owner.answer = some  # type: ignore[method-assign, assignment]
+        owner.send_running = some  # type: ignore[method-assign, assignment]
 
 
 def silent_hint() -> None:
     """An assumed hint goes out as the owner's own."""
-    offer = GrpcLink2._offer
+    offer = GrpcLinkV2._offer
 
     def unmarked(self: Any, attempt: Attempt) -> Any:
         known = self._hint
-        self._hint = lambda one: Hint(hint.us, False) if (hint := known(one)) is not None else None
+        self._hint = lambda one: LifetimeHint(hint.us, False) if (hint := known(one)) is not None else None
         try:
             return offer(self, attempt)
         finally:
             self._hint = known
 
-    GrpcLink2._offer = unmarked  # type: ignore[method-assign]
+    GrpcLinkV2._offer = unmarked  # type: ignore[method-assign]
 
 
 def no_refute() -> None:
     """A member does not answer what is said of it."""
-    Myself.heard = lambda self, claim, now_us: False  # type: ignore[method-assign]
+    LocalMember.refute = lambda self, claim, now_us: False  # type: ignore[method-assign]
 
 
 def no_heal() -> None:
     """Those that are gone are called no more, once the fleet has found together."""
-    recall = View._recall
+    recall = MembershipProtocol._reconnect
 
-    def never(self: View) -> None:
-        if not self.table.live:
+    def never(self: MembershipProtocol) -> None:
+        if not self.table.live_names:
             recall(self)
 
-    View._recall = never  # type: ignore[method-assign]
+    MembershipProtocol._reconnect = never  # type: ignore[method-assign]
 
 
 def trust_liar() -> None:
     """Another's word that a member is dead is taken at once."""
-    for state in LIVE:
-        TRANSITIONS[state, Event.SAID_DEAD] = State.DEAD
+    for state in LIVE_STATES:
+        TRANSITIONS[state, MemberEvent.REPORTED_DEAD] = MemberState.DEAD
 
 
 def replay() -> None:
     """Nobody looks whether a datagram came before."""
-    Windows.take = lambda self, sender, life, counter: None  # type: ignore[method-assign]
+    ReplayWindows.accept = lambda self, sender, instance_id, counter: None  # type: ignore[method-assign]
 
 
 def silent_gap() -> None:
     """Who tells nothing is left out of an answer in silence."""
-    readers.End = lambda number, told, missing: frames.End(number, told, [])  # type: ignore[assignment, attr-defined]
+    query_sessions.QueryEnd = lambda number, told, missing: framing.QueryEnd(number, told, [])  # type: ignore[assignment, attr-defined]
 
 
 def newer() -> None:
@@ -123,12 +130,14 @@
 
     def crowded(self: Service, config: Config) -> Dispatcher:
         core = make(self, config)
-        machine, now = core.roster.machine("s-elsewhere"), core.loop.now
+        machine, now = core.endpoints.machine_id("s-elsewhere"), core.loop.now
         for uid in range(1 << 60, (1 << 60) + 100_000):
-            setup = SetUp(Absent("h"), uid, "lookup", None, uid, now, None, 1, 1.0, 2.0, b"")
-            task = core.numbered(setup)
-            task.machine, task.state, task.standing_us = machine, TaskState.STANDING, now
-            core.know(task, uid)
+            setup = TaskRequest(
+                DisconnectedClient("h"), uid, "lookup", None, uid, now, None, 1, 1.0, 2.0, b""
+            )
+            task = core.create_task(setup)
+            task.machine, task.state, task.running_since_us = machine, TaskState.RUNNING, now
+            core.index_task(task, uid)
         return core
 
     Service._make_core = crowded  # type: ignore[method-assign]
@@ -139,39 +148,46 @@
 
     It does so while a file ``lie`` stands beside its folder, in every experiment with a view: no plant to be found.
     """
-    usual, sign = View.pass_time, Path(sys.argv[2]).parent.parent / "lie"
+    usual, sign = MembershipProtocol.tick, Path(sys.argv[2]).parent.parent / "lie"
 
-    def lie(self: View, now_us: int) -> int:
+    def lie(self: MembershipProtocol, now_us: int) -> int:
         due = usual(self, now_us)
         if sign.exists() and now_us >= getattr(self, "lied_us", 0) + 300_000:
             vars(self)["lied_us"] = now_us
             claims = [
-                msgspec.structs.replace(one.claim, word=int(Word.DEAD), by=self.name)
+                msgspec.structs.replace(one.record, status=int(RecordStatus.DEAD), reported_by=self.name)
                 for one in self.table.members.values()
             ]
-            claims += [Claim(f"x{now_us}-{n}", "127.0.0.1:9", 1, 1, 0, 0) for n in range(30)]
+            claims += [MemberRecord(f"x{now_us}-{n}", "127.0.0.1:9", 1, 1, 0, 0) for n in range(30)]
             sights = [Sight(f"s-{n + 1:08x}", 1, 8.0) for n in range(16)]
-            self.put("seen", 0, msgspec.msgpack.encode(sights), 300_000)
+            self.publish("seen", 0, msgspec.msgpack.encode(sights), 300_000)
             for member in list(self.table.members.values()):
                 for first in range(0, len(claims), 10):
-                    self._counter += 1
+                    self._datagram_counter += 1
                     rows = claims[first : first + 10]
-                    head = [int(Kind.NEWS), self.me.claim, member.claim.life, self._counter, 0, ""]
+                    head = [
+                        int(MessageKind.GOSSIP),
+                        self.local.record,
+                        member.record.instance_id,
+                        self._datagram_counter,
+                        0,
+                        "",
+                    ]
                     data = self._sealer.seal(self._sealer.encode([*head, rows, [], b""]))
-                    self.out.append((member.claim.address, data))
+                    self.outgoing.append((member.record.address, data))
         return due
 
-    View.pass_time = lie  # type: ignore[method-assign]
+    MembershipProtocol.tick = lie  # type: ignore[method-assign]
 
 
 def all_to_all() -> None:
     """Whatever a member of the view tells some others, it tells all."""
-    MemberTable.some = lambda self, count, without="": list(self.live)  # type: ignore[method-assign]
+    MemberTable.sample = lambda self, count, without="": list(self.live_names)  # type: ignore[method-assign]
 
 
 def leak() -> None:
     """The names of nodes that have gone are kept."""
-    Roster.forget = lambda self, machine: None  # type: ignore[method-assign]
+    EndpointRegistry.discard = lambda self, machine: None  # type: ignore[method-assign]
 
 
 def hold_all() -> None:
@@ -180,10 +196,10 @@
     def everything(self: Any, complete: bool, entries: Any, now_us: int) -> list[Any]:
         return list(entries)
 
-    Subset.change = everything  # type: ignore[method-assign]
+    Subset.apply = everything  # type: ignore[method-assign]
 
 
-PLANTS = {
+INJECTED_FAULTS = {
     "all-to-all": all_to_all, "leak": leak, "hold-all": hold_all,
     "liar": liar, "newer": newer, "clock-back": clock_back, "crowd": crowd,
     "double-start": double_start, "drop-answer": drop_answer, "silent-hint": silent_hint, "no-refute": no_refute,
@@ -192,5 +208,5 @@
 
 if __name__ == "__main__":
     for name in sys.argv[1].split(","):
-        PLANTS[name]()
+        INJECTED_FAULTS[name]()
     Service(read_config(os.environ, sys.argv[2])).run()
--- a/thornshelf/lab/fleet.py
+++ b/thornshelf/lab/fleet.py
@@ -18,11 +18,11 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.lab.links import ListKeeper, Relays, private, public
-from thornshelf.lab.load import LEDGER, LOOKUP, County, LoadNode
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
+from thornshelf.lab.fakes.cluster import BINARY, HOST, JSON, ReceivedOrder
+from thornshelf.lab.load import LEDGER, LOOKUP, ClientPopulation, LoadNode
+from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.lab.standins import BINARY, HOST, JSON, Order
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop
 
 KEY = "only for this experiment, 32 byte"
@@ -49,7 +49,7 @@
         super().__init__(*args)
         self.cold_offers: list[int] = []
 
-    def _offer(self, order: Order, say: Any) -> None:
+    def _offer(self, order: ReceivedOrder, say: Any) -> None:
         now = self.loop.now
         if now < self.cold_until:
             self.cold_offers = [at for at in self.cold_offers if now - at < COLD_US] + [now]
@@ -61,14 +61,14 @@
         super()._offer(order, say)
 
 
-class Member:
+class MemberProcess:
     """A dispatcher, its clients, and what its log says of the others."""
 
     def __init__(self, index: int) -> None:
         self.index, self.name = index, f"m{index:02d}"
         self.process: DispatcherProcess | None = None
         self.states: dict[str, str] = {}
-        self.county: County | None = None
+        self.county: ClientPopulation | None = None
         self.starts = self._read = 0
         self.logs: list[Path] = []
 
@@ -96,20 +96,23 @@
         self.states, self._read = {}, 0
 
 
-class World:
+class FleetTestbed:
     """The members, the nodes and the links of one run."""
 
     def __init__(
         self, seed: int, view: bool, plant: str | None, members: int, nodes: int, folder: Path
     ) -> None:
         self.loop, self.chance, self.folder = Loop(), random.Random(seed), folder
-        self.view, self.plant, self.truth = view, plant, Truth()
-        self.members = [Member(index) for index in range(members)]
-        self.relays, self.keeper = Relays(self.loop, members, seed), ListKeeper(self.loop, members)
+        self.view, self.plant, self.truth = view, plant, Oracle()
+        self.members = [MemberProcess(index) for index in range(members)]
+        self.relays, self.keeper = (
+            DatagramRelays(self.loop, members, seed),
+            FakeEndpointSource(self.loop, members),
+        )
         self.nodes = [
             FleetNode(self.loop, BINARY, self.truth, random.Random(seed + 9 + i)) for i in range(nodes)
         ]
-        self.keeper.tell([self.entry(node) for node in range(nodes)], True)
+        self.keeper.publish([self.entry(node) for node in range(nodes)], True)
         self.key = folder / "fleet.key"
         self.key.write_text(KEY)
         self.key.chmod(0o600)
@@ -129,7 +132,7 @@
             "machineType": "node-small", "cell": 1, "lifecycle": lifecycle, "weight": 1, "startedAtMs": started_ms,
         }  # fmt: skip
 
-    def start(self, *members: Member, odd: str = "") -> None:
+    def start(self, *members: MemberProcess, odd: str = "") -> None:
         """Processes begin, with something odd about them or not; waits until they serve."""
         for member in members:
             member.starts += 1
@@ -143,9 +146,9 @@
                     f'advertise = "{public(member.index)}:{self.relays.port}"\n'
                     f'seeds = [{seeds}]\nkey_file = "{self.key}"\n{self.more}'
                 )
-            port = member.process.fronts[JSON][1] if member.process is not None else 0
+            port = member.process.addresses[JSON][1] if member.process is not None else 0
 
-            def changes(value: dict[str, Any], member: Member = member, port: int = port) -> None:
+            def changes(value: dict[str, Any], member: MemberProcess = member, port: int = port) -> None:
                 value["name"], value["listen"] = member.name, f"{private(member.index)}:{port}"
                 value["changelog"] = f"{private(member.index)}:{self.keeper.ports[member.index]}"
                 value["known"] = {"seq": 1, "results": self.keeper.events[:1]}
@@ -161,12 +164,12 @@
         self.until(lambda: all(one.process is not None and one.process.ready() for one in members), 20.0)
         for member in members:
             assert member.process is not None
-            member.county = County(
-                self.loop, member.process.fronts, JSON, self.truth, random.Random(member.index)
+            member.county = ClientPopulation(
+                self.loop, member.process.addresses, JSON, self.truth, random.Random(member.index)
             )
             member.county.next_uid = (member.index + 1 << 40) + (member.starts << 32)
 
-    def kill(self, *members: Member, number: int = signal.SIGKILL) -> None:
+    def kill(self, *members: MemberProcess, number: int = signal.SIGKILL) -> None:
         """End processes by their ids; what their clients still waited for is owed by nobody."""
         for member in members:
             assert member.process is not None and member.county is not None
@@ -255,7 +258,7 @@
         return max(codes)
 
 
-def script(world: World) -> dict[str, Any]:
+def script(world: FleetTestbed) -> dict[str, Any]:
     """The troubles, one after another, under load; when each is settled."""
     phases: dict[str, int] = {}
     members = world.members
@@ -292,7 +295,7 @@
     return said | {"phases": phases, "bytes_per_s": round(rate), "late_sends": late}
 
 
-def _replay(world: World) -> int:
+def _replay(world: FleetTestbed) -> int:
     """All that was heard while some were killed comes once more, also to those that were started since."""
     world.relays.keep = False
     for receiver, data in world.relays.kept:
@@ -301,7 +304,7 @@
     return world.settle()
 
 
-def _one_way(world: World) -> int:
+def _one_way(world: FleetTestbed) -> int:
     """One member hears another and is not heard by it."""
     pair = world.chance.sample(range(len(world.members)), 2)
     world.relays.cut = lambda sender, receiver: [sender, receiver] == pair
@@ -310,7 +313,7 @@
     return world.settle()
 
 
-def _liar(world: World) -> int:
+def _liar(world: FleetTestbed) -> int:
     """A member says that the others and all nodes are dead, and invents more, for as long as a file is there."""
     sign = world.folder / "lie"
     sign.touch()
@@ -319,23 +322,23 @@
     return world.settle()
 
 
-def _silent_list(world: World) -> int:
+def _silent_list(world: FleetTestbed) -> int:
     """The change log is silent for one member while a node drains; offers that come too late."""
     world.keeper.silent.add(4)
     world.rest(3.2)
     node = world.nodes[3]
-    world.keeper.tell([world.entry(3, "terminating")])
+    world.keeper.publish([world.entry(3, "terminating")])
     node.drains_us = world.loop.now
     world.rest(4.0)
     late = node.late
     world.keeper.silent.clear()
     world.rest(0.5)
     node.drains_us, node.cold_until = 0, world.loop.now + 14_000_000
-    world.keeper.tell([world.entry(3, "in_service", time.time_ns() // 1_000_000)])
+    world.keeper.publish([world.entry(3, "in_service", time.time_ns() // 1_000_000)])
     return late
 
 
-def _partition(world: World) -> tuple[int, int]:
+def _partition(world: FleetTestbed) -> tuple[int, int]:
     """Halves; then all links again."""
     half = set(range(len(world.members) // 2))
     world.watch = False
@@ -354,7 +357,7 @@
     return int((15.0 if took is None else took) * 1000), healed
 
 
-def _count(world: World) -> dict[str, Any]:
+def _count(world: FleetTestbed) -> dict[str, Any]:
     """By the stand-ins' own count."""
     truth, now = world.truth, world.loop.now
     lookups = [one for one in truth.asked.values() if not one.ledger and not one.void]
@@ -381,7 +384,7 @@
 def play(seed: int, view: bool, plant: str | None, members: int, nodes: int) -> dict[str, Any]:
     """One world, in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        world = World(seed, view, plant, members, nodes, Path(folder))
+        world = FleetTestbed(seed, view, plant, members, nodes, Path(folder))
         world.lies = view
         try:
             said = script(world)
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -10,10 +10,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from thornshelf.lab.clients import CLIENTS, StandInClient
-from thornshelf.lab.conduct import GRPC2, HOST, JSON
-from thornshelf.lab.nodes import Order, SayBinary, StandInNode
-from thornshelf.lab.truth import Asked, Truth
+from thornshelf.lab.fakes.behavior import GRPC2, HOST, JSON
+from thornshelf.lab.fakes.clients import CLIENT_TYPES, FakeClient
+from thornshelf.lab.fakes.nodes import BinaryResponder, FakeNode, ReceivedOrder
+from thornshelf.lab.oracle import ObservedRequest, Oracle
 from thornshelf.loop import Loop, Wait
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire import placement_v2_pb2 as pb2
@@ -24,11 +24,11 @@
 NODE_CORES, NODE_MEMORY, OVER_CORES, OVER_MEMORY = 27.0, 43.0, 4.0, 2.0
 
 
-class LoadNode(StandInNode):
+class LoadNode(FakeNode):
     """A node with a size, which takes time to start tasks, and ends them; faults come by calls."""
 
     def __init__(
-        self, loop: Loop, form: str, truth: Truth, rng: random.Random, address: tuple[str, int] = (HOST, 0)
+        self, loop: Loop, form: str, truth: Oracle, rng: random.Random, address: tuple[str, int] = (HOST, 0)
     ) -> None:
         super().__init__(loop, form, address)
         self.truth, self.rng = truth, rng
@@ -36,13 +36,13 @@
         self.mishap = 0.0  # share of ledger-batch starts whose binding is cut midway
         self.refuses = 0.02
         self.life_us = 3_000_000  # of a task, on average
-        self.tasks: dict[int, tuple[Order, Any]] = {}  # running, by id
-        self.starting: dict[int, tuple[Order, Any]] = {}
+        self.tasks: dict[int, tuple[ReceivedOrder, Any]] = {}  # running, by id
+        self.starting: dict[int, tuple[ReceivedOrder, Any]] = {}
         self.taken = [0.0, 0.0]
         self.unsaid: list[tuple[int, int, int]] = []  # ends since the last connection came
         self.epoch = 0  # a restart: what was begun before is gone
 
-    def order(self, order: Order, say: Any) -> None:
+    def order(self, order: ReceivedOrder, say: Any) -> None:
         """Take an offer, a release or a question."""
         if self.loop.now < self.silent_until:
             self.loop.at(self.silent_until, lambda: self.order(order, say))  # it hangs, and goes on later
@@ -59,7 +59,7 @@
             case "offer":
                 self._offer(order, say)
 
-    def _offer(self, order: Order, say: Any) -> None:
+    def _offer(self, order: ReceivedOrder, say: Any) -> None:
         cores, memory = CORES[order.task_class]
         if order.hint_ms is not None and not order.assumed and not self.truth.own_hints.get(order.key, True):
             self.truth.silent_hints += 1
@@ -85,7 +85,7 @@
         say.load = {"x0": free[0], "x1": free[1]}
         say.report = b"x0:%.1f;x1:%.1f" % free
 
-    def _begin(self, order: Order, epoch: int) -> None:
+    def _begin(self, order: ReceivedOrder, epoch: int) -> None:
         if epoch != self.epoch:
             return
         if self.loop.now < self.silent_until:
@@ -103,7 +103,7 @@
         if ledger and self.rng.random() < self.mishap:
             say.cut(order.uid)
             self.went(say)
-            if isinstance(say, SayBinary):
+            if isinstance(say, BinaryResponder):
                 say.stream.flush()
         else:
             say.bind(order.uid)
@@ -111,7 +111,7 @@
             int(self.rng.expovariate(1 / self.life_us)) + 100_000, lambda: self._end(order, epoch)
         )
 
-    def _end(self, order: Order, epoch: int) -> None:
+    def _end(self, order: ReceivedOrder, epoch: int) -> None:
         if epoch != self.epoch or order.uid not in self.tasks:
             return
         if self.loop.now < self.silent_until:
@@ -147,7 +147,7 @@
         self.ran[order.key] = uid, outcome
         self.truth.over[order.key] = self.loop.now
 
-    def _give_back(self, order: Order) -> None:
+    def _give_back(self, order: ReceivedOrder) -> None:
         cores, memory = CORES[order.task_class]
         self.taken = [max(0.0, self.taken[0] - cores), max(0.0, self.taken[1] - memory)]
 
@@ -170,15 +170,15 @@
         self.taken = [0.0, 0.0]
 
 
-class County:
+class ClientPopulation:
     """The clients of the counties: set-ups by one front on several connections, some repeats by another front."""
 
     def __init__(
-        self, loop: Loop, fronts: dict[str, tuple[str, int]], front: str, truth: Truth, rng: random.Random
+        self, loop: Loop, fronts: dict[str, tuple[str, int]], front: str, truth: Oracle, rng: random.Random
     ) -> None:
         self.loop, self.fronts, self.front, self.truth, self.rng = loop, fronts, front, truth, rng
         self.next_uid = 1 << 32
-        self.clients: dict[tuple[str, int], StandInClient] = {}
+        self.clients: dict[tuple[str, int], FakeClient] = {}
         self.connections = self.refused_connections = 0  # made so far
         self.bytes = self.messages = 0  # passed in both directions, as JSON lines
         self.placed: set[int] = set()  # known on all connections: a release may come on any
@@ -186,12 +186,12 @@
         self.outcomes: Counter[str] = Counter()  # of tasks, by key
         self.tasks: dict[int, dict[str, Any]] = {}  # by key
 
-    def client(self, front: str, service: int) -> StandInClient:
+    def client(self, front: str, service: int) -> FakeClient:
         """An open connection in some form, made anew where it was closed."""
         name = front, service % CONNECTIONS
         found = self.clients.get(name)
         if found is None or found.closed:
-            found = self.clients[name] = CLIENTS[front](self.loop, self.fronts[front])
+            found = self.clients[name] = CLIENT_TYPES[front](self.loop, self.fronts[front])
             found.on_closed = partial(self._closed, name)
             found.placed, found.hears, found.on_traffic = self.placed, True, self._passed
             self.connections += 1
@@ -214,7 +214,7 @@
         self.next_uid += 1
         uid = task["uid"] = self.next_uid
         deadline = self.loop.now + left * 1000
-        self.truth.asked[uid] = Asked(uid, key, task["class"] == LEDGER, self.loop.now, deadline)
+        self.truth.asked[uid] = ObservedRequest(uid, key, task["class"] == LEDGER, self.loop.now, deadline)
         client = self.client(task["front"], task["service"])
         if client.stream is None:
             self.loop.spawn(self._when_up(client, key, uid))
--- a/thornshelf/lab/members.py
+++ b/thornshelf/lab/membership.py
@@ -17,11 +17,11 @@
 import xxhash
 from hdrh.histogram import HdrHistogram
 
-from thornshelf.membership.compare import Buckets
-from thornshelf.membership.dissemination import Dissemination
-from thornshelf.membership.states import LIVE
-from thornshelf.membership.terms import Terms
-from thornshelf.membership.view import View
+from thornshelf.membership.anti_entropy import BucketIndex
+from thornshelf.membership.config import MembershipConfig
+from thornshelf.membership.dissemination import DisseminationBuffer
+from thornshelf.membership.protocol import MembershipProtocol
+from thornshelf.membership.states import LIVE_STATES
 
 SECOND = 1_000_000
 KEY = b"a key for an experiment only...."
@@ -37,7 +37,7 @@
     def __init__(self, seed: int, **terms: Any) -> None:
         self.chance = random.Random(seed)
         self.now = SECOND
-        self.views: dict[str, View] = {}
+        self.views: dict[str, MembershipProtocol] = {}
         self.loss = self.doubles = 0.0
         self.late_us = (200, 2_000)
         self.cut: Callable[[str, str], bool] = lambda sender, receiver: False
@@ -55,15 +55,17 @@
         """Where a member is to be reached; the network knows names only."""
         return f"{name}:1"
 
-    def start(self, name: str, seeds: Iterable[str] = (), life: int | None = None, **terms: Any) -> View:
+    def start(
+        self, name: str, seeds: Iterable[str] = (), life: int | None = None, **terms: Any
+    ) -> MembershipProtocol:
         """A member's process begins."""
         self._lives += 1
         given: dict[str, Any] = {
             "fleet": "lab", "name": name, "address": self.address(name), "key": KEY,
             "seeds": tuple(self.address(seed) for seed in seeds),
         }  # fmt: skip
-        view = View(
-            Terms(**(given | self._terms | terms)),
+        view = MembershipProtocol(
+            MembershipConfig(**(given | self._terms | terms)),
             life if life is not None else self.chance.randrange(1, 1 << 62),
             self.now,
             random.Random(self.chance.randrange(1 << 62)),
@@ -96,7 +98,7 @@
                 continue
             if data is not None:
                 self.hash.update(b"%d %s " % (self.now, name.encode()) + data)
-                view.take(data, self.now)
+                view.receive(data, self.now)
                 self._flush(name, view)
             elif self._wakes.get(name) is not None and self._wakes[name] <= at:
                 self._turn(name, view)
@@ -106,14 +108,14 @@
         self._order += 1
         return self._order
 
-    def _turn(self, name: str, view: View) -> None:
-        due = max(view.pass_time(self.now), self.now + 1_000)
+    def _turn(self, name: str, view: MembershipProtocol) -> None:
+        due = max(view.tick(self.now), self.now + 1_000)
         self._flush(name, view)
         self._wakes[name] = due
         heapq.heappush(self._events, (due, self._next(), name, None))
 
-    def _flush(self, name: str, view: View) -> None:
-        out, view.out = view.out, []
+    def _flush(self, name: str, view: MembershipProtocol) -> None:
+        out, view.outgoing = view.outgoing, []
         for address, data in out:
             receiver = address.rpartition(":")[0]
             self.bytes += len(data) + 28  # the datagram's own heads, UDP and IP
@@ -127,10 +129,10 @@
                     heapq.heappush(self._events, (due, self._next(), receiver, data))
         for change in view.take_changes():
             self.on_change(name, change)
-        view.came.clear()
-        view.refused.clear()
+        view.received_entries.clear()
+        view.rejected_datagrams.clear()
         # What came in may have made something due earlier than was planned.
-        due = view.next_us()
+        due = view.next_due_us()
         if due < self._wakes.get(name, 0):
             due = max(due, self.now + 1_000)
             self._wakes[name] = due
@@ -141,7 +143,7 @@
     def agreed(self, names: Iterable[str] | None = None) -> bool:
         """Whether each of some members holds exactly the others of them for live."""
         wanted = sorted(self.views if names is None else names)
-        return all(self.views[name].live() == wanted for name in wanted)
+        return all(self.views[name].live_names() == wanted for name in wanted)
 
     def until_agreed(
         self, limit_us: int, names: Iterable[str] | None = None, step_us: int = 50_000
@@ -156,29 +158,33 @@
         return self.now - began if self.agreed(chosen) else None
 
 
-def settle(network: Network, names: list[str], limit_us: int) -> int | None:
+def run_until_settled(network: Network, names: list[str], limit_us: int) -> int | None:
     """Start members through two of them, and wait until all know all."""
     for name in names:
         network.start(name, [one for one in names[:2] if one != name])
     return network.until_agreed(limit_us, step_us=250_000)
 
 
-def settled(network: Network, names: list[str]) -> None:
+def run_settled(network: Network, names: list[str]) -> None:
     """Members that know each other already: each trying each, once, is too much for one processor at a thousand."""
     views = [network.start(name, names[:2]) for name in names]
     network._events.clear()
-    known = Buckets()
+    known = BucketIndex()
     for view in views:
-        known.put(("m", view.name), view.me.claim.key)
+        known.record(("m", view.name), view.local.record.precedence)
     for view in views:
-        news, view.table._news = (
-            view.table._news,
+        news, view.table._on_record_change = (
+            view.table._on_record_change,
             lambda name: None,
         )  # a million times over, where all know all
         for other in views:
             if other is not view:
-                view.table.enter(other.me.claim, network.now)
-        view.table._news, view._buckets, view._dissemination = news, known.copy(), Dissemination()
+                view.table.add(other.local.record, network.now)
+        view.table._on_record_change, view._bucket_index, view._dissemination_buffer = (
+            news,
+            known.copy(),
+            DisseminationBuffer(),
+        )
         view.table.changes.clear()
         network._turn(view.name, view)
 
@@ -190,10 +196,10 @@
     network = Network(seed)
     names = [f"m{number:04d}" for number in range(members)]
     if members <= JOINED:
-        joined = settle(network, names, 120 * SECOND)
+        joined = run_until_settled(network, names, 120 * SECOND)
     else:
-        joined = settle(Network(seed), names[:JOINED], 120 * SECOND)
-        settled(network, names)
+        joined = run_until_settled(Network(seed), names[:JOINED], 120 * SECOND)
+        run_settled(network, names)
     network.run(network.now + 4 * SECOND)  # rumours of the start die down
     before, at = network.bytes, network.now
     network.run(network.now + quiet_s * SECOND)
@@ -214,12 +220,12 @@
     """What one more member with the same knowledge takes."""
     old = network.views[name]
     tracemalloc.start()
-    view = View(old.terms, 1, network.now, random.Random(1))
+    view = MembershipProtocol(old.config, 1, network.now, random.Random(1))
     for member in old.table.members.values():
-        view.table.enter(member.claim, network.now)
-    for entry in old.shared.all():
-        view.shared.merge(entry.item, network.now)
-    view.pass_time(network.now)
+        view.table.add(member.record, network.now)
+    for entry in old.replicated_map.all_entries():
+        view.replicated_map.merge(entry.entry, network.now)
+    view.tick(network.now)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size // 1024
@@ -233,7 +239,7 @@
     wrong: list[tuple[str, str]] = []
 
     def changed(who: str, change: Any) -> None:
-        if change.after in LIVE or change.before not in LIVE or who not in network.views:
+        if change.after in LIVE_STATES or change.before not in LIVE_STATES or who not in network.views:
             return
         if change.name in died:
             noticed.append((who, change.name, network.now))
--- a/thornshelf/lab/truth.py
+++ b/thornshelf/lab/oracle.py
@@ -5,11 +5,11 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-FINAL = ("placed", "refused", "failed")
+FINAL_ANSWERS = ("placed", "refused", "failed")
 
 
 @dataclass(slots=True)
-class Asked:
+class ObservedRequest:
     """One set-up of one task: an id, and what its client heard."""
 
     uid: int
@@ -24,10 +24,10 @@
 
 
 @dataclass(slots=True)
-class Truth:
+class Oracle:
     """All set-ups, all starts and all ends of one run."""
 
-    asked: dict[int, Asked] = field(default_factory=dict)
+    asked: dict[int, ObservedRequest] = field(default_factory=dict)
     starts: Counter[int] = field(default_factory=Counter)  # by key, of tasks that must not be started twice
     own_hints: dict[int, bool] = field(default_factory=dict)  # by key: its owner gave one
     silent_hints: int = 0  # a node was given a hint as the owner's own, and the owner had given none
--- a/thornshelf/lab/process.py
+++ b/thornshelf/lab/process.py
@@ -13,18 +13,18 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.errors import StartError
-from thornshelf.lab.standins import CONFIG, GRPC2, HOST, JSON
+from thornshelf.errors import StartupError
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, GRPC2, HOST, JSON
 
 TICK = os.sysconf("SC_CLK_TCK")
 
 
-def example() -> dict[str, Any]:
+def example_config() -> dict[str, Any]:
     """The configuration that experiments start from."""
-    return dict(json.loads(CONFIG.read_text()))
+    return dict(json.loads(EXAMPLE_CONFIG.read_text()))
 
 
-def write(folder: Path, value: dict[str, Any], operator: str) -> None:
+def write_config(folder: Path, value: dict[str, Any], operator: str) -> None:
     """The two files that a dispatcher is told by."""
     (folder / "config.json").write_text(json.dumps(value))
     (folder / "operator.toml").write_text(operator)
@@ -38,7 +38,7 @@
         folder: Path,
         nodes: list[int],
         operator: str,
-        plant: str | None = None,
+        injected_fault: str | None = None,
         sockets: int = 1024,
         own_limit: int | None = None,
         changes: Callable[[dict[str, Any]], None] = lambda value: None,
@@ -48,7 +48,7 @@
         """``nodes``: their ports; ``operator``: the text of the operator's file; ``own_limit``: the process's real
         limit of descriptors, where it is to be lower than the configured one; ``changes``: to the configuration.
         ``wait``: until it is ready; else ``ready`` says so. ``tree``: sources of another version."""
-        value = example()
+        value = example_config()
         value["limits"]["sockets"] = sockets
         value["known"]["results"][0]["fleet"]["instances"] = [
             {
@@ -58,9 +58,9 @@
             for index, port in enumerate(nodes)
         ]  # fmt: skip
         changes(value)
-        write(folder, value, operator)
+        write_config(folder, value, operator)
         self.log_path = folder / "log"
-        module = ["thornshelf.lab.planted", plant] if plant else ["thornshelf"]
+        module = ["thornshelf.lab.fault_injection", injected_fault] if injected_fault else ["thornshelf"]
         environment = os.environ | {
             "LB_CONFIG": str(folder / "config.json"),
             "LB_LISTEN": value["listen"] if not wait else f"{HOST}:0",
@@ -74,17 +74,17 @@
                 env=environment,
                 cwd=tree,
             )
-        self.fronts: dict[str, tuple[str, int]] = self._ready() if wait else {}
+        self.addresses: dict[str, tuple[str, int]] = self._ready() if wait else {}
         self._cpu_at_start = self.cpu_us
 
     def ready(self) -> bool:
         """Whether it serves; an error where it never will."""
         if self.process.poll() is not None:
-            raise StartError(self.log_path.read_text(errors="replace")[-2000:])
+            raise StartupError(self.log_path.read_text(errors="replace")[-2000:])
         found = re.search(r' listen="([^"]*):(\d+)"', self.log_path.read_text(errors="replace"))
-        if found and not self.fronts:
-            self.fronts = {JSON: (found[1], int(found[2]))}
-        return bool(self.fronts)
+        if found and not self.addresses:
+            self.addresses = {JSON: (found[1], int(found[2]))}
+        return bool(self.addresses)
 
     def _ready(self) -> dict[str, tuple[str, int]]:
         until = time.monotonic() + 20
@@ -95,7 +95,9 @@
                 return {JSON: (HOST, int(found[1])), GRPC2: (HOST, int(found[2]))}
             time.sleep(0.02)
         self.process.kill()
-        raise StartError(f"the dispatcher did not start: {self.log_path.read_text(errors='replace')[-2000:]}")
+        raise StartupError(
+            f"the dispatcher did not start: {self.log_path.read_text(errors='replace')[-2000:]}"
+        )
 
     @property
     def cpu_us(self) -> float:
@@ -125,7 +127,7 @@
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmRSS:\s+(\d+)", text)[1])  # type: ignore[index]
 
-    def end(self) -> int:
+    def terminate(self) -> int:
         """SIGTERM, and its exit code."""
         self.process.terminate()
         try:
--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.lab.door import COMMON, DOOR, SOUND
-from thornshelf.lab.load import LEDGER, LOOKUP, County, LoadNode
+from thornshelf.lab.admission import COMMON, DOOR, SOUND
+from thornshelf.lab.fakes.cluster import BINARY, JSON
+from thornshelf.lab.load import LEDGER, LOOKUP, ClientPopulation, LoadNode
+from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.lab.standins import BINARY, JSON
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop
 
 SOCKETS = 256
@@ -25,7 +25,7 @@
 
 def run(seed: int, handovers: int = 10) -> dict[str, Any]:
     """The whole run; the object that is printed."""
-    rng, loop, truth = random.Random(seed), Loop(), Truth()
+    rng, loop, truth = random.Random(seed), Loop(), Oracle()
     nodes = [LoadNode(loop, BINARY, truth, rng) for _ in range(6)]
     with tempfile.TemporaryDirectory() as folder:
         operator = COMMON + DOOR.format(**SOUND) + '[translate]\notherwise = ["binary"]\n'
@@ -35,7 +35,7 @@
         operator = operator.replace("unknown_set_ups_per_s = 20", "unknown_set_ups_per_s = 600")
         operator = operator.replace("connections_per_s = 100", "connections_per_s = 1000")
         dispatcher = DispatcherProcess(Path(folder), [node.port for node in nodes], operator, sockets=SOCKETS)
-        county = County(loop, dispatcher.fronts, JSON, truth, rng)
+        county = ClientPopulation(loop, dispatcher.addresses, JSON, truth, rng)
         seconds = (handovers + 2) * EVERY_S
         for number in range(int(seconds * 60)):
             key, ledger = seed * 1_000_003 + number * 7919 + 1, rng.random() < 0.05
@@ -69,7 +69,7 @@
             until = time.monotonic() + 15
             while _descriptors(pids[-1]) and time.monotonic() < until:
                 time.sleep(0.05)
-        dispatcher.end()
+        dispatcher.terminate()
     lost = truth.lost(loop.now, SLACK_US)
     none = [
         str(truth.asked[one["uid"]])
--- a/thornshelf/lab/scale/bounds.py
+++ b/thornshelf/lab/scale/bounds.py
@@ -7,7 +7,7 @@
 
 import psutil
 
-from thornshelf.errors import RunBoundError
+from thornshelf.errors import ResourceLimitError
 
 MEMORY_SHARE = 0.5
 MOST_PROCESSES = 200
@@ -33,7 +33,7 @@
             return
         self._looked = now
         if now - self.began > self.seconds:
-            raise RunBoundError(f"it takes longer than {self.seconds:.0f} s")
+            raise ResourceLimitError(f"it takes longer than {self.seconds:.0f} s")
         memory, count = 0, 0
         for process in (self._own, *self._own.children(recursive=True)):
             try:
@@ -43,11 +43,11 @@
                 continue  # it has ended
         self.peak_memory, self.peak_processes = max(self.peak_memory, memory), max(self.peak_processes, count)
         if memory > self.most_memory:
-            raise RunBoundError(
+            raise ResourceLimitError(
                 f"its processes hold {memory >> 20} MB, where {int(self.most_memory) >> 20} are allowed"
             )
         if count > MOST_PROCESSES:
-            raise RunBoundError(f"{count} processes, where {MOST_PROCESSES} are allowed")
+            raise ResourceLimitError(f"{count} processes, where {MOST_PROCESSES} are allowed")
 
     def end_children(self) -> None:
         """End what is left of this run's processes, by their ids."""
--- a/thornshelf/lab/scale/troubles.py
+++ b/thornshelf/lab/scale/faults.py
@@ -13,7 +13,7 @@
 from thornshelf.lab.scale.bounds import Bounds
 from thornshelf.lab.scale.hollow import Count, Drain, Kill, Nodes, Rise, Silence
 from thornshelf.lab.scale.layout import Layout
-from thornshelf.lab.scale.world import World
+from thornshelf.lab.scale.testbed import ScaleTestbed
 
 LEDGER_SHARE = 0.05
 REPLACED = 21  # nodes, one after another
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Counted:
+class ScenarioCounts:
     """What the stand-ins counted, and what was seen of the dispatchers' state."""
 
     asked: int = 0
@@ -38,7 +38,7 @@
     rules: list[str] = field(default_factory=list)
 
 
-class Troubles:
+class FaultScenario:
     """One run of them."""
 
     def __init__(
@@ -46,12 +46,12 @@
         plant: str | None,
     ) -> None:  # fmt: skip
         members = 2 + 2 * (hollow // 2)
-        self.world = World(layout, nodes, count, members, folder, bounds, members)
+        self.world = ScaleTestbed(layout, nodes, count, members, folder, bounds, members)
         self.per_s, self.count, self.lives = per_s, count, 0
-        self.said, self.loading, self.plant = Counted(), False, plant
+        self.said, self.loading, self.plant = ScenarioCounts(), False, plant
         self._before = nodes.tell(Count())
 
-    def run(self) -> Counted:
+    def run(self) -> ScenarioCounts:
         """All troubles, one after another, each undone before the next."""
         world = self.world
         try:
@@ -152,7 +152,7 @@
         world.keeper.silent.clear()
         world.rest(3.0)
 
-    def _count(self) -> Counted:
+    def _count(self) -> ScenarioCounts:
         """By the stand-ins, and by what the hollow dispatchers keep."""
         world, said = self.world, self.said
         after = world.nodes.tell(Count())
@@ -168,12 +168,12 @@
             tally = worker.tell(Count())
             said.held += tally.held
             said.kept += tally.state
-        said.changes_in_force = sum(one.process.log_counts().get("reload", 0) for one in world.real)
+        said.changes_in_force = sum(one.process.log_counts().get("config-reloaded", 0) for one in world.real)
         said.rules = broken(said, self.count)
         return said
 
 
-def broken(said: Counted, count: int) -> list[str]:
+def broken(said: ScenarioCounts, count: int) -> list[str]:
     """The rules that did not hold."""
     wide, narrow = said.held[: len(said.held) // 2], said.held[len(said.held) // 2 :]
     found = {
--- a/thornshelf/lab/scale/hollow.py
+++ b/thornshelf/lab/scale/hollow.py
@@ -15,13 +15,13 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.config import read_config
-from thornshelf.lab import planted
-from thornshelf.lab.conduct import BINARY
+from thornshelf.configuration import read_config
+from thornshelf.lab import fault_injection
+from thornshelf.lab.fakes.behavior import BINARY
+from thornshelf.lab.fakes.nodes import ReceivedOrder
 from thornshelf.lab.load import LoadNode
-from thornshelf.lab.nodes import Order
+from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.scale.layout import Layout
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.service import Service
@@ -125,7 +125,7 @@
     """A node that refuses nothing, and counts."""
 
     def __init__(
-        self, loop: Loop, truth: Truth, rng: random.Random, address: tuple[str, int], tally: NodeTally
+        self, loop: Loop, truth: Oracle, rng: random.Random, address: tuple[str, int], tally: NodeTally
     ):
         self.tally = tally
         super().__init__(loop, BINARY, truth, rng, address)
@@ -140,12 +140,12 @@
         self.tally.accepted += 1
         return stream
 
-    def order(self, order: Order, say: Any) -> None:
+    def order(self, order: ReceivedOrder, say: Any) -> None:
         """A message of the dispatcher."""
         self.tally.messages += 1
         super().order(order, say)
 
-    def _offer(self, order: Order, say: Any) -> None:
+    def _offer(self, order: ReceivedOrder, say: Any) -> None:
         self.tally.offers += 1
         if self.drains_us:
             self.tally.late += self.loop.now - self.drains_us > DRAIN_US
@@ -158,7 +158,7 @@
     """The nodes of one process."""
 
     def __init__(self, pipe: Connection, numbers: Sequence[int], layout: Layout) -> None:
-        self.loop, self.pipe, self.tally, self.truth = Loop(), pipe, NodeTally(), Truth()
+        self.loop, self.pipe, self.tally, self.truth = Loop(), pipe, NodeTally(), Oracle()
         rng = random.Random(layout.seed + numbers[0])
         self.nodes = {
             number: HollowNode(self.loop, self.truth, rng, (layout.host(number), layout.port), self.tally)
@@ -209,15 +209,20 @@
     def take(self, said: object) -> object:
         """Tell what they hold."""
         return DispatcherTally(
-            [len(service.core.roster.nodes) for service in self.services],
+            [len(service.core.endpoints.nodes) for service in self.services],
             [kept_by_node(service) for service in self.services],
         )
 
 
 def kept_by_node(service: Service) -> int:
     """Entries in the tables of a dispatcher that have one for each node, beyond one for each that there is."""
-    core, roster = service.core, service.core.roster
-    tables: tuple[Any, ...] = (roster.entries, roster._machines, roster._names, core.placer.machines)
+    core, roster = service.core, service.core.endpoints
+    tables: tuple[Any, ...] = (
+        roster.entries,
+        roster._machine_by_name,
+        roster._name_by_machine,
+        core.placer.machines,
+    )
     return sum(len(table) for table in tables) - len(tables) * len(roster.nodes)
 
 
@@ -245,7 +250,7 @@
 
 def _dispatchers(pipe: Connection, folders: Sequence[Path], plant: str | None) -> None:
     if plant is not None:
-        planted.PLANTS[plant]()
+        fault_injection.INJECTED_FAULTS[plant]()
     _serve(DispatcherProcess(pipe, folders))
 
 
--- a/thornshelf/lab/scale/quantities.py
+++ b/thornshelf/lab/scale/quantities.py
@@ -16,34 +16,34 @@
 
 import psutil
 
-from glenshift import interface as api
-from glenshift.brain import Placer
-from thornshelf.changelog import read_events
-from thornshelf.config import read_config
+from thornshelf.configuration import read_config
 from thornshelf.control.core_tables import CoreTables
-from thornshelf.control.history import History, Tallies
-from thornshelf.control.tables import Catalog, Reading
-from thornshelf.core import Attempt, Dispatcher, SetUp
-from thornshelf.core.releases import Absent
-from thornshelf.core.succession import hand_off
-from thornshelf.lab.members import SECOND, Network, settle, settled
+from thornshelf.control.history import ErrorCounters, History
+from thornshelf.control.tables import Catalog, TableReader
+from thornshelf.core import Attempt, Dispatcher, TaskRequest
+from thornshelf.core.releases import DisconnectedClient
+from thornshelf.core.state_transfer import export_state
+from thornshelf.discovery.endpoint_watch import decode_events
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
+from thornshelf.lab.membership import SECOND, Network, run_settled, run_until_settled
 from thornshelf.lab.scale.layout import Layout
-from thornshelf.lab.standins import CONFIG
 from thornshelf.loop import Loop
+from thornshelf.placement import interface as api
+from thornshelf.placement.placer import Placer
 
 DECISIONS = 240
 QUIET_S = 10
 JOINED = 64  # members whose joining is played; larger fleets begin as if they had
 
 
-class Still:
+class IdleNode:
     """A node without a connection."""
 
-    reach, owes = "connected", False
+    connection_state, has_pending_data = "connected", False
 
     def __init__(self) -> None:
-        self.out: dict[int, Attempt] = {}
-        self.standing: set[int] = set()
+        self.in_flight: dict[int, Attempt] = {}
+        self.running: set[int] = set()
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_: []
@@ -51,16 +51,16 @@
 
 def settings() -> api.Settings:
     """Those of the laboratory's configuration."""
-    return read_config({"LB_CONFIG": str(CONFIG)}).settings
+    return read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}).settings
 
 
 def a_core(layout: Layout, nodes: int) -> Dispatcher:
     """The core of a dispatcher that knows so many nodes."""
-    core = Dispatcher(Loop(), settings(), 1, lambda *_: Still(), lambda *_: None)
+    core = Dispatcher(Loop(), settings(), 1, lambda *_: IdleNode(), lambda *_: None)
     if nodes:
-        _, changes = read_events(layout.whole(nodes), 0, lambda us: us, _refuse)
-        core.list_changed(changes[0])
-        core.turn()
+        _, changes = decode_events(layout.whole(nodes), 0, lambda us: us, _refuse)
+        core.update_endpoints(changes[0])
+        core.run_turn()
     return core
 
 
@@ -88,18 +88,18 @@
     chance, layout = random.Random(seed), Layout(seed)
     terms = replace(settings(), placers=2)
     entries = tuple(
-        api.MachineEntry(n, api.Health.UP, layout.kind(n), terms.zone, 1, 0.0, 0.0, 1.0, 0.0)
+        api.Endpoint(n, api.Health.UP, layout.kind(n), terms.zone, 1, 0.0, 0.0, 1.0, 0.0)
         for n in range(nodes)
     )
     gc.collect()
     tracemalloc.start()
     placer = Placer(terms, seed)
-    placer.handle(1.0, [api.MachineList(True, 1, entries)])
+    placer.handle(1.0, [api.EndpointUpdate(True, 1, entries)])
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     for number in range(nodes):
         ask = _ask(1 << 30 | number, number % 500, chance)
-        placer.handle(1.0, [api.Adopted(ask, number)])
+        placer.handle(1.0, [api.TaskAdopted(ask, number)])
     now, spent = 2.0, 0.0
     _settle_memory()
     for number in range(1, DECISIONS + 1):
@@ -109,14 +109,14 @@
         actions = placer.handle(now, [ask])
         spent += time.process_time() - began
         for action in actions:
-            if isinstance(action, api.Offer):
-                placer.handle(now, [api.Placed(number, action.machine, 0, 0.01)])
+            if isinstance(action, api.StartAttempt):
+                placer.handle(now, [api.AttemptAccepted(number, action.machine, 0, 0.01)])
     return {"placement_bytes": float(size), "decision_us": spent / DECISIONS * 1e6}
 
 
-def _ask(number: int, service: int, chance: random.Random) -> api.Ask:
+def _ask(number: int, service: int, chance: random.Random) -> api.PlacementRequest:
     cores, memory = chance.choice((0.5, 1.0, 2.0)), chance.choice((1.0, 2.0, 3.0))
-    return api.Ask(number, "lookup", None, number, 8.0, 8.0, service, cores, memory)
+    return api.PlacementRequest(number, "lookup", None, number, 8.0, 8.0, service, cores, memory)
 
 
 def standing_at(tasks: int, seed: int) -> dict[str, float]:
@@ -127,11 +127,11 @@
     gc.collect()
     process = psutil.Process()
     before = process.memory_info().rss
-    owner = Absent("127.0.0.1")
+    owner = DisconnectedClient("127.0.0.1")
     for uid in range(1, tasks + 1):
         name = layout.name(uid % nodes)
-        task = core.numbered(
-            SetUp(
+        task = core.create_task(
+            TaskRequest(
                 owner,
                 uid,
                 "lookup",
@@ -146,13 +146,13 @@
                 name,
             )
         )
-        core.know(task, uid)
-        core.adopt(task, name)
+        core.index_task(task, uid)
+        core.adopt_task(task, name)
         if uid % 1_000 == 0:
-            core.turn()
-    core.turn()
+            core.run_turn()
+    core.run_turn()
     grown = process.memory_info().rss - before
-    sent = sum(len(json.dumps(one)) + 1 for one in hand_off(core))
+    sent = sum(len(json.dumps(one)) + 1 for one in export_state(core))
     return {"standing_bytes": float(grown), "handover_bytes": float(sent)}
 
 
@@ -161,16 +161,18 @@
     core = a_core(Layout(seed), nodes)
     catalog = Catalog()
     catalog.add(
-        *CoreTables(core, History(1_000), Tallies(), lambda us: us // 1000).tables(lambda: core.settings)
+        *CoreTables(core, History(1_000), ErrorCounters(), lambda us: us // 1000).tables(
+            lambda: core.settings
+        )
     )
     table = catalog.table("nodes")
     rounds = max(2, 4_000 // nodes)
     _settle_memory()
     began = time.process_time()
     for _ in range(rounds):
-        reading = Reading(table, [column.name for column in table.columns], {})
-        while not reading.over:
-            reading.step(lambda: 0, 1, 1 << 30)
+        reading = TableReader(table, [column.name for column in table.columns], {})
+        while not reading.exhausted:
+            reading.read_rows(lambda: 0, 1, 1 << 30)
     return {"question_us": _us(began, rounds)}
 
 
@@ -178,11 +180,11 @@
     """The view of the fleet at rest, in virtual time: what one member sends, works and keeps."""
     network, names = Network(seed), [f"m{number:04d}" for number in range(members)]
     if members <= JOINED:
-        settle(network, names, 120 * SECOND)
+        run_until_settled(network, names, 120 * SECOND)
     else:
-        settle(network, names[:JOINED], 120 * SECOND)
+        run_until_settled(network, names[:JOINED], 120 * SECOND)
         network = Network(seed)
-        settled(network, names)
+        run_settled(network, names)
     network.run(network.now + 4 * SECOND)
     quiet_s = QUIET_S * max(1, JOINED // members)  # few members work so little that it takes longer to tell
     bytes_before, sent_before, began = network.bytes, network.sent, time.process_time()
@@ -191,7 +193,7 @@
     tracemalloc.start()
     view = network.start("one-more", names[:2])
     for member in network.views[names[0]].table.members.values():
-        view.table.enter(member.claim, network.now)
+        view.table.add(member.record, network.now)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
--- a/thornshelf/lab/scale/run.py
+++ b/thornshelf/lab/scale/run.py
@@ -19,18 +19,18 @@
 
 import psutil
 
-import glenshift
 import thornshelf
+import thornshelf.placement
 from thornshelf.capacity.curves import Point, fit
 from thornshelf.capacity.report import Machine, Report, judge
-from thornshelf.lab.planted import PLANTS
+from thornshelf.lab.fault_injection import INJECTED_FAULTS
 from thornshelf.lab.scale import quantities
 from thornshelf.lab.scale.bounds import Bounds
+from thornshelf.lab.scale.faults import FaultScenario, ScenarioCounts
 from thornshelf.lab.scale.hollow import Count, Nodes
 from thornshelf.lab.scale.layout import Layout
 from thornshelf.lab.scale.sizes import Found, Spans, at_size
-from thornshelf.lab.scale.troubles import Counted, Troubles
-from thornshelf.lab.scale.world import World
+from thornshelf.lab.scale.testbed import ScaleTestbed
 
 MOST_GROWTH = 1.5  # of what a member of the view sends, from the smallest fleet to the largest
 WORKERS = 4
@@ -130,7 +130,7 @@
 def call(plant: str | None, job: Callable[[], Any]) -> Any:
     """Measure in this process, with a planted fault or none."""
     if plant is not None:
-        PLANTS[plant]()
+        INJECTED_FAULTS[plant]()
     return job()
 
 
@@ -189,7 +189,7 @@
     layout, count = Layout(seed, port), 28
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(layout, count, count)
-        world = World(layout, nodes, count, members, Path(folder), Bounds(seconds), members)
+        world = ScaleTestbed(layout, nodes, count, members, Path(folder), Bounds(seconds), members)
         try:
             world.start_hollow(list(range(members)), False)
             world.rest(1.5)
@@ -199,15 +199,15 @@
             nodes.end()
 
 
-def troubles(
+def run_faults(
     count: int, seed: int, port: int, seconds: float, hollow: int, per_s: float, plant: str | None
-) -> Counted:
+) -> ScenarioCounts:
     """The target's troubles in small."""
     layout, bounds = Layout(seed, port), Bounds(seconds)
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(layout, count, count)
         try:
-            return Troubles(layout, nodes, count, hollow, Path(folder), bounds, per_s, plant).run()
+            return FaultScenario(layout, nodes, count, hollow, Path(folder), bounds, per_s, plant).run()
         finally:
             nodes.end()
 
@@ -216,7 +216,7 @@
     """The measurements on sockets: the troubles, each size, each number of dispatchers; all at ports of their own."""
     ports = itertools.count(7_400 + 20 * (seed % 100))
     jobs: list[Callable[[], Any]] = [
-        partial(troubles, plan.troubled, seed, next(ports), plan.seconds, plan.hollow, plan.per_s, plant)
+        partial(run_faults, plan.troubled, seed, next(ports), plan.seconds, plan.hollow, plan.per_s, plant)
     ]
     for count in plan.nodes:
         jobs.append(partial(size, count, seed, next(ports), plan.a_process, plan.seconds, plan.spans))
@@ -245,7 +245,7 @@
 def run(seed: int, plan: Plan, plant: str | None = None, say: Say = lambda text: None) -> Report:
     """The whole run. All processes that it started have ended when it returns, or raises."""
     bounds = Bounds(plan.seconds)
-    for package in (glenshift, thornshelf):  # as ``build`` does
+    for package in (thornshelf.placement, thornshelf):  # as ``build`` does
         compileall.compile_dir(Path(str(package.__file__)).parent, quiet=1)
     try:
         with Jobs(plan.part_workers, plant, bounds, say) as jobs:
@@ -282,7 +282,7 @@
     seed: int,
     bounds: Bounds,
     measured: Measured,
-    counted: Counted,
+    counted: ScenarioCounts,
     found: Sequence[Found],
 ) -> Report:
     """The report, with the rules that did not hold."""
--- a/thornshelf/lab/scale/sizes.py
+++ b/thornshelf/lab/scale/sizes.py
@@ -12,7 +12,7 @@
 from thornshelf.lab.scale.bounds import Bounds
 from thornshelf.lab.scale.hollow import Count, Drain, Kill, Nodes, NodeTally, Rise
 from thornshelf.lab.scale.layout import ZONES, Layout
-from thornshelf.lab.scale.world import Dispatcher, World
+from thornshelf.lab.scale.testbed import Dispatcher, ScaleTestbed
 
 SETTLE_S = 40.0  # a start, or a lost zone, is waited for no longer
 CHANGES = 40
@@ -49,7 +49,7 @@
 ) -> Found:
     """Start, rest, load, changes, a reload, a lost zone and its return, with a list of so many nodes."""
     before = nodes.tell(Count())
-    world = World(layout, nodes, count, 2, folder, bounds, placers)
+    world = ScaleTestbed(layout, nodes, count, 2, folder, bounds, placers)
     world.keepalive_s = spans.keepalive_s
     try:
         pair = (world.start_real(0, False), world.start_real(1, True))
@@ -68,7 +68,7 @@
         world.close()
 
 
-def _start(world: World, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
+def _start(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
     """Until all nodes of its part have been called."""
     world.quiet(SETTLE_S)
     for one, mine in zip(pair, found, strict=True):
@@ -79,7 +79,7 @@
 
 
 def _rest(
-    world: World, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...], spans: Spans
+    world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...], spans: Spans
 ) -> None:
     """With nothing to do: idle links have been closed. Work is the median of some windows."""
     world.rest(2.0 * spans.keepalive_s)
@@ -93,7 +93,7 @@
         mine["held_kb"] = max(mine.pop("started_kb"), pair[place].kb)
 
 
-def _window(world: World, pair: tuple[Dispatcher, ...], seconds: float) -> list[float]:
+def _window(world: ScaleTestbed, pair: tuple[Dispatcher, ...], seconds: float) -> list[float]:
     """Processor time a second of each, while so long passes."""
     cpu, began = _spent(pair), time.monotonic()
     world.rest(seconds)
@@ -101,7 +101,7 @@
     return [(after - before) / passed for before, after in zip(cpu, _spent(pair), strict=True)]
 
 
-def _changes(world: World, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
+def _changes(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
     """Single nodes start anew, one after another."""
     cpu, sent = _spent(pair), _sent(world, pair)
     began = time.monotonic()
@@ -119,7 +119,7 @@
 
 
 def _load(
-    world: World, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...], spans: Spans
+    world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...], spans: Spans
 ) -> None:
     """Set-ups at a steady rate, until their tasks have ended."""
     cpu, logs, tally = _spent(pair), [one.log_bytes for one in pair], world.nodes.tell(Count())
@@ -139,7 +139,7 @@
     world.quiet(SETTLE_S)
 
 
-def _reload(world: World, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
+def _reload(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
     """SIGHUP, with the file as it is; the median of some."""
     seconds = RELOAD_S + RELOAD_NODE_S * world.count
     windows = []
@@ -152,7 +152,7 @@
         mine["reload_us"] = (median(window[place] for window in windows) - mine["rest_us"]) * seconds
 
 
-def _zone(world: World, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
+def _zone(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
     """All nodes of zone 1, the subset's own, are lost at once, and come back cold."""
     lost = range(1, world.count, ZONES)
     cpu, began = _spent(pair), time.monotonic()
@@ -175,7 +175,7 @@
     world.nodes.tell(Drain(lost, False))
 
 
-def _outcomes(world: World, nodes: Nodes) -> tuple[int, int]:
+def _outcomes(world: ScaleTestbed, nodes: Nodes) -> tuple[int, int]:
     """Tasks lost and doubled, by the stand-ins' own count."""
     tally = nodes.tell(Count())
     world.truth.over = tally.over
@@ -186,5 +186,5 @@
     return [one.cpu_us for one in pair]
 
 
-def _sent(world: World, pair: tuple[Dispatcher, ...]) -> list[float]:
+def _sent(world: ScaleTestbed, pair: tuple[Dispatcher, ...]) -> list[float]:
     return [float(world.keeper.sent[one.index]) for one in pair]
--- a/thornshelf/lab/scale/world.py
+++ b/thornshelf/lab/scale/testbed.py
@@ -11,14 +11,14 @@
 
 import psutil
 
-from thornshelf.lab.conduct import JSON
-from thornshelf.lab.links import ListKeeper, Relays, private, public
-from thornshelf.lab.load import LOOKUP, County
-from thornshelf.lab.process import DispatcherProcess, example, write
+from thornshelf.lab.fakes.behavior import JSON
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
+from thornshelf.lab.load import LOOKUP, ClientPopulation
+from thornshelf.lab.oracle import Oracle
+from thornshelf.lab.process import DispatcherProcess, example_config, write_config
 from thornshelf.lab.scale.bounds import Bounds
 from thornshelf.lab.scale.hollow import Nodes, Worker, dispatchers
 from thornshelf.lab.scale.layout import ZONES, Layout, zone
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop
 
 KEY = "only for this experiment, 32 byte"
@@ -44,7 +44,7 @@
         self.index, self.process = index, process
         self.began = time.monotonic()
         self.ready_s = 0.0
-        self.county: County | None = None
+        self.county: ClientPopulation | None = None
         self.handle = psutil.Process(process.process.pid)
         self.most_descriptors = 0
 
@@ -74,7 +74,7 @@
         return self.process.log_path.stat().st_size
 
 
-class World:
+class ScaleTestbed:
     """One set of dispatchers over the first ``count`` nodes."""
 
     def __init__(
@@ -90,8 +90,11 @@
         """``placers``: how many dispatchers the settings name; ``members``: how many there may be here."""
         self.layout, self.nodes, self.count, self.folder, self.bounds = layout, nodes, count, folder, bounds
         self.placers, self.keepalive_s = placers, 30.0
-        self.loop, self.chance, self.truth = Loop(), random.Random(layout.seed), Truth()
-        self.relays, self.keeper = Relays(self.loop, members, layout.seed), ListKeeper(self.loop, members)
+        self.loop, self.chance, self.truth = Loop(), random.Random(layout.seed), Oracle()
+        self.relays, self.keeper = (
+            DatagramRelays(self.loop, members, layout.seed),
+            FakeEndpointSource(self.loop, members),
+        )
         self.keeper.events += layout.whole(count)["results"]
         self.real: list[Dispatcher] = []
         self.hollow: list[Worker] = []
@@ -145,9 +148,9 @@
         for index in indices:
             folder = self.folder / f"hollow-{len(self.keeper.ports)}-{index}"
             folder.mkdir()
-            value = example()
+            value = example_config()
             self.configuration(index, value)
-            write(folder, value, self.operator(index, subset))
+            write_config(folder, value, self.operator(index, subset))
             folders.append(folder)
         self.hollow.append(dispatchers(folders, plant))
 
@@ -158,8 +161,8 @@
             for one in self.real:
                 if not one.ready_s and one.process.ready():
                     one.ready_s = time.monotonic() - one.began
-                    one.county = County(
-                        self.loop, one.process.fronts, JSON, self.truth, random.Random(one.index)
+                    one.county = ClientPopulation(
+                        self.loop, one.process.addresses, JSON, self.truth, random.Random(one.index)
                     )
                     one.county.next_uid = one.index + 1 << 40
             return all(one.ready_s for one in self.real)
@@ -206,7 +209,7 @@
 
     def tell(self, *entries: dict[str, Any]) -> None:
         """An event of the change log, to all."""
-        self.keeper.tell(list(entries))
+        self.keeper.publish(list(entries))
 
     def ask(self, one: Dispatcher, task_class: str = LOOKUP) -> None:
         """A new task at a real dispatcher."""
@@ -239,7 +242,7 @@
         for worker in self.hollow:
             worker.end()
         for one in self.real:
-            one.process.end()
+            one.process.terminate()
         self.relays.close()
         self.keeper.close()
         self.loop.close()
--- a/thornshelf/lab/shell.py
+++ b/thornshelf/lab/shell.py
@@ -19,13 +19,13 @@
 from typing import Any
 
 from thornshelf.errors import ThornshelfError
-from thornshelf.lab.fleet import AIM_US, Member, World
-from thornshelf.lab.links import private
+from thornshelf.lab.fakes.network import private
+from thornshelf.lab.fleet import AIM_US, FleetTestbed, MemberProcess
 from thornshelf.lab.load import LOOKUP
-from thornshelf.shell.client import Client
-from thornshelf.shell.engine import Engine
-from thornshelf.shell.ready import READY
-from thornshelf.shell.reasons import why_task
+from thornshelf.shell.client import ControlClient
+from thornshelf.shell.engine import QueryEngine
+from thornshelf.shell.explanations import explain_task
+from thornshelf.shell.saved_queries import SAVED_QUERIES
 
 CONTROL = '[control]\nsocket = "control.sock"\n'
 SEGMENT_S, PAIRS, RESUBMITTED = (
@@ -41,7 +41,7 @@
 Told = tuple[list[tuple[Any, ...]], dict[str, str]]  # rows, and who told nothing, with the reason
 
 
-def place(world: World, member: Member) -> str:
+def place(world: FleetTestbed, member: MemberProcess) -> str:
     """Its control socket."""
     return str(world.folder / f"{member.name}-{member.starts}" / "control.sock")
 
@@ -49,33 +49,33 @@
 def ask(at: str, sql: str, seconds: float = 10.0) -> Told | str:
     """One question to all by one member; the code of the error, where it was one."""
     try:
-        with Client(at, seconds) as client:
-            result = Engine(client).query(sql, True)
-        return result.rows, dict(result.told.missing)
+        with ControlClient(at, seconds) as client:
+            result = QueryEngine(client).query(sql, True)
+        return result.rows, dict(result.summary.missing)
     except ThornshelfError as fault:
         return fault.code
 
 
 def story(at: str, uid: str) -> list[str]:
     """What became of a task."""
-    with Client(at) as client:
-        return why_task(Engine(client), uid)
+    with ControlClient(at) as client:
+        return explain_task(QueryEngine(client), uid)
 
 
 def hammer(places: list[str], seconds: float, per_s: int, seed: int) -> tuple[int, list[str]]:
     """Ready questions at one member after another, so many a second; how many were asked, and what failed."""
     chance, until, count, failed = random.Random(seed), time.monotonic() + seconds, 0, list[str]()
-    clients = [Client(at) for at in places]
-    engines = [Engine(client) for client in clients]
+    clients = [ControlClient(at) for at in places]
+    engines = [QueryEngine(client) for client in clients]
     due = time.monotonic()
     while due < until:
         time.sleep(max(0.0, due - time.monotonic()))
         due += 1 / per_s
         count += 1
         try:
-            result = engines[count % len(engines)].query(chance.choice(READY).sql, True)
+            result = engines[count % len(engines)].query(chance.choice(SAVED_QUERIES).sql, True)
             if not result.complete:
-                failed.append(f"{result.told.missing} {result.cut}")
+                failed.append(f"{result.summary.missing} {result.truncation}")
         except ThornshelfError as fault:
             failed.append(f"{fault} [{fault.code}]")
     for client in clients:
@@ -86,7 +86,7 @@
 class Inquiry:
     """A run's questions and their verdicts."""
 
-    def __init__(self, world: World, pool: ProcessPoolExecutor) -> None:
+    def __init__(self, world: FleetTestbed, pool: ProcessPoolExecutor) -> None:
         self.world, self.pool = world, pool
         self.queries = 0
         self.wrong: list[str] = []
@@ -97,7 +97,7 @@
         self.world.until(future.done, limit_s)
         return future.result(1.0)
 
-    def ask(self, member: Member, sql: str) -> Told:
+    def ask(self, member: MemberProcess, sql: str) -> Told:
         """One question to all by a member; an error is a wrong answer."""
         self.queries += 1
         told: Told | str = self.wait(self.pool.submit(ask, place(self.world, member), sql))
@@ -107,7 +107,7 @@
         return told
 
     def expect(
-        self, member: Member, sql: str, truth: Any, make: Callable[[Told], Any] = lambda told: told[0]
+        self, member: MemberProcess, sql: str, truth: Any, make: Callable[[Told], Any] = lambda told: told[0]
     ) -> None:
         """What is told has to be the truth, once it has had time to be heard of."""
         found: Any = None
@@ -118,7 +118,7 @@
             self.world.rest(0.25)
         self.wrong.append(f"{sql}: {found!r:.300} for {truth() if callable(truth) else truth!r:.300}")
 
-    def gap(self, member: Member, absent: Member) -> None:
+    def gap(self, member: MemberProcess, absent: MemberProcess) -> None:
         """A member that can't answer is named, and all others have told."""
         rows, missing = self.ask(member, "SELECT DISTINCT member FROM counters")
         others = {one.name for one in self.world.members if one is not absent}
@@ -127,12 +127,12 @@
         )
 
 
-def truth_of_nodes(world: World) -> list[tuple[str, int]]:
+def truth_of_nodes(world: FleetTestbed) -> list[tuple[str, int]]:
     """How many tasks run at each node."""
     return [(f"s-{index + 1:08x}", len(node.tasks)) for index, node in enumerate(world.nodes)]
 
 
-def standing(world: World) -> set[str]:
+def standing(world: FleetTestbed) -> set[str]:
     """The ids of the tasks that run."""
     return {f"{uid:016x}" for node in world.nodes for uid in node.tasks}
 
@@ -176,7 +176,7 @@
 def changes(inquiry: Inquiry) -> None:
     """A node drains, and somebody forges datagrams: all members tell of it."""
     world, member = inquiry.world, inquiry.world.members[2]
-    world.keeper.tell([world.entry(2, "terminating")])
+    world.keeper.publish([world.entry(2, "terminating")])
     drained = "SELECT DISTINCT health FROM nodes WHERE node = 's-00000003'"
     inquiry.expect(member, drained, [("draining",)])
     victim = world.members[3]
@@ -266,7 +266,7 @@
     """The whole run."""
     began = time.monotonic()
     with tempfile.TemporaryDirectory() as folder, ProcessPoolExecutor(2, get_context("spawn")) as pool:
-        world = World(seed, True, plant, 6, 6, Path(folder))
+        world = FleetTestbed(seed, True, plant, 6, 6, Path(folder))
         world.more = CONTROL
         inquiry = Inquiry(world, pool)
         try:
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -20,10 +20,10 @@
 
 from hdrh.histogram import HdrHistogram
 
-from thornshelf.lab.load import LEDGER, LOOKUP, County, LoadNode
+from thornshelf.lab.fakes.cluster import BINARY, GRPC2, JSON
+from thornshelf.lab.load import LEDGER, LOOKUP, ClientPopulation, LoadNode
+from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.lab.standins import BINARY, GRPC2, JSON
-from thornshelf.lab.truth import Truth
 from thornshelf.loop import Loop
 from thornshelf.wire import placement_v2_pb2 as pb2
 
@@ -90,7 +90,7 @@
 
 
 def _faults(
-    loop: Loop, rng: random.Random, nodes: list[LoadNode], county: County, plan: Plan, newer: bool
+    loop: Loop, rng: random.Random, nodes: list[LoadNode], county: ClientPopulation, plan: Plan, newer: bool
 ) -> None:
     """What goes wrong, and when: shares of the run's length."""
 
@@ -115,7 +115,7 @@
     """One pairing, in this process, with its dispatcher in another."""
     rng = random.Random(f"{plan.seed} {plan.name}")
     front, form = PAIRINGS[plan.name]
-    loop, truth, result = Loop(), Truth(), Result(plan.name)
+    loop, truth, result = Loop(), Oracle(), Result(plan.name)
     nodes = [LoadNode(loop, form, truth, rng) for _ in range(NODES)]
     if form == GRPC2:
         for node in nodes[: NODES // 2]:
@@ -124,7 +124,7 @@
         operator = OPERATOR.format(forms=json.dumps(["v2", "binary"] if form == GRPC2 else ["binary"]))
         dispatcher = DispatcherProcess(Path(folder), [node.port for node in nodes], operator, plan.plant)
         try:
-            county = County(loop, dispatcher.fronts, front, truth, rng)
+            county = ClientPopulation(loop, dispatcher.addresses, front, truth, rng)
             _load(loop, rng, county, plan, result)
             if plan.faults:
                 _faults(loop, rng, nodes, county, plan, form == GRPC2)
@@ -132,7 +132,7 @@
             spent = dispatcher.cpu_spent_us
             _turn(loop, 4.0)
         finally:
-            result.dispatcher_ended = dispatcher.end()
+            result.dispatcher_ended = dispatcher.terminate()
         county.finish()
         result.log = dispatcher.log_counts()
     lost = truth.lost(loop.now, SLACK_US)
@@ -151,7 +151,7 @@
     return result
 
 
-def _load(loop: Loop, rng: random.Random, county: County, plan: Plan, result: Result) -> None:
+def _load(loop: Loop, rng: random.Random, county: ClientPopulation, plan: Plan, result: Result) -> None:
     """Tasks arrive evenly on the whole, at random in the small; half-way comes the mass resubmission."""
     at = 0.0
     step = 0.85 * plan.seconds / plan.tasks
--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -52,7 +52,7 @@
         """Never call it."""
         if self.call is not None:
             self.call = None
-            self.loop.cancelled()
+            self.loop.timer_cancelled()
 
 
 class Task:
@@ -96,14 +96,14 @@
         self.on_fault: Callable[[BaseException], None] | None = None
         self.clock: Callable[[], int] = time.monotonic_ns
         self.now = self.clock() // 1000
-        self.arrived = self.now  # what the present step reads may have come as early as this
+        self.earliest_arrival_us = self.now  # what the present step reads may have come as early as this
 
-    def spent(self) -> int:
+    def turn_elapsed_us(self) -> int:
         """How long this turn has worked, in microseconds: to bound it, and for no decision."""
         return self.clock() // 1000 - self.now
 
     @property
-    def behind(self) -> bool:
+    def has_backlog(self) -> bool:
         """Coroutines are ready that this turn had no time for."""
         return bool(self._ready)
 
@@ -115,7 +115,7 @@
         return task
 
     def _step_soon(self, task: Task, value: int) -> None:
-        entry = (task, value, self.arrived)
+        entry = (task, value, self.earliest_arrival_us)
         if task.urgent:
             self._ready.appendleft(entry)
         else:
@@ -135,7 +135,7 @@
         heapq.heappush(self._timers, (due, next(self._order), timer))
         return timer
 
-    def cancelled(self) -> None:
+    def timer_cancelled(self) -> None:
         """A timer is void: once more of them are than are not, they are swept out, due or not."""
         self._void += 1
         if self._void > VOID and 2 * self._void > len(self._timers):
@@ -147,7 +147,7 @@
         """Call when so many microseconds have passed."""
         return self.at(self.now + delay, call)
 
-    def forget(self, fd: int) -> None:
+    def unregister(self, fd: int) -> None:
         """A descriptor is about to be closed: coroutines that wait for it wake with 0."""
         watch = self._watches.pop(fd, None)
         if watch is None:
@@ -158,7 +158,7 @@
             if task is not None:
                 self._expire(task)
 
-    def on_hang_up(self, fd: int, call: Callable[[], None]) -> None:
+    def on_peer_close(self, fd: int, call: Callable[[], None]) -> None:
         """Call once the peer has closed its side, at the start of the turn that finds it so.
 
         That is before any coroutine is stepped, however much of what the peer sent before is still to be read.
@@ -195,7 +195,7 @@
         events = self._epoll.poll(sleep)
         self.now = self.clock() // 1000
         # What a poll finds at once came while the last turn worked; one that sleeps wakes as input comes.
-        self.arrived = before if self.now - polled < AT_ONCE_US else self.now
+        self.earliest_arrival_us = before if self.now - polled < AT_ONCE_US else self.now
         for fd, mask in events:
             self._wake(fd, mask)
         while self._timers and self._timers[0][0] <= self.now:
@@ -207,10 +207,10 @@
                 self._void -= 1
         steps = 0
         while self._ready:
-            task, value, self.arrived = self._ready.popleft()
+            task, value, self.earliest_arrival_us = self._ready.popleft()
             self._step(task, value)
             steps += 1
-            if steps % STEPS == 0 and self.spent() >= STEPS_US:
+            if steps % STEPS == 0 and self.turn_elapsed_us() >= STEPS_US:
                 break
         again = False
         for hook in self.on_turn:
--- a/thornshelf/loop/stream.py
+++ b/thornshelf/loop/stream.py
@@ -12,8 +12,8 @@
 from thornshelf.loop.loop import IN, OUT, Loop, Task, Wait
 
 READ_SIZE = 64 * 1024
-PAUSE_AT = 256 * 1024  # with so much unsent, a peer that doesn't read is not read from either
-MOST_UNSENT = 1024 * 1024  # and with so much it is cut off
+READ_PAUSE_BYTES = 256 * 1024  # with so much unsent, a peer that doesn't read is not read from either
+MAX_BUFFERED_BYTES = 1024 * 1024  # and with so much it is cut off
 _BUFFERS = 64  # buffers that go into one call
 
 
@@ -27,7 +27,7 @@
         self.sent = 0
 
     @property
-    def whole(self) -> bool:
+    def fully_sent(self) -> bool:
         """All of it was given to the system: the peer may have it."""
         return self.sent == len(self.data)
 
@@ -39,15 +39,17 @@
         self.loop, self.sock, self.peer = loop, sock, peer
         self.fd = sock.fileno()
         self.open = True
-        self.unsent = 0
+        self.buffered_bytes = 0
         self._out: deque[Chunk] = deque()
         self._writer: Task | None = None
         self._queued = False
         self._ending = False
         self.on_close: Callable[[], None] | None = None
-        self.given: Any = None  # what the door keeps of it, where there is one
-        self.sent_us = 0  # when it last had something to send
-        self.hung_up = False  # the peer has closed its side, though what it sent before may still be unread
+        self.admission_permit: Any = None  # what the door keeps of it, where there is one
+        self.last_send_us = 0  # when it last had something to send
+        self.peer_closed = (
+            False  # the peer has closed its side, though what it sent before may still be unread
+        )
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -57,9 +59,9 @@
         chunk = Chunk(data)
         if self.open and not self._ending:
             self._out.append(chunk)
-            self.sent_us = self.loop.now
-            self.unsent += len(data)
-            if self.unsent > MOST_UNSENT:
+            self.last_send_us = self.loop.now
+            self.buffered_bytes += len(data)
+            if self.buffered_bytes > MAX_BUFFERED_BYTES:
                 self.close()
             elif not self._queued and self._writer is None:
                 self._queued = True
@@ -70,16 +72,16 @@
         """Call a message back; only one of which no byte has gone out."""
         if chunk.sent == 0 and chunk in self._out:
             self._out.remove(chunk)
-            self.unsent -= len(chunk.data)
+            self.buffered_bytes -= len(chunk.data)
             return True
         return False
 
-    def hang_up(self) -> None:
+    def mark_peer_closed(self) -> None:
         """The peer has closed its side."""
-        self.hung_up = True
+        self.peer_closed = True
 
     @property
-    def unread(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Bytes, or the end of them, wait in the system."""
         poll = select.poll()
         poll.register(self.fd, select.POLLIN)
@@ -88,7 +90,7 @@
     def read(self, until: int | None = None) -> Generator[Wait, int, bytes | None]:
         """The next bytes; empty where the peer ended or the connection broke, None where time ran out."""
         while self.open:
-            while self.unsent > PAUSE_AT and self.open:  # back-pressure
+            while self.buffered_bytes > READ_PAUSE_BYTES and self.open:  # back-pressure
                 yield Wait(until=self.loop.now + 10_000)
             if not self.open:
                 break
@@ -122,7 +124,7 @@
         """Close at once; what is unsent stays unsent."""
         if self.open:
             self.open = False
-            self.loop.forget(self.fd)
+            self.loop.unregister(self.fd)
             self.sock.close()
             if self.on_close is not None:
                 self.on_close()
@@ -156,17 +158,17 @@
                 return False
             except OSError:
                 self._out.clear()  # the reader learns of the break, unless it waits for room
-                self.unsent = 0
+                self.buffered_bytes = 0
                 if self._ending:
                     self.close()
                 return True
-            self.unsent -= sent
+            self.buffered_bytes -= sent
             while sent:
                 first = self._out[0]
                 taken = min(sent, len(first.data) - first.sent)
                 first.sent += taken
                 sent -= taken
-                if first.whole:
+                if first.fully_sent:
                     self._out.popleft()
         if self._ending:
             self.close()
@@ -194,7 +196,7 @@
             if (yield Wait(fd, OUT, until)):
                 code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
     finally:
-        loop.forget(fd)
+        loop.unregister(fd)
         if code:
             sock.close()
     return code or Stream(loop, sock, f"{host}:{port}")
--- a/thornshelf/membership/dissemination.py
+++ b/thornshelf/membership/dissemination.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Hashable
 from heapq import nsmallest
 
-MOST = 8_192  # rumours that wait; beyond, those told most often are let go: comparing finds them
+MAX_RUMORS = 8_192  # rumours that wait; beyond, those told most often are let go: comparing finds them
 
 
-class Dissemination:
+class DisseminationBuffer:
     """Keys of claims and entries that others may not know yet."""
 
     def __init__(self) -> None:
@@ -22,9 +22,9 @@
     def add(self, key: Hashable) -> None:
         """Something new of this key: it is told from the beginning."""
         self._told.pop(key, None)
-        if len(self._told) >= MOST:
+        if len(self._told) >= MAX_RUMORS:
             for old in nsmallest(
-                MOST // 8, self._told, key=lambda one: (-self._told[one], -self._order[one])
+                MAX_RUMORS // 8, self._told, key=lambda one: (-self._told[one], -self._order[one])
             ):
                 self._drop(old)
         self._count -= 1
@@ -33,7 +33,7 @@
     def _drop(self, key: Hashable) -> None:
         del self._told[key], self._order[key]
 
-    def pick(
+    def select(
         self, room: int, most: int, encoded: Callable[[Hashable], bytes | None], first: Hashable = None
     ) -> list[tuple[Hashable, bytes]]:
         """Rumours that fit into ``room`` bytes, each counted as told; gone once it was told ``most`` times.
--- a/thornshelf/membership/news.py
+++ b/thornshelf/membership/drain_gossip.py
@@ -15,37 +15,39 @@
 from msgspec import Meta
 
 UP, DRAINING, GONE = 0, 1, 2
-PLACES = ("up", "draining", "gone")
-TOLD_US = 30_000_000  # news is passed on for so long
+STAGE_NAMES = ("up", "draining", "gone")
+GOSSIP_LIFETIME_US = 30_000_000  # news is passed on for so long
 SILENT_US = 1_000_000  # a change log that has not answered for so long beyond its time is silent
-ENOUGH = 3  # members who say a thing already
-PAGE, PAGES = 16, 8
+SUFFICIENT_REPORTERS = 3  # members who say a thing already
+ROWS_PER_PAGE, MAX_PAGES = 16, 8
 
-Place = tuple[int, int]  # the process's start, Unix ms (0: long ago), and the place in its life
+NodeProgress = tuple[int, int]  # the process's start, Unix ms (0: long ago), and the place in its life
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class DrainRow(msgspec.Struct, frozen=True, array_like=True):
     """One node's place in its life."""
 
     node: Annotated[str, Meta(min_length=1, max_length=64)]
     started_ms: Annotated[int, Meta(ge=0, lt=1 << 60)]
-    rank: Annotated[int, Meta(ge=0, le=2)]
+    stage: Annotated[int, Meta(ge=0, le=2)]
 
 
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[list[Row]] = msgspec.msgpack.Decoder(list[Row])
+_decoder: msgspec.msgpack.Decoder[list[DrainRow]] = msgspec.msgpack.Decoder(list[DrainRow])
 
 
-class NodeNews:
+class DrainGossip:
     """What the own list says, what others say, and what follows."""
 
     def __init__(self) -> None:
-        self._own: dict[str, tuple[Place, int]] = {}  # and when it was told
-        self._others: dict[str, dict[tuple[str, int], tuple[Place, int]]] = {}  # by node, by writer and part
-        self._kept_away: dict[str, Place] = {}  # by others' word
+        self._own: dict[str, tuple[NodeProgress, int]] = {}  # and when it was told
+        self._others: dict[
+            str, dict[tuple[str, int], tuple[NodeProgress, int]]
+        ] = {}  # by node, by writer and part
+        self._kept_away: dict[str, NodeProgress] = {}  # by others' word
         self._pages: list[list[str]] = []
 
-    def listed(self, node: str, started_ms: int, rank: int, now_us: int) -> None:
+    def update_own(self, node: str, started_ms: int, rank: int, now_us: int) -> None:
         """The own list's word."""
         place = started_ms, rank
         old = self._own.get(node)
@@ -54,32 +56,32 @@
         if rank == GONE and node not in self._others:
             self._own[node] = place, now_us
 
-    def forget_old(self, now_us: int) -> None:
+    def expire(self, now_us: int) -> None:
         """Nodes that went long ago."""
         for node, (place, at) in list(self._own.items()):
-            if place[1] == GONE and now_us - at > 2 * TOLD_US:
+            if place[1] == GONE and now_us - at > 2 * GOSSIP_LIFETIME_US:
                 del self._own[node]
 
-    def values(self, now_us: int) -> list[bytes]:
+    def encode_pages(self, now_us: int) -> list[bytes]:
         """What this member tells, by parts; a node that enough others tell of is left to them."""
         fresh = [
             node
             for node, (place, at) in self._own.items()
             if place[1] > UP
-            and now_us - at < TOLD_US
-            and (self._in_pages(node) or self._tellers(node) < ENOUGH)
+            and now_us - at < GOSSIP_LIFETIME_US
+            and (self._in_pages(node) or self._tellers(node) < SUFFICIENT_REPORTERS)
         ]
         # A node stays on its page, so that a page that has not changed is not written again.
         self._pages = [[node for node in page if node in set(fresh)] for page in self._pages]
         for node in fresh:
             if not self._in_pages(node):
-                page = next((page for page in self._pages if len(page) < PAGE), None)
-                if page is None and len(self._pages) < PAGES:
+                page = next((page for page in self._pages if len(page) < ROWS_PER_PAGE), None)
+                if page is None and len(self._pages) < MAX_PAGES:
                     self._pages.append(page := [])
                 if page is not None:
                     page.append(node)
         return [
-            _encoder.encode([Row(node, *self._own[node][0]) for node in page]) if page else b""
+            _encoder.encode([DrainRow(node, *self._own[node][0]) for node in page]) if page else b""
             for page in self._pages
         ]
 
@@ -90,20 +92,20 @@
         own = self._own[node][0]
         return len({writer for (writer, _), (place, _) in self._others.get(node, {}).items() if place >= own})
 
-    def heard(self, writer: str, part: int, value: bytes, now_us: int) -> bool:
+    def receive(self, writer: str, part: int, value: bytes, now_us: int) -> bool:
         """What another tells now; false where it can't be read."""
         try:
             rows = _decoder.decode(value) if value else []
         except msgspec.MsgspecError:
             return False
         self._drop(writer, part)
-        for row in rows[:PAGE]:
-            if row.rank > UP:
-                said = (row.started_ms, row.rank), now_us
+        for row in rows[:ROWS_PER_PAGE]:
+            if row.stage > UP:
+                said = (row.started_ms, row.stage), now_us
                 self._others.setdefault(row.node, {})[writer, part] = said
         return True
 
-    def forget(self, writer: str) -> None:
+    def discard_member(self, writer: str) -> None:
         """A member's word counts no more."""
         self._drop(writer, None)
 
@@ -114,7 +116,7 @@
             if not said:
                 del self._others[node]
 
-    def told_by(self, node: str) -> list[str]:
+    def reporters(self, node: str) -> list[str]:
         """Who says that a node is further in its life than the own list has it."""
         own = self._own.get(node)
         if own is None:
@@ -123,7 +125,7 @@
             {writer for (writer, _), (place, _) in self._others.get(node, {}).items() if place > own[0]}
         )
 
-    def keep_away(self, silent: bool, live: Collection[str]) -> set[str]:
+    def nodes_to_avoid(self, silent: bool, live: Collection[str]) -> set[str]:
         """The nodes that nothing new may be offered to by others' word.
 
         ``silent``: the own change log says nothing. Where it speaks, its word alone holds.
@@ -134,7 +136,7 @@
             return set()
         for node in self._others:
             own = self._own.get(node)
-            tellers = set(self.told_by(node)) & set(live)
+            tellers = set(self.reporters(node)) & set(live)
             if own is not None and own[0][1] == UP and len(tellers) >= wanted:
                 self._kept_away[node] = own[0]
         for node, place in list(self._kept_away.items()):
@@ -150,7 +152,7 @@
             for (writer, _), ((started, rank), _) in said.items():
                 yield node, writer, started, rank, node in self._kept_away
 
-    def own_place(self, node: str) -> Place | None:
+    def own_progress(self, node: str) -> NodeProgress | None:
         """What the own list says of a node."""
         own = self._own.get(node)
         return None if own is None else own[0]
