--- a/thornshelf/membership/states.py
+++ b/thornshelf/membership/states.py
@@ -14,7 +14,7 @@
 import msgspec
 
 
-class Word(enum.IntEnum):
+class RecordStatus(enum.IntEnum):
     """What a claim says; of one incarnation the greater word holds."""
 
     ALIVE = 0
@@ -23,123 +23,137 @@
     LEFT = 3
 
 
-class State(enum.Enum):
+class MemberState(enum.Enum):
     """What a member is to this one."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"  # it did not answer, or somebody says so: its time to refute that runs
-    DOOMED = "doomed"  # somebody holds it for dead or gone: a short time to refute that runs
+    UNCONFIRMED_DEAD = "doomed"  # somebody holds it for dead or gone: a short time to refute that runs
     DEAD = "dead"  # remembered, and called again now and then
     LEFT = "left"  # it ended in order: remembered, and not called
 
 
-LIVE = frozenset((State.ALIVE, State.SUSPECT, State.DOOMED))
+LIVE_STATES = frozenset((MemberState.ALIVE, MemberState.SUSPECT, MemberState.UNCONFIRMED_DEAD))
 
 
-class Event(enum.Enum):
+class MemberEvent(enum.Enum):
     """What may happen to a member in this one's view."""
 
-    NO_ANSWER = "it did not answer this member's probe"
-    SAID_SUSPECT = "another says that it does not answer"
-    SAID_DEAD = "another says that it is dead"
-    SAID_LEFT = "another says that it has left"
-    LEAVES = "it says itself that it leaves"
-    REFUTES = "it is alive, by a newer incarnation"
-    TIME_OVER = "the time to refute is over"
+    PROBE_FAILED = "it did not answer this member's probe"
+    REPORTED_SUSPECT = "another says that it does not answer"
+    REPORTED_DEAD = "another says that it is dead"
+    REPORTED_LEFT = "another says that it has left"
+    LEAVE_ANNOUNCED = "it says itself that it leaves"
+    REFUTED = "it is alive, by a newer incarnation"
+    REFUTATION_TIMEOUT = "the time to refute is over"
 
 
 # Every state under every event. None: forgotten. What is not a change is written down all the same.
-TRANSITIONS: dict[tuple[State, Event], State] = {
-    (State.ALIVE, Event.NO_ANSWER): State.SUSPECT,
-    (State.ALIVE, Event.SAID_SUSPECT): State.SUSPECT,
-    (State.ALIVE, Event.SAID_DEAD): State.DOOMED,
-    (State.ALIVE, Event.SAID_LEFT): State.DOOMED,
-    (State.ALIVE, Event.LEAVES): State.LEFT,
-    (State.ALIVE, Event.REFUTES): State.ALIVE,
-    (State.ALIVE, Event.TIME_OVER): State.ALIVE,  # of a suspicion that was refuted
-    (State.SUSPECT, Event.NO_ANSWER): State.SUSPECT,
-    (State.SUSPECT, Event.SAID_SUSPECT): State.SUSPECT,  # a confirmation: its time shrinks
-    (State.SUSPECT, Event.SAID_DEAD): State.DOOMED,
-    (State.SUSPECT, Event.SAID_LEFT): State.DOOMED,
-    (State.SUSPECT, Event.LEAVES): State.LEFT,
-    (State.SUSPECT, Event.REFUTES): State.ALIVE,
-    (State.SUSPECT, Event.TIME_OVER): State.DEAD,
-    (State.DOOMED, Event.NO_ANSWER): State.DOOMED,
-    (State.DOOMED, Event.SAID_SUSPECT): State.DOOMED,
-    (State.DOOMED, Event.SAID_DEAD): State.DOOMED,
-    (State.DOOMED, Event.SAID_LEFT): State.DOOMED,
-    (State.DOOMED, Event.LEAVES): State.LEFT,
-    (State.DOOMED, Event.REFUTES): State.ALIVE,
-    (State.DOOMED, Event.TIME_OVER): State.DEAD,  # or LEFT, where that is what was said
-    (State.DEAD, Event.NO_ANSWER): State.DEAD,
-    (State.DEAD, Event.SAID_SUSPECT): State.DEAD,
-    (State.DEAD, Event.SAID_DEAD): State.DEAD,
-    (State.DEAD, Event.SAID_LEFT): State.DEAD,
-    (State.DEAD, Event.LEAVES): State.LEFT,
-    (State.DEAD, Event.REFUTES): State.ALIVE,
-    (State.DEAD, Event.TIME_OVER): State.DEAD,
-    (State.LEFT, Event.NO_ANSWER): State.LEFT,
-    (State.LEFT, Event.SAID_SUSPECT): State.LEFT,
-    (State.LEFT, Event.SAID_DEAD): State.LEFT,
-    (State.LEFT, Event.SAID_LEFT): State.LEFT,
-    (State.LEFT, Event.LEAVES): State.LEFT,
-    (State.LEFT, Event.REFUTES): State.ALIVE,
-    (State.LEFT, Event.TIME_OVER): State.LEFT,
+TRANSITIONS: dict[tuple[MemberState, MemberEvent], MemberState] = {
+    (MemberState.ALIVE, MemberEvent.PROBE_FAILED): MemberState.SUSPECT,
+    (MemberState.ALIVE, MemberEvent.REPORTED_SUSPECT): MemberState.SUSPECT,
+    (MemberState.ALIVE, MemberEvent.REPORTED_DEAD): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.ALIVE, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.ALIVE, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
+    (MemberState.ALIVE, MemberEvent.REFUTED): MemberState.ALIVE,
+    (MemberState.ALIVE, MemberEvent.REFUTATION_TIMEOUT): MemberState.ALIVE,  # of a suspicion that was refuted
+    (MemberState.SUSPECT, MemberEvent.PROBE_FAILED): MemberState.SUSPECT,
+    (
+        MemberState.SUSPECT,
+        MemberEvent.REPORTED_SUSPECT,
+    ): MemberState.SUSPECT,  # a confirmation: its time shrinks
+    (MemberState.SUSPECT, MemberEvent.REPORTED_DEAD): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.SUSPECT, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.SUSPECT, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
+    (MemberState.SUSPECT, MemberEvent.REFUTED): MemberState.ALIVE,
+    (MemberState.SUSPECT, MemberEvent.REFUTATION_TIMEOUT): MemberState.DEAD,
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.PROBE_FAILED): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REPORTED_SUSPECT): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REPORTED_DEAD): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REFUTED): MemberState.ALIVE,
+    (
+        MemberState.UNCONFIRMED_DEAD,
+        MemberEvent.REFUTATION_TIMEOUT,
+    ): MemberState.DEAD,  # or LEFT, where that is what was said
+    (MemberState.DEAD, MemberEvent.PROBE_FAILED): MemberState.DEAD,
+    (MemberState.DEAD, MemberEvent.REPORTED_SUSPECT): MemberState.DEAD,
+    (MemberState.DEAD, MemberEvent.REPORTED_DEAD): MemberState.DEAD,
+    (MemberState.DEAD, MemberEvent.REPORTED_LEFT): MemberState.DEAD,
+    (MemberState.DEAD, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
+    (MemberState.DEAD, MemberEvent.REFUTED): MemberState.ALIVE,
+    (MemberState.DEAD, MemberEvent.REFUTATION_TIMEOUT): MemberState.DEAD,
+    (MemberState.LEFT, MemberEvent.PROBE_FAILED): MemberState.LEFT,
+    (MemberState.LEFT, MemberEvent.REPORTED_SUSPECT): MemberState.LEFT,
+    (MemberState.LEFT, MemberEvent.REPORTED_DEAD): MemberState.LEFT,
+    (MemberState.LEFT, MemberEvent.REPORTED_LEFT): MemberState.LEFT,
+    (MemberState.LEFT, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
+    (MemberState.LEFT, MemberEvent.REFUTED): MemberState.ALIVE,
+    (MemberState.LEFT, MemberEvent.REFUTATION_TIMEOUT): MemberState.LEFT,
 }
 
-SAID = {Word.SUSPECT: Event.SAID_SUSPECT, Word.DEAD: Event.SAID_DEAD, Word.LEFT: Event.SAID_LEFT}
+REPORT_EVENTS = {
+    RecordStatus.SUSPECT: MemberEvent.REPORTED_SUSPECT,
+    RecordStatus.DEAD: MemberEvent.REPORTED_DEAD,
+    RecordStatus.LEFT: MemberEvent.REPORTED_LEFT,
+}
 
 
-class Claim(msgspec.Struct, frozen=True, array_like=True):
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
     """What is told of one member."""
 
     name: str
     address: str  # where it is to be reached, host:port
     incarnation: int
-    life: int  # a random number of its process
-    word: int
-    up_ms: int  # how long its process had run when it took this incarnation, by a clock that is never set
-    by: str = ""  # who says so first, of a suspicion: independent ones are counted
+    instance_id: int  # a random number of its process
+    status: int
+    uptime_ms: int  # how long its process had run when it took this incarnation, by a clock that is never set
+    reported_by: str = ""  # who says so first, of a suspicion: independent ones are counted
 
     @property
-    def key(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """The greater one holds."""
-        return self.incarnation, self.life, self.word
+        return self.incarnation, self.instance_id, self.status
 
 
-def greater(one: Claim | None, other: Claim) -> Claim:
+def prevailing_record(one: MemberRecord | None, other: MemberRecord) -> MemberRecord:
     """The claim that holds; of equals the first."""
-    return other if one is None or other.key > one.key else one
+    return other if one is None or other.precedence > one.precedence else one
 
 
 @dataclass(slots=True, eq=False)
 class Member:
     """Another member, as this one sees it; times in microseconds."""
 
-    claim: Claim
-    state: State = State.ALIVE
-    since_us: int = 0  # in this state
-    due_us: int = 0  # when the time to refute is over
-    heard_us: int = -1  # when it last spoke itself, -1 for never
-    alive_us: int = 0  # since when it has been live without a break
-    doubters: frozenset[str] = frozenset()  # who suspect it of their own
-    told_us: int = -1_000_000_000  # when it was last told what is said of it
+    record: MemberRecord
+    state: MemberState = MemberState.ALIVE
+    state_since_us: int = 0  # in this state
+    refutation_deadline_us: int = 0  # when the time to refute is over
+    last_seen_us: int = -1  # when it last spoke itself, -1 for never
+    live_since_us: int = 0  # since when it has been live without a break
+    suspected_by: frozenset[str] = frozenset()  # who suspect it of their own
+    last_corrected_us: int = -1_000_000_000  # when it was last told what is said of it
 
     @property
-    def live(self) -> bool:
+    def is_live(self) -> bool:
         """It counts among those that are there."""
-        return self.state in LIVE
+        return self.state in LIVE_STATES
 
-    def happens(self, event: Event, now_us: int) -> bool:
+    def apply(self, event: MemberEvent, now_us: int) -> bool:
         """Take a transition; true where the state is another one."""
         state = TRANSITIONS[self.state, event]
-        if event is Event.TIME_OVER and self.state is State.DOOMED and self.claim.word == Word.LEFT:
-            state = State.LEFT
+        if (
+            event is MemberEvent.REFUTATION_TIMEOUT
+            and self.state is MemberState.UNCONFIRMED_DEAD
+            and self.record.status == RecordStatus.LEFT
+        ):
+            state = MemberState.LEFT
         if state is self.state:
             return False
-        if state is State.ALIVE:
-            self.doubters = frozenset()
-            if not self.live:
-                self.alive_us = now_us
-        self.state, self.since_us = state, now_us
+        if state is MemberState.ALIVE:
+            self.suspected_by = frozenset()
+            if not self.is_live:
+                self.live_since_us = now_us
+        self.state, self.state_since_us = state, now_us
         return True
--- a/thornshelf/nodes/platform.py
+++ b/thornshelf/nodes/binary.py
@@ -2,58 +2,62 @@
 
 from __future__ import annotations
 
-from glenshift.interface import Fact, Outcome, Reason
-from thornshelf.core import Attempt, Noted, Started
+from thornshelf.core import Attempt, TaskProgress, TaskStarted
 from thornshelf.loop import Chunk, Stream
-from thornshelf.nodes.base import BaseLink, BaseNode, read_report
+from thornshelf.nodes.node_connection import BaseNodeConnection, NodeLink, decode_load_report
+from thornshelf.placement.interface import Outcome, Reason, TaskUpdateKind
 from thornshelf.wire import binary
 from thornshelf.wire.errors import WireError
 
 GIVEN_UP = ENDED = 16
 PROBE, LINK_TEST = 0, 1  # the ids of tests, which name no task
-_BEFORE = {34: Outcome.REFUSED, 47: Outcome.ERROR, 102: Outcome.NOT_SENT}  # any other cause: it broke
-_AFTER = {16: Outcome.OK, 31: Outcome.CANCELLED}
-_REASONS = {
+OUTCOMES_BEFORE_START = {
+    34: Outcome.REFUSED,
+    47: Outcome.ERROR,
+    102: Outcome.NOT_SENT,
+}  # any other cause: it broke
+OUTCOMES_AFTER_START = {16: Outcome.OK, 31: Outcome.CANCELLED}
+REASONS_BY_NAME = {
     "lack_cpu": Reason.NO_CORES,
     "lack_ram": Reason.NO_MEMORY,
     "backlog": Reason.QUEUE_FULL,
-    "unfit": Reason.NOT_HERE,
+    "unfit": Reason.NOT_SERVING,
     "killed": Reason.EVICTED,
-    "displaced": Reason.PUSHED_OUT,
-    "dismissed": Reason.SENT_AWAY,
+    "displaced": Reason.PREEMPTED,
+    "dismissed": Reason.DRAINED,
 }
-_FACTS = {
-    "running": Fact.RUNS,
-    "use_cpu": Fact.CORES_USED,
-    "use_ram": Fact.MEMORY_USED,
-    "health": Fact.SERVED_SHARE,
-    "ram_high": Fact.MACHINE_MEMORY,
+FACTS_BY_NAME = {
+    "running": TaskUpdateKind.STARTED,
+    "use_cpu": TaskUpdateKind.CORES_USED,
+    "use_ram": TaskUpdateKind.MEMORY_USED,
+    "health": TaskUpdateKind.SERVED_FRACTION,
+    "ram_high": TaskUpdateKind.MACHINE_MEMORY,
 }
 
 
-class PlatformLink(BaseLink):
+class BinaryLink(NodeLink):
     """One connection to a node."""
 
-    def __init__(self, node: BaseNode, stream: Stream) -> None:
+    def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
         self._reader = binary.MessageReader()
         self._chunks: dict[int, Chunk] = {}
 
-    def offer(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         """The set-up, with the wait that is left of its attempt."""
-        wait_ms = max(1, (attempt.until_us - self.node.loop.now) // 1000)
+        wait_ms = max(1, (attempt.deadline_us - self.node.loop.now) // 1000)
         values = {
             binary.CLASS: attempt.task_class.encode(),
             binary.WAIT: str(wait_ms).encode(),
-            binary.KEY: f"{attempt.key:016x}".encode(),
+            binary.KEY: f"{attempt.idempotency_key:016x}".encode(),
             binary.DESCRIPTION: attempt.description,
         }
         try:
             self._chunks[attempt.uid] = self.stream.send(binary.encode(binary.SET_UP, attempt.uid, values))
         except WireError:
-            self.node.finished(attempt.uid, Outcome.NOT_SENT)
+            self.node.attempt_finished(attempt.uid, Outcome.NOT_SENT)
 
-    def withdraw(self, uid: int) -> bool:
+    def withdraw_attempt(self, uid: int) -> bool:
         """Call the set-up back, or tell the node that it is given up."""
         chunk = self._chunks.pop(uid, None)
         if chunk is not None and self.stream.retract(chunk):
@@ -61,33 +65,33 @@
         self._release(uid)
         return False
 
-    def left(self, uid: int) -> bool:
+    def may_have_arrived(self, uid: int) -> bool:
         """Whether all of it was handed to the system."""
         chunk = self._chunks.get(uid)
-        return chunk is not None and chunk.whole
+        return chunk is not None and chunk.fully_sent
 
-    def cut(self, uid: int) -> Chunk:
+    def cancel_task(self, uid: int) -> Chunk:
         """A release ends a task that stands."""
         return self._release(uid)
 
-    def probe(self) -> None:
+    def check_health(self) -> None:
         """A test with cause 1 asks for a report."""
         self.stream.send(binary.encode(binary.TEST, PROBE, {binary.CAUSE: b"\x01"}))
 
-    def test(self) -> None:
+    def ping(self) -> None:
         """A test with cause 0 is answered by a node that still listens to this connection."""
         self.stream.send(binary.encode(binary.TEST, LINK_TEST, {binary.CAUSE: b"\x00"}))
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A message has begun and not ended."""
-        return self._reader.midway
+        return self._reader.mid_message
 
-    def take(self, data: bytes) -> str | None:
+    def receive(self, data: bytes) -> str | None:
         """Bytes of the connection."""
         self._reader.feed(data)
         while (message := self._reader.next()) is not None:
-            self.messages += 1
+            self.messages_received += 1
             self._take(message)
         return None
 
@@ -96,8 +100,8 @@
 
     def _started(self, uid: int, description: bytes) -> None:
         self._chunks.pop(uid, None)
-        self.node.started(uid)
-        self.node.core.inbox.append(Started(self.node.machine, uid, description))
+        self.node.task_started(uid)
+        self.node.core.inbox.append(TaskStarted(self.node.machine, uid, description))
 
     def _take(self, message: binary.Message) -> None:
         node, uid, values = self.node, message.uid, message.values
@@ -112,26 +116,28 @@
                     # answered and released by this one message, which alone carries a description.
                     self._started(uid, _description(message))
                 before = self._chunks.pop(uid, None) is not None
-                outcome = (_BEFORE if before else _AFTER).get(message.cause, Outcome.BROKEN)
-                reason = _REASONS.get(message.text(binary.NOTE_NAME) or "", Reason.UNTOLD)
-                report = read_report(binary.read_report(message.text(binary.REPORT)))
-                node.finished(uid, outcome, reason, report)
+                outcome = (OUTCOMES_BEFORE_START if before else OUTCOMES_AFTER_START).get(
+                    message.cause, Outcome.BROKEN
+                )
+                reason = REASONS_BY_NAME.get(message.text(binary.NOTE_NAME) or "", Reason.UNSPECIFIED)
+                report = decode_load_report(binary.parse_load_report(message.text(binary.REPORT)))
+                node.attempt_finished(uid, outcome, reason, report)
             case binary.NOTE:
-                fact = _FACTS.get(message.text(binary.NOTE_NAME) or "")
-                level = binary.read_figure(message.text(binary.FIGURE))
-                if fact is Fact.RUNS and level is None:
+                fact = FACTS_BY_NAME.get(message.text(binary.NOTE_NAME) or "")
+                level = binary.parse_number(message.text(binary.FIGURE))
+                if fact is TaskUpdateKind.STARTED and level is None:
                     level = 1.0
                 if fact is not None and level is not None:
-                    node.core.inbox.append(Noted(node.machine, uid, fact, level))
+                    node.core.inbox.append(TaskProgress(node.machine, uid, fact, level))
             case binary.TESTED if uid == LINK_TEST:
                 pass  # that it came is all
             case binary.TESTED:
                 passed = message.cause == 1
-                report = read_report(binary.read_report(message.text(binary.REPORT)))
-                node.probed(Outcome.OK if passed else Outcome.ERROR, report)
+                report = decode_load_report(binary.parse_load_report(message.text(binary.REPORT)))
+                node.health_check_completed(Outcome.OK if passed else Outcome.ERROR, report)
             case binary.TEST:
                 self.stream.send(binary.encode(binary.TESTED, uid, {binary.CAUSE: b"\x01"}))
-            case binary.PROGRESS | binary.RELEASE_HEARD:
+            case binary.PROGRESS | binary.RELEASE_ACK:
                 pass  # these mean nothing
             case _:
                 # Guards against reading on where a length did not fit: what follows is no message either.
@@ -150,9 +156,9 @@
     return value
 
 
-class PlatformNode(BaseNode):
+class BinaryNodeConnection(BaseNodeConnection):
     """A node on the platform."""
 
-    def make_link(self, stream: Stream) -> BaseLink:
+    def make_link(self, stream: Stream) -> NodeLink:
         """Its connection."""
-        return PlatformLink(self, stream)
+        return BinaryLink(self, stream)
--- a/thornshelf/nodes/base.py
+++ b/thornshelf/nodes/node_connection.py
@@ -7,15 +7,15 @@
 from collections.abc import Generator
 from typing import Protocol
 
-from glenshift.interface import Outcome, Reason, Report
-from glenshift.pacing import again_s, greeting_s
-from thornshelf.core import Attempt, Dispatcher, Finished, NodeEntry, NodeLost, Probed
+from thornshelf.core import Attempt, Dispatcher, HealthCheckCompleted, NodeEndpoint, NodeLost, TaskFinished
 from thornshelf.loop import Loop, Stream, Task, Timer, Wait
 from thornshelf.loop.stream import connect
-from thornshelf.translate.words import Why
-from thornshelf.wire.errors import UNREADABLE, WireError, coded
+from thornshelf.placement.health_check_schedule import initial_connect_delay_s, reconnect_delay_s
+from thornshelf.placement.interface import LoadReport, Outcome, Reason
+from thornshelf.translation.failures import FailureCause
+from thornshelf.wire.errors import UNREADABLE_PREFIX, WireError, error_code_fields
 
-PROBE_US = 250_000  # a probe is not waited for longer
+HEALTH_CHECK_TIMEOUT_US = 250_000  # a probe is not waited for longer
 NO_ROOM_US = (
     1_500_000  # pause where descriptors are too few and tasks stand: news is owed within some seconds
 )
@@ -45,71 +45,73 @@
 }
 
 
-def read_report(fields: dict[str, float]) -> Report | None:
+def decode_load_report(fields: dict[str, float]) -> LoadReport | None:
     """A load report in the module's words; none where nothing in it is known."""
     named = {REPORT_FIELDS[name]: value for name, value in fields.items() if name in REPORT_FIELDS}
-    return Report(**named) if named else None
+    return LoadReport(**named) if named else None
 
 
-class Sent(Protocol):
+class PendingWrite(Protocol):
     """A message on its way out."""
 
     @property
-    def whole(self) -> bool:
+    def fully_sent(self) -> bool:
         """All of it was given to the system."""
 
 
-class BaseLink:
+class NodeLink:
     """One open connection in one wire form."""
 
-    def __init__(self, node: BaseNode, stream: Stream) -> None:
+    def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         self.node, self.stream = node, stream
         self.opened_us = node.loop.now
         self.accepting = True  # False: it only finishes what is out, and new offers wait for the next
-        self.ready = True  # False: what the node speaks is not known yet, and nothing may leave for it
+        self.handshake_complete = (
+            True  # False: what the node speaks is not known yet, and nothing may leave for it
+        )
         self._why = ENDED
         self._watching = self._tested = False
         self._looks = 0  # since its last byte
         self._half_looks = 0  # since its last whole message
-        self.messages = 0  # whole ones so far
+        self.messages_received = 0  # whole ones so far
 
-    def offer(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         """Send a set-up."""
         raise NotImplementedError
 
-    def withdraw(self, uid: int) -> bool:
+    def withdraw_attempt(self, uid: int) -> bool:
         """Give a set-up up; true where no byte of it had left."""
         raise NotImplementedError
 
-    def left(self, uid: int) -> bool:
+    def may_have_arrived(self, uid: int) -> bool:
         """Whether all of a set-up has left, so that it may run."""
         raise NotImplementedError
 
-    def cut(self, uid: int) -> Sent:
+    def cancel_task(self, uid: int) -> PendingWrite:
         """End a task that stands; gives the word on its way."""
         raise NotImplementedError
 
-    def probe(self) -> None:
+    def check_health(self) -> None:
         """Ask for a report."""
         raise NotImplementedError
 
-    def ask(self, key: int, uid: int) -> None:
+    def query_task(self, idempotency_key: int, uid: int) -> None:
         """Ask about a task's name; only forms that have a word for it are asked."""
 
-    def take(self, data: bytes) -> str | None:
+    def receive(self, data: bytes) -> str | None:
         """Bytes of the connection; says why it is over, where it is."""
         raise NotImplementedError
 
-    def test(self) -> None:
+    def ping(self) -> None:
         """Ask for any byte at all."""
         raise NotImplementedError
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A message has begun and not ended."""
         raise NotImplementedError
 
-    def watch(self) -> None:
+    def watch_liveness(self) -> None:
         """See to it that what it owes comes.
 
         Guards against a spoilt connection that stays open: where a length swallows what follows, or an
@@ -122,24 +124,24 @@
 
     def _look(self) -> None:
         self._watching = False
-        if not self.stream.open or not (self.midway or self._tested or self.node.out):
+        if not self.stream.open or not (self.mid_message or self._tested or self.node.in_flight):
             self._looks = 0
             return
         self._looks += 1
         self._half_looks += 1
-        if self.midway and self._half_looks >= HALF_LOOKS:
-            self.stop("a message broke off")
+        if self.mid_message and self._half_looks >= HALF_LOOKS:
+            self.close("a message broke off")
         elif self._looks >= DEAF_LOOKS:
-            self.stop("it says nothing more")
+            self.close("it says nothing more")
         else:
             if self._looks >= QUIET_LOOKS and not self._tested:
                 self._tested = True
-                self.test()
-            self.watch()
+                self.ping()
+            self.watch_liveness()
 
-    def stop(self, why: str) -> None:
+    def close(self, reason: str) -> None:
         """Close it: what is out on it is given up."""
-        self._why = why
+        self._why = reason
         self.stream.close()
 
     def run(self) -> Generator[Wait, int, str]:
@@ -147,51 +149,51 @@
         node = self.node
         began_us = quiet_since = node.loop.now
         while True:
-            wait = FINISH_US if not self.accepting else node.idle_after_us() // 4
-            if not self.ready:
-                if node.loop.now - began_us >= node.hello_us:
+            wait = FINISH_US if not self.accepting else node.idle_timeout_us() // 4
+            if not self.handshake_complete:
+                if node.loop.now - began_us >= node.hello_timeout_us:
                     return "it does not say what it speaks"
-                wait = began_us + node.hello_us - node.loop.now
+                wait = began_us + node.hello_timeout_us - node.loop.now
             data = yield from self.stream.read(node.loop.now + wait)
             if data is None:
                 if not node.idle:
                     quiet_since = node.loop.now
-                elif node.loop.now - quiet_since >= node.idle_after_us():
+                elif node.loop.now - quiet_since >= node.idle_timeout_us():
                     return ""
             elif not data:
                 return self._why
             else:
                 quiet_since = node.loop.now
-                self._looks, self._tested, before = 0, False, self.messages
-                began = self.midway
+                self._looks, self._tested, before = 0, False, self.messages_received
+                began = self.mid_message
                 try:
-                    if (why := self.take(data)) is not None:
+                    if (why := self.receive(data)) is not None:
                         return why
                 except WireError as fault:
-                    return f"{UNREADABLE}{fault}"
-                if self.midway:
-                    if not began or self.messages > before:
+                    return f"{UNREADABLE_PREFIX}{fault}"
+                if self.mid_message:
+                    if not began or self.messages_received > before:
                         self._half_looks = 0  # it is another message that has begun
-                    self.watch()
-            if not self.accepting and not node.out:
+                    self.watch_liveness()
+            if not self.accepting and not node.in_flight:
                 return "the node wants another connection"
 
 
-class BaseNode:
+class BaseNodeConnection:
     """A node and its one connection; ``make_link`` gives it its wire form."""
 
-    def __init__(self, loop: Loop, machine: int, entry: NodeEntry, core: Dispatcher) -> None:
+    def __init__(self, loop: Loop, machine: int, entry: NodeEndpoint, core: Dispatcher) -> None:
         self.loop, self.machine, self.core, self.name = loop, machine, core, entry.name
         host, _, port = entry.address.rpartition(":")
         self.host, self.port = host, int(port)
         self.pending: deque[Attempt] = deque()  # wait for the connection
-        self.out: dict[int, Attempt] = {}  # sent and not ended
-        self.standing: set[int] = set()
+        self.in_flight: dict[int, Attempt] = {}  # sent and not ended
+        self.running: set[int] = set()
         # To be ended, and not yet heard to be: the word on its way, where there is a connection, and since when.
-        self.cuts: dict[int, tuple[Sent | None, int]] = {}
-        self.questions: dict[int, int] = {}  # names to be asked about then, each with its task's id
-        self.hello_us = 0  # a connection that is not ready after so long is of no use
-        self.link: BaseLink | None = None
+        self.pending_cancellations: dict[int, tuple[PendingWrite | None, int]] = {}
+        self.pending_queries: dict[int, int] = {}  # names to be asked about then, each with its task's id
+        self.hello_timeout_us = 0  # a connection that is not ready after so long is of no use
+        self.link: NodeLink | None = None
         self.closed = self.draining = False
         self._failed = False  # the last call found nobody
         # Guards against lost news: what a node tells of the tasks that it is handed over with (their use of
@@ -201,133 +203,139 @@
         self._greeting = True
         self._task: Task | None = None
         terms = core.settings
-        self._pause_us = int(again_s(RETRY_US / 1e6, terms.placers) * 1e6)
+        self._pause_us = int(reconnect_delay_s(RETRY_US / 1e6, terms.placers) * 1e6)
         self._greet: Timer | None = None
-        if late_us := int(greeting_s(terms.me, machine, terms.placers) * 1e6):
-            self._greet = loop.after(late_us, lambda: self._need() if self._greeting else None)
+        if late_us := int(initial_connect_delay_s(terms.me, machine, terms.placers) * 1e6):
+            self._greet = loop.after(late_us, lambda: self._ensure_connecting() if self._greeting else None)
         else:
-            self._need()
+            self._ensure_connecting()
         self._probe: tuple[int, Timer] | None = None
         self._probe_wanted = False
 
-    def make_link(self, stream: Stream) -> BaseLink:
+    def make_link(self, stream: Stream) -> NodeLink:
         """The wire form."""
         raise NotImplementedError
 
     # what the core asks
 
-    def offer(self, attempt: Attempt) -> None:
+    def send_attempt(self, attempt: Attempt) -> None:
         """Send a set-up now, or once the connection is up.
 
         Guards against an offer on a connection that the node has closed: unread, for all that is known it may run.
         """
         link = self.link
-        if link is not None and link.accepting and link.ready and not link.stream.hung_up:
+        if link is not None and link.accepting and link.handshake_complete and not link.stream.peer_closed:
             self._send(link, attempt)
         else:
             self.pending.append(attempt)
-            self._need()
-
-    def _send(self, link: BaseLink, attempt: Attempt) -> None:
-        self.out[attempt.uid] = attempt
-        if (connections := self.core.connections) is not None:
-            connections.used(self, self.loop.now)
-        if (cause := self.unfit(attempt)) is not None:
-            self.finished(attempt.uid, Outcome.NOT_SENT, why=cause)
+            self._ensure_connecting()
+
+    def _send(self, link: NodeLink, attempt: Attempt) -> None:
+        self.in_flight[attempt.uid] = attempt
+        if (connections := self.core.node_connections) is not None:
+            connections.touch(self, self.loop.now)
+        if (cause := self.ineligibility(attempt)) is not None:
+            self.attempt_finished(attempt.uid, Outcome.NOT_SENT, cause=cause)
             return
-        link.offer(attempt)
-        link.watch()
+        link.send_attempt(attempt)
+        link.watch_liveness()
 
-    def unfit(self, attempt: Attempt) -> Why | None:
+    def ineligibility(self, attempt: Attempt) -> FailureCause | None:
         """Why an offer must not leave for this node, by what it has said of itself; none where it may."""
         return None
 
-    def withdraw(self, attempt: Attempt) -> bool:
+    def withdraw_attempt(self, attempt: Attempt) -> bool:
         """Give an attempt up."""
         if attempt in self.pending:
             self.pending.remove(attempt)
             return True
-        if self.out.pop(attempt.uid, None) is None or (link := self.link) is None:
+        if self.in_flight.pop(attempt.uid, None) is None or (link := self.link) is None:
             return False
-        if link.withdraw(attempt.uid):
+        if link.withdraw_attempt(attempt.uid):
             return True
         # Guards against two copies at once: the word must be out before the task is offered elsewhere, and at the
         # turn's end another node's stream may be written first. A closed connection says the same.
         link.stream.flush()
-        if link.stream.unsent:
-            link.stop("it takes nothing more")
+        if link.stream.buffered_bytes:
+            link.close("it takes nothing more")
         return False
 
-    def cut(self, uid: int) -> None:
+    def cancel_task(self, uid: int) -> None:
         """End a task that stands there; kept until there is a connection to say it on."""
-        self.standing.discard(uid)
-        link = self.link if self.link is not None and self.link.ready else None
-        self.cuts[uid] = (link.cut(uid) if link else None), self.loop.now
-        self._need()
+        self.running.discard(uid)
+        link = self.link if self.link is not None and self.link.handshake_complete else None
+        self.pending_cancellations[uid] = (link.cancel_task(uid) if link else None), self.loop.now
+        self._ensure_connecting()
 
-    def hold(self, uid: int) -> None:
+    def watch_task(self, uid: int) -> None:
         """Hear of the task's end: a node sends it on any open connection, or on the next."""
-        self.standing.add(uid)
-        self._need()
+        self.running.add(uid)
+        self._ensure_connecting()
 
-    def let_go(self, uid: int) -> None:
+    def unwatch_task(self, uid: int) -> None:
         """The task is over."""
-        self.standing.discard(uid)
-        self.out.pop(uid, None)
+        self.running.discard(uid)
+        self.in_flight.pop(uid, None)
 
-    def ask(self, key: int, uid: int) -> None:
+    def query_task(self, idempotency_key: int, uid: int) -> None:
         """Ask about a task's name; kept until there is a connection to ask on."""
-        if self.link is not None and self.link.ready:
-            self.link.ask(key, uid)
-            self.link.watch()
+        if self.link is not None and self.link.handshake_complete:
+            self.link.query_task(idempotency_key, uid)
+            self.link.watch_liveness()
         else:
-            self.questions[key] = uid
-            self._need()
+            self.pending_queries[idempotency_key] = uid
+            self._ensure_connecting()
 
-    def renew(self) -> None:
+    def reconnect(self) -> None:
         """What is out ends on the present connection; what stands is heard of on the next."""
         if self.link is not None:
             self.link.accepting = False
 
-    def ready(self) -> None:
+    def handshake_completed(self) -> None:
         """What the node speaks and requires is known: what waited for that leaves now."""
         link = self.link
-        if link is not None and not link.ready:
-            link.ready = True
-            self._begin(link)
+        if link is not None and not link.handshake_complete:
+            link.handshake_complete = True
+            self._send_pending(link)
 
-    def probe(self) -> None:
+    def check_health(self) -> None:
         """Ask for a report."""
         if self._probe is not None:
             return
         sent = self.loop.now
-        timer = self.loop.after(PROBE_US, lambda: self.probed(Outcome.TIMED_OUT, None))
+        timer = self.loop.after(
+            HEALTH_CHECK_TIMEOUT_US, lambda: self.health_check_completed(Outcome.TIMED_OUT, None)
+        )
         self._probe = (sent, timer)
-        if self.link is not None and self.link.ready:
-            self.link.probe()
+        if self.link is not None and self.link.handshake_complete:
+            self.link.check_health()
         else:
             self._probe_wanted = True
-            self._need()
+            self._ensure_connecting()
 
     def drain(self) -> list[Attempt]:
         """Nothing new from now on; what has not left is called back."""
         self.draining = True
         kept = list(self.pending)
         self.pending.clear()
-        for uid, attempt in list(self.out.items()):
-            if self.link is not None and not self.link.left(uid) and self.link.withdraw(uid):
-                del self.out[uid]
+        for uid, attempt in list(self.in_flight.items()):
+            if (
+                self.link is not None
+                and not self.link.may_have_arrived(uid)
+                and self.link.withdraw_attempt(uid)
+            ):
+                del self.in_flight[uid]
                 kept.append(attempt)
         return kept
 
-    def restarted(self, started_us: int) -> None:
+    def process_restarted(self, started_us: int) -> None:
         """Its process started anew at this time: what went out to the one before is over, and given up.
 
         Guards against a second copy: what was offered before that time, but left on a connection to the new
         process, is out there.
         """
         if self.link is not None and self.link.opened_us < started_us:
-            self.link.stop("its process started anew")
+            self.link.close("its process started anew")
 
     def resume(self) -> None:
         """It takes offers."""
@@ -342,78 +350,84 @@
             self._greet.cancel()
         self.link = None  # its connection was closed with the coroutine
         if self._probe is not None:
-            self.probed(Outcome.NOT_CONNECTED, None)
+            self.health_check_completed(Outcome.NOT_CONNECTED, None)
         for attempt in self.pending:
-            self.finished(attempt.uid, Outcome.NOT_CONNECTED)
+            self.attempt_finished(attempt.uid, Outcome.NOT_CONNECTED)
         self.pending.clear()
         # What was out ends with the core's own word on the tasks of a node that is gone.
-        self.out.clear()
+        self.in_flight.clear()
 
     # what links tell
 
-    def started(self, uid: int) -> None:
+    def task_started(self, uid: int) -> None:
         """The task runs: it no longer depends on this connection."""
-        if self.out.pop(uid, None) is not None:
-            self.standing.add(uid)
+        if self.in_flight.pop(uid, None) is not None:
+            self.running.add(uid)
 
-    def finished(
+    def attempt_finished(
         self,
         uid: int,
         outcome: Outcome,
-        reason: Reason = Reason.UNTOLD,
-        report: Report | None = None,
-        why: Why | None = None,
+        reason: Reason = Reason.UNSPECIFIED,
+        report: LoadReport | None = None,
+        cause: FailureCause | None = None,
     ) -> None:
         """An attempt or a standing task has ended."""
-        self.out.pop(uid, None)
-        self.standing.discard(uid)
-        self.cuts.pop(uid, None)
-        self.core.inbox.append(Finished(self.machine, uid, outcome, reason, report, why))
+        self.in_flight.pop(uid, None)
+        self.running.discard(uid)
+        self.pending_cancellations.pop(uid, None)
+        self.core.inbox.append(TaskFinished(self.machine, uid, outcome, reason, report, cause))
 
-    def probed(self, outcome: Outcome, report: Report | None) -> None:
+    def health_check_completed(self, outcome: Outcome, report: LoadReport | None) -> None:
         """The probe has its result."""
         if self._probe is not None:
             sent, timer = self._probe
             self._probe, self._probe_wanted = None, False
             timer.cancel()
-            self.core.inbox.append(Probed(self.machine, outcome, self.loop.now - sent, report))
+            self.core.inbox.append(HealthCheckCompleted(self.machine, outcome, self.loop.now - sent, report))
 
     # the connection
 
     @property
     def idle(self) -> bool:
         """Nothing waits for anything on this connection."""
-        return self.spare and not self.standing
+        return self.listening_only and not self.running
 
     @property
-    def spare(self) -> bool:
+    def listening_only(self) -> bool:
         """Only news of what stands is waited for."""
-        return not (self.out or self.pending or self.owes or self.questions or self._probe)
+        return not (
+            self.in_flight or self.pending or self.has_pending_data or self.pending_queries or self._probe
+        )
 
     @property
-    def owes(self) -> bool:
+    def has_pending_data(self) -> bool:
         """Something that was said to it has not left, or the end of a task may not have come there.
 
         Guards against a task that nobody wants and that runs for good: a connection that is closed or breaks may
         take the word of its end with it. That is said again on the next, unless it was out for long.
         """
         since = self.loop.now - CUT_US
-        self.cuts = {
-            uid: cut for uid, cut in self.cuts.items() if not (cut[0] and cut[0].whole and cut[1] < since)
+        self.pending_cancellations = {
+            uid: cut
+            for uid, cut in self.pending_cancellations.items()
+            if not (cut[0] and cut[0].fully_sent and cut[1] < since)
         }
-        return bool(self.cuts) or (self.link is not None and bool(self.link.stream.unsent))
+        return bool(self.pending_cancellations) or (
+            self.link is not None and bool(self.link.stream.buffered_bytes)
+        )
 
-    def shed(self) -> None:
+    def evict(self) -> None:
         """Close the connection: others need its descriptor more."""
         if self.link is not None:
-            self.link.stop(SHED)
+            self.link.close(SHED)
 
-    def idle_after_us(self) -> int:
+    def idle_timeout_us(self) -> int:
         """How long an idle connection is kept."""
         return int(max(1.0, self.core.settings.limits.keepalive_s * IDLE_SHARE) * 1e6)
 
     @property
-    def reach(self) -> str:
+    def connection_state(self) -> str:
         """How its connection stands: connected, calling, unreachable, or idle, where nothing is wanted of it."""
         if self.link is not None:
             return "connected"
@@ -421,11 +435,11 @@
             return "idle"
         return "unreachable" if self._failed else "calling"
 
-    def _need(self) -> None:
+    def _ensure_connecting(self) -> None:
         if not self.closed and (self._task is None or self._task.done):
-            self._task = self.loop.spawn(self._serve())
+            self._task = self.loop.spawn(self._keep_connected())
 
-    def _serve(self) -> Generator[Wait, int, None]:
+    def _keep_connected(self) -> Generator[Wait, int, None]:
         """Connect, serve, and again for as long as something is wanted there."""
         broke = (
             False  # the node ended the last connection; it is not known yet whether its process still lives
@@ -441,22 +455,22 @@
                 # A full table of descriptors proves nothing of the node.
                 no_room = stream == errno.EMFILE
                 self._not_connected(Outcome.NOT_SENT if no_room else Outcome.NOT_CONNECTED)
-                if stream == errno.ECONNREFUSED and (broke or (self.standing and not self.draining)):
+                if stream == errno.ECONNREFUSED and (broke or (self.running and not self.draining)):
                     # Guards against waiting for the list: a refused connection proves the process dead, and
                     # a dying process cuts its tasks, whose releases are owed at once. But a draining node
                     # refuses new connections while its tasks run on: there the old one must have ended, too.
                     self.core.log(
-                        5, "node-dead", {"node": self.name, "standing": len(self.standing)}, "refused"
+                        5, "node-process-dead", {"node": self.name, "standing": len(self.running)}, "refused"
                     )
-                    self.standing.clear()
-                    self.cuts.clear()
+                    self.running.clear()
+                    self.pending_cancellations.clear()
                     self.core.inbox.append(NodeLost(self.machine))
                     broke = False
                 if self.idle:
                     return
                 until = began + self._pause_us
                 yield Wait(until=max(self.loop.now, began) + (NO_ROOM_US if no_room else RETRY_US))
-                while self.loop.now < until and not self.closed and self.spare:
+                while self.loop.now < until and not self.closed and self.listening_only:
                     yield Wait(until=min(until, self.loop.now + RETRY_US))  # an offer doesn't wait so long
                 continue
             why = yield from self._serve_link(stream)
@@ -464,8 +478,8 @@
             if why == SHED:
                 yield Wait(until=self.loop.now + NO_ROOM_US)
             elif not self.closed and why:
-                values: dict[str, object] = {"node": self.name, "standing": len(self.standing)}
-                self.core.log(5, "node-closed", values | coded(why), why)
+                values: dict[str, object] = {"node": self.name, "standing": len(self.running)}
+                self.core.log(5, "node-disconnected", values | error_code_fields(why), why)
                 # A node that ends each connection at once is not called in a tight circle, but a connection
                 # that is reset while new must not make offers wait.
                 again, short = short, self.loop.now - began < RETRY_US
@@ -473,81 +487,83 @@
 
     def _connect(self, until: int) -> Generator[Wait, int, Stream | int]:
         """A connection within the ledger of descriptors, where there is one: what it refuses proves nothing."""
-        ledger, connections = self.core.ledger, self.core.connections
+        ledger, connections = self.core.descriptor_ledger, self.core.node_connections
         if connections is not None:
-            if not connections.take(self, self.loop.now, not self.idle):
+            if not connections.acquire(self, self.loop.now, not self.idle):
                 return errno.EMFILE
             made: Stream | int = errno.ECANCELED
             try:
                 made = yield from connect(self.loop, self.host, self.port, until)
             finally:
                 if isinstance(made, int):
-                    connections.give(self)
+                    connections.release(self)
             if isinstance(made, Stream):
-                made.on_close = lambda: connections.give(self)
+                made.on_close = lambda: connections.release(self)
             return made
         if ledger is None:
             return (yield from connect(self.loop, self.host, self.port, until))
-        if not ledger.take("nodes"):
+        if not ledger.acquire("nodes"):
             return errno.EMFILE
         stream: Stream | int = errno.ECANCELED
         try:
             stream = yield from connect(self.loop, self.host, self.port, until)
         finally:
             if isinstance(stream, int):
-                ledger.give("nodes")
+                ledger.release("nodes")
         if isinstance(stream, Stream):
-            stream.on_close = lambda: ledger.give("nodes")
+            stream.on_close = lambda: ledger.release("nodes")
         return stream
 
-    def _begin(self, link: BaseLink) -> None:
+    def _send_pending(self, link: NodeLink) -> None:
         """What waited for a connection."""
-        for uid in self.cuts:
-            self.cuts[uid] = link.cut(uid), self.loop.now
+        for uid in self.pending_cancellations:
+            self.pending_cancellations[uid] = link.cancel_task(uid), self.loop.now
         while self.pending:
-            if (attempt := self.pending.popleft()).wanted():
+            if (attempt := self.pending.popleft()).is_awaited():
                 self._send(link, attempt)
             else:
-                self.finished(attempt.uid, Outcome.NOT_SENT)
-        for key, uid in self.questions.items():
-            link.ask(key, uid)
-        self.questions.clear()
+                self.attempt_finished(attempt.uid, Outcome.NOT_SENT)
+        for key, uid in self.pending_queries.items():
+            link.query_task(key, uid)
+        self.pending_queries.clear()
         if self._probe_wanted:
             self._probe_wanted = False
-            link.probe()
+            link.check_health()
 
-    def link_over(self, link: BaseLink) -> bool:
+    def link_closed(self, link: NodeLink) -> bool:
         """A connection is over; true where another form is to be tried before the node counts as unreachable."""
         return False
 
     def _serve_link(self, stream: Stream) -> Generator[Wait, int, str]:
         link = self.link = self.make_link(stream)
-        self.loop.on_hang_up(stream.fd, stream.hang_up)
+        self.loop.on_peer_close(stream.fd, stream.mark_peer_closed)
         self._failed = False
         try:
-            if link.ready:
-                self._begin(link)
+            if link.handshake_complete:
+                self._send_pending(link)
             return (yield from link.run())
         finally:
-            lost, self.out = self.out, {}
-            self.cuts = {uid: (None, since) for uid, (_, since) in self.cuts.items()}
+            lost, self.in_flight = self.in_flight, {}
+            self.pending_cancellations = {
+                uid: (None, since) for uid, (_, since) in self.pending_cancellations.items()
+            }
             self.link = None
             for attempt in lost.values():
                 # What never left as a whole can't have run; all else may have.
-                may_run = link.left(attempt.uid)
+                may_run = link.may_have_arrived(attempt.uid)
                 outcome = Outcome.BROKEN if may_run else Outcome.NOT_CONNECTED
-                self.core.inbox.append(Finished(self.machine, attempt.uid, outcome))
-            again = self.link_over(link)
-            if not link.ready and not again:
+                self.core.inbox.append(TaskFinished(self.machine, attempt.uid, outcome))
+            again = self.link_closed(link)
+            if not link.handshake_complete and not again:
                 self._not_connected()
             if self._probe is not None and not again:
-                self.probed(Outcome.BROKEN, None)
+                self.health_check_completed(Outcome.BROKEN, None)
             stream.close()
 
     def _not_connected(self, outcome: Outcome = Outcome.NOT_CONNECTED) -> None:
         self._failed = True
         for attempt in self.pending:
-            self.core.inbox.append(Finished(self.machine, attempt.uid, outcome))
+            self.core.inbox.append(TaskFinished(self.machine, attempt.uid, outcome))
         self.pending.clear()
         if self._probe is not None:
-            self.probed(Outcome.NOT_CONNECTED, None)
+            self.health_check_completed(Outcome.NOT_CONNECTED, None)
--- a/glenshift/draws.py
+++ b/thornshelf/placement/hashing.py
@@ -6,7 +6,7 @@
 
 
 @lru_cache(maxsize=1 << 14)  # tasks of a service come together
-def mix(a: int, b: int) -> float:
+def unit_hash(a: int, b: int) -> float:
     """A fixed draw from 0 to 1 for two ids, the same at every placer."""
     h = (a * 0xBF58476D1CE4E5B9 ^ b * 0x94D049BB133111EB) & 0xFFFFFFFFFFFFFFFF
     h = (h ^ h >> 29) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
--- a/glenshift/interface.py
+++ b/thornshelf/placement/interface.py
@@ -11,12 +11,12 @@
 from enum import Enum
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a repeated start of a task of a class may do."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    ALWAYS = "safe"
+    WITH_KEY = "keyed"
+    NEVER = "unsafe"
 
 
 class Scope(Enum):
@@ -34,7 +34,7 @@
 
     UP = "up"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
 class Outcome(Enum):
@@ -53,23 +53,23 @@
 class Reason(Enum):
     """Why a machine refused, or why a placed task ended early."""
 
-    UNTOLD = 0
+    UNSPECIFIED = 0
     NO_CORES = 1
     NO_MEMORY = 2
     QUEUE_FULL = 3
-    NOT_HERE = 4
+    NOT_SERVING = 4
     EVICTED = 5
-    PUSHED_OUT = 6
-    SENT_AWAY = 7
+    PREEMPTED = 6
+    DRAINED = 7
 
 
-class Fact(Enum):
+class TaskUpdateKind(Enum):
     """What a note about a live attempt tells."""
 
-    RUNS = 1
+    STARTED = 1
     CORES_USED = 2
     MEMORY_USED = 3
-    SERVED_SHARE = 4
+    SERVED_FRACTION = 4
     MACHINE_MEMORY = 5
 
 
@@ -78,21 +78,21 @@
     """The terms on which tasks of one class are placed."""
 
     name: str
-    effect: Effect = Effect.SAFE
-    group: Scope = Scope.ALL
-    window_s: float = 0.0
-    aim_s: float = 0.0
-    aim_stretch: float = 0.0
+    idempotency: Idempotency = Idempotency.ALWAYS
+    idempotency_scope: Scope = Scope.ALL
+    idempotency_window_s: float = 0.0
+    latency_objective_s: float = 0.0
+    latency_objective_stretch: float = 0.0
     deadline_s: float = 0.0
-    worth: float = 1.0
-    late_worth: float = 0.0
-    start_worth_s: float = 0.0
-    kind: int | None = None
+    priority_weight: float = 1.0
+    priority_weight_past_objective: float = 0.0
+    start_weight_s: float = 0.0
+    machine_kind: int | None = None
     priority: int = 0
-    full_up_to: float = 1.0
+    full_speed_utilization: float = 1.0
     lost_after: float = 0.0
-    spread_over: Scope = Scope.NONE
-    most_together: int = 0
+    spread_scope: Scope = Scope.NONE
+    max_per_domain: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,16 +109,16 @@
 class Limits:
     """What a deployment permits."""
 
-    attempts: int
+    max_attempts: int
     may_cancel: bool = False
     may_probe: bool = False
-    may_duplicate: bool = False
-    peer_messages: bool = False
+    may_hedge: bool = False
+    may_gossip: bool = False
     retry_after: bool = False
     max_retry_after_s: float = 0.0
     connect_timeout_s: float = 0.0
     keepalive_s: float = 0.0
-    open_requests: int = 0
+    max_open_requests: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,14 +126,14 @@
     """Points that come off the result for each unit."""
 
     fleet: float = 0.0
-    moves: float = 0.0
+    migrations: float = 0.0
     waste: float = 0.0
     cross_zone: float = 0.0
-    peer: float = 0.0
-    probe: float = 0.0
-    refused_offer: float = 0.0
-    evictions_as_moves: float = 1.0
-    list_lines: float = 0.0
+    gossip: float = 0.0
+    health_check: float = 0.0
+    rejected_attempt: float = 0.0
+    migrations_per_eviction: float = 1.0
+    endpoint_list_lines: float = 0.0
     connection: float = 0.0
     handshake: float = 0.0
 
@@ -144,12 +144,12 @@
 
     answer_slack_s: float
     drain_grace_s: float
-    cold_from: float
-    cold_s: float
-    tip_multiple: float
-    fall_s: float
-    cold_offers: float
-    ask_every_s: float
+    slow_start_initial_speed: float
+    slow_start_s: float
+    overload_multiple: float
+    slow_start_window_s: float
+    slow_start_attempts: float
+    poll_interval_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -168,27 +168,27 @@
     rules: Rules
     cores_by_kind: tuple[float, ...]
     memory_by_kind: tuple[float, ...]
-    admit_cores: float
-    admit_memory: float
+    overcommit_cores: float
+    overcommit_memory: float
     unit_cores: float
     mean_memory: float
     accepts_before_running: bool
-    reports_count_use: bool
+    reports_count_usage: bool
     reports_in_answers: bool
     reports_in_probes: bool
-    shows_free: bool
-    tells_use: bool
-    tells_pressure: bool
-    makes_room: bool
-    one_home: bool
-    make_sure_s: float
-    over_share_worth: float
+    endpoint_list_shows_free: bool
+    reports_usage: bool
+    reports_pressure: bool
+    preempts: bool
+    single_home: bool
+    confirmation_s: float
+    over_quota_weight: float
     list_on_request: bool
     tick_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Report:
+class LoadReport:
     """A machine's own figures, each where it is told; late and a little noisy."""
 
     free_cores: float | None = None
@@ -202,7 +202,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineEntry:
+class Endpoint:
     """One line of the list of machines."""
 
     machine: int
@@ -217,92 +217,92 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineList:
+class EndpointUpdate:
     """The whole list of machines, or the entries that changed."""
 
     complete: bool
     version: int
-    entries: Sequence[MachineEntry]
+    entries: Sequence[Endpoint]
 
 
 @dataclass(frozen=True, slots=True)
-class ListFailed:
+class EndpointWatchFailed:
     """A call to the list failed, or its subscription broke; the old list still holds."""
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class PlacementRequest:
     """A task is to be placed; one final answer is owed."""
 
-    request: int
+    request_id: int
     task_class: str
     tenant: str | None
     task: int
     budget_s: float
-    life_hint_s: float | None
+    lifetime_hint_s: float | None
     service: int
     cores: float
     memory: float
     repeat: bool = False
-    came_again: bool = False
-    able: Callable[[int], bool] | None = None  # which machines can take it at all; none: any of them
+    is_retry: bool = False
+    is_eligible: Callable[[int], bool] | None = None  # which machines can take it at all; none: any of them
 
 
 @dataclass(frozen=True, slots=True)
-class Adopted:
+class TaskAdopted:
     """A task that runs already and is now this placer's to look after; attempt 0 is made."""
 
-    ask: Ask
+    request: PlacementRequest
     machine: int
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class AttemptAccepted:
     """An attempt was accepted, or runs, as the settings say: the request is answered."""
 
-    request: int
+    request_id: int
     machine: int
     attempt: int
-    lag_s: float
+    latency_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class AttemptEnded:
     """The one outcome of an attempt."""
 
-    request: int
+    request_id: int
     machine: int
     attempt: int
     outcome: Outcome
     reason: Reason
     last: bool
-    lag_s: float
-    report: Report | None
+    latency_s: float
+    report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class TaskUpdate:
     """News of an attempt that is still out."""
 
-    request: int
+    request_id: int
     machine: int
     attempt: int
-    fact: Fact
-    level: float
+    kind: TaskUpdateKind
+    value: float
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeAnswer:
+class HealthCheckResult:
     """The result of a probe."""
 
     machine: int
     outcome: Outcome
-    lag_s: float
-    report: Report | None
+    latency_s: float
+    report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
-class PeerMessage:
+class GossipMessage:
     """Another placer's message."""
 
     sender: int
@@ -310,75 +310,75 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Abandoned:
+class RequestCancelled:
     """The task is no longer wanted: no answer is owed."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Timer:
+class TimerFired:
     """A timer set earlier has come due."""
 
     token: int
 
 
 Event = (
-    MachineList
-    | ListFailed
-    | Ask
-    | Adopted
-    | Placed
-    | Ended
-    | Note
-    | ProbeAnswer
-    | PeerMessage
-    | Abandoned
-    | Timer
+    EndpointUpdate
+    | EndpointWatchFailed
+    | PlacementRequest
+    | TaskAdopted
+    | AttemptAccepted
+    | AttemptEnded
+    | TaskUpdate
+    | HealthCheckResult
+    | GossipMessage
+    | RequestCancelled
+    | TimerFired
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Offer:
+class StartAttempt:
     """Offer the task to a machine; no time-out means: until the owner gives up."""
 
-    request: int
+    request_id: int
     machine: int
     timeout_s: float | None
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: declined, asking again does no harm."""
 
-    request: int
-    retry_in_s: float | None = None
+    request_id: int
+    retry_after_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
     """Final answer: failed, nothing is promised."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
+class CancelAttempt:
     """Stop waiting for one attempt."""
 
-    request: int
+    request_id: int
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class Migrate:
     """Stop a placed task, so that it is asked for again."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Ask a machine for its report."""
 
     machine: int
@@ -393,7 +393,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendGossip:
     """Send bytes to one peer, or to all of them."""
 
     peer: int | None
@@ -401,19 +401,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Watch:
+class WatchEndpoints:
     """Subscribe to changes of the list, or stop."""
 
     enable: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Reload:
+class ReloadEndpoints:
     """Ask for the complete list once."""
 
 
 @dataclass(frozen=True, slots=True)
-class CloseIdle:
+class CloseIdleConnections:
     """Close idle connections to a machine."""
 
     machine: int
@@ -426,4 +426,17 @@
     text: str
 
 
-Action = Offer | Refuse | Fail | Cancel | Move | Probe | SetTimer | Tell | Watch | Reload | CloseIdle | Log
+Action = (
+    StartAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | Migrate
+    | CheckHealth
+    | SetTimer
+    | SendGossip
+    | WatchEndpoints
+    | ReloadEndpoints
+    | CloseIdleConnections
+    | Log
+)
--- a/glenshift/drill.py
+++ b/thornshelf/placement/simulator/__main__.py
@@ -12,14 +12,15 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import IO, TypeVar
 
-from glenshift import interface as api
-from glenshift.brain import Placer
+from thornshelf.errors import WireError
+from thornshelf.placement import interface as api
+from thornshelf.placement.placer import Placer
 
 EXIT_MALFORMED = 2
 REF_COUNT = 16
 ALL_PEERS = -1
 
-_HEALTH = {"U": api.Health.UP, "L": api.Health.DRAINING, "D": api.Health.GONE}
+_HEALTH = {"U": api.Health.UP, "L": api.Health.DRAINING, "D": api.Health.REMOVED}
 _OUTCOME = {
     "S": api.Outcome.OK,
     "E": api.Outcome.ERROR,
@@ -31,7 +32,7 @@
     "N": api.Outcome.NOT_SENT,
 }
 _REASON = {reason.value: reason for reason in api.Reason}
-_FACT = {str(fact.value): fact for fact in api.Fact}
+_FACT = {str(fact.value): fact for fact in api.TaskUpdateKind}
 _COLUMNS = {
     "active": "active",
     "waiting": "waiting",
@@ -60,10 +61,6 @@
 _ABSENT = "-"
 
 
-class WireError(Exception):
-    """The input is not what the wire allows."""
-
-
 def _integer(text: str, what: str) -> int:
     try:
         value = int(text)
@@ -167,7 +164,7 @@
     most = pairs.numbers("family-info.most-together")
     priority = pairs.numbers("family-info.precedence")
     spread = pairs.texts("family-info.spread-over")
-    effects = {effect.value: effect for effect in api.Effect}
+    effects = {effect.value: effect for effect in api.Idempotency}
     classes = []
     for index in range(pairs.integer("categories.count")):
         at = f"categories.{index}."
@@ -175,23 +172,23 @@
         classes.append(
             api.TaskClass(
                 name=pairs.text(at + "name"),
-                effect=_choice(effects, pairs.text(at + "effect"), at + "effect"),
-                group=pairs.scope(pairs.values.get(at + "group", "all"), at + "group"),
-                window_s=pairs.number(at + "dedup-window-s", 0.0),
-                aim_s=pairs.number(at + "aim-s"),
-                aim_stretch=pairs.number(at + "aim-stretch", 0.0),
+                idempotency=_choice(effects, pairs.text(at + "effect"), at + "effect"),
+                idempotency_scope=pairs.scope(pairs.values.get(at + "group", "all"), at + "group"),
+                idempotency_window_s=pairs.number(at + "dedup-window-s", 0.0),
+                latency_objective_s=pairs.number(at + "aim-s"),
+                latency_objective_stretch=pairs.number(at + "aim-stretch", 0.0),
                 deadline_s=pairs.number(at + "deadline-s"),
-                worth=pairs.number(at + "worth", 1.0),
-                late_worth=pairs.number(at + "late-worth", 0.0),
-                start_worth_s=_item(starts, index, 0.0),
-                kind=None if kind < 0 else kind,
+                priority_weight=pairs.number(at + "worth", 1.0),
+                priority_weight_past_objective=pairs.number(at + "late-worth", 0.0),
+                start_weight_s=_item(starts, index, 0.0),
+                machine_kind=None if kind < 0 else kind,
                 priority=int(_item(priority, index, 0.0)),
-                full_up_to=_item(full, index, 1.0),
+                full_speed_utilization=_item(full, index, 1.0),
                 lost_after=_item(lost, index, 0.0),
-                spread_over=pairs.scope(
+                spread_scope=pairs.scope(
                     spread[index] if index < len(spread) else "none", "family-info.spread-over"
                 ),
-                most_together=int(_item(most, index, 0.0)),
+                max_per_domain=int(_item(most, index, 0.0)),
             )
         )
     return tuple(classes)
@@ -215,39 +212,39 @@
     """The settings in a start's pairs, and the columns of load reports."""
     pairs = Pairs(fields)
     limits = api.Limits(
-        attempts=pairs.integer("limits.send-cap"),
+        max_attempts=pairs.integer("limits.send-cap"),
         may_cancel=pairs.flag("limits.may-cancel"),
         may_probe=pairs.flag("limits.may-probe"),
-        may_duplicate=pairs.flag("limits.may-duplicate"),
-        peer_messages=pairs.flag("limits.peer-messages"),
+        may_hedge=pairs.flag("limits.may-duplicate"),
+        may_gossip=pairs.flag("limits.peer-messages"),
         retry_after=pairs.flag("limits.retry-after"),
         max_retry_after_s=pairs.number("limits.max-retry-after-s", 0.0),
         connect_timeout_s=pairs.number("limits.connect-timeout-s", 0.0),
         keepalive_s=pairs.number("limits.keepalive-s", 0.0),
-        open_requests=int(pairs.number("limits.open-cap", 0.0)),
+        max_open_requests=int(pairs.number("limits.open-cap", 0.0)),
     )
     prices = api.Prices(
         fleet=pairs.number("prices.fleet", 0.0),
-        moves=pairs.number("prices.moves", 0.0),
+        migrations=pairs.number("prices.moves", 0.0),
         waste=pairs.number("prices.waste", 0.0),
         cross_zone=pairs.number("prices.cross-zone", 0.0),
-        peer=pairs.number("prices.peer", 0.0),
-        probe=pairs.number("prices.probe", 0.0),
-        refused_offer=pairs.number("family-info.refused-price", 0.0),
-        evictions_as_moves=pairs.number("family-info.evict-weight", 1.0),
-        list_lines=pairs.number("prices.registry-mode", 0.0),
+        gossip=pairs.number("prices.peer", 0.0),
+        health_check=pairs.number("prices.probe", 0.0),
+        rejected_attempt=pairs.number("family-info.refused-price", 0.0),
+        migrations_per_eviction=pairs.number("family-info.evict-weight", 1.0),
+        endpoint_list_lines=pairs.number("prices.registry-mode", 0.0),
         connection=pairs.number("prices.connection", 0.0),
         handshake=pairs.number("prices.handshake", 0.0),
     )
     rules = api.Rules(
         answer_slack_s=pairs.number("rules.answer-slack-s", 0.0),
         drain_grace_s=pairs.number("rules.drain-grace-s", 0.0),
-        cold_from=pairs.number("rules.cold-from", 1.0),
-        cold_s=pairs.number("rules.cold-s", 0.0),
-        tip_multiple=pairs.number("rules.tip-multiple", 1.0),
-        fall_s=pairs.number("rules.fall-s", 0.0),
-        cold_offers=pairs.number("family-info.cold-sends", 0.0),
-        ask_every_s=pairs.number("rules.ask-every-s", 0.0),
+        slow_start_initial_speed=pairs.number("rules.cold-from", 1.0),
+        slow_start_s=pairs.number("rules.cold-s", 0.0),
+        overload_multiple=pairs.number("rules.tip-multiple", 1.0),
+        slow_start_window_s=pairs.number("rules.fall-s", 0.0),
+        slow_start_attempts=pairs.number("family-info.cold-sends", 0.0),
+        poll_interval_s=pairs.number("rules.ask-every-s", 0.0),
     )
     via = pairs.values.get("report.via", "none")
     settings = api.Settings(
@@ -263,32 +260,32 @@
         rules=rules,
         cores_by_kind=pairs.numbers("family-info.cores-by-kind"),
         memory_by_kind=pairs.numbers("family-info.size-memory"),
-        admit_cores=pairs.number("family-info.admit-cores", 1.0),
-        admit_memory=pairs.number("family-info.admit-memory", 1.0),
+        overcommit_cores=pairs.number("family-info.admit-cores", 1.0),
+        overcommit_memory=pairs.number("family-info.admit-memory", 1.0),
         unit_cores=pairs.number("family-info.unit-cores", 1.0),
         mean_memory=pairs.number("family-info.mean-memory", 1.0),
         accepts_before_running=pairs.values.get("family-info.ack", "running") == "accepted",
-        reports_count_use=pairs.values.get("family-info.counts", "asked") == "used",
+        reports_count_usage=pairs.values.get("family-info.counts", "asked") == "used",
         reports_in_answers=via == "answers",
         reports_in_probes=via in ("answers", "probe"),
-        shows_free=pairs.flag("family-info.shows-free"),
-        tells_use=pairs.flag("family-info.use-notes"),
-        tells_pressure=pairs.flag("family-info.tells-pressure"),
-        makes_room=pairs.flag("family-info.makes-room"),
-        one_home=pairs.flag("family-info.one-home"),
-        make_sure_s=pairs.number("family-info.make-sure-s", 0.0),
-        over_share_worth=pairs.number("over-share-worth", 1.0),
+        endpoint_list_shows_free=pairs.flag("family-info.shows-free"),
+        reports_usage=pairs.flag("family-info.use-notes"),
+        reports_pressure=pairs.flag("family-info.tells-pressure"),
+        preempts=pairs.flag("family-info.makes-room"),
+        single_home=pairs.flag("family-info.one-home"),
+        confirmation_s=pairs.number("family-info.make-sure-s", 0.0),
+        over_quota_weight=pairs.number("over-share-worth", 1.0),
         list_on_request=pairs.values.get("registry-mode", "pushed") == "on_request",
         tick_s=pairs.number("tick-s", 0.0),
     )
     return settings, tuple(pairs.texts("report.columns"))
 
 
-def read_entry(fields: Sequence[str]) -> api.MachineEntry:
+def read_entry(fields: Sequence[str]) -> api.Endpoint:
     """One ``M`` line."""
     if len(fields) != 10 or fields[0] != "M":
         raise WireError("a list entry wants M and 9 values")
-    return api.MachineEntry(
+    return api.Endpoint(
         health=_choice(_HEALTH, fields[1], "health"),
         kind=fields[2],
         zone=fields[3],
@@ -311,7 +308,7 @@
         self.placer = Placer(settings, seed)
         self.events: list[api.Event] = []
 
-    def report(self, text: str) -> api.Report | None:
+    def report(self, text: str) -> api.LoadReport | None:
         """The load report of a row, where there is one."""
         if text in (_ABSENT, ""):
             return None
@@ -322,7 +319,7 @@
         for column, value in zip(self.columns, values, strict=True):
             if column in _COLUMNS:
                 named[_COLUMNS[column]] = _optional_number(value, column)
-        return api.Report(**named)
+        return api.LoadReport(**named)
 
     def task_class(self, text: str) -> str:
         """The name of a class that the settings know."""
@@ -330,22 +327,22 @@
             raise WireError(f"class is not known: {text!r}")
         return text
 
-    def ask(self, v: dict[str, str]) -> api.Ask:
+    def ask(self, v: dict[str, str]) -> api.PlacementRequest:
         """A task as asked for, or as adopted."""
         marks = _small(v["marks"])
         hint = _optional_number(v["hint"], "life-hint-s")
-        return api.Ask(
-            request=_integer(v["xid"], "xid"),
+        return api.PlacementRequest(
+            request_id=_integer(v["xid"], "xid"),
             task_class=self.task_class(v["band"]),
             tenant=None if v["tenant"] in (_ABSENT, "0", "") else v["tenant"],
             task=0 if v["key"] == _ABSENT else _integer(v["key"], "instance-key"),
             budget_s=_optional_number(v["budget"], "time-budget-s") or 0.0,
-            life_hint_s=hint if marks & _MARK_HINT else None,
+            lifetime_hint_s=hint if marks & _MARK_HINT else None,
             service=0 if v["service"] == _ABSENT else _integer(v["service"], "owner-set"),
             cores=_optional_number(v["cores"], "cores") or 0.0,
             memory=_optional_number(v["memory"], "mem-needed") or 0.0,
             repeat=bool(marks & _MARK_REPEAT),
-            came_again=bool(marks & _MARK_AGAIN),
+            is_retry=bool(marks & _MARK_AGAIN),
         )
 
 
@@ -370,7 +367,7 @@
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance | None] = {}
-        self.lists: dict[int, tuple[api.MachineEntry, ...]] = {}
+        self.lists: dict[int, tuple[api.Endpoint, ...]] = {}
         self.readers: dict[str, Callable[[Instance, list[str]], api.Event]] = {
             "ROSTER_CHANGE": self._list_event,
             "SUBMIT": lambda one, v: one.ask(dict(zip(_ASK_ORDER, v, strict=True))),
@@ -380,57 +377,57 @@
             "NOTE_FROM": self._peer_message,
             "HINT_UPDATE": self._note,
             "ACCEPTED": self._placed,
-            "ABANDONED": lambda one, v: api.Abandoned(_integer(v[0], "xid")),
-            "ALARM": lambda one, v: api.Timer(_integer(v[0], "nonce")),
+            "ABANDONED": lambda one, v: api.RequestCancelled(_integer(v[0], "xid")),
+            "ALARM": lambda one, v: api.TimerFired(_integer(v[0], "nonce")),
         }
 
     def _list_event(self, one: Instance, v: list[str]) -> api.Event:
         if v[0] == "X":
-            return api.ListFailed()
+            return api.EndpointWatchFailed()
         complete = _choice({"D": False, "F": True, "C": True}, v[0], "scope")
         ref = _integer(v[2], "ref")
         if ref not in self.lists:
             raise WireError(f"list number was never given: {ref}")
-        return api.MachineList(complete, _integer(v[1], "stamp"), self.lists[ref])
+        return api.EndpointUpdate(complete, _integer(v[1], "stamp"), self.lists[ref])
 
     def _probe_answer(self, one: Instance, v: list[str]) -> api.Event:
         outcome = _choice(_OUTCOME, v[1], "state-code")
         lag = _optional_number(v[0], "lag-s") or 0.0
-        return api.ProbeAnswer(_integer(v[2], "host"), outcome, lag, one.report(v[3]))
+        return api.HealthCheckResult(_integer(v[2], "host"), outcome, lag, one.report(v[3]))
 
     def _ended(self, one: Instance, v: list[str]) -> api.Event:
-        return api.Ended(
-            request=_integer(v[0], "xid"),
+        return api.AttemptEnded(
+            request_id=_integer(v[0], "xid"),
             machine=_integer(v[1], "host"),
             attempt=_integer(v[5], "shot"),
             outcome=_choice(_OUTCOME, v[4], "state-code"),
-            reason=_REASON.get(_small(v[2]), api.Reason.UNTOLD),
+            reason=_REASON.get(_small(v[2]), api.Reason.UNSPECIFIED),
             last=_bool(v[3], "last"),
-            lag_s=_optional_number(v[6], "lag-s") or 0.0,
+            latency_s=_optional_number(v[6], "lag-s") or 0.0,
             report=one.report(v[7]),
         )
 
     def _adopted(self, one: Instance, v: list[str]) -> api.Event:
         named = dict(zip(_RUNNING_ORDER, v, strict=True))
-        return api.Adopted(one.ask(named), _integer(named["host"], "host"))
+        return api.TaskAdopted(one.ask(named), _integer(named["host"], "host"))
 
     def _peer_message(self, one: Instance, v: list[str]) -> api.Event:
         try:
             data = b"" if v[1] == _ABSENT else base64.b64decode(v[1], validate=True)
         except binascii.Error:
             raise WireError("raw is no base64") from None
-        return api.PeerMessage(_integer(v[0], "from"), data)
+        return api.GossipMessage(_integer(v[0], "from"), data)
 
     def _note(self, one: Instance, v: list[str]) -> api.Event:
         level = _optional_number(v[2], "level") or 0.0
         attempt = _integer(v[4], "shot")
-        return api.Note(
+        return api.TaskUpdate(
             _integer(v[0], "xid"), _integer(v[1], "host"), attempt, _choice(_FACT, v[3], "sort"), level
         )
 
     def _placed(self, one: Instance, v: list[str]) -> api.Event:
         lag = _optional_number(v[2], "lag-s") or 0.0
-        return api.Placed(_integer(v[0], "xid"), _integer(v[1], "host"), _integer(v[3], "shot"), lag)
+        return api.AttemptAccepted(_integer(v[0], "xid"), _integer(v[1], "host"), _integer(v[3], "shot"), lag)
 
     def start(self, fields: list[str]) -> Instance:
         """A ``BORN`` line."""
@@ -485,28 +482,28 @@
 def write_action(number: int, action: api.Action) -> str:
     """The wire's line for an action."""
     match action:
-        case api.Offer(request, machine, timeout):
+        case api.StartAttempt(request, machine, timeout):
             return f"TRY\t{number}\t{request}\t{_ABSENT if timeout is None else _show(timeout)}\t{machine}"
-        case api.Refuse(request, retry_in):
+        case api.Reject(request, retry_in):
             return f"BOUNCE\t{number}\t{request}\t{_ABSENT if retry_in is None else _show(retry_in)}"
         case api.Fail(request):
             return f"RESPOND_ERROR\t{number}\t{request}"
-        case api.Cancel(request, attempt):
+        case api.CancelAttempt(request, attempt):
             return f"STOP_ATTEMPT\t{number}\t{request}\t{attempt}"
-        case api.Move(request):
+        case api.Migrate(request):
             return f"MOVE\t{number}\t{request}"
-        case api.Probe(machine):
+        case api.CheckHealth(machine):
             return f"HEALTH_CHECK\t{number}\t{machine}"
         case api.SetTimer(at, token):
             return f"REMIND\t{number}\t{_show(at)}\t{token}"
-        case api.Tell(peer, data):
+        case api.SendGossip(peer, data):
             raw = base64.b64encode(data).decode("ascii") or _ABSENT
             return f"ANNOUNCE\t{number}\t{ALL_PEERS if peer is None else peer}\t{raw}"
-        case api.Watch(enable):
+        case api.WatchEndpoints(enable):
             return f"WATCH\t{number}\t{int(enable)}"
-        case api.Reload():
+        case api.ReloadEndpoints():
             return f"RELOAD\t{number}"
-        case api.CloseIdle(machine):
+        case api.CloseIdleConnections(machine):
             return f"CLOSE_IDLE\t{number}\t{machine}"
         case api.Log(text):
             return f"REMARK\t{number}\t{' '.join(text.split())}"
@@ -570,7 +567,7 @@
     try:
         _serve(pipe, sys.stdout, Drill())
     except WireError as fault:
-        print(f"glenshift: line {pipe.line}: {fault}", file=sys.stderr)
+        print(f"thornshelf.placement: line {pipe.line}: {fault}", file=sys.stderr)
         return EXIT_MALFORMED
     except BrokenPipeError:
         return 1
--- a/thornshelf/retries/budget.py
+++ b/thornshelf/retries/budget.py
@@ -10,84 +10,88 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-MILLI = 1000
+MILLI_PER_TOKEN = 1000
 
 
 @dataclass(frozen=True, slots=True)
-class BudgetTerms:
+class RetryBudgetConfig:
     """``share``: further attempts earned by a first one, in thousandths; ``floor``: earned a second in any case,
     in thousandths; ``most``: what a bucket holds, in thousandths."""
 
-    share: int = 200
-    floor: int = 1000
-    most: int = 20_000
+    earned_per_attempt_milli: int = 200
+    earned_per_s_milli: int = 1000
+    capacity_milli: int = 20_000
 
 
-class Bucket:
+class TokenBucket:
     """One budget."""
 
-    __slots__ = ("at_us", "held", "rest")
+    __slots__ = ("updated_us", "tokens_milli", "remainder")
 
-    def __init__(self, terms: BudgetTerms, now_us: int) -> None:
-        self.held, self.at_us, self.rest = terms.most, now_us, 0
+    def __init__(self, terms: RetryBudgetConfig, now_us: int) -> None:
+        self.tokens_milli, self.updated_us, self.remainder = terms.capacity_milli, now_us, 0
 
-    def turn(self, terms: BudgetTerms, now_us: int) -> None:
+    def refill(self, terms: RetryBudgetConfig, now_us: int) -> None:
         """Add what time has earned; what is less than a thousandth is kept for the next time."""
-        passed = max(0, now_us - self.at_us)
-        self.at_us = max(self.at_us, now_us)
-        earned = self.rest + passed * terms.floor
-        self.held = min(terms.most, self.held + earned // 1_000_000)
-        self.rest = earned % 1_000_000
+        passed = max(0, now_us - self.updated_us)
+        self.updated_us = max(self.updated_us, now_us)
+        earned = self.remainder + passed * terms.earned_per_s_milli
+        self.tokens_milli = min(terms.capacity_milli, self.tokens_milli + earned // 1_000_000)
+        self.remainder = earned % 1_000_000
 
-    def add(self, terms: BudgetTerms) -> None:
+    def earn(self, terms: RetryBudgetConfig) -> None:
         """A first attempt was made."""
-        self.held = min(terms.most, self.held + terms.share)
+        self.tokens_milli = min(terms.capacity_milli, self.tokens_milli + terms.earned_per_attempt_milli)
 
 
 class RetryBudget:
     """The budgets of the fleet and of the services that asked lately."""
 
     def __init__(
-        self, service: BudgetTerms, fleet: BudgetTerms, now_us: int = 0, most_services: int = 10_000
+        self,
+        service: RetryBudgetConfig,
+        fleet: RetryBudgetConfig,
+        now_us: int = 0,
+        max_services: int = 10_000,
     ) -> None:
-        self.service_terms, self.fleet_terms = service, fleet
-        self.most_services = most_services
-        self._fleet = Bucket(fleet, now_us)
-        self._services: OrderedDict[int, Bucket] = OrderedDict()  # the one used last is the last
+        self.service_config, self.fleet_config = service, fleet
+        self.max_services = max_services
+        self._fleet = TokenBucket(fleet, now_us)
+        self._services: OrderedDict[int, TokenBucket] = OrderedDict()  # the one used last is the last
         self.denied = 0
 
     def __len__(self) -> int:
         return len(self._services)
 
-    def _of(self, service: int, now_us: int) -> Bucket:
+    def _service_bucket(self, service: int, now_us: int) -> TokenBucket:
         bucket = self._services.get(service)
         if bucket is None:
-            bucket = self._services[service] = Bucket(self.service_terms, now_us)
-            while len(self._services) > self.most_services:
+            bucket = self._services[service] = TokenBucket(self.service_config, now_us)
+            while len(self._services) > self.max_services:
                 self._services.popitem(last=False)  # it has been quiet the longest: its bucket is full by now
         else:
             self._services.move_to_end(service)
-            bucket.turn(self.service_terms, now_us)
+            bucket.refill(self.service_config, now_us)
         return bucket
 
-    def first(self, service: int, now_us: int) -> None:
+    def record_first_attempt(self, service: int, now_us: int) -> None:
         """A first attempt leaves."""
-        self._fleet.turn(self.fleet_terms, now_us)
-        self._fleet.add(self.fleet_terms)
-        self._of(service, now_us).add(self.service_terms)
+        self._fleet.refill(self.fleet_config, now_us)
+        self._fleet.earn(self.fleet_config)
+        self._service_bucket(service, now_us).earn(self.service_config)
 
-    def further(self, service: int, now_us: int, priority: int = 0) -> bool:
+    def try_spend(self, service: int, now_us: int, priority: int = 0) -> bool:
         """Whether a further attempt may leave, which spends one of each; a higher priority may go into debt.
 
         The debt is bounded by what a bucket holds, so that a county can't buy the fleet with priority alone.
         """
-        self._fleet.turn(self.fleet_terms, now_us)
-        mine = self._of(service, now_us)
-        for bucket, terms in ((self._fleet, self.fleet_terms), (mine, self.service_terms)):
-            lowest = MILLI if priority <= 0 else MILLI - terms.most
-            if bucket.held < lowest:
+        self._fleet.refill(self.fleet_config, now_us)
+        mine = self._service_bucket(service, now_us)
+        for bucket, terms in ((self._fleet, self.fleet_config), (mine, self.service_config)):
+            lowest = MILLI_PER_TOKEN if priority <= 0 else MILLI_PER_TOKEN - terms.capacity_milli
+            if bucket.tokens_milli < lowest:
                 self.denied += 1
                 return False
-        self._fleet.held -= MILLI
-        mine.held -= MILLI
+        self._fleet.tokens_milli -= MILLI_PER_TOKEN
+        mine.tokens_milli -= MILLI_PER_TOKEN
         return True
--- a/thornshelf/retries/queue.py
+++ b/thornshelf/retries/deadline_queue.py
@@ -15,20 +15,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class QueueTerms:
+class DeadlineQueueConfig:
     """``a_turn``: set-ups for the module in one turn; ``least_us``: with less time left none can start;
     ``most``: set-ups that wait, beyond which the last of the order is given back."""
 
-    a_turn: int = 16
-    least_us: int = 20_000
-    most: int = 10_000
+    batch_size: int = 16
+    min_remaining_us: int = 20_000
+    max_waiting: int = 10_000
 
 
-class AskQueue(Generic[T]):
+class DeadlineQueue(Generic[T]):
     """Waiting set-ups."""
 
-    def __init__(self, terms: QueueTerms) -> None:
-        self.terms, self.most = terms, terms.most
+    def __init__(self, config: DeadlineQueueConfig) -> None:
+        self.config, self.max_waiting = config, config.max_waiting
         self._heap: list[tuple[int, int, int]] = []
         self._items: dict[int, tuple[T, int, int]] = {}  # item, deadline, priority, by ticket
         self._deadlines: list[tuple[int, int]] = []
@@ -38,7 +38,7 @@
         return len(self._items)
 
     def put(
-        self, item: T, priority: int, deadline_us: int, county: str | None = None, now_us: int = 0
+        self, item: T, priority: int, deadline_us: int, tenant: str | None = None, now_us: int = 0
     ) -> int:
         """Add one; the ticket takes it back. This order knows no counties."""
         ticket = next(self._tickets)
@@ -47,18 +47,18 @@
         heapq.heappush(self._deadlines, (deadline_us, ticket))
         return ticket
 
-    def take_back(self, ticket: int) -> None:
+    def remove(self, ticket: int) -> None:
         """Its owner gave it up."""
         self._items.pop(ticket, None)
 
-    def hopeless(self, now_us: int) -> list[T]:
+    def pop_expired(self, now_us: int) -> list[T]:
         """Those that can't start any more, and those beyond the most that wait: they are to be answered now."""
         found = []
-        while self._deadlines and self._deadlines[0][0] - now_us < self.terms.least_us:
+        while self._deadlines and self._deadlines[0][0] - now_us < self.config.min_remaining_us:
             ticket = heapq.heappop(self._deadlines)[1]
             if ticket in self._items:
                 found.append(self._items.pop(ticket)[0])
-        if (beyond := len(self._items) - self.most) > 0:
+        if (beyond := len(self._items) - self.max_waiting) > 0:
             # the last of the order: least priority, and of those the most time left, who can best come again
             for _, _, ticket in heapq.nlargest(
                 beyond, [(-p, deadline, ticket) for ticket, (_, deadline, p) in self._items.items()]
@@ -66,10 +66,10 @@
                 found.append(self._items.pop(ticket)[0])
         return found
 
-    def turn(self, now_us: int = 0) -> list[T]:
+    def pop_batch(self, now_us: int = 0) -> list[T]:
         """The next ones for the module."""
         found: list[T] = []
-        while self._heap and len(found) < self.terms.a_turn:
+        while self._heap and len(found) < self.config.batch_size:
             ticket = heapq.heappop(self._heap)[2]
             if ticket in self._items:
                 found.append(self._items.pop(ticket)[0])
--- a/thornshelf/shell/reasons.py
+++ b/thornshelf/shell/explanations.py
@@ -5,14 +5,14 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-from thornshelf.shell.engine import Engine
-from thornshelf.shell.output import clock, plain
+from thornshelf.shell.engine import QueryEngine
+from thornshelf.shell.output import format_time, sanitize
 
 Row = Mapping[str, Any]
-SLOW_MS = 1_000  # a start that takes longer is worth a word
+SLOW_START_MS = 1_000  # a start that takes longer is worth a word
 
 
-def node_reasons(row: Row, evidence: Sequence[Row], told_away: bool) -> list[str]:
+def placement_reasons(row: Row, evidence: Sequence[Row], drained_by_gossip: bool) -> list[str]:
     """Why one member does not choose a node, or chooses it late, by its own rows; empty where nothing speaks against.
 
     ``evidence``: what it holds of that node; ``told_away``: others' word keeps it away.
@@ -21,7 +21,7 @@
     if row["health"] == "draining":
         found.append(
             "kept away by others' word that it drains: its own change log is silent"
-            if told_away
+            if drained_by_gossip
             else "its list says that the node drains: nothing new goes there"
         )
     if row["reach"] == "unreachable":
@@ -48,15 +48,15 @@
             {one["by"] for one in evidence if one["by"] != row["member"] and one["sight"] != "well"}
         )
         found.append(
-            f"second choice by the word of {', '.join(map(plain, seen)) or 'others'}: chosen last, not barred"
+            f"second choice by the word of {', '.join(map(sanitize, seen)) or 'others'}: chosen last, not barred"
         )
     for what in ("cores", "memory"):
         size, taken = row[what], row[f"taken_{what}"]
         if size and taken is not None and taken >= 0.95 * size:
             found.append(f"taken of its {what}: {taken:g} of the {size:g} up to which it accepts asks")
-    if row["late_ms"] and row["late_ms"] > SLOW_MS:
+    if row["late_ms"] and row["late_ms"] > SLOW_START_MS:
         found.append(f"starts take {row['late_ms']} ms there of late: dearer for that")
-    if row["waits"] and (row["waits"] > 3 or row["waits_ms"] > SLOW_MS):
+    if row["waits"] and (row["waits"] > 3 or row["waits_ms"] > SLOW_START_MS):
         found.append(
             f"{row['waits']} task(s) of this member wait there for their start, for {row['waits_ms']} ms"
         )
@@ -65,39 +65,42 @@
     return found
 
 
-def rows(
-    engine: Engine, sql: str, only: Mapping[str, Mapping[str, Any]], missing: dict[str, str]
+def query_rows(
+    engine: QueryEngine, sql: str, filters: Mapping[str, Mapping[str, Any]], missing: dict[str, str]
 ) -> list[Row]:
     """A query's rows by column; who told nothing goes to ``missing``."""
-    result = engine.query(sql, engine.known.in_fleet, only)
-    missing.update(result.told.missing)
+    result = engine.query(sql, engine.catalog.in_fleet, filters)
+    missing.update(result.summary.missing)
     return [dict(zip(result.columns, row, strict=True)) for row in result.rows]
 
 
-def lacking(missing: Mapping[str, str]) -> list[str]:
+def missing_lines(missing: Mapping[str, str]) -> list[str]:
     """Who is not heard in an explanation."""
-    return [f"NOT HEARD: {plain(name)}: {plain(why)}" for name, why in sorted(missing.items())]
+    return [f"NOT HEARD: {sanitize(name)}: {sanitize(why)}" for name, why in sorted(missing.items())]
 
 
-def why_node(engine: Engine, node: str) -> list[str]:
+def explain_node(engine: QueryEngine, node: str) -> list[str]:
     """What each member makes of a node."""
     missing: dict[str, str] = {}
     only = {"nodes": {"node": node}, "evidence": {"node": node}, "news": {"node": node}}
-    seen = rows(engine, "SELECT * FROM nodes", only, missing)
+    seen = query_rows(engine, "SELECT * FROM nodes", only, missing)
     evidence: list[Row] = []
     away: set[str] = set()
-    if "evidence" in engine.shapes:
-        evidence = rows(engine, "SELECT * FROM evidence", only, missing)
-        news = rows(engine, "SELECT member, kept_away FROM news WHERE kept_away = 1", only, missing)
+    if "evidence" in engine.schemas:
+        evidence = query_rows(engine, "SELECT * FROM evidence", only, missing)
+        news = query_rows(engine, "SELECT member, kept_away FROM news WHERE kept_away = 1", only, missing)
         away = {one["member"] for one in news}
     if not seen:
-        return [f"no member's list names {plain(node)}: see SELECT node FROM nodes", *lacking(missing)]
+        return [
+            f"no member's list names {sanitize(node)}: see SELECT node FROM nodes",
+            *missing_lines(missing),
+        ]
     lines = []
     for row in sorted(seen, key=lambda one: str(one["member"])):
         mine = [one for one in evidence if one["member"] == row["member"]]
-        reasons = node_reasons(row, mine, row["member"] in away)
+        reasons = placement_reasons(row, mine, row["member"] in away)
         state = f"{row['health']}, {row['reach']}, {row['standing']} of its tasks there"
-        lines.append(f"{plain(row['member'])} ({state}):")
+        lines.append(f"{sanitize(row['member'])} ({state}):")
         lines += [f"  - {one}" for one in reasons] or [
             "  - nothing speaks against it: what is cheaper comes first"
         ]
@@ -106,64 +109,64 @@
         name = str(one["by"]), str(one["sight"])
         weights[name] = max(weights.get(name, 0.0), float(one["weight"]))
     for (by, sight), weight in sorted(weights.items()):
-        lines.append(f"seen by {plain(by)}: {sight}, weight {weight:g} now")
-    return [*lines, *lacking(missing)]
+        lines.append(f"seen by {sanitize(by)}: {sight}, weight {weight:g} now")
+    return [*lines, *missing_lines(missing)]
 
 
-def is_task(text: str) -> bool:
+def is_task_id(text: str) -> bool:
     """Whether it has the form of a task's id or name."""
     return 1 <= len(text) <= 16 and all(one in "0123456789abcdefABCDEF" for one in text)
 
 
-def why_task(engine: Engine, text: str) -> list[str]:
+def explain_task(engine: QueryEngine, text: str) -> list[str]:
     """What became of a task, by its id or its name, over all members, in the order of their clocks."""
     name, missing = f"{int(text, 16):016x}", dict[str, str]()
     steps: dict[tuple[Any, ...], Row] = {}
     now: list[Row] = []
     for column in ("uid", "key"):
         only = {"history": {column: name}, "tasks": {column: name}}
-        for row in rows(engine, "SELECT * FROM history", only, missing):
+        for row in query_rows(engine, "SELECT * FROM history", only, missing):
             steps[tuple(row[one] for one in ("member", "when_ms", "uid", "event", "node", "detail"))] = row
-        now += [one for one in rows(engine, "SELECT * FROM tasks", only, missing) if one not in now]
+        now += [one for one in query_rows(engine, "SELECT * FROM tasks", only, missing) if one not in now]
     if not steps and not now:
         return [
             f"no member knows or remembers {name}: it never came, or so long ago that its steps are not kept"
             " (`control.history`)",
-            *lacking(missing),
+            *missing_lines(missing),
         ]
     lines = []
     ordered = sorted(enumerate(steps.values()), key=lambda one: (one[1]["when_ms"], one[0]))
     for _, row in ordered:
-        where = f" at {plain(row['node'])}" if row["node"] else ""
-        detail = f" ({plain(row['detail'])})" if row["detail"] != "" else ""
-        who, what = plain(row["member"]), f"{row['event']}{where}{detail}"
-        lines.append(f"{clock(row['when_ms'])} {who} {row['uid']} {what}")
+        where = f" at {sanitize(row['node'])}" if row["node"] else ""
+        detail = f" ({sanitize(row['detail'])})" if row["detail"] != "" else ""
+        who, what = sanitize(row["member"]), f"{row['event']}{where}{detail}"
+        lines.append(f"{format_time(row['when_ms'])} {who} {row['uid']} {what}")
     told: set[tuple[Any, ...]] = set()
     for row in now:
         if (held := (row["member"], row["uid"])) not in told:
             told.add(held)
-            lines.append(_now(row))
+            lines.append(_current_state(row))
     if not told:
         lines.append("now: no member holds it any more")
-    return [*lines, *lacking(missing)]
+    return [*lines, *missing_lines(missing)]
 
 
-def _now(row: Row) -> str:
+def _current_state(row: Row) -> str:
     """Where a task is."""
-    who, text = plain(row["member"]), str(row["state"])
+    who, text = sanitize(row["member"]), str(row["state"])
     if row["state"] == "open":
         text += f", {row['left_ms']} ms left, {row['attempts']} attempt(s) so far"
         text += (
             ", waits for its turn"
             if row["waiting"]
-            else f", out to {plain(row['node'])}"
+            else f", out to {sanitize(row['node'])}"
             if row["node"]
             else ""
         )
     elif row["node"]:
-        text += f" at {plain(row['node'])}"
+        text += f" at {sanitize(row['node'])}"
     if row["in_doubt"]:
         text += ", in doubt: its node is being asked"
     if row["why"]:
-        text += f"; last cause: {plain(row['why'])}"
+        text += f"; last cause: {sanitize(row['why'])}"
     return f"now: {who} holds it: {text}"
--- a/thornshelf/shell/ready.py
+++ b/thornshelf/shell/saved_queries.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ready:
+class SavedQuery:
     """One question; ``fleet``: it makes sense of all members' tables only."""
 
     name: str
@@ -15,21 +15,21 @@
     fleet: bool = True
 
 
-READY = (
-    Ready(
+SAVED_QUERIES = (
+    SavedQuery(
         "down",
         "Who is down, by whose word?",
         "SELECT name, state, group_concat(DISTINCT member) AS seen_by, count(*) AS seers,"
         " group_concat(DISTINCT nullif(by, '')) AS by_word_of, min(heard_ms) AS heard_ms FROM members"
         " WHERE state <> 'alive' GROUP BY name, state ORDER BY name, seers DESC",
     ),
-    Ready(
+    SavedQuery(
         "open",
         "Which tasks have no outcome yet, the oldest first?",
         "SELECT member, uid, class, age_ms, left_ms, attempts, waiting, node, why FROM tasks"
         " WHERE state = 'open' ORDER BY age_ms DESC LIMIT 50",
     ),
-    Ready(
+    SavedQuery(
         "differ",
         "Of which nodes do members hold different things?",
         "SELECT node, health, started_ms, count(*) AS members, group_concat(member) AS held_by FROM nodes"
@@ -38,7 +38,7 @@
         " OR count(*) < (SELECT count(DISTINCT member) FROM nodes))"
         " GROUP BY node, health, started_ms ORDER BY node, members DESC",
     ),
-    Ready(
+    SavedQuery(
         "shunned",
         "Which nodes get nothing new, or are chosen last, and why?",
         "SELECT node, member, health, reach, strikes, suspect_ms, shut_ms, cold, cold_left, second_choice, waits_ms"
@@ -46,67 +46,71 @@
         " WHERE health <> 'up' OR reach = 'unreachable' OR strikes > 0 OR suspect_ms > 0 OR shut_ms > 0"
         " OR (cold = 1 AND cold_left = 0) OR second_choice = 1 OR waits_ms > 1000 ORDER BY node, member",
     ),
-    Ready(
+    SavedQuery(
         "owed",
         "Which releases are owed, and for how long?",
         "SELECT member, uid, client, outcome, owed_ms FROM releases ORDER BY owed_ms DESC",
     ),
-    Ready(
+    SavedQuery(
         "allowances",
         "Which allowances are in force?",
         "SELECT name, value, count(*) AS members, group_concat(member) AS held_by FROM allowances"
         " GROUP BY name, value ORDER BY name, value",
     ),
-    Ready(
+    SavedQuery(
         "load",
         "How full are the nodes, as members count them?",
         "SELECT node, max(cores) AS cores, round(max(taken_cores), 1) AS taken_cores, max(memory) AS memory,"
         " round(max(taken_memory), 1) AS taken_memory, sum(standing) AS standing, sum(out) AS out FROM nodes"
         " GROUP BY node ORDER BY taken_cores / cores DESC",
     ),
-    Ready(
+    SavedQuery(
         "doubt",
         "Which tasks are in doubt: may run, and are asked about?",
         "SELECT member, uid, key, class, node, age_ms FROM tasks WHERE in_doubt = 1 ORDER BY age_ms DESC",
     ),
-    Ready(
+    SavedQuery(
         "errors",
         "Which errors came, and what can be done?",
         "SELECT code, error, sum(count) AS count, max(last_ms) AS last_ms, group_concat(DISTINCT member) AS members,"
         " remedy FROM errors GROUP BY code, error, remedy ORDER BY count DESC",
     ),
-    Ready(
+    SavedQuery(
         "outcomes",
         "What became of the tasks, member by member?",
         "SELECT member, name, value FROM counters WHERE part = 'core' ORDER BY member, name",
     ),
 )
-BY_NAME = {one.name: one for one in READY}
+QUERIES_BY_NAME = {one.name: one for one in SAVED_QUERIES}
 
 # What ``.diff`` compares: what makes a row the same one, and what members should hold alike of it.
-ALIKE = {
+COMPARED_COLUMNS = {
     "nodes": (("node",), ("address", "health", "started_ms", "zone", "kind")),
     "members": (("name",), ("state", "address", "incarnation")),
     "settings": (("key",), ("value",)),
     "allowances": (("name",), ("value",)),
 }
-OWN = {
+MEMBER_SPECIFIC_KEYS = {
     "settings": (
         "name", "listen", "seed", "settings.me", "changelog", "control.socket",
-        "fleet.listen", "fleet.terms.name", "fleet.terms.address",
+        "fleet.listen", "fleet.membership.name", "fleet.membership.address",
     )
 }  # fmt: skip
 
 
-def difference(table: str) -> str | None:
+def difference_query(table: str) -> str | None:
     """SQL for what members hold differently; none for a table of which each has its own."""
-    if table not in ALIKE:
+    if table not in COMPARED_COLUMNS:
         return None
-    names, held = ALIKE[table]
+    names, held = COMPARED_COLUMNS[table]
     key, values = ", ".join(names), ", ".join(held)
     unlike = " OR ".join(f"count(DISTINCT coalesce({one}, '')) > 1" for one in held)
     # What is each member's own is no difference.
-    own = f" WHERE key NOT IN ({', '.join(repr(one) for one in OWN[table])})" if table in OWN else ""
+    own = (
+        f" WHERE key NOT IN ({', '.join(repr(one) for one in MEMBER_SPECIFIC_KEYS[table])})"
+        if table in MEMBER_SPECIFIC_KEYS
+        else ""
+    )
     few = f"count(DISTINCT member) < (SELECT count(DISTINCT member) FROM {table})"
     return (
         f"SELECT {key}, {values}, count(*) AS members, group_concat(member) AS held_by FROM {table}"
--- a/thornshelf/handover.py
+++ b/thornshelf/socket_handover.py
@@ -20,37 +20,37 @@
 from thornshelf.loop import Loop, Wait
 from thornshelf.loop.loop import IN
 
-FIRST_FD = 3
-READY_US = 10_000_000  # a successor that is not ready by then has failed
-CHANNEL = "THORNSHELF_CHANNEL"
-HELD = "THORNSHELF_HELD"  # descriptors that the predecessor may hold until it has ended
-READY, DONE = b"ready\n", b"done\n"
-MOST_LINE = 64 * 1024
+LISTEN_FDS_START = 3
+READY_TIMEOUT_US = 10_000_000  # a successor that is not ready by then has failed
+CHANNEL_VARIABLE = "THORNSHELF_CHANNEL"
+DESCRIPTORS_VARIABLE = "THORNSHELF_HELD"  # descriptors that the predecessor may hold until it has ended
+READY_MESSAGE, DONE_MESSAGE = b"ready\n", b"done\n"
+RECEIVE_SIZE = 64 * 1024
 
 
 @dataclass(frozen=True, slots=True)
-class Inherited:
+class InheritedSockets:
     """What a predecessor handed over: listening sockets by name, and the channel to it."""
 
     sockets: dict[str, socket.socket]
     channel: socket.socket | None = None
-    held: int = 0
+    predecessor_descriptors: int = 0
 
 
-def inherited(environment: Mapping[str, str]) -> Inherited:
+def inherit_sockets(environment: Mapping[str, str]) -> InheritedSockets:
     """The sockets of the LISTEN_FDS convention; nothing where they were meant for another process."""
     if environment.get("LISTEN_PID") != str(os.getpid()):
-        return Inherited({})
+        return InheritedSockets({})
     try:
         count = int(environment.get("LISTEN_FDS", "0"))
-        channel_fd = int(environment.get(CHANNEL, "-1"))
-        held = int(environment.get(HELD, "0"))
+        channel_fd = int(environment.get(CHANNEL_VARIABLE, "-1"))
+        held = int(environment.get(DESCRIPTORS_VARIABLE, "0"))
     except ValueError:
-        return Inherited({})
+        return InheritedSockets({})
     names = environment.get("LISTEN_FDNAMES", "").split(":")
     sockets = {}
     for index in range(count):
-        sock = socket.socket(fileno=FIRST_FD + index)
+        sock = socket.socket(fileno=LISTEN_FDS_START + index)
         sock.set_inheritable(False)
         sockets[names[index] if index < len(names) and names[index] else f"unknown{index}"] = sock
     channel = None
@@ -58,22 +58,24 @@
         channel = socket.socket(fileno=channel_fd)
         channel.set_inheritable(False)
         channel.setblocking(False)
-    return Inherited(sockets, channel, held)
+    return InheritedSockets(sockets, channel, held)
 
 
-def spawn(arguments: list[str], sockets: Mapping[str, socket.socket], held: int) -> tuple[int, socket.socket]:
+def spawn_successor(
+    arguments: list[str], sockets: Mapping[str, socket.socket], open_descriptors: int
+) -> tuple[int, socket.socket]:
     """Start a successor with copies of the listening sockets; its process id, and our end of the channel.
 
     A shell sets LISTEN_PID, which has to be the successor's own, and gives way to it by exec.
     """
     ours, theirs = socket.socketpair()
     names = list(sockets)
-    channel_fd = FIRST_FD + len(names)
+    channel_fd = LISTEN_FDS_START + len(names)
     environment = dict(os.environ) | {
         "LISTEN_FDS": str(len(names)),
         "LISTEN_FDNAMES": ":".join(names),
-        CHANNEL: str(channel_fd),
-        HELD: str(held),
+        CHANNEL_VARIABLE: str(channel_fd),
+        DESCRIPTORS_VARIABLE: str(open_descriptors),
     }
     # Copies beyond all targets first, so that no target is overwritten before it has been copied.
     high = [os.dup(one.fileno()) for one in (*sockets.values(), theirs)]
@@ -81,7 +83,7 @@
     actions: list[tuple[int, ...]] = [
         (os.POSIX_SPAWN_DUP2, fd, base + index) for index, fd in enumerate(high)
     ]
-    actions += [(os.POSIX_SPAWN_DUP2, base + index, FIRST_FD + index) for index in range(len(high))]
+    actions += [(os.POSIX_SPAWN_DUP2, base + index, LISTEN_FDS_START + index) for index in range(len(high))]
     actions += [(os.POSIX_SPAWN_CLOSE, base + index) for index in range(len(high))]
     command = ["/bin/sh", "-c", 'LISTEN_PID=$$ exec "$@"', "sh", *arguments]
     try:
@@ -94,7 +96,7 @@
     return child, ours
 
 
-def own_command() -> list[str]:
+def own_command_line() -> list[str]:
     """How this process was started, to start a successor likewise."""
     main = sys.modules.get("__main__")
     spec = getattr(main, "__spec__", None)
@@ -106,9 +108,9 @@
 
 def await_ready(loop: Loop, channel: socket.socket) -> Generator[Wait, int, str]:
     """Until the successor is ready: empty; or why it will not be."""
-    until = loop.now + READY_US
+    until = loop.now + READY_TIMEOUT_US
     heard = b""
-    while READY not in heard:
+    while READY_MESSAGE not in heard:
         if not (yield Wait(channel.fileno(), IN, until)):
             return "it was not ready in time"
         try:
@@ -123,9 +125,9 @@
     return ""
 
 
-def send_all(loop: Loop, channel: socket.socket, lines: list[dict[str, Any]]) -> Generator[Wait, int, bool]:
+def send_state(loop: Loop, channel: socket.socket, lines: list[dict[str, Any]]) -> Generator[Wait, int, bool]:
     """What stands, a JSON line each, then the end; false where the successor has gone."""
-    data = b"".join(json.dumps(one, separators=(",", ":")).encode() + b"\n" for one in lines) + DONE
+    data = b"".join(json.dumps(one, separators=(",", ":")).encode() + b"\n" for one in lines) + DONE_MESSAGE
     while data:
         try:
             data = data[channel.send(data) :]
@@ -136,13 +138,13 @@
     return True
 
 
-def receive_all(channel: socket.socket) -> Generator[Wait, int, list[dict[str, Any]] | None]:
+def receive_state(channel: socket.socket) -> Generator[Wait, int, list[dict[str, Any]] | None]:
     """What the predecessor sends before it ends; none where it ended without."""
     held, lines, done = b"", list[dict[str, Any]](), False
     while True:
         yield Wait(channel.fileno(), IN)
         try:
-            data = channel.recv(MOST_LINE)
+            data = channel.recv(RECEIVE_SIZE)
         except BlockingIOError:
             continue
         except OSError:
@@ -151,7 +153,7 @@
             return lines if done else None
         *whole, held = (held + data).split(b"\n")
         for line in whole:
-            if line + b"\n" == DONE:
+            if line + b"\n" == DONE_MESSAGE:
                 done = True  # ...but it has ended only when the channel does
                 continue
             try:
--- a/thornshelf/start.py
+++ b/thornshelf/start.py
@@ -5,7 +5,7 @@
 import os
 import sys
 
-from thornshelf.config import Config, ConfigError, read_config
+from thornshelf.configuration import Config, ConfigError, read_config
 from thornshelf.service import Service
 
 
--- a/thornshelf/subsetting/subset.py
+++ b/thornshelf/subsetting/subset.py
@@ -17,35 +17,35 @@
 from heapq import heapify, heappop, heappush
 from typing import Any, Generic
 
-from glenshift.interface import Health
-from thornshelf.subsetting.summary import E, ZoneSummary, draw
-from thornshelf.subsetting.terms import SubsetTerms
+from thornshelf.placement.interface import Health
+from thornshelf.subsetting.config import SubsetConfig
+from thornshelf.subsetting.zone_summary import ListedNodeT, ZoneSummary, rendezvous_rank
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class RequestCounts:
     """Set-ups of this dispatcher since it started: all, and those that were refused."""
 
-    taken: int
-    refused: int
+    received: int
+    rejected: int
 
 
-class Subset(Generic[E]):
+class Subset(Generic[ListedNodeT]):
     """One dispatcher's part of the list."""
 
     def __init__(
         self,
-        terms: SubsetTerms,
+        config: SubsetConfig,
         now_us: int,
-        with_health: Callable[[E, Health], E],
+        with_health: Callable[[ListedNodeT, Health], ListedNodeT],
         is_idle: Callable[[str], bool],
     ) -> None:
         """``with_health``: an entry in another state; ``is_idle``: nothing of this dispatcher stands on a node."""
-        self.terms = terms
-        self.zones: dict[str, ZoneSummary[E]] = {}  # of the other zones
-        self.own: dict[str, E] = {}  # held, of the own zone
-        self.spares: dict[str, E] = {}  # held, of other zones, and up
-        self.leaving: dict[str, E] = {}  # held, of other zones, until nothing stands there
+        self.config = config
+        self.zones: dict[str, ZoneSummary[ListedNodeT]] = {}  # of the other zones
+        self.own_zone_nodes: dict[str, ListedNodeT] = {}  # held, of the own zone
+        self.spare_nodes: dict[str, ListedNodeT] = {}  # held, of other zones, and up
+        self.draining_nodes: dict[str, ListedNodeT] = {}  # held, of other zones, until nothing stands there
         self._with_health, self._is_idle = with_health, is_idle
         self._sought: set[str] = set()  # named by clients, and not yet found in the list
         self._own_up = 0
@@ -53,26 +53,26 @@
             deque()
         )  # falling numbers of the own zone's nodes, and until when
         self._step = 0  # spare nodes that refused set-ups ask for
-        self._load = Load(0, 0)
+        self._load = RequestCounts(0, 0)
         self._pressed_us = now_us  # when set-ups were refused last, or a step was given up
         self._wanted_us = now_us  # when all spare nodes were wanted last, or some were given back
-        self._reread_us = now_us - terms.reread_us
+        self._reread_us = now_us - config.relist_interval_us
 
     # what is held
 
     @property
-    def held(self) -> int:
+    def node_count(self) -> int:
         """Nodes that the core knows."""
-        return len(self.own) + len(self.spares) + len(self.leaving)
+        return len(self.own_zone_nodes) + len(self.spare_nodes) + len(self.draining_nodes)
 
     @property
-    def known(self) -> int:
+    def known_up_count(self) -> int:
         """Nodes of the whole list that are up, as far as is known."""
-        return self._own_up + sum(zone.count for zone in self.zones.values())
+        return self._own_up + sum(zone.up_count for zone in self.zones.values())
 
     # the list
 
-    def change(self, complete: bool, entries: Iterable[E], now_us: int) -> list[E]:
+    def apply(self, complete: bool, entries: Iterable[ListedNodeT], now_us: int) -> list[ListedNodeT]:
         """The whole list, or its changes; what the core is to be told of it, in that order.
 
         Where the list is complete, so is the result: what it does not name is gone.
@@ -82,112 +82,112 @@
             if complete
             else [one for entry in entries for one in self._take(entry)]
         )
-        self._own_up = sum(entry.health is Health.UP for entry in self.own.values())
+        self._own_up = sum(entry.health is Health.UP for entry in self.own_zone_nodes.values())
         self._remember(now_us)
         return told
 
-    def _replace(self, entries: Sequence[E]) -> list[E]:
+    def _replace(self, entries: Sequence[ListedNodeT]) -> list[ListedNodeT]:
         """A whole list: spare nodes are kept where it still has them."""
-        spares, leaving = self.spares, self.leaving
-        self.zones, self.own, self.spares, self.leaving = {}, {}, {}, {}
+        spares, leaving = self.spare_nodes, self.draining_nodes
+        self.zones, self.own_zone_nodes, self.spare_nodes, self.draining_nodes = {}, {}, {}, {}
         zones = {entry.zone for entry in entries}
         for entry in entries:
-            if entry.zone == self.terms.zone:
-                if entry.health is not Health.GONE:
-                    self.own[entry.name] = entry
+            if entry.zone == self.config.zone:
+                if entry.health is not Health.REMOVED:
+                    self.own_zone_nodes[entry.name] = entry
                 continue
             self._summarize(entry, len(zones) - 1)
-            if entry.health is Health.GONE:
+            if entry.health is Health.REMOVED:
                 continue
             if entry.name in spares and entry.health is Health.UP:
-                self.spares[entry.name] = entry
+                self.spare_nodes[entry.name] = entry
             elif entry.name in spares or entry.name in leaving or entry.name in self._sought:
-                self.leaving[entry.name] = self._with_health(entry, Health.DRAINING)
+                self.draining_nodes[entry.name] = self._with_health(entry, Health.DRAINING)
         self._sought.clear()
-        return [*self.own.values(), *self.spares.values(), *self.leaving.values()]
+        return [*self.own_zone_nodes.values(), *self.spare_nodes.values(), *self.draining_nodes.values()]
 
-    def _take(self, entry: E) -> list[E]:
+    def _take(self, entry: ListedNodeT) -> list[ListedNodeT]:
         """One node's change; what the core is told of it: the entry, the entry as draining, or nothing."""
         name = entry.name
-        if entry.zone == self.terms.zone:
+        if entry.zone == self.config.zone:
             known = self._forget(name)
-            if entry.health is not Health.GONE:
-                self.own[name] = entry
-            return [entry] if known or entry.health is not Health.GONE else []
-        was_own = self.own.pop(name, None) is not None
+            if entry.health is not Health.REMOVED:
+                self.own_zone_nodes[name] = entry
+            return [entry] if known or entry.health is not Health.REMOVED else []
+        was_own = self.own_zone_nodes.pop(name, None) is not None
         self._summarize(entry, len(self.zones))
-        if not (was_own or name in self.spares or name in self.leaving or name in self._sought):
+        if not (was_own or name in self.spare_nodes or name in self.draining_nodes or name in self._sought):
             return []
         self._sought.discard(name)
-        was_spare = self.spares.pop(name, None) is not None
-        self.leaving.pop(name, None)
-        if entry.health is Health.GONE:
+        was_spare = self.spare_nodes.pop(name, None) is not None
+        self.draining_nodes.pop(name, None)
+        if entry.health is Health.REMOVED:
             return [entry]
         if was_spare and entry.health is Health.UP:
-            self.spares[name] = entry
+            self.spare_nodes[name] = entry
             return [entry]
-        draining = self.leaving[name] = self._with_health(entry, Health.DRAINING)
+        draining = self.draining_nodes[name] = self._with_health(entry, Health.DRAINING)
         return [draining]
 
-    def _summarize(self, entry: E, zones: int) -> None:
+    def _summarize(self, entry: ListedNodeT, zones: int) -> None:
         zone = self.zones.get(entry.zone)
         if zone is None:
-            zone = self.zones[entry.zone] = ZoneSummary(self.terms.member)
+            zone = self.zones[entry.zone] = ZoneSummary(self.config.member)
         if entry.health is Health.UP:
-            zone.put(entry, self.terms.sample(zones))
+            zone.add(entry, self.config.sample_size(zones))
             return
-        zone.take_out(entry.name)
-        if not zone.count:
+        zone.remove(entry.name)
+        if not zone.up_count:
             del self.zones[entry.zone]
 
     def _forget(self, name: str) -> bool:
         """Keep nothing of a node; whether it was held."""
         self._sought.discard(name)
-        known = name in self.own or name in self.spares or name in self.leaving
-        for table in (self.own, self.spares, self.leaving):
+        known = name in self.own_zone_nodes or name in self.spare_nodes or name in self.draining_nodes
+        for table in (self.own_zone_nodes, self.spare_nodes, self.draining_nodes):
             table.pop(name, None)
         return known
 
-    def hold(self, name: str) -> list[E]:
+    def retain(self, name: str) -> list[ListedNodeT]:
         """A client names a node on which its task stands; what the core is to be told of it.
 
         Where no entry of it is kept, ``wants_list`` is true until the list has been read again.
         """
-        if name in self.own or name in self.spares or name in self.leaving:
+        if name in self.own_zone_nodes or name in self.spare_nodes or name in self.draining_nodes:
             return []
         for zone in self.zones.values():
             if (entry := zone.get(name)) is not None:
-                draining = self.leaving[name] = self._with_health(entry, Health.DRAINING)
+                draining = self.draining_nodes[name] = self._with_health(entry, Health.DRAINING)
                 return [draining]
         self._sought.add(name)
         return []
 
     # spare nodes
 
-    def review(self, load: Load, now_us: int) -> list[E]:
+    def review(self, load: RequestCounts, now_us: int) -> list[ListedNodeT]:
         """Take in, and give back, spare nodes; what the core is to be told. To be called each ``review_us``."""
         self._remember(now_us)
         self._press(load, now_us)
         wanted = self._wanted()
         told = self._drop_idle()
-        if len(self.spares) <= wanted:
+        if len(self.spare_nodes) <= wanted:
             self._wanted_us = now_us
-            told += self._take_in(min(wanted - len(self.spares), self.terms.spares_a_review))
-        elif now_us - self._wanted_us >= self.terms.quiet_us:
+            told += self._take_in(min(wanted - len(self.spare_nodes), self.config.spares_per_review))
+        elif now_us - self._wanted_us >= self.config.cooldown_us:
             self._wanted_us = now_us
-            told += self._give_back(-(-(len(self.spares) - wanted) // 2))
+            told += self._give_back(-(-(len(self.spare_nodes) - wanted) // 2))
         return told
 
-    def wants_list(self, now_us: int) -> bool:
+    def needs_relist(self, now_us: int) -> bool:
         """Whether the whole list has to be read again; what asked for it is then taken to be done.
 
         It has to where a client named a node that is not known, or, once in ``reread_us``, where a sample is thin.
         """
-        if now_us - self._reread_us < self.terms.review_us:
+        if now_us - self._reread_us < self.config.review_interval_us:
             return False
-        most = self.terms.sample(len(self.zones))
-        thin = any(zone.thin(most) for zone in self.zones.values())
-        if not self._sought and not (thin and now_us - self._reread_us >= self.terms.reread_us):
+        most = self.config.sample_size(len(self.zones))
+        thin = any(zone.is_depleted(most) for zone in self.zones.values())
+        if not self._sought and not (thin and now_us - self._reread_us >= self.config.relist_interval_us):
             return False
         self._reread_us = now_us
         return True
@@ -198,69 +198,71 @@
             self._most_up.popleft()
         while self._most_up and self._most_up[-1][0] <= self._own_up:
             self._most_up.pop()
-        self._most_up.append((self._own_up, now_us + self.terms.remember_us))
+        self._most_up.append((self._own_up, now_us + self.config.peak_window_us))
 
-    def _press(self, load: Load, now_us: int) -> None:
+    def _press(self, load: RequestCounts, now_us: int) -> None:
         """Refused set-ups ask for a step more; half of the steps are given up after each quiet time."""
-        taken, refused = load.taken - self._load.taken, load.refused - self._load.refused
-        if taken >= self.terms.least_set_ups:
+        taken, refused = load.received - self._load.received, load.rejected - self._load.rejected
+        if taken >= self.config.min_requests:
             self._load = load
-            if refused > self.terms.refused_share * taken:
-                self._step = min(self.terms.most_spare, self._step + self.terms.spare_step)
+            if refused > self.config.rejected_fraction * taken:
+                self._step = min(self.config.max_spares, self._step + self.config.spare_step)
                 self._pressed_us = now_us
-        if self._step and now_us - self._pressed_us >= self.terms.quiet_us:
+        if self._step and now_us - self._pressed_us >= self.config.cooldown_us:
             self._step //= 2
             self._pressed_us = now_us
 
     def _wanted(self) -> int:
         """So many spare nodes are wanted: for those that the own zone lacks, or for set-ups that were refused."""
         usual = self._most_up[0][0]
-        lacking = usual - self._own_up if self._own_up < self.terms.short_share * usual else 0
+        lacking = usual - self._own_up if self._own_up < self.config.short_fraction * usual else 0
         if not self._own_up:
-            lacking = max(lacking, self.terms.spare_step)  # a zone that never had a node lacks some, too
-        return min(self.terms.most_spare, max(lacking, self._step))
+            lacking = max(lacking, self.config.spare_step)  # a zone that never had a node lacks some, too
+        return min(self.config.max_spares, max(lacking, self._step))
 
-    def _take_in(self, count: int) -> list[E]:
+    def _take_in(self, count: int) -> list[ListedNodeT]:
         """The next spare nodes, each of the zone that has the fewest: none bears all of what another lacks."""
-        held = Counter(entry.zone for entry in self.spares.values())
+        held = Counter(entry.zone for entry in self.spare_nodes.values())
         waiting = {
-            name: deque(entry for entry in zone.sample if entry.name not in self.spares)
+            name: deque(entry for entry in zone.sample if entry.name not in self.spare_nodes)
             for name, zone in self.zones.items()
         }
-        order = [(held[name], draw(self.terms.member, name), name) for name in waiting if waiting[name]]
+        order = [
+            (held[name], rendezvous_rank(self.config.member, name), name) for name in waiting if waiting[name]
+        ]
         heapify(order)
-        found: list[E] = []
+        found: list[ListedNodeT] = []
         while order and len(found) < count:
             number, place, name = heappop(order)
             found.append(waiting[name].popleft())
             if waiting[name]:
                 heappush(order, (number + 1, place, name))
         for entry in found:
-            self.leaving.pop(entry.name, None)
-            self.spares[entry.name] = entry
+            self.draining_nodes.pop(entry.name, None)
+            self.spare_nodes[entry.name] = entry
         return found
 
-    def _give_back(self, count: int) -> list[E]:
+    def _give_back(self, count: int) -> list[ListedNodeT]:
         """The spare nodes that were taken in last take nothing new."""
         told = []
-        for name in list(self.spares)[-count:]:
-            entry = self._with_health(self.spares.pop(name), Health.DRAINING)
-            self.leaving[name] = entry
+        for name in list(self.spare_nodes)[-count:]:
+            entry = self._with_health(self.spare_nodes.pop(name), Health.DRAINING)
+            self.draining_nodes[name] = entry
             told.append(entry)
         return told
 
-    def _drop_idle(self) -> list[E]:
+    def _drop_idle(self) -> list[ListedNodeT]:
         """Those that are given back, and on which nothing stands any more, are gone for the core."""
-        idle = [name for name in self.leaving if self._is_idle(name)]
-        return [self._with_health(self.leaving.pop(name), Health.GONE) for name in idle]
+        idle = [name for name in self.draining_nodes if self._is_idle(name)]
+        return [self._with_health(self.draining_nodes.pop(name), Health.REMOVED) for name in idle]
 
 
-def summary(subset: Subset[Any]) -> dict[str, object]:
+def log_fields(subset: Subset[Any]) -> dict[str, object]:
     """The figures of a log line."""
     return {
-        "own": len(subset.own),
-        "spare": len(subset.spares),
-        "leaving": len(subset.leaving),
-        "known": subset.known,
+        "own": len(subset.own_zone_nodes),
+        "spare": len(subset.spare_nodes),
+        "leaving": len(subset.draining_nodes),
+        "known": subset.known_up_count,
         "zones": len(subset.zones) + 1,
     }
--- a/thornshelf/subsetting/summary.py
+++ b/thornshelf/subsetting/zone_summary.py
@@ -8,10 +8,10 @@
 
 import xxhash
 
-from glenshift.interface import Health
+from thornshelf.placement.interface import Health
 
 
-class Entry(Protocol):
+class ListedNode(Protocol):
     """A node as the list shows it."""
 
     @property
@@ -27,61 +27,61 @@
         """Up, draining or gone."""
 
 
-E = TypeVar("E", bound=Entry)
+ListedNodeT = TypeVar("ListedNodeT", bound=ListedNode)
 
 
-def draw(member: str, name: str) -> int:
+def rendezvous_rank(member: str, name: str) -> int:
     """A node's place in one member's order: other members have other orders, so they hold other nodes."""
     return xxhash.xxh3_64_intdigest(f"{member}\0{name}".encode())
 
 
-class ZoneSummary(Generic[E]):
+class ZoneSummary(Generic[ListedNodeT]):
     """One zone: how many of its nodes are up, and those of them that come first in this member's order."""
 
     def __init__(self, member: str) -> None:
         self._member = member
         self._up = array("Q")  # the draws of all that are up, in their order
         self._order: list[tuple[int, str]] = []  # of the sample
-        self._entries: dict[str, E] = {}  # the sample
+        self._entries: dict[str, ListedNodeT] = {}  # the sample
         self.version = 0  # grows with each change of the sample
 
     @property
-    def count(self) -> int:
+    def up_count(self) -> int:
         """How many nodes are up."""
         return len(self._up)
 
     @property
-    def sample(self) -> list[E]:
+    def sample(self) -> list[ListedNodeT]:
         """The entries that are kept, in this member's order."""
         return [self._entries[name] for _, name in self._order]
 
-    def get(self, name: str) -> E | None:
+    def get(self, name: str) -> ListedNodeT | None:
         """An entry of the sample."""
         return self._entries.get(name)
 
-    def thin(self, most: int) -> bool:
+    def is_depleted(self, sample_size: int) -> bool:
         """Less than half of the sample is left though the zone has more: only the whole list can fill it."""
-        return len(self._entries) < min(most, self.count) / 2
+        return len(self._entries) < min(sample_size, self.up_count) / 2
 
-    def put(self, entry: E, most: int) -> None:
+    def add(self, entry: ListedNodeT, sample_size: int) -> None:
         """A node is up."""
-        key = draw(self._member, entry.name)
+        key = rendezvous_rank(self._member, entry.name)
         place = bisect_left(self._up, key)
         if place == len(self._up) or self._up[place] != key:
             self._up.insert(place, key)
         if entry.name in self._entries:
             self._entries[entry.name] = entry
             self.version += 1
-        elif len(self._order) < most or key < self._order[-1][0]:
+        elif len(self._order) < sample_size or key < self._order[-1][0]:
             insort(self._order, (key, entry.name))
             self._entries[entry.name] = entry
             self.version += 1
-            if len(self._order) > most:
+            if len(self._order) > sample_size:
                 del self._entries[self._order.pop()[1]]
 
-    def take_out(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """A node is up no more."""
-        key = draw(self._member, name)
+        key = rendezvous_rank(self._member, name)
         place = bisect_left(self._up, key)
         if place < len(self._up) and self._up[place] == key:
             self._up.pop(place)
--- a/thornshelf/syslog.py
+++ b/thornshelf/syslog.py
@@ -12,10 +12,10 @@
 from thornshelf.loop.stream import connect
 from thornshelf.wire import rfc5424
 
-MOST_HELD = 256 * 1024
-MOST_TEXT = 2048  # characters of one line's text, and of one value
-MOST_A_SECOND = 50  # lines under one message id: bad input may come by the thousand
-MOST_UNSENT = 64 * 1024  # handed to a collector's connection; the rest is held here
+MAX_BUFFERED_BYTES = 256 * 1024
+MAX_TEXT_CHARS = 2048  # characters of one line's text, and of one value
+MAX_LINES_PER_SECOND = 50  # lines under one message id: bad input may come by the thousand
+MAX_COLLECTOR_BUFFER_BYTES = 64 * 1024  # handed to a collector's connection; the rest is held here
 RETRY_US = 20_000
 CONNECT_US = 1_000_000
 RECONNECT_US = 500_000
@@ -25,7 +25,7 @@
 class Sink(Protocol):
     """Where lines go."""
 
-    def take(self, held: deque[bytes]) -> int:
+    def write(self, lines: deque[bytes]) -> int:
         """Take lines from the front while that doesn't block; gives the number of those lost."""
 
 
@@ -36,16 +36,16 @@
         self._rest = b""
         os.set_blocking(STDOUT, False)
 
-    def take(self, held: deque[bytes]) -> int:
+    def write(self, lines: deque[bytes]) -> int:
         """Write what the pipe holds."""
-        while held or self._rest:
+        while lines or self._rest:
             if not self._rest:
-                self._rest = b"".join(line + b"\n" for line in held)
-                held.clear()
+                self._rest = b"".join(line + b"\n" for line in lines)
+                lines.clear()
             try:
                 written = os.write(STDOUT, self._rest)
             except BlockingIOError:
-                held.appendleft(self._rest[:-1])
+                lines.appendleft(self._rest[:-1])
                 self._rest = b""
                 break
             except OSError:  # nobody reads the log any more
@@ -54,7 +54,7 @@
         return 0
 
 
-class Datagrams:
+class UdpCollector:
     """A datagram each, after RFC 5426."""
 
     def __init__(self, address: tuple[str, int]) -> None:
@@ -62,21 +62,21 @@
         self._sock.setblocking(False)
         self._sock.connect(address)
 
-    def take(self, held: deque[bytes]) -> int:
+    def write(self, lines: deque[bytes]) -> int:
         """Send them; one that is refused is lost."""
         lost = 0
-        while held:
+        while lines:
             try:
-                self._sock.send(held[0])
+                self._sock.send(lines[0])
             except BlockingIOError:
                 break
             except OSError:
                 lost += 1
-            held.popleft()
+            lines.popleft()
         return lost
 
 
-class Connection:
+class TcpCollector:
     """A stream with counted lines, after RFC 6587; made anew when it breaks."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
@@ -84,11 +84,16 @@
         self._stream: Stream | None = None
         loop.spawn(self._run())
 
-    def take(self, held: deque[bytes]) -> int:
+    def write(self, lines: deque[bytes]) -> int:
         """Hand over what the connection takes."""
         stream = self._stream
-        while held and stream is not None and stream.open and stream.unsent < MOST_UNSENT:
-            line = held.popleft()
+        while (
+            lines
+            and stream is not None
+            and stream.open
+            and stream.buffered_bytes < MAX_COLLECTOR_BUFFER_BYTES
+        ):
+            line = lines.popleft()
             stream.send(b"%d %s" % (len(line), line))
         if stream is not None:
             stream.flush()
@@ -121,45 +126,45 @@
     ) -> None:
         self.loop, self.host, self.app = loop, host, app
         self._offset, self._process = unix_offset_us, os.getpid()
-        self._held: deque[bytes] = deque()
+        self._buffered: deque[bytes] = deque()
         self._size = self._dropped = 0
         self._waiting = False
         self._second = 0
         self._lines: dict[str, int] = {}  # in this second, by message id
         # Told of each line, also of those that a flood leaves out.
-        self.tally: Callable[[int, Mapping[str, object], str], None] | None = None
+        self.on_line: Callable[[int, Mapping[str, object], str], None] | None = None
         self._sink: Sink
         if collector is None:
             self._sink = StandardOutput()
         elif collector[0] == "udp":
-            self._sink = Datagrams(collector[1])
+            self._sink = UdpCollector(collector[1])
         else:
-            self._sink = Connection(loop, collector[1])
+            self._sink = TcpCollector(loop, collector[1])
 
     def __call__(self, severity: int, message_id: str, values: Mapping[str, object], text: str) -> None:
         """One line."""
-        if self.tally is not None:
-            self.tally(self.loop.now, values, text)
+        if self.on_line is not None:
+            self.on_line(self.loop.now, values, text)
         if self.loop.now // 1_000_000 != self._second:
             self._second, lines, self._lines = self.loop.now // 1_000_000, self._lines, {}
             for name, count in lines.items():
-                if count > MOST_A_SECOND:
+                if count > MAX_LINES_PER_SECOND:
                     self(
                         rfc5424.WARNING,
                         "log",
-                        {"id": name, "left_out": count - MOST_A_SECOND},
+                        {"id": name, "left_out": count - MAX_LINES_PER_SECOND},
                         "too many lines",
                     )
         count = self._lines[message_id] = self._lines.get(message_id, 0) + 1
-        if count > MOST_A_SECOND:
+        if count > MAX_LINES_PER_SECOND:
             return
-        if self._size > MOST_HELD:
+        if self._size > MAX_BUFFERED_BYTES:
             self._dropped += 1
             return
-        values = {name: str(value)[:MOST_TEXT] for name, value in values.items()}
-        at, text = self.loop.now + self._offset, text[:MOST_TEXT]
+        values = {name: str(value)[:MAX_TEXT_CHARS] for name, value in values.items()}
+        at, text = self.loop.now + self._offset, text[:MAX_TEXT_CHARS]
         line = rfc5424.format_line(severity, at, self.host, self.app, self._process, message_id, values, text)
-        self._held.append(line)
+        self._buffered.append(line)
         self._size += len(line)
         if not self._waiting:
             self._waiting = True
@@ -168,11 +173,11 @@
     def flush(self) -> None:
         """Hand over what the sink takes; the rest a little later."""
         self._waiting = True  # no second call
-        self._dropped += self._sink.take(self._held)
-        self._size = sum(map(len, self._held))
-        if self._dropped and self._size < MOST_HELD // 2:
+        self._dropped += self._sink.write(self._buffered)
+        self._size = sum(map(len, self._buffered))
+        if self._dropped and self._size < MAX_BUFFERED_BYTES // 2:
             dropped, self._dropped = self._dropped, 0
             self(rfc5424.WARNING, "log", {"dropped": dropped}, "lines were dropped")
-        self._waiting = bool(self._held)
-        if self._held:
+        self._waiting = bool(self._buffered)
+        if self._buffered:
             self.loop.after(RETRY_US, self.flush)
--- a/thornshelf/translate/table.py
+++ b/thornshelf/translation/field_mapping.py
@@ -2,7 +2,7 @@
 
 Things that clients say travel to the nodes' forms, things that nodes say to the clients' forms; what the dispatcher
 itself says is listed with the nodes'. Elements of the forms (fields, enum values, causes) are bound to things by
-``BINDINGS``; ``thornshelf.audit`` finds the elements by reflection and fails where one is bound to nothing, where a
+``BINDINGS``; ``thornshelf.translation.field_mapping_audit`` finds the elements by reflection and fails where one is bound to nothing, where a
 thing has no fate, and where a fate contradicts what the target form has words for.
 """
 
@@ -12,10 +12,10 @@
 import functools
 from dataclasses import dataclass
 
-from thornshelf.translate.words import LAST_OLD, NODE_FORMS, Form, Trouble
+from thornshelf.translation.failures import LAST_V1_REASON, NODE_FORMATS, FailureReason, WireFormat
 
 
-class Kind(enum.Enum):
+class MappingKind(enum.Enum):
     """What can become of a thing."""
 
     CARRIED = "carried"
@@ -25,49 +25,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fate:
+class FieldMapping:
     """One cell of the table; ``how`` says from what it is derived, with what it is refused, or why it is left out."""
 
-    kind: Kind
-    how: str = ""
+    kind: MappingKind
+    explanation: str = ""
 
 
-CARRIED = Fate(Kind.CARRIED)
+CARRIED = FieldMapping(MappingKind.CARRIED)
 
 
-def derived(how: str) -> Fate:
+def derived(explanation: str) -> FieldMapping:
     """Said in other words, or by other means."""
-    return Fate(Kind.DERIVED, how)
+    return FieldMapping(MappingKind.DERIVED, explanation)
 
 
-def refused(how: str) -> Fate:
+def rejected(explanation: str) -> FieldMapping:
     """The set-up gets an error that says why."""
-    return Fate(Kind.REFUSED, how)
+    return FieldMapping(MappingKind.REFUSED, explanation)
 
 
-def left_out(how: str) -> Fate:
+def omitted(explanation: str) -> FieldMapping:
     """Not passed on; the dispatcher's account counts it."""
-    return Fate(Kind.LEFT_OUT, how)
+    return FieldMapping(MappingKind.LEFT_OUT, explanation)
 
 
-M, V1, V2, L = Form.MESSAGES, Form.V1, Form.V2, Form.LINES
-Row = dict[Form, Fate]
+M, V1, V2, L = WireFormat.BINARY, WireFormat.GRPC_V1, WireFormat.GRPC_V2, WireFormat.JSON_LINES
+Row = dict[WireFormat, FieldMapping]
 
 
-def to_nodes(messages: Fate, v1: Fate, v2: Fate) -> Row:
+def to_nodes(messages: FieldMapping, v1: FieldMapping, v2: FieldMapping) -> Row:
     """Towards the three forms of nodes."""
     return {M: messages, V1: v1, V2: v2}
 
 
-def to_clients(lines: Fate, v1: Fate, v2: Fate) -> Row:
+def to_clients(lines: FieldMapping, v1: FieldMapping, v2: FieldMapping) -> Row:
     """Towards the three forms of clients."""
     return {L: lines, V1: v1, V2: v2}
 
 
-_USED = left_out("the decision module has used it; the form has no field")
+_USED = omitted("the decision module has used it; the form has no field")
 
 # What clients say.
-ASKS: dict[str, Row] = {
+REQUEST_MAPPINGS: dict[str, Row] = {
     "id": to_nodes(CARRIED, CARRIED, CARRIED),
     "class": to_nodes(CARRIED, CARRIED, CARRIED),
     "time left": to_nodes(
@@ -81,33 +81,33 @@
     "tenant": to_nodes(_USED, _USED, CARRIED),
     "hint": to_nodes(_USED, _USED, CARRIED),
     "hint assumed by another": to_nodes(
-        left_out("no owner's word: it counts as missing"),
-        left_out("no owner's word: it counts as missing"),
-        refused(
+        omitted("no owner's word: it counts as missing"),
+        omitted("no owner's word: it counts as missing"),
+        rejected(
             "as a missing hint, by the class's gap policy: HINT_NEEDED, or the operator's figure marked assumed"
         ),
     ),
     "no hint": to_nodes(
-        left_out("old nodes ask for none"),
-        left_out("old nodes ask for none"),
-        refused("by the class's gap policy: HINT_NEEDED, or the operator's figure marked assumed"),
+        omitted("old nodes ask for none"),
+        omitted("old nodes ask for none"),
+        rejected("by the class's gap policy: HINT_NEEDED, or the operator's figure marked assumed"),
     ),
     "cores": to_nodes(_USED, _USED, CARRIED),
     "memory": to_nodes(_USED, _USED, CARRIED),
     "service": to_nodes(_USED, _USED, CARRIED),
     "priority": to_nodes(
-        left_out("the settings' word on the class"),
-        left_out("the settings' word on the class"),
+        omitted("the settings' word on the class"),
+        omitted("the settings' word on the class"),
         derived("from the class, by the settings"),
     ),
     "never twice": to_nodes(
-        left_out("kept by the dispatcher alone"),
-        left_out("kept by the dispatcher alone"),
+        omitted("kept by the dispatcher alone"),
+        omitted("kept by the dispatcher alone"),
         derived("from the class, by the settings"),
     ),
     "question about a name": to_nodes(
-        left_out("never asked: the attempt stays in doubt"),
-        left_out("never asked: the attempt stays in doubt"),
+        omitted("never asked: the attempt stays in doubt"),
+        omitted("never asked: the attempt stays in doubt"),
         CARRIED,
     ),
     "hand-over": to_nodes(
@@ -118,7 +118,7 @@
 }
 
 _CAUSE = derived("the one old cause with the same promise, and the reason in words under 'why'")
-_ROOMLESS = left_out("the form has no field for it")
+_ROOMLESS = omitted("the form has no field for it")
 
 
 def _reason(old: bool) -> Row:
@@ -135,12 +135,12 @@
 
 
 # What nodes say, and what the dispatcher says itself.
-REPORTS: dict[str, Row] = {
+RESPONSE_MAPPINGS: dict[str, Row] = {
     "id": to_clients(CARRIED, CARRIED, CARRIED),
     "binding": to_clients(CARRIED, CARRIED, CARRIED),
     "description": to_clients(CARRIED, CARRIED, CARRIED),
     "progress": to_clients(
-        left_out("it means nothing"), left_out("it means nothing"), left_out("it means nothing")
+        omitted("it means nothing"), omitted("it means nothing"), omitted("it means nothing")
     ),
     "refusal": to_clients(CARRIED, CARRIED, CARRIED),
     "failure": to_clients(CARRIED, CARRIED, CARRIED),
@@ -165,17 +165,17 @@
     ),
     "assumed hint": to_clients(derived("'hint' with 'assumed' beside the answer"), _ROOMLESS, CARRIED),
     "joined": to_clients(_ROOMLESS, _ROOMLESS, CARRIED),
-    "load": to_clients(*[left_out("for the decision module")] * 3),
-    "note": to_clients(*[left_out("for the decision module")] * 3),
-    "hello": to_clients(*[left_out("for routes: which nodes can take a task")] * 3),
+    "load": to_clients(*[omitted("for the decision module")] * 3),
+    "note": to_clients(*[omitted("for the decision module")] * 3),
+    "hello": to_clients(*[omitted("for routes: which nodes can take a task")] * 3),
     "answer about a name": to_clients(*[derived("the binding, the end, or another attempt")] * 3),
     "passed": to_clients(CARRIED, CARRIED, CARRIED),
-    **{f"reason {one.name}": _reason(one <= LAST_OLD) for one in Trouble},
+    **{f"reason {one.name}": _reason(one <= LAST_V1_REASON) for one in FailureReason},
 }
 
 # Elements of the forms that say each thing. A name may end in .* for all fields of a message.
-BINDINGS: dict[Form, dict[str, str]] = {
-    Form.LINES: {
+ELEMENT_BINDINGS: dict[WireFormat, dict[str, str]] = {
+    WireFormat.JSON_LINES: {
         "Line.kind": "=frame", "Line.uid": "id", "Line.meta": "=frame", "Line.reason": "=frame",
         "Line.body": "description",
         "Launch.task_class": "class", "Launch.left_ms": "time left", "Launch.tenant": "tenant", "Launch.key": "key",
@@ -187,10 +187,10 @@
         "cause.34": "refusal", "cause.41": "failure", "cause.100": "failure", "cause.16": "ended",
         "cause.31": "cancelled",
     },
-    Form.MESSAGES: {
+    WireFormat.BINARY: {
         "Message.type": "=frame", "Message.uid": "id", "Message.values": "=frame",
         "type.SET_UP": "=frame", "type.PROGRESS": "progress", "type.ANSWER": "binding", "type.RELEASE": "give up",
-        "type.RELEASE_HEARD": "progress", "type.NOTE": "note", "type.MOVE": "=unused", "type.TEST": "=frame",
+        "type.RELEASE_ACK": "progress", "type.NOTE": "note", "type.MOVE": "=unused", "type.TEST": "=frame",
         "type.TESTED": "=frame",
         "parameter.CLASS": "class", "parameter.WAIT": "time left", "parameter.KEY": "key",
         "parameter.NOTE_NAME": "=frame", "parameter.REPORT": "load", "parameter.FIGURE": "note",
@@ -203,7 +203,7 @@
         "fact.running": "note", "fact.use_cpu": "note", "fact.use_ram": "note", "fact.health": "note",
         "fact.ram_high": "note",
     },
-    Form.V1: {
+    WireFormat.GRPC_V1: {
         "Ask.uid": "id", "Ask.task_class": "class", "Ask.left_ms": "time left", "Ask.tenant": "tenant",
         "Ask.key": "key", "Ask.hint_ms": "hint", "Ask.cores": "cores", "Ask.memory": "memory",
         "Ask.service": "service", "Ask.at": "hand-over", "Ask.description": "description",
@@ -231,8 +231,8 @@
         "Fact.SERVED_SHARE": "note", "Fact.MACHINE_MEMORY": "note",
     },
 }  # fmt: skip
-BINDINGS[Form.V2] = {
-    **{name: thing for name, thing in BINDINGS[Form.V1].items() if name not in ("Ask.hint_ms", "Failure.why")},
+ELEMENT_BINDINGS[WireFormat.GRPC_V2] = {
+    **{name: thing for name, thing in ELEMENT_BINDINGS[WireFormat.GRPC_V1].items() if name not in ("Ask.hint_ms", "Failure.why")},
     "Ask.hint": "hint", "Hint.ms": "hint", "Hint.assumed": "hint assumed by another",
     "ClientMessage.heard": "=frame",
     "Binding.hint": "assumed hint", "Binding.joined": "joined",
@@ -241,7 +241,7 @@
     "Offer.hint": "hint", "Offer.cores": "cores", "Offer.memory": "memory", "Offer.tenant": "tenant",
     "Offer.priority": "priority", "Offer.service": "service", "Offer.never_twice": "never twice",
     "Question.key": "question about a name", "NodeOrder.question": "question about a name",
-    **{f"Reason.{one.name}": f"reason {one.name}" for one in Trouble},
+    **{f"Reason.{one.name}": f"reason {one.name}" for one in FailureReason},
     "Advice.ANY": "advice", "Advice.LATER": "advice", "Advice.CHANGED": "advice",
     "End.text": "text", "End.advice": "advice",
     **{f"Requirement.{one}": "hello" for one in ("NONE", "HINT", "OWN_HINT", "TENANT", "KEY", "SERVICE")},
@@ -253,13 +253,15 @@
 }  # fmt: skip
 
 
-def fate(thing: str, target: Form) -> Fate:
+def mapping_for(subject: str, target: WireFormat) -> FieldMapping:
     """What becomes of a thing towards a form; KeyError where none is declared."""
-    row = ASKS.get(thing, {}) if target in NODE_FORMS else {}
-    return row.get(target) or REPORTS[thing][target]
+    row = REQUEST_MAPPINGS.get(subject, {}) if target in NODE_FORMATS else {}
+    return row.get(target) or RESPONSE_MAPPINGS[subject][target]
 
 
 @functools.cache
-def left_out_to(target: Form) -> frozenset[str]:
+def omitted_subjects(target: WireFormat) -> frozenset[str]:
     """The things that are left out towards a form of nodes, for the account."""
-    return frozenset(thing for thing, row in ASKS.items() if row[target].kind is Kind.LEFT_OUT)
+    return frozenset(
+        thing for thing, row in REQUEST_MAPPINGS.items() if row[target].kind is MappingKind.LEFT_OUT
+    )
--- a/thornshelf/audit.py
+++ b/thornshelf/translation/field_mapping_audit.py
@@ -6,12 +6,18 @@
 from collections.abc import Iterator
 from typing import Any
 
-from thornshelf.nodes import platform
-from thornshelf.translate.table import ASKS, BINDINGS, REPORTS, Fate, Kind
-from thornshelf.translate.words import CLIENT_FORMS, NODE_FORMS, Form
+from thornshelf.nodes import binary as binary_nodes
+from thornshelf.translation.failures import CLIENT_FORMATS, NODE_FORMATS, WireFormat
+from thornshelf.translation.field_mapping import (
+    ELEMENT_BINDINGS,
+    REQUEST_MAPPINGS,
+    RESPONSE_MAPPINGS,
+    FieldMapping,
+    MappingKind,
+)
 from thornshelf.wire import binary, jsonl, placement_pb2, placement_v2_pb2
 
-_TYPES = ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_HEARD", "NOTE", "MOVE", "TEST", "TESTED")
+_TYPES = ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_ACK", "NOTE", "MOVE", "TEST", "TESTED")
 _NO_THING = (
     "="  # bindings that begin so name no thing: frames, fields that only carry derived words, unused types
 )
@@ -29,7 +35,7 @@
             yield f"{enum.name}.{value.name}"
 
 
-def lines_elements() -> Iterator[str]:
+def json_lines_elements() -> Iterator[str]:
     """All that JSON lines can say."""
     for name, kind in (("Line", jsonl.Line), ("Launch", jsonl.LaunchFields)):
         for field in dataclasses.fields(kind):
@@ -39,64 +45,71 @@
     yield from (f"cause.{one}" for one in jsonl.CAUSES)
 
 
-def messages_elements() -> Iterator[str]:
+def binary_elements() -> Iterator[str]:
     """All that binary messages can say."""
     for field in dataclasses.fields(binary.Message):
         yield f"Message.{field.name}"
     for name, value in vars(binary).items():
         if name.isupper() and not name.startswith(("_", "MAX_")) and isinstance(value, int):
             yield f"{'type' if name in _TYPES else 'parameter'}.{name}"
-    yield from (f"cause.{one}" for one in {*platform._BEFORE, *platform._AFTER, "other"})
-    yield from (f"reason.{one}" for one in platform._REASONS)
-    yield from (f"fact.{one}" for one in platform._FACTS)
+    yield from (
+        f"cause.{one}"
+        for one in {*binary_nodes.OUTCOMES_BEFORE_START, *binary_nodes.OUTCOMES_AFTER_START, "other"}
+    )
+    yield from (f"reason.{one}" for one in binary_nodes.REASONS_BY_NAME)
+    yield from (f"fact.{one}" for one in binary_nodes.FACTS_BY_NAME)
 
 
-def elements(form: Form) -> set[str]:
+def elements(form: WireFormat) -> set[str]:
     """All fields, causes and enum values of a form."""
     match form:
-        case Form.LINES:
-            return set(lines_elements())
-        case Form.MESSAGES:
-            return set(messages_elements())
-        case Form.V1:
+        case WireFormat.JSON_LINES:
+            return set(json_lines_elements())
+        case WireFormat.BINARY:
+            return set(binary_elements())
+        case WireFormat.GRPC_V1:
             return set(proto_elements(placement_pb2))
-        case Form.V2:
+        case WireFormat.GRPC_V2:
             return set(proto_elements(placement_v2_pb2))
 
 
-def undeclared() -> list[str]:
+def find_problems() -> list[str]:
     """What the table lacks or has too much of, and where it contradicts the forms; nothing where it is total."""
     found = []
-    for form in Form:
-        bound, there = BINDINGS[form], elements(form)
+    for form in WireFormat:
+        bound, there = ELEMENT_BINDINGS[form], elements(form)
         found += [f"{form.value}: {one} has no binding" for one in sorted(there - bound.keys())]
         found += [f"{form.value}: {one} is bound and does not exist" for one in sorted(bound.keys() - there)]
         for one, thing in bound.items():
-            if not thing.startswith(_NO_THING) and thing not in ASKS and thing not in REPORTS:
+            if (
+                not thing.startswith(_NO_THING)
+                and thing not in REQUEST_MAPPINGS
+                and thing not in RESPONSE_MAPPINGS
+            ):
                 found.append(f"{form.value}: {one} says {thing!r}, which has no fate")
-    for rows, forms in ((ASKS, NODE_FORMS), (REPORTS, CLIENT_FORMS)):
+    for rows, forms in ((REQUEST_MAPPINGS, NODE_FORMATS), (RESPONSE_MAPPINGS, CLIENT_FORMATS)):
         for thing, row in rows.items():
             for form in forms:
                 found += _contradictions(thing, form, row.get(form))
     return found
 
 
-def _contradictions(thing: str, form: Form, fate: Fate | None) -> Iterator[str]:
+def _contradictions(thing: str, form: WireFormat, fate: FieldMapping | None) -> Iterator[str]:
     if fate is None:
         yield f"{thing} has no fate towards {form.value}"
         return
-    if fate.kind is not Kind.CARRIED and not fate.how:
+    if fate.kind is not MappingKind.CARRIED and not fate.explanation:
         yield f"{thing} towards {form.value} is {fate.kind.value} without a word on how"
-    words = {said for said in BINDINGS[form].values() if not said.startswith(_NO_THING)}
-    if fate.kind is Kind.CARRIED and thing not in words and thing != "release":
+    words = {said for said in ELEMENT_BINDINGS[form].values() if not said.startswith(_NO_THING)}
+    if fate.kind is MappingKind.CARRIED and thing not in words and thing != "release":
         yield f"{thing} is said to be carried to {form.value}, which has no word for it"
 
 
-def _cell(fate: Fate) -> str:
-    return f"{fate.kind.value}: {fate.how}" if fate.how else fate.kind.value
+def _cell(fate: FieldMapping) -> str:
+    return f"{fate.kind.value}: {fate.explanation}" if fate.explanation else fate.kind.value
 
 
-def page() -> str:
+def render_page() -> str:
     """The table for people, in Markdown."""
     out = [
         "# What becomes of each word between the forms",
@@ -104,8 +117,8 @@
         "Made by `python -m thornshelf fates` from `thornshelf/translate/table.py`; a test compares the two.",
     ]
     parts = (
-        ("What clients say, towards nodes", ASKS, NODE_FORMS),
-        ("What nodes and the dispatcher say, towards clients", REPORTS, CLIENT_FORMS),
+        ("What clients say, towards nodes", REQUEST_MAPPINGS, NODE_FORMATS),
+        ("What nodes and the dispatcher say, towards clients", RESPONSE_MAPPINGS, CLIENT_FORMATS),
     )
     for title, rows, forms in parts:
         out += ["", f"## {title}", "", "| thing | " + " | ".join(form.value for form in forms) + " |"]
--- a/thornshelf/record/entries.py
+++ b/thornshelf/wal/entries.py
@@ -15,27 +15,27 @@
 import xxhash
 
 from thornshelf.errors import EntryTooLargeError
-from thornshelf.errors import NewerVersionError as NewerVersionError
+from thornshelf.errors import UnsupportedVersionError as UnsupportedVersionError
 
-MARK = b"\xa7\x52"
-VERSION = 1
-MOST_PAYLOAD = 64 * 1024
-_HEAD = struct.Struct(">2sBIQ")
-HEAD_SIZE = _HEAD.size
+MAGIC = b"\xa7\x52"
+FORMAT_VERSION = 1
+MAX_PAYLOAD_SIZE = 64 * 1024
+_HEADER = struct.Struct(">2sBIQ")
+HEADER_SIZE = _HEADER.size
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, tag=True):
     """One event."""
 
 
-class Began(Entry, frozen=True, array_like=True, tag=1):
+class ProcessStarted(Entry, frozen=True, array_like=True, tag=1):
     """A process began to write, under an epoch that no earlier one had; ``at_us`` on the system's clock."""
 
     epoch: int
     at_us: int
 
 
-class Intent(Entry, frozen=True, array_like=True, tag=2):
+class AttemptIntent(Entry, frozen=True, array_like=True, tag=2):
     """An offer of a task that must not be started twice is about to leave: recorded before its first byte."""
 
     key: int
@@ -45,15 +45,15 @@
     at_us: int
 
 
-class AttemptOver(Entry, frozen=True, array_like=True, tag=3):
+class AttemptEnded(Entry, frozen=True, array_like=True, tag=3):
     """An attempt has ended; ``never``: it is proved that it did not run, else it may have."""
 
     key: int
     uid: int
-    never: bool
+    never_ran: bool
 
 
-class Stands(Entry, frozen=True, array_like=True, tag=4):
+class TaskRunning(Entry, frozen=True, array_like=True, tag=4):
     """A task stands, and who is to be told of its end."""
 
     key: int
@@ -70,7 +70,7 @@
     at_us: int
 
 
-class Owed(Entry, frozen=True, array_like=True, tag=5):
+class ReleasePending(Entry, frozen=True, array_like=True, tag=5):
     """A task that stood is over, and its release has not been told yet; by the numbers of thornshelf.v2."""
 
     uid: int
@@ -80,35 +80,37 @@
     at_us: int
 
 
-class Told(Entry, frozen=True, array_like=True, tag=6):
+class ReleaseDone(Entry, frozen=True, array_like=True, tag=6):
     """A release was told, or is not owed: its owner ended the task."""
 
     uid: int
 
 
-class Clean(Entry, frozen=True, array_like=True, tag=7):
+class CleanShutdown(Entry, frozen=True, array_like=True, tag=7):
     """The process ended in order: what it knew is all here."""
 
 
-AnyEntry = Began | Intent | AttemptOver | Stands | Owed | Told | Clean
+AnyEntry = (
+    ProcessStarted | AttemptIntent | AttemptEnded | TaskRunning | ReleasePending | ReleaseDone | CleanShutdown
+)
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[AnyEntry] = msgspec.msgpack.Decoder(AnyEntry)
 
 
 @dataclass(frozen=True, slots=True)
-class Torn:
+class TornTail:
     """Where reading stopped, and why; everything before it is sound."""
 
     offset: int
-    why: str
+    reason: str
 
 
-def frame(entry: AnyEntry) -> bytes:
+def encode_frame(entry: AnyEntry) -> bytes:
     """An entry as it is written; an error where it is too large."""
     payload = _encoder.encode(entry)
-    if len(payload) > MOST_PAYLOAD:
+    if len(payload) > MAX_PAYLOAD_SIZE:
         raise EntryTooLargeError(f"an entry of {len(payload)} bytes")
-    return _HEAD.pack(MARK, VERSION, len(payload), _checksum(VERSION, payload)) + payload
+    return _HEADER.pack(MAGIC, FORMAT_VERSION, len(payload), _checksum(FORMAT_VERSION, payload)) + payload
 
 
 def _checksum(version: int, payload: bytes) -> int:
@@ -116,7 +118,7 @@
     return xxhash.xxh3_64_intdigest(payload, seed=version << 32 | len(payload))
 
 
-def read(data: bytes) -> Iterator[tuple[int, AnyEntry] | Torn]:
+def read_frames(data: bytes) -> Iterator[tuple[int, AnyEntry] | TornTail]:
     """The entries with their offsets; the last thing is ``Torn`` where the record does not end with a whole frame.
 
     A tail that breaks off, or is not what was written, is what a crash leaves: it was never acknowledged. The same in
@@ -124,26 +126,26 @@
     """
     at = 0
     while at < len(data):
-        if at + HEAD_SIZE > len(data):
-            yield Torn(at, "a head breaks off")
+        if at + HEADER_SIZE > len(data):
+            yield TornTail(at, "a head breaks off")
             return
-        mark, version, length, checksum = _HEAD.unpack_from(data, at)
-        if mark != MARK:
-            yield Torn(at, "no mark")
+        mark, version, length, checksum = _HEADER.unpack_from(data, at)
+        if mark != MAGIC:
+            yield TornTail(at, "no mark")
             return
-        payload = data[at + HEAD_SIZE : at + HEAD_SIZE + length]
-        if length > MOST_PAYLOAD or len(payload) < length:
-            yield Torn(at, "a payload breaks off")
+        payload = data[at + HEADER_SIZE : at + HEADER_SIZE + length]
+        if length > MAX_PAYLOAD_SIZE or len(payload) < length:
+            yield TornTail(at, "a payload breaks off")
             return
         if _checksum(version, payload) != checksum:
-            yield Torn(at, "a checksum does not fit")
+            yield TornTail(at, "a checksum does not fit")
             return
-        if version > VERSION:
-            raise NewerVersionError(version, at, VERSION)
+        if version > FORMAT_VERSION:
+            raise UnsupportedVersionError(version, at, FORMAT_VERSION)
         try:
             entry = _decoder.decode(payload)
         except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-            yield Torn(at, f"no entry: {fault}")
+            yield TornTail(at, f"no entry: {fault}")
             return
         yield at, entry
-        at += HEAD_SIZE + length
+        at += HEADER_SIZE + length
--- a/thornshelf/wire/binary.py
+++ b/thornshelf/wire/binary.py
@@ -10,7 +10,7 @@
 
 MAX_MESSAGE = 16 * 1024
 
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_HEARD = 1, 6, 9, 12, 16
+SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK = 1, 6, 9, 12, 16
 NOTE, MOVE, TEST, TESTED = 44, 51, 52, 53
 
 CLASS, WAIT, KEY, NOTE_NAME, REPORT, FIGURE, CAUSE, DESCRIPTION = 129, 132, 141, 150, 156, 165, 171, 174
@@ -67,7 +67,7 @@
     return Message(body[0], int.from_bytes(body[1:9], "big"), values)
 
 
-def read_figure(text: str | None) -> float | None:
+def parse_number(text: str | None) -> float | None:
     """The figure of a note: finite, or none."""
     try:
         number = float(text) if text is not None else math.nan
@@ -76,12 +76,12 @@
     return number if math.isfinite(number) else None
 
 
-def read_report(text: str | None) -> dict[str, float]:
+def parse_load_report(text: str | None) -> dict[str, float]:
     """The fields of a load report; what can't be read is left out."""
     fields = {}
     for part in (text or "").split(";"):
         name, _, value = part.partition(":")
-        number = read_figure(value)
+        number = parse_number(value)
         if name and number is not None:
             fields[name] = number
     return fields
@@ -91,26 +91,26 @@
     """Cuts a stream of bytes into messages; what it holds is bounded by one message."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
         """Take more bytes of the stream."""
-        self._held += data
+        self._buffer += data
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A message has begun and not ended."""
-        return bool(self._held)
+        return bool(self._buffer)
 
     def next(self) -> Message | None:
         """The next message, or none until more bytes come."""
-        if len(self._held) < 2:
+        if len(self._buffer) < 2:
             return None
-        length = int.from_bytes(self._held[:2], "big")
+        length = int.from_bytes(self._buffer[:2], "big")
         if length + 2 > MAX_MESSAGE:
             raise WireError(f"message is longer than {MAX_MESSAGE} bytes", fatal=True)
-        if len(self._held) < length + 2:
+        if len(self._buffer) < length + 2:
             return None
-        body = bytes(self._held[2 : length + 2])
-        del self._held[: length + 2]
+        body = bytes(self._buffer[2 : length + 2])
+        del self._buffer[: length + 2]
         return parse(body)
--- a/thornshelf/wire/errors.py
+++ b/thornshelf/wire/errors.py
@@ -2,12 +2,12 @@
 
 from thornshelf.errors import WireError
 
-UNREADABLE = "unreadable: "  # begins the reason why a connection ended with such an error
+UNREADABLE_PREFIX = "unreadable: "  # begins the reason why a connection ended with such an error
 
 
-def coded(why: str) -> dict[str, object]:
+def error_code_fields(why: str) -> dict[str, object]:
     """The error's code as a log line's value, where a connection ended with one."""
-    return {"code": WireError.code} if why.startswith(UNREADABLE) else {}
+    return {"code": WireError.code} if why.startswith(UNREADABLE_PREFIX) else {}
 
 
-__all__ = ["UNREADABLE", "WireError", "coded"]
+__all__ = ["UNREADABLE_PREFIX", "WireError", "error_code_fields"]
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -65,28 +65,28 @@
     """Cuts the data of one stream into messages; what it holds is bounded by one message."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
         """Take more bytes of the stream."""
-        self._held += data
+        self._buffer += data
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A message has begun and not ended."""
-        return bool(self._held)
+        return bool(self._buffer)
 
     def next(self) -> bytes | None:
         """The next message, or none until more bytes come."""
-        if len(self._held) < 5:
+        if len(self._buffer) < 5:
             return None
-        if self._held[0] != 0:
+        if self._buffer[0] != 0:
             raise WireError("compressed messages are not taken", fatal=True)
-        length = int.from_bytes(self._held[1:5], "big")
+        length = int.from_bytes(self._buffer[1:5], "big")
         if length > MAX_MESSAGE:
             raise WireError(f"message is longer than {MAX_MESSAGE} bytes", fatal=True)
-        if len(self._held) < 5 + length:
+        if len(self._buffer) < 5 + length:
             return None
-        data = bytes(self._held[5 : 5 + length])
-        del self._held[: 5 + length]
+        data = bytes(self._buffer[5 : 5 + length])
+        del self._buffer[: 5 + length]
         return data
--- a/thornshelf/wire/http2.py
+++ b/thornshelf/wire/http2.py
@@ -23,9 +23,9 @@
 from thornshelf.wire.errors import WireError
 from thornshelf.wire.grpc import Framer
 
-MOST_STREAMS = 128  # at once, opened by one client
-MOST_FRAMES = 1 << 20
-MOST_QUEUED = 256 * 1024  # bytes that wait on one stream for a peer that doesn't read
+MAX_CONCURRENT_STREAMS = 128  # at once, opened by one client
+MAX_FRAMES = 1 << 20
+MAX_QUEUED_BYTES = 256 * 1024  # bytes that wait on one stream for a peer that doesn't read
 _PREFACE = 24
 _DATA, _GOAWAY = 0, 7
 _END_STREAM, _PADDED = 1, 8
@@ -67,7 +67,7 @@
 
     stream: int
     code: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
@@ -81,15 +81,15 @@
 Event = Opened | Received | Ended | Broken | GoAway
 
 
-class Part(Protocol):
+class PendingWrite(Protocol):
     """Bytes that were handed to the connection."""
 
     @property
-    def whole(self) -> bool:
+    def fully_sent(self) -> bool:
         """All of them were given to the system."""
 
 
-class Outgoing:
+class OutgoingMessage:
     """One message on its way out; ``chunks`` are the parts that were handed to the connection."""
 
     __slots__ = ("chunks", "data", "offset")
@@ -97,12 +97,12 @@
     def __init__(self, data: bytes) -> None:
         self.data = data
         self.offset = 0
-        self.chunks: list[Part] = []
+        self.chunks: list[PendingWrite] = []
 
     @property
-    def whole(self) -> bool:
+    def fully_sent(self) -> bool:
         """All of it was given to the system: the peer may have it."""
-        return self.offset == len(self.data) and all(chunk.whole for chunk in self.chunks)
+        return self.offset == len(self.data) and all(chunk.fully_sent for chunk in self.chunks)
 
 
 class _Stream:
@@ -113,7 +113,7 @@
         self.talking = False  # the peer's headers have come, and it has not ended
         self.ended = False  # this side has
         self.framer = Framer()
-        self.queue: deque[Outgoing] = deque()
+        self.queue: deque[OutgoingMessage] = deque()
         self.queued = 0
         self.trailers: list[tuple[str, str]] | None = None
 
@@ -121,17 +121,17 @@
 class Http2:
     """One connection's state. Bytes go out by ``emit``, which says what became of them."""
 
-    def __init__(self, client: bool, emit: Callable[[bytes], Part]) -> None:
+    def __init__(self, client: bool, emit: Callable[[bytes], PendingWrite]) -> None:
         self.client, self._emit = client, emit
         config = h2.config.H2Configuration(client_side=client, header_encoding="utf-8")
         self._h2 = h2.connection.H2Connection(config)
         self._streams: dict[int, _Stream] = {}
-        self._held = b""  # input that is not yet a whole frame
+        self._buffer = b""  # input that is not yet a whole frame
         self._preface = 0 if client else _PREFACE
         self._last_seen = 0
         self._consumed = 0  # on the whole connection
-        self.settled = False  # the peer's SETTINGS came: it speaks HTTP/2
-        self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = MOST_STREAMS
+        self.peer_settings_received = False  # the peer's SETTINGS came: it speaks HTTP/2
+        self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = MAX_CONCURRENT_STREAMS
         self._h2.initiate_connection()
         self._flush()
 
@@ -156,19 +156,19 @@
                 self._done(stream)
             self._flush()
 
-    def send(self, stream: int, data: bytes) -> Outgoing:
+    def send(self, stream: int, data: bytes) -> OutgoingMessage:
         """Queue a message; it goes out as far as flow control lets it."""
-        message = Outgoing(data)
+        message = OutgoingMessage(data)
         state = self._streams.get(stream)
         if state is not None and state.trailers is None and not state.ended:
             state.queue.append(message)
             state.queued += len(data)
             self._pump(stream)
-            if state.queued > MOST_QUEUED:
+            if state.queued > MAX_QUEUED_BYTES:
                 self.reset(stream, int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM))
         return message
 
-    def retract(self, stream: int, message: Outgoing) -> bool:
+    def retract(self, stream: int, message: OutgoingMessage) -> bool:
         """Call a message back; only one of which nothing was handed over."""
         state = self._streams.get(stream)
         if message.offset or state is None or message not in state.queue:
@@ -208,21 +208,21 @@
         self._emit(frame.serialize())
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A frame, or a message on some stream, has begun and not ended."""
-        return bool(self._held) or any(one.framer.midway for one in self._streams.values())
+        return bool(self._buffer) or any(one.framer.mid_message for one in self._streams.values())
 
     @property
-    def waiting(self) -> bool:
+    def has_buffered_frame(self) -> bool:
         """A whole frame is held that ``receive`` left for the next time."""
         return self._whole() > 0
 
-    def receive(self, data: bytes, most: int = MOST_FRAMES) -> list[Event]:
+    def receive(self, data: bytes, max_frames: int = MAX_FRAMES) -> list[Event]:
         """Take bytes of the connection, and ``most`` frames at once; a broken frame ends it by an error."""
         events: list[Event] = []
-        self._held += data
-        while most > 0 and (piece := self._piece()) is not None:
-            most -= 1
+        self._buffer += data
+        while max_frames > 0 and (piece := self._piece()) is not None:
+            max_frames -= 1
             if not self._preface and piece[3:4] == bytes((_GOAWAY,)):
                 # h2 closes the whole connection on this, but the open streams are to go on.
                 if len(piece) < 17:
@@ -260,19 +260,19 @@
         length = self._whole()
         if not length:
             return None
-        piece, self._held = self._held[:length], self._held[length:]
+        piece, self._buffer = self._buffer[:length], self._buffer[length:]
         return piece
 
     def _whole(self) -> int:
         """The length of the whole piece that is held next; 0 for none."""
         length = self._preface
         if not length:
-            if len(self._held) < 9:
+            if len(self._buffer) < 9:
                 return 0
-            length = 9 + int.from_bytes(self._held[:3], "big")
+            length = 9 + int.from_bytes(self._buffer[:3], "big")
             if length > 9 + self._h2.max_inbound_frame_size:
                 raise WireError("frame is too long", fatal=True)
-        return length if len(self._held) >= length else 0
+        return length if len(self._buffer) >= length else 0
 
     def _take(self, event: h2.events.Event, events: list[Event]) -> None:
         match event:
@@ -296,7 +296,7 @@
                 state = self._streams.get(stream)
                 if state is not None:
                     state.talking = False
-                if state is not None and state.framer.midway:
+                if state is not None and state.framer.mid_message:
                     self.reset(stream)
                     events.append(Broken(stream, CANCEL, "ended within a message"))
                 elif not (events and isinstance(events[-1], Ended) and events[-1].stream == stream):
@@ -307,7 +307,7 @@
                 self._streams.pop(stream, None)
                 events.append(Broken(stream, int(code), "reset by the peer"))
             case h2.events.RemoteSettingsChanged():
-                self.settled = True
+                self.peer_settings_received = True
             case _:
                 pass  # windows and pings are h2's own business
 
@@ -389,7 +389,7 @@
             self._emit(data)
 
 
-def farewell() -> bytes:
+def rejection_frames() -> bytes:
     """All that a server says to a client that is turned away: SETTINGS, and GOAWAY with ENHANCE_YOUR_CALM."""
     calm = int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
     return SettingsFrame(0).serialize() + GoAwayFrame(0, last_stream_id=0, error_code=calm).serialize()
--- a/thornshelf/wire/jsonl.py
+++ b/thornshelf/wire/jsonl.py
@@ -11,7 +11,7 @@
 from thornshelf.wire.errors import WireError
 
 MAX_MESSAGE = 16 * 1024
-MOST = 1e9  # no figure of a set-up is larger: milliseconds, cores or units of memory
+MAX_NUMBER = 1e9  # no figure of a set-up is larger: milliseconds, cores or units of memory
 _HEX = frozenset("0123456789abcdefABCDEF")
 _KIND, _SET_UP = b'"kind"', re.compile(rb'"kind"\s*:\s*"launch"')
 
@@ -47,7 +47,7 @@
 OUT_FIELDS = ("wait", "why", "hint", "assumed")
 REFUSED, FAILED, UNREADABLE, ENDED, CANCELLED = CAUSES = (34, 41, 100, 16, 31)
 
-UNNAMED = 0  # stands in a refusal for the id of a message whose own could not be read
+UNKNOWN_UID = 0  # stands in a refusal for the id of a message whose own could not be read
 
 
 def read_hex(text: object, what: str) -> int:
@@ -69,8 +69,8 @@
 
 def _amount(value: object, what: str) -> float:
     number = _finite(value, what)
-    if not 0.0 <= number <= MOST:
-        raise WireError(f"{what} is not between 0 and {MOST:g}: {number:g}")
+    if not 0.0 <= number <= MAX_NUMBER:
+        raise WireError(f"{what} is not between 0 and {MAX_NUMBER:g}: {number:g}")
     return number
 
 
@@ -122,7 +122,7 @@
         raise WireError(str(fault), uid=line.uid) from None
 
 
-def wants_answer(text: bytes) -> bool:
+def is_plain_launch(text: bytes) -> bool:
     """Whether a line is surely a set-up without ``at``, told in a hundredth of the time that a parse takes.
 
     False where only a parse can tell: with an escaped character, a second field ``kind``, or what may be an ``at``.
@@ -158,32 +158,32 @@
     """Cuts a stream of bytes into lines and parses them; what it holds is bounded by one message."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
+        self._buffer = bytearray()
         self._searched = 0
         self.abandoned = False  # nobody waits for answers any more: lines that only want one are passed over
 
     def feed(self, data: bytes) -> None:
         """Take more bytes of the stream."""
-        self._held += data
+        self._buffer += data
 
     @property
-    def midway(self) -> bool:
+    def mid_message(self) -> bool:
         """A line has begun and not ended."""
-        return bool(self._held)
+        return bool(self._buffer)
 
     def next(self) -> Line | None:
         """The next message, or none until more bytes come; a bad line is passed over by its error."""
         while True:
-            end = self._held.find(b"\n", self._searched)
+            end = self._buffer.find(b"\n", self._searched)
             if end < 0:
-                self._searched = len(self._held)
+                self._searched = len(self._buffer)
                 if self._searched >= MAX_MESSAGE:
                     raise WireError(f"line is longer than {MAX_MESSAGE} bytes", fatal=True)
                 return None
-            text = bytes(self._held[:end])
-            del self._held[: end + 1]
+            text = bytes(self._buffer[:end])
+            del self._buffer[: end + 1]
             self._searched = 0
             if end >= MAX_MESSAGE:
                 raise WireError(f"line is longer than {MAX_MESSAGE} bytes", fatal=True)
-            if text.strip() and not (self.abandoned and wants_answer(text)):
+            if text.strip() and not (self.abandoned and is_plain_launch(text)):
                 return parse_line(text)
--- a/thornshelf/wire/rfc5424.py
+++ b/thornshelf/wire/rfc5424.py
@@ -15,9 +15,9 @@
 _ESCAPED = re.compile(r'(["\\\]])')
 
 
-def header_value(text: str, most: int) -> str:
+def header_value(text: str, max_length: int) -> str:
     """A header field: printable ASCII without spaces, cut to its limit; - where nothing is left."""
-    return _UNPRINTABLE.sub("_", text)[:most] or "-"
+    return _UNPRINTABLE.sub("_", text)[:max_length] or "-"
 
 
 def element(identity: str, values: Mapping[str, object]) -> str:
