--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 
 from tests.conftest import SAFE, entry, listing, settings
-from tests.test_fleet import LEDGER, Plain
+from tests.test_fleet import LEDGER, FullScanPlacer
 from thornshelf.placement import interface as api
 from thornshelf.placement import machine_index
 from thornshelf.placement.placer import Placer
@@ -30,9 +30,9 @@
         super().__init__(terms, seed)
         self.surveys: list[float] = []
 
-    def average(self) -> None:
+    def update_averages(self) -> None:
         began = time.perf_counter()
-        super().average()
+        super().update_averages()
         self.surveys.append((time.perf_counter() - began) * 1e3)
 
 
@@ -64,7 +64,9 @@
             size = (8.0, 16.0) if kinds[m] == "small" else (32.0, 64.0)
             report = api.LoadReport(*(size[k] - PLACERS * held[m][k] for k in (0, 1)))
             events.append(
-                api.AttemptEnded(ask.request, m, 0, api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report)
+                api.AttemptEnded(
+                    ask.request_id, m, 0, api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report
+                )
             )
         service = chance.randrange(len(shapes))
         asks = {}
@@ -81,7 +83,7 @@
         for action in actions:
             if isinstance(action, api.StartAttempt):
                 ask, m, offered = asks[action.request], action.machine, offered + 1
-                one.handle(now, [api.AttemptAccepted(ask.request, m, 0, 0.1)])
+                one.handle(now, [api.AttemptAccepted(ask.request_id, m, 0, 0.1)])
                 held[m] = held[m][0] + ask.cores, held[m][1] + ask.memory
                 standing.append((now + machines / 100.0, ask, m))
     return spent / asked * 1e3, longest * 1e3, offered, one
@@ -108,7 +110,7 @@
     """Print a line a size."""
     for machines in (14, 200, 400, 1024):
         batches = 600 if machines < 1000 else 300
-        plain, now = run(Plain, machines, batches), run(Placer, machines, batches)
+        plain, now = run(FullScanPlacer, machines, batches), run(Placer, machines, batches)
         assert plain[2] == now[2], "the choices differ"
         print(
             f"{machines:5} machines: {plain[0]:7.3f} ms a decision by the plain scan, {now[0]:6.3f} now;"
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -137,7 +137,7 @@
     world = FakeCluster(front)
     world.client.ask(5, NodeBehavior.RUN, **change)
     assert world.wait_for_events(5) == [FAILED] and world.offer_count(5) == 0
-    assert not world.service.core.tasks_by_uid and not world.service.core.placer.tenant_cores
+    assert not world.service.core.tasks_by_uid and not world.service.core.placer.accounting.cores_by_tenant
 
 
 @FRONTS
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -13,16 +13,20 @@
 import pytest
 
 from tests.conftest import SAFE, ask, ended, entry, listing, offers, settings
-from tests.test_fleet import FLEET, LEDGER, Counting, Plain, day
+from tests.test_fleet import FLEET, LEDGER, FullScanPlacer, day
 from tests.test_turns import a_loop, entries
 from thornshelf.core import Dispatcher, EndpointListUpdate
 from thornshelf.loop import Wait
 from thornshelf.nodes import node_connection
 from thornshelf.nodes.binary import BinaryNodeConnection
-from thornshelf.placement import health_check_schedule, machine_index
+from thornshelf.placement import connect_pacing, machine_index
 from thornshelf.placement import interface as api
 from thornshelf.placement.hashing import unit_hash
-from thornshelf.placement.placer import HOMES_PER_POWER, Machine, PendingRequest, Placer
+from thornshelf.placement.health_check_schedule import HealthCheckSchedule
+from thornshelf.placement.machine import Machine
+from thornshelf.placement.placer import Placer
+from thornshelf.placement.pricing import HOMES_PER_POWER
+from thornshelf.placement.requests import PendingRequest
 from thornshelf.syslog import MAX_LINES_PER_SECOND, Syslog
 
 MANY = 1024
@@ -71,7 +75,7 @@
     """Guards against 1,024 connects at once at each node when a fleet of dispatchers comes back."""
     tried = starts(monkeypatch, range(MANY), 1, MANY, 20)
     assert len(tried) == MANY
-    assert busiest(tried) <= health_check_schedule.CONNECTS_PER_S * 1.1
+    assert busiest(tried) <= connect_pacing.CONNECTS_PER_S * 1.1
 
 
 def test_a_dispatcher_does_not_call_all_nodes_in_the_moment_in_which_it_starts(
@@ -79,7 +83,7 @@
 ) -> None:
     tried = starts(monkeypatch, [77], MANY, MANY, 20)
     assert len(tried) == MANY
-    assert busiest(tried) <= health_check_schedule.CONNECTS_PER_S * 1.1
+    assert busiest(tried) <= connect_pacing.CONNECTS_PER_S * 1.1
 
 
 def test_few_dispatchers_call_their_nodes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -128,7 +132,7 @@
             one.handle(now + 0.01, [ended(number, 1, api.Outcome.NOT_CONNECTED, 0, last=True)])
             one.handle(now + 0.01, [api.HealthCheckResult(1, api.Outcome.TIMED_OUT, 0.1, None)])
             now += 1.0
-        assert one.ejected_ids == {1}
+        assert one.outliers.ejected_ids == {1}
         all_of_them.append(one)
     probes: list[int] = []
     for tick in range(17 * 4):
@@ -142,7 +146,7 @@
 
 
 def test_a_probe_turn_begins_after_the_suspicion() -> None:
-    turns = health_check_schedule.HealthCheckSchedule(3, 1024)
+    turns = HealthCheckSchedule(3, 1024)
     assert not turns.is_due(9, 100.0)
     assert sum(turns.is_due(9, 100.0 + tick / 4) for tick in range(1, 33)) == 1
     turns.retain([])
@@ -205,26 +209,16 @@
 # a round goes by slices
 
 
-class Ordered(Plain):
-    """The plain scan, in the order by each machine's group as of its last look; its round goes on as the index's."""
+class IndexOrderPlacer(FullScanPlacer):
+    """The full scan, in the order of the machines' groups when last indexed; its refresh goes on as the index's."""
 
-    def place(self, request: PendingRequest) -> None:
-        if request.open and not any(one.live and one.state == 0 for one in request.attempts):
-            left = len(request.attempts) < self.settings.limits.max_attempts and request.deadline > self.now
-            if left and self.fits_empty_machine(request.demand):
-                self.index.apply_changes()
-        super().place(request)
+    def find_machine(self, request: PendingRequest) -> Machine | None:
+        if self.reservations.fits_empty_machine(request.demand):
+            self.endpoints.index.apply_changes()
+        return super().find_machine(request)
 
-    def prefix(self, request: PendingRequest, able: list[Machine], taken: Sequence[float]) -> list[Machine]:
-        from thornshelf.placement.placer import TARGET_UTILIZATION
-
-        order = sorted(able, key=lambda m: (m.group, m.order_key))
-        wanted = [taken[k] + request.demand[k] for k in (0, 1)]
-        for count, m in enumerate(order, 1):
-            wanted = [wanted[k] - TARGET_UTILIZATION * self.usage_limit(m)[k] for k in (0, 1)]
-            if max(wanted) <= 0.0:
-                return order[:count]
-        return order
+    def order(self, candidates: list[Machine]) -> list[Machine]:
+        return sorted(candidates, key=lambda m: (m.group, m.order_key))
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -234,35 +228,32 @@
 ) -> None:
     monkeypatch.setattr(machine_index, "SLICE", slice_of)
     terms = settings(SAFE, LEDGER, placers=16, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET)
-    both = Placer(terms, 1), Ordered(terms, 1)
+    both = Placer(terms, 1), IndexOrderPlacer(terms, 1)
     assert day(random.Random(seed), both, 40, 150) > 50
-    for one in both:  # and the index is true: what it holds is what working all out anew would give
-        one.index._refresh_queue.clear()
-        one.index._refresh_queue.extend(one.index.up)
-        one.index._refresh(len(one.index.up))
-        assert [m.group for m in one.index.up] == [one.fullness_group(m) for m in one.index.up]
-        assert {m.id for m in one.index.ordered()} == {m.id for m in one.index.up}
+    for one in both:  # and the index is true: it holds what computing all anew gives
+        index = one.endpoints.index
+        index._refresh_queue.clear()
+        index._refresh_queue.extend(index.up)
+        index._refresh(len(index.up))
+        assert [m.group for m in index.up] == [one.usage.fullness_group(m) for m in index.up]
+        assert {m.id for m in index.ordered()} == {m.id for m in index.up}
         for k in (0, 1):
-            assert one.index.totals()[0][k] == pytest.approx(sum(one.usage(m)[k] for m in one.index.up))
-            assert one.index.totals()[1][k] == pytest.approx(sum(m.capacity[k] for m in one.index.up))
-
-
-class Aging(Counting):
-    """Counts the views worked out in the present call."""
+            assert index.totals()[0][k] == pytest.approx(sum(one.usage.usage(m)[k] for m in index.up))
+            assert index.totals()[1][k] == pytest.approx(sum(m.capacity[k] for m in index.up))
 
 
 def test_no_call_works_out_all_views_of_a_large_fleet() -> None:
     """Guards against 20 ms in one go, four times a second."""
-    one = Aging(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
+    one = Placer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, MANY + 1)))])
     looked: Counter[int] = Counter()
-    usual = one.index._reindex
+    usual = one.endpoints.index._reindex
 
-    def recount(m: Machine) -> None:
-        looked[m.id] += 1
-        usual(m)
+    def recount(machine: Machine) -> None:
+        looked[machine.id] += 1
+        usual(machine)
 
-    one.index._reindex = recount  # type: ignore[method-assign]
+    one.endpoints.index._reindex = recount  # type: ignore[method-assign]
     most = 0
     for call in range(200):
         before = looked.total()
@@ -279,7 +270,7 @@
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, MANY + 1)))])
     for call in range(5):
         one.handle(1.0 + call, [ask(call + 1, cores=0.1, memory=0.1)])
-        if not one.index._refresh_queue:
+        if not one.endpoints.index._refresh_queue:
             return
     raise AssertionError("the round goes on")
 
@@ -317,14 +308,14 @@
     """Five places down a service's order are one power of the base, with 80 machines as with 18,000."""
     for machines in (80, 4096, 18_000):
         one, *_ = far_from_home(machines)
-        request = one.accept(small(9, 5))
+        request = one.track(small(9, 5))
         one.update_averages()
-        order = sorted(one.index.up, key=lambda m: unit_hash(5, m.id))
-        first, sixth = (one.program_cost(request, order[place]) for place in (0, 5))
+        order = sorted(one.endpoints.index.up, key=lambda m: unit_hash(5, m.id))
+        first, sixth = (one.pricing.program_powers(request, order[place]) for place in (0, 5))
         assert sixth - first == pytest.approx(
-            (unit_hash(5, order[5].id) - unit_hash(5, order[0].id)) * one.home_cost_scale
+            (unit_hash(5, order[5].id) - unit_hash(5, order[0].id)) * one.pricing.home_cost_scale
         )
-        assert one.home_cost_scale == pytest.approx(machines / HOMES_PER_POWER)
+        assert one.pricing.home_cost_scale == pytest.approx(machines / HOMES_PER_POWER)
 
 
 def test_a_list_of_18000_is_ranked_whatever_went_wrong_there() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,74 +11,99 @@
 
 from tests.conftest import SAFE, ask, ended, entry, listing, offers, settings
 from thornshelf.placement import interface as api
-from thornshelf.placement.placer import (
-    LARGE_RESERVATION_S,
-    RANK_TOLERANCE,
-    REPORT_DECAY_S,
-    TARGET_UTILIZATION,
-    Machine,
-    PendingRequest,
-    Placer,
-)
+from thornshelf.placement.candidates import RANK_TOLERANCE, TARGET_UTILIZATION
+from thornshelf.placement.fit import Fit
+from thornshelf.placement.machine import Machine
+from thornshelf.placement.placer import Placer
+from thornshelf.placement.pricing import is_admitted
+from thornshelf.placement.requests import PendingRequest
+from thornshelf.placement.reservations import LARGE_RESERVATION_S
+from thornshelf.placement.usage import REPORT_DECAY_S
 
 LEDGER = replace(SAFE, name="ledger", idempotency=api.Idempotency.NEVER, priority_weight=3.0, priority=1)
 FLEET = {"fleet": 0.2, "slow_start_s": 6.0, "retry_after": True, "max_retry_after_s": 3.0}
 
 
-class Plain(Placer):
+class FullScanPlacer(Placer):
     """The design as it reads: every machine is looked at for every task."""
 
-    def place(self, request: PendingRequest) -> None:
-        if not request.open or any(a.live and a.state == 0 for a in request.attempts):
-            return
-        machine, fleet = None, self.index.up
-        left = len(request.attempts) < self.settings.limits.max_attempts and request.deadline > self.now
-        if left and self.fits_empty_machine(request.demand):
-            eligible = [m for m in fleet if self.is_allowed(request, m)]
-            views, sizes = [self.usage(m) for m in eligible], [m.capacity for m in eligible]
-            taken, size = ([sum(one[k] for one in pairs) for k in (0, 1)] for pairs in (views, sizes))
-            if eligible and (request.attempts or self.is_admitted(request.demand, (taken, size))):
-                machine = self.choice(request, eligible, taken)
-        if machine is None:
-            self.answer_without_machine(request)
-        else:
-            self.start_attempt(request, machine)
-
-    def choice(
-        self, request: PendingRequest, eligible: list[Machine], taken: Sequence[float]
+    def __init__(self, terms: api.Settings, seed: int) -> None:
+        super().__init__(terms, seed)
+        self.candidates.find_machine = self.find_machine  # type: ignore[method-assign]
+
+    def find_machine(self, request: PendingRequest) -> Machine | None:
+        if not self.reservations.fits_empty_machine(request.demand):
+            return None
+        up = self.endpoints.index.up
+        eligible = [m for m in up if self.rules.allows_attempt(request, m)]
+        usages = [self.usage.usage(m) for m in eligible]
+        capacities = [m.capacity for m in eligible]
+        usage, capacity = ([sum(one[k] for one in pairs) for k in (0, 1)] for pairs in (usages, capacities))
+        if not eligible:
+            return None
+        largest = self.endpoints.largest_capacity
+        if not request.attempts and not is_admitted(request.demand, (usage, capacity), largest):
+            return None
+        return self.choose(request, eligible, usage)
+
+    def choose(
+        self, request: PendingRequest, eligible: list[Machine], usage: Sequence[float]
     ) -> Machine | None:
-        able = [m for m in eligible if m.id not in request.rejected_by]
-        able = [m for m in able if self.now >= max(m.ejected_until, m.backoff_until)]
-        kept = self.keep(request, able)
-        able = [m for m in able if m not in kept]
-        last = [m for m, worth in kept.items() if request.task_class.priority_weight >= worth]
-        unsure = [m for m in able if self.settings.placers > 1 and self.report_age(m) > REPORT_DECAY_S]
-        groups = [(self.prefix(request, able, taken), 2), (able, 2), (able, 1), (last, 1), (unsure, 0)]
-        for group, check in groups[: 2 if self.is_over_quota(request) else 5]:
-            fitting = [(self.rank(request, m), m) for m in group if self.fit(request, m) >= check]
-            if fitting:
-                least = min(rank for rank, _ in fitting)
-                near = [m for rank, m in fitting if rank <= least * RANK_TOLERANCE]
-                return near[self.random.randrange(len(near))] if len(near) > 1 else near[0]
+        context = self._context
+        candidates = [m for m in eligible if m.id not in request.rejected_by]
+        candidates = [m for m in candidates if context.now >= max(m.ejected_until, m.backoff_until)]
+        reserved = self.reserve(request, candidates)
+        candidates = [m for m in candidates if m not in reserved]
+        weight = request.task_class.priority_weight
+        last = [m for m, reserved_for in reserved.items() if weight >= reserved_for]
+        has_peers = context.settings.placers > 1
+        unsure = [m for m in candidates if has_peers and self.usage.report_age_s(m) > REPORT_DECAY_S]
+        groups = [
+            (self.pool(request, candidates, usage), Fit.UNCROWDED),
+            (candidates, Fit.UNCROWDED),
+            (candidates, Fit.ADMITTED),
+            (last, Fit.ADMITTED),
+            (unsure, Fit.NONE),
+        ]
+        for group, minimum in groups[: 2 if self.accounting.is_over_quota(request) else 5]:
+            fitting = [m for m in group if self.pricing.fit(request, m) >= minimum]
+            ranked = [(self.pricing.rank(request, m), m) for m in fitting]
+            if ranked:
+                least = min(rank for rank, _ in ranked)
+                equals = [m for rank, m in ranked if rank <= least * RANK_TOLERANCE]
+                return equals[context.random.randrange(len(equals))] if len(equals) > 1 else equals[0]
         return None
 
-    def keep(self, request: PendingRequest, able: list[Machine]) -> dict[Machine, float]:
-        kept: dict[Machine, float] = {}
-        for terms, need, seen in self.largest_demands.values():
-            if self.now - seen <= LARGE_RESERVATION_S and not self.is_large(request.demand) and len(able) > 1:
-                room = [min((m.capacity[k] - self.usage(m)[k]) / need[k] for k in (0, 1)) for m in able]
-                if max(room) < 1.0 + max(request.demand[k] / need[k] for k in (0, 1)):
-                    m = able[room.index(max(room))]
-                    kept[m] = max(terms.priority_weight, kept.get(m, 0.0))
-        return kept
-
-    def prefix(self, request: PendingRequest, able: list[Machine], taken: Sequence[float]) -> list[Machine]:
-        order = sorted(
-            able, key=lambda m: (-round(self.fullness_steps * self.usage(m)[0] / m.capacity[0]), m.order_key)
-        )
-        wanted = [taken[k] + request.demand[k] for k in (0, 1)]
-        for count, m in enumerate(order, 1):
-            wanted = [wanted[k] - TARGET_UTILIZATION * self.usage_limit(m)[k] for k in (0, 1)]
+    def reserve(self, request: PendingRequest, candidates: list[Machine]) -> dict[Machine, float]:
+        reserved: dict[Machine, float] = {}
+        for task_class, demand, seen_at in self.reservations.largest_demands.values():
+            is_recent = self._context.now - seen_at <= LARGE_RESERVATION_S
+            if is_recent and not self.reservations.is_large(request.demand) and len(candidates) > 1:
+                usages = [self.usage.usage(m) for m in candidates]
+                counts = [
+                    min((m.capacity[k] - usage[k]) / demand[k] for k in (0, 1))
+                    for m, usage in zip(candidates, usages, strict=True)
+                ]
+                if max(counts) < 1.0 + max(request.demand[k] / demand[k] for k in (0, 1)):
+                    machine = candidates[counts.index(max(counts))]
+                    reserved[machine] = max(task_class.priority_weight, reserved.get(machine, 0.0))
+        return reserved
+
+    def order(self, candidates: list[Machine]) -> list[Machine]:
+        def key(machine: Machine) -> tuple[int, float]:
+            fullness = self.usage.fullness_steps * self.usage.usage(machine)[0] / machine.capacity[0]
+            return -round(fullness), machine.order_key
+
+        return sorted(candidates, key=key)
+
+    def pool(
+        self, request: PendingRequest, candidates: list[Machine], usage: Sequence[float]
+    ) -> list[Machine]:
+        order = self.order(candidates)
+        wanted = [usage[k] + request.demand[k] for k in (0, 1)]
+        for count, machine in enumerate(order, 1):
+            limit = self.usage.limit(machine)
+            wanted = [wanted[k] - TARGET_UTILIZATION * limit[k] for k in (0, 1)]
             if max(wanted) <= 0.0:
                 return order[:count]
         return order
@@ -134,32 +159,40 @@
 @pytest.mark.parametrize("placers", [1, 16, 230])
 def test_the_index_chooses_as_the_plain_scan_does(seed: int, placers: int) -> None:
     terms = settings(SAFE, LEDGER, placers=placers, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET)
-    both = Placer(terms, 1), Plain(terms, 1)
+    both = Placer(terms, 1), FullScanPlacer(terms, 1)
     assert day(random.Random(seed), both, (5, 40)[seed % 2], 120) > 50
 
 
-class Counting(Placer):
-    """Counts what is worked out anew."""
+class CountingPlacer(Placer):
+    """Counts the estimates, costs and ranks that are computed."""
 
-    work = 0
+    def __init__(self, terms: api.Settings, seed: int) -> None:
+        super().__init__(terms, seed)
+        self.work = 0
+        usage, mean_cost, rank = self.usage.usage, self.pricing.mean_cost, self.pricing.rank
 
-    def usage(self, m: Machine) -> tuple[float, ...]:
-        self.work += m.usage is None
-        return super().usage(m)
+        def counted_usage(machine: Machine) -> tuple[float, ...]:
+            self.work += machine.usage is None
+            return usage(machine)
 
-    def mean_cost(self, m: Machine, need: tuple[float, float]) -> tuple[float, int]:
-        self.work += 1
-        return super().mean_cost(m, need)
+        def counted_mean_cost(machine: Machine, demand: tuple[float, float]) -> tuple[float, Fit]:
+            self.work += 1
+            return mean_cost(machine, demand)
 
-    def rank(self, request: PendingRequest, m: Machine) -> float:
-        self.work += 1
-        return super().rank(request, m)
+        def counted_rank(request: PendingRequest, machine: Machine) -> float:
+            self.work += 1
+            return rank(request, machine)
+
+        self.usage.usage = counted_usage  # type: ignore[method-assign]
+        self.endpoints.index._usage_of = counted_usage
+        self.pricing.mean_cost = counted_mean_cost  # type: ignore[method-assign]
+        self.pricing.rank = counted_rank  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("machines", [64, 1024])
 def test_a_decision_works_out_what_has_changed_and_no_more(machines: int) -> None:
     """Guards against decisions that cost as much as the fleet is large: 13 ms each at 1,000 nodes."""
-    one = Counting(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
+    one = CountingPlacer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, machines + 1)))])
 
     def asks(first: int, count: int) -> list[api.Event]:
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -9,7 +9,7 @@
 
 from thornshelf.core.task import TaskState
 from thornshelf.lab.fakes.cluster import BINARY, COMMON_BEHAVIORS, GRPC, JSON, FakeCluster
-from thornshelf.placement.placer import BOUND, PENDING
+from thornshelf.placement.requests import AttemptState
 
 
 def check_picture(world: FakeCluster) -> Counter[str]:
@@ -17,7 +17,7 @@
     core, seen = world.service.core, Counter[str]()
     if core.inbox or core._events or core._ended_attempts or core.queue:
         return seen  # the turn's end has left something to the next
-    believed, attempts = Counter[tuple[int, int]](), list[tuple[int, float]]()
+    believed, attempts = Counter[tuple[int, AttemptState]](), list[tuple[int, float]]()
     for request in core.placer.requests.values():
         for attempt in request.attempts:
             if attempt.live:
@@ -28,8 +28,8 @@
     )
     for machine, node in core.endpoints.nodes.items():
         on_wire = len(node.in_flight) + len(node.pending)  # type: ignore[attr-defined]
-        assert believed[machine, PENDING] == on_wire, "in flight"
-        assert believed[machine, BOUND] == standing[machine], "standing"
+        assert believed[machine, AttemptState.PENDING] == on_wire, "in flight"
+        assert believed[machine, AttemptState.BOUND] == standing[machine], "standing"
         taken = sum(cores for where, cores in attempts if where == machine)
         assert abs(core.placer.machines[machine].own_demand[0] - taken) < 1e-6, "cores"
         seen += Counter(out=on_wire, standing=standing[machine])
--- a/tests/test_brain.py
+++ b/tests/test_placer.py
@@ -7,6 +7,7 @@
 from tests.conftest import SAFE, answers, ask, ended, entry, listing, offers, placer, settings
 from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
+from thornshelf.placement.pricing import is_under_threshold, unit_costs
 
 
 def test_an_empty_list_refuses_at_once() -> None:
@@ -22,11 +23,10 @@
 
 
 def test_the_gate_refuses_what_is_dear_on_the_pooled_fleet() -> None:
-    one = placer(entry(1))
-    costs = one.unit_costs((8.0, 8.0), (10.0, 10.0), (2.0, 2.0))
+    costs = unit_costs((8.0, 8.0), (10.0, 10.0), (2.0, 2.0))
     assert [round(cost, 3) for cost in costs] == [0.969, 0.969]
-    assert not one.is_under_threshold(costs)
-    assert one.is_under_threshold(one.unit_costs((0.0, 0.0), (10.0, 10.0), (2.0, 2.0)))
+    assert not is_under_threshold(costs)
+    assert is_under_threshold(unit_costs((0.0, 0.0), (10.0, 10.0), (2.0, 2.0)))
 
 
 def test_a_task_failing_the_gate_on_an_empty_machine_goes_by_fit() -> None:
@@ -274,7 +274,7 @@
     request = one.track(ask(1, service=7, cores=16.0, memory=16.0))
     small = one.track(ask(2, service=7))
     one.update_averages()
-    spread = [max(one.program_cost(r, m) for m in one.index.up) for r in (request, small)]
+    spread = [max(one.pricing.program_powers(r, m) for m in one.endpoints.index.up) for r in (request, small)]
     assert spread[0] <= 2.0 < spread[1]
 
 
@@ -322,7 +322,7 @@
     """Guards against one absurd ask that keeps the roomiest machine from all others for a minute."""
     one = placer(entry(1), using=settings(placers=2))
     assert answers(one.handle(1.0, [ask(1, cores=1e6, memory=1e6)])) == [api.Reject(1)]
-    assert not one.largest_demands
+    assert not one.reservations.largest_demands
 
 
 def test_nothing_is_kept_of_machines_that_are_gone_and_services_that_ended() -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -251,7 +251,7 @@
     usual = core.placer.handle
 
     def fault(now: float, events: Any) -> Any:
-        core.placer.actions = []
+        core.placer.actions.clear()
         raise KeyError("odd")
 
     monkeypatch.setattr(core.placer, "handle", fault)
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -237,6 +237,6 @@
     """Allowances of a zone are divided by its own dispatchers, those of cold nodes and quotas by all."""
     rigs.append(rig := Rig(placers=8))
     placer = rig.service.core.placer
-    assert placer.settings.placers == 1 and placer.slow_start_placers == 8 and placer.settings.zone == OWN
+    assert placer.settings.placers == 1 and placer.slow_start.placers == 8 and placer.settings.zone == OWN
     for one in rig.service.config.settings.tenants:
-        assert placer.quota[one.name] == pytest.approx(one.quota_cores / 8)
+        assert placer.accounting.quota_cores[one.name] == pytest.approx(one.quota_cores / 8)
--- a/thornshelf/nodes/node_connection.py
+++ b/thornshelf/nodes/node_connection.py
@@ -10,7 +10,7 @@
 from thornshelf.core import Attempt, Dispatcher, HealthCheckCompleted, NodeEndpoint, NodeLost, TaskFinished
 from thornshelf.loop import Loop, Stream, Task, Timer, Wait
 from thornshelf.loop.stream import connect
-from thornshelf.placement.health_check_schedule import initial_connect_delay_s, reconnect_delay_s
+from thornshelf.placement.connect_pacing import initial_connect_delay_s, reconnect_delay_s
 from thornshelf.placement.interface import LoadReport, Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 from thornshelf.wire.errors import UNREADABLE_PREFIX, WireError, error_code_fields
--- a/thornshelf/placement/__init__.py
+++ b/thornshelf/placement/__init__.py
@@ -1,6 +1,95 @@
-"""thornshelf.placement: the decisions of a scheduler placing long-lived tasks on a cluster's machines."""
+"""The placement of long-lived tasks on a cluster's machines: events in, actions out, without any I/O.
 
-from thornshelf.placement.interface import Settings
+``Placer`` decides. Its settings, events and actions are defined in ``settings``, ``events`` and ``actions``;
+docs/design.md describes the algorithm.
+"""
+
+from thornshelf.placement.actions import (
+    Action,
+    CancelAttempt,
+    CheckHealth,
+    CloseIdleConnections,
+    Fail,
+    Log,
+    Migrate,
+    Reject,
+    ReloadEndpoints,
+    SendGossip,
+    SetTimer,
+    StartAttempt,
+    WatchEndpoints,
+)
+from thornshelf.placement.events import (
+    AttemptAccepted,
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    EndpointWatchFailed,
+    Event,
+    GossipMessage,
+    Health,
+    HealthCheckResult,
+    LoadReport,
+    Outcome,
+    PlacementRequest,
+    Reason,
+    RequestCancelled,
+    TaskAdopted,
+    TaskUpdate,
+    TaskUpdateKind,
+    TimerFired,
+)
 from thornshelf.placement.placer import Placer
+from thornshelf.placement.settings import (
+    Idempotency,
+    Limits,
+    Prices,
+    Rules,
+    Scope,
+    Settings,
+    TaskClass,
+    Tenant,
+)
 
-__all__ = ["Placer", "Settings"]
+__all__ = [
+    "Action",
+    "AttemptAccepted",
+    "AttemptEnded",
+    "CancelAttempt",
+    "CheckHealth",
+    "CloseIdleConnections",
+    "Endpoint",
+    "EndpointUpdate",
+    "EndpointWatchFailed",
+    "Event",
+    "Fail",
+    "GossipMessage",
+    "Health",
+    "HealthCheckResult",
+    "Idempotency",
+    "Limits",
+    "LoadReport",
+    "Log",
+    "Migrate",
+    "Outcome",
+    "PlacementRequest",
+    "Placer",
+    "Prices",
+    "Reason",
+    "Reject",
+    "ReloadEndpoints",
+    "RequestCancelled",
+    "Rules",
+    "Scope",
+    "SendGossip",
+    "SetTimer",
+    "Settings",
+    "StartAttempt",
+    "TaskAdopted",
+    "TaskClass",
+    "TaskUpdate",
+    "TaskUpdateKind",
+    "Tenant",
+    "TimerFired",
+    "WatchEndpoints",
+]
--- /dev/null
+++ b/thornshelf/placement/actions.py
@@ -0,0 +1,109 @@
+"""The actions that a placer returns. Times are in seconds on the clock of ``Placer.handle``."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(frozen=True, slots=True)
+class StartAttempt:
+    """Send the task to a machine; without a timeout the attempt lasts until the client gives up."""
+
+    request_id: int
+    machine: int
+    timeout_s: float | None
+
+
+@dataclass(frozen=True, slots=True)
+class Reject:
+    """Final answer: the task was not started, and the client may retry."""
+
+    request_id: int
+    retry_after_s: float | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class Fail:
+    """Final answer: the request failed, and the task may have been started."""
+
+    request_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class CancelAttempt:
+    """Stop waiting for one attempt."""
+
+    request_id: int
+    attempt: int
+
+
+@dataclass(frozen=True, slots=True)
+class Migrate:
+    """Stop a placed task, so that its client requests it again."""
+
+    request_id: int
+
+
+@dataclass(frozen=True, slots=True)
+class CheckHealth:
+    """Send a health check to a machine."""
+
+    machine: int
+
+
+@dataclass(frozen=True, slots=True)
+class SetTimer:
+    """Deliver a ``TimerFired`` with this token at the time, or soon after it."""
+
+    at: float
+    token: int
+
+
+@dataclass(frozen=True, slots=True)
+class SendGossip:
+    """Send a message to one peer, or to all of them."""
+
+    peer: int | None
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class WatchEndpoints:
+    """Subscribe to changes of the endpoint list, or unsubscribe."""
+
+    enable: bool
+
+
+@dataclass(frozen=True, slots=True)
+class ReloadEndpoints:
+    """Request the complete endpoint list once."""
+
+
+@dataclass(frozen=True, slots=True)
+class CloseIdleConnections:
+    """Close the idle connections to a machine."""
+
+    machine: int
+
+
+@dataclass(frozen=True, slots=True)
+class Log:
+    """A line for the operators."""
+
+    text: str
+
+
+Action = (
+    StartAttempt
+    | Reject
+    | Fail
+    | CancelAttempt
+    | Migrate
+    | CheckHealth
+    | SetTimer
+    | SendGossip
+    | WatchEndpoints
+    | ReloadEndpoints
+    | CloseIdleConnections
+    | Log
+)
--- a/thornshelf/placement/hashing.py
+++ b/thornshelf/placement/hashing.py
@@ -1,14 +1,19 @@
-"""Draws that are the same at every placer."""
+"""Hashes that every placer computes alike, so that placers agree without exchanging messages."""
 
 from __future__ import annotations
 
 from functools import lru_cache
 
+_MASK = 0xFFFFFFFFFFFFFFFF
+_FIRST_MULTIPLIER = 0xBF58476D1CE4E5B9
+_SECOND_MULTIPLIER = 0x94D049BB133111EB
+_MIDDLE_MULTIPLIER = 0x9E3779B97F4A7C15
 
-@lru_cache(maxsize=1 << 14)  # tasks of a service come together
-def unit_hash(a: int, b: int) -> float:
-    """A fixed draw from 0 to 1 for two ids, the same at every placer."""
-    h = (a * 0xBF58476D1CE4E5B9 ^ b * 0x94D049BB133111EB) & 0xFFFFFFFFFFFFFFFF
-    h = (h ^ h >> 29) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
-    h = (h ^ h >> 32) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
-    return (h ^ h >> 29) / 2.0**64
+
+@lru_cache(maxsize=1 << 14)  # requests of one service arrive close together
+def unit_hash(first: int, second: int) -> float:
+    """Hash two ids to a number from 0 to 1 that is the same at every placer."""
+    mixed = (first * _FIRST_MULTIPLIER ^ second * _SECOND_MULTIPLIER) & _MASK
+    mixed = (mixed ^ mixed >> 29) * _MIDDLE_MULTIPLIER & _MASK
+    mixed = (mixed ^ mixed >> 32) * _FIRST_MULTIPLIER & _MASK
+    return (mixed ^ mixed >> 29) / 2.0**64
--- a/thornshelf/placement/machine_index.py
+++ b/thornshelf/placement/machine_index.py
@@ -1,8 +1,9 @@
-"""The machines that are up, indexed for decisions: sums and an order, mended as single machines change.
+"""An index of the machines that are up: sums of usage and capacity, and an order, updated as machines change.
 
-It decides nothing: what is taken of a machine, and in which group it stands, are told by the decision module.
-Sums and order cost what has changed since the last decision, not the size of the fleet. Views age, so all of them
-are worked out anew in rounds, and a round goes by slices: no decision waits for a large fleet's whole round.
+The index decides nothing: a machine's usage, and its group in the order, are computed by functions passed in.
+An update costs as much as has changed since the last decision, not as much as the fleet is large. Estimates
+of usage age, so all of them are computed anew in rounds, and a round is done in slices, so that no decision
+waits for a complete round.
 """
 
 from __future__ import annotations
@@ -12,45 +13,47 @@
 from collections.abc import Callable, Collection, Iterable, Iterator
 from typing import Any, Generic, TypeVar
 
-ResourcePair = tuple[float, float]
-SLICE = 64  # machines are worked out anew beside one decision: about what the decision itself costs
-MIN_USAGE_RATIO, MAX_USAGE_RATIO = (
-    -4.0,
-    2.0,
-)  # times what a machine admits: a report that says more, or less, is held to it
-MAX_CALLS_PER_REFRESH = 4  # and however few decisions come, a round is over within so many surveys
+from thornshelf.placement.fit import Fit
 
+ResourcePair = tuple[float, float]  # cores and memory
+RESOURCES = (0, 1)  # the indices of a pair
+SLICE = 64  # machines refreshed along with one decision: it costs about as much as the decision itself
+MAX_CALLS_PER_REFRESH = 4  # however few decisions there are, so many calls complete a round
+MIN_USAGE_RATIO = -4.0  # times the capacity: reported usage is clamped to what may be nearly true
+MAX_USAGE_RATIO = 2.0
 
-def clamp_usage(taken: ResourcePair, admit: ResourcePair) -> ResourcePair:
-    """What a report says is taken, within what can be true or nearly so, by what the machine admits.
 
-    Guards against one machine whose figures are out of range: the price of all tasks is worked out with them.
+def clamp_usage(usage: ResourcePair, capacity: ResourcePair) -> ResourcePair:
+    """Return the reported usage, clamped to a plausible range in terms of the machine's capacity.
+
+    Guards against one machine whose figures are out of range: all tasks are priced by the sums.
     """
-    cores, memory = (
-        max(MIN_USAGE_RATIO * most, min(value, MAX_USAGE_RATIO * most))
-        for value, most in zip(taken, admit, strict=True)
-    )
-    return cores, memory
+    return _clamp(usage[0], capacity[0]), _clamp(usage[1], capacity[1])
+
+
+def _clamp(usage: float, capacity: float) -> float:
+    return max(MIN_USAGE_RATIO * capacity, min(usage, MAX_USAGE_RATIO * capacity))
 
 
 class IndexedMachine:
     """A machine as the index sees it."""
 
-    def __init__(self, draw: float, news: list[Any]) -> None:
-        self.order_key = draw  # its place within its group, from 0 to 1
-        self.capacity: ResourcePair = (0.0, 0.0)  # cores and memory up to which it accepts asks
-        self.usage: tuple[float, ...] | None = None  # taken of them: kept until news comes, as are
-        self.cost_by_demand: dict[ResourcePair, tuple[float, int]] = {}  # mean cost and room, by need
-        self.gossip_penalty = 0.0  # others' word: so many powers of the price's base dearer, and never barred
-        self.position = -1  # among those that are up
-        self.serial = 0  # a number of its own since it is up, should two draws be the same
-        self.indexed_usage: tuple[float, ...] = (0.0, 0.0)  # the view that the sums hold
+    def __init__(self, order_key: float, changed: list[Any]) -> None:
+        """``changed``: the index's list of machines to reindex, to which the machine adds itself."""
+        self.order_key = order_key  # its position within its group, from 0 to 1
+        self.capacity: ResourcePair = (0.0, 0.0)  # cores and memory up to which it admits requests
+        self.usage: tuple[float, ...] | None = None  # estimated, of the capacity; cached until it changes
+        self.cost_by_demand: dict[ResourcePair, tuple[float, Fit]] = {}  # mean cost and fit, cached likewise
+        self.gossip_penalty = 0.0  # powers of the cost's base, for outliers reported by peers
+        self.position = -1  # among the machines that are up
+        self.serial = 0  # unique since it is up, in case two order keys are equal
+        self.indexed_usage: tuple[float, ...] = (0.0, 0.0)  # as contained in the sums
         self.indexed_capacity: ResourcePair = (0.0, 0.0)
         self.group = (False, 0)
-        self._changed = news
+        self._changed = changed
 
     def invalidate(self) -> None:
-        """What was worked out for it holds no more; the index is mended before the next decision."""
+        """Drop the cached values; the index is updated before the next decision."""
         self.cost_by_demand.clear()
         if self.usage is not None:
             self.usage = None
@@ -61,113 +64,126 @@
 
 
 class MachineIndex(Generic[M]):
-    """Sums over the machines that are up, and their order by group and draw."""
+    """Sums over the machines that are up, and their order by group and order key."""
 
     def __init__(
-        self, taken: Callable[[M], tuple[float, ...]], group: Callable[[M], tuple[bool, int]]
+        self, usage_of: Callable[[M], tuple[float, ...]], group_of: Callable[[M], tuple[bool, int]]
     ) -> None:
-        """``taken``: a machine's view; ``group``: where it stands in the order, the first group least."""
-        self.up: list[M] = []  # in the order of the list
-        self.changed: list[M] = []  # those whose view may have changed
-        self._usage_of, self._group_of = taken, group
+        """``usage_of`` estimates a machine's usage; ``group_of`` gives its group, the first group least."""
+        self.up: list[M] = []  # in the order of the endpoint list
+        self.changed: list[M] = []  # machines whose usage may have changed
+        self._usage_of = usage_of
+        self._group_of = group_of
         self._groups: dict[tuple[bool, int], list[tuple[float, int, M]]] = {}
-        self._sums = [0.0, 0.0], [0.0, 0.0]  # what is taken, and what is admitted
-        self._refresh_queue: deque[M] = deque()  # of this round, those that are still to be worked out anew
-        self._serial = 0
+        self._usage_sums = [0.0, 0.0]
+        self._capacity_sums = [0.0, 0.0]
+        self._refresh_queue: deque[M] = deque()  # the machines that this round has not refreshed yet
+        self._last_serial = 0
 
     def replace(self, up: Iterable[M]) -> None:
-        """Other machines are up, or are other than they were; costs what differs."""
-        before, self.up = self.up, list(up)
-        for m in before:
-            m.position = -1
-        for place, m in enumerate(self.up):
-            m.position = place
-        for m in before:
-            if m.position < 0:
-                self._remove(m)
-        for m in self.up:
-            if not m.serial:
-                self._serial += 1
-                m.serial = self._serial
-                self._add(m)
-            elif m.capacity != m.indexed_capacity:
-                self._remove(m, m.serial)
-                self._add(m)
+        """Replace the machines that are up; the cost depends on the differences."""
+        before = self.up
+        self.up = list(up)
+        for machine in before:
+            machine.position = -1
+        for position, machine in enumerate(self.up):
+            machine.position = position
+        for machine in before:
+            if machine.position < 0:
+                self._remove(machine)
+        for machine in self.up:
+            if not machine.serial:
+                self._last_serial += 1
+                machine.serial = self._last_serial
+                self._add(machine)
+            elif machine.capacity != machine.indexed_capacity:
+                self._remove(machine, machine.serial)
+                self._add(machine)
 
     def advance_refresh(self) -> None:
-        """Views have aged: begin a round, or bring the one that is under way forward."""
+        """Begin a round of refreshing all estimates, or continue the one in progress."""
         if not self._refresh_queue:
             self._refresh_queue.extend(self.up)
-        self._refresh(max(SLICE, -(-len(self.up) // MAX_CALLS_PER_REFRESH)))
+        quarter = -(-len(self.up) // MAX_CALLS_PER_REFRESH)
+        self._refresh(max(SLICE, quarter))
 
     def apply_changes(self) -> None:
-        """Bring sums and order up to date with the machines that have changed, and the round forward."""
+        """Update sums and order for the machines that changed, and continue a round in progress."""
         if self._refresh_queue:
             self._refresh(SLICE)
         if self.changed:
-            for m in self.changed:
-                if m.position >= 0 and self._usage_of(m) is not m.indexed_usage:
-                    self._reindex(m)
+            for machine in self.changed:
+                if machine.position >= 0 and self._usage_of(machine) is not machine.indexed_usage:
+                    self._reindex(machine)
             self.changed.clear()
 
     def _refresh(self, count: int) -> None:
-        """Work out so many views anew; the end of a round takes the rounding errors of single changes out."""
-        due = self._refresh_queue
-        for _ in range(min(count, len(due))):
-            m = due.popleft()
-            if m.position >= 0:
-                m.usage = None
-                m.cost_by_demand.clear()
-                self._reindex(m)
-        if not due:
-            for k in (0, 1):
-                self._sums[0][k] = sum(m.indexed_usage[k] for m in self.up)
-                self._sums[1][k] = sum(m.capacity[k] for m in self.up)
-
-    def _reindex(self, m: M) -> None:
-        """Its view, and its place in the order, where they are others than before."""
-        view, old = self._usage_of(m), m.indexed_usage
-        m.indexed_usage = view
-        taken = self._sums[0]
-        taken[0] += view[0] - old[0]
-        taken[1] += view[1] - old[1]
-        if (group := self._group_of(m)) != m.group:
-            self._remove_from_order(m)
-            m.group = group
-            insort(self._groups.setdefault(group, []), (m.order_key, m.serial, m))
-
-    def _add(self, m: M) -> None:
-        m.indexed_usage, m.indexed_capacity, m.group = self._usage_of(m), m.capacity, self._group_of(m)
-        for k in (0, 1):
-            self._sums[0][k] += m.indexed_usage[k]
-            self._sums[1][k] += m.indexed_capacity[k]
-        insort(self._groups.setdefault(m.group, []), (m.order_key, m.serial, m))
-
-    def _remove(self, m: M, serial: int = 0) -> None:
-        for k in (0, 1):
-            self._sums[0][k] -= m.indexed_usage[k]
-            self._sums[1][k] -= m.indexed_capacity[k]
-        self._remove_from_order(m)
-        m.serial = serial
-
-    def _remove_from_order(self, m: M) -> None:
-        ranked = self._groups[m.group]
-        del ranked[bisect_left(ranked, (m.order_key, m.serial))]
+        """Refresh so many machines; the end of a round removes the rounding errors of single updates."""
+        queue = self._refresh_queue
+        for _ in range(min(count, len(queue))):
+            machine = queue.popleft()
+            if machine.position >= 0:
+                machine.usage = None
+                machine.cost_by_demand.clear()
+                self._reindex(machine)
+        if not queue:
+            for resource in RESOURCES:
+                self._usage_sums[resource] = sum(m.indexed_usage[resource] for m in self.up)
+                self._capacity_sums[resource] = sum(m.capacity[resource] for m in self.up)
+
+    def _reindex(self, machine: M) -> None:
+        """Update the sums by the change of its usage, and its place in the order if its group changed."""
+        usage = self._usage_of(machine)
+        before = machine.indexed_usage
+        machine.indexed_usage = usage
+        sums = self._usage_sums
+        sums[0] += usage[0] - before[0]
+        sums[1] += usage[1] - before[1]
+        group = self._group_of(machine)
+        if group != machine.group:
+            self._remove_from_order(machine)
+            machine.group = group
+            self._insert_into_order(machine)
+
+    def _add(self, machine: M) -> None:
+        machine.indexed_usage = self._usage_of(machine)
+        machine.indexed_capacity = machine.capacity
+        machine.group = self._group_of(machine)
+        for resource in RESOURCES:
+            self._usage_sums[resource] += machine.indexed_usage[resource]
+            self._capacity_sums[resource] += machine.indexed_capacity[resource]
+        self._insert_into_order(machine)
+
+    def _remove(self, machine: M, serial: int = 0) -> None:
+        for resource in RESOURCES:
+            self._usage_sums[resource] -= machine.indexed_usage[resource]
+            self._capacity_sums[resource] -= machine.indexed_capacity[resource]
+        self._remove_from_order(machine)
+        machine.serial = serial
+
+    def _insert_into_order(self, machine: M) -> None:
+        ranked = self._groups.setdefault(machine.group, [])
+        insort(ranked, (machine.order_key, machine.serial, machine))
+
+    def _remove_from_order(self, machine: M) -> None:
+        ranked = self._groups[machine.group]
+        del ranked[bisect_left(ranked, (machine.order_key, machine.serial))]
         if not ranked:
-            del self._groups[m.group]
-
-    def totals(self, barred: Collection[M] = ()) -> tuple[list[float], list[float]]:
-        """What is taken of all but some, and what they admit, summed."""
-        taken, sizes = self._sums
-        if not barred:
-            return list(taken), list(sizes)
+            del self._groups[machine.group]
+
+    def totals(self, excluded: Collection[M] = ()) -> tuple[list[float], list[float]]:
+        """Return the summed usage and the summed capacity of all machines but the excluded ones."""
+        usage = self._usage_sums
+        capacity = self._capacity_sums
+        if not excluded:
+            return list(usage), list(capacity)
         return (
-            [taken[k] - sum(m.indexed_usage[k] for m in barred) for k in (0, 1)],
-            [sizes[k] - sum(m.capacity[k] for m in barred) for k in (0, 1)],
+            [usage[k] - sum(m.indexed_usage[k] for m in excluded) for k in RESOURCES],
+            [capacity[k] - sum(m.capacity[k] for m in excluded) for k in RESOURCES],
         )
 
     def ordered(self) -> Iterator[M]:
-        """All of them, by group and draw."""
+        """Iterate over all machines by group and order key."""
         for _, ranked in sorted(self._groups.items()):
-            for _, _, m in ranked:
-                yield m
+            for _, _, machine in ranked:
+                yield machine
--- /dev/null
+++ b/thornshelf/placement/outliers.py
@@ -0,0 +1,107 @@
+"""[D4] Outlier detection: machines that fail in a row are ejected, and their health is checked."""
+
+from __future__ import annotations
+
+from thornshelf.placement.actions import CheckHealth, Log
+from thornshelf.placement.context import PlacementContext
+from thornshelf.placement.endpoints import EndpointTable
+from thornshelf.placement.events import Health, HealthCheckResult, Outcome, Reason
+from thornshelf.placement.health_check_schedule import HealthCheckSchedule
+from thornshelf.placement.machine import Machine, Rejection
+from thornshelf.placement.requests import AttemptState, PendingRequest
+
+FAILURES_BEFORE_EJECTION = 2  # in a row: a single one may be chance
+EJECTION_S = 1.0  # the first time; it doubles while failures go on
+MAX_EJECTION_S = 8.0
+QUEUE_FULL_BACKOFF_S = 0.4  # for a machine whose queue of attempts was full
+REJECTION_MEMORY_S = 2.0  # how long a machine is assumed to lack the resources for what it refused
+
+
+class OutlierDetector:
+    """Counts failures and ejects machines; a machine that is ejected is sent no attempts."""
+
+    def __init__(self, context: PlacementContext, endpoints: EndpointTable) -> None:
+        self._context = context
+        self._endpoints = endpoints
+        self.ejected_ids: set[int] = set()  # machines whose health is to be checked
+        self._excluded: set[Machine] = set()  # ejected or backed off from; some of them perhaps no longer
+        self.set_quota(context.settings.me, context.settings.placers)
+
+    def set_quota(self, me: int, placers: int) -> None:
+        """Share health checks with so many placers: all of them may eject a machine in the same moment."""
+        self._schedule = HealthCheckSchedule(me, placers)
+
+    def excluded_machines(self) -> set[Machine]:
+        """Return the machines that are ejected, or that are backed off from."""
+        now = self._context.now
+        self._excluded = {m for m in self._excluded if now < m.ejected_until or now < m.backoff_until}
+        return self._excluded
+
+    def record_success(self, machine: Machine) -> None:
+        """The machine answered as it should."""
+        machine.consecutive_failures = 0
+        machine.ejected_until = 0.0
+        self.ejected_ids.discard(machine.id)
+
+    def record_failure(self, machine: Machine, outcome: Outcome) -> None:
+        """Count a failure. One makes a machine expensive, as all may be slow; several in a row eject it."""
+        context = self._context
+        if outcome is Outcome.BROKEN:
+            if context.now <= machine.connection_lost_at:
+                return  # all that is lost in one moment was on one connection
+            machine.connection_lost_at = context.now
+        if context.stalled:
+            return
+        machine.consecutive_failures += 1
+        is_error = outcome is Outcome.ERROR
+        excluded_until = machine.backoff_until if is_error else machine.ejected_until
+        if machine.consecutive_failures < FAILURES_BEFORE_EJECTION or context.now < excluded_until:
+            return
+        doublings = machine.consecutive_failures - FAILURES_BEFORE_EJECTION
+        duration_s = min(EJECTION_S * 2.0**doublings, MAX_EJECTION_S)
+        self._excluded.add(machine)
+        if is_error:
+            machine.backoff_until = context.now + duration_s  # it may pass health checks all the same
+        else:
+            machine.ejected_until = context.now + duration_s
+            self.ejected_ids.add(machine.id)
+            context.request_housekeeping()  # to check its health at once
+        context.actions.append(Log(f"suspect {machine.id} for {duration_s:g} s: {outcome.value}"))
+
+    def record_rejection(self, request: PendingRequest, machine: Machine, reason: Reason) -> None:
+        """Back off from a machine that refused an attempt, as far as its reason says."""
+        now = self._context.now
+        self._excluded.add(machine)
+        if reason is Reason.QUEUE_FULL:
+            machine.backoff_until = now + QUEUE_FULL_BACKOFF_S
+        elif reason is not Reason.NOT_SERVING:
+            # It may have capacity for tasks of other classes.
+            rejection = Rejection(now + REJECTION_MEMORY_S, request.demand)
+            machine.rejections_by_class[request.task_class.name] = rejection
+        elif not any(a.state is AttemptState.MAY_HAVE_RUN for a in request.attempts):
+            machine.backoff_until = now + EJECTION_S  # it drains, or is not what the endpoint list says
+
+    def health_checked(self, event: HealthCheckResult) -> None:
+        """Take the result of a health check."""
+        machine = self._endpoints.machines.get(event.machine)
+        if machine is None:
+            return
+        machine.health_check_pending = False
+        if event.outcome is Outcome.OK:
+            self.record_success(machine)
+            self._endpoints.record_report(machine, event.report)
+
+    def check_health(self) -> None:
+        """Send the health checks that are due."""
+        machines = self._endpoints.machines
+        self.ejected_ids &= machines.keys()
+        self._schedule.retain(self.ejected_ids)
+        if not self._context.settings.limits.may_probe:
+            return
+        for number in sorted(self.ejected_ids):
+            machine = machines[number]
+            if machine.health_check_pending or machine.health is not Health.UP:
+                continue
+            if self._schedule.is_due(number, self._context.now):
+                machine.health_check_pending = True
+                self._context.actions.append(CheckHealth(machine.id))
