--- a/thornshelf/placement/load_digest.py
+++ b/thornshelf/placement/load_digest.py
@@ -24,9 +24,9 @@
 MESSAGE_PRICE_BYTES = 256.0  # the price of gossip is for so many bytes
 COST_PER_REQUEST = 0.004  # points that gossip may cost for each request
 MIN_REQUESTS_PER_S = 0.1
-MIN_INTERVAL_S = 0.5  # of all placers together
-MIN_GAP_S = 0.001
-MAX_GAP_S = 1.0
+MIN_GOSSIP_INTERVAL_S = 0.5  # of all placers together
+MIN_ARRIVAL_INTERVAL_S = 0.001
+MAX_ARRIVAL_INTERVAL_S = 1.0
 PEER_TIMEOUT_S = 30.0  # the last digest of a peer counts so long: its tasks run on when it is gone
 
 
@@ -58,10 +58,10 @@
 
     def record_request(self) -> None:
         """Count a request: the more there are, the more gossip may cost."""
-        gap_s = max(self._context.now - self._last_request_at, MIN_GAP_S)
+        since_last_s = max(self._context.now - self._last_request_at, MIN_ARRIVAL_INTERVAL_S)
         self._last_request_at = self._context.now
-        weight = min(MAX_GAP_S, gap_s) * LEARNING_RATE
-        self._requests_per_s += weight * (1.0 / gap_s - self._requests_per_s)
+        weight = min(MAX_ARRIVAL_INTERVAL_S, since_last_s) * LEARNING_RATE
+        self._requests_per_s += weight * (1.0 / since_last_s - self._requests_per_s)
 
     def send_if_due(self) -> None:
         """Send a digest to a random peer when it is time."""
@@ -74,7 +74,7 @@
         context.actions.append(SendGossip(peer, data))
         cost = settings.prices.gossip * len(data) / MESSAGE_PRICE_BYTES
         interval_s = cost / COST_PER_REQUEST / max(self._requests_per_s, MIN_REQUESTS_PER_S)
-        self._next_at = context.now + max(MIN_INTERVAL_S / settings.placers, interval_s)
+        self._next_at = context.now + max(MIN_GOSSIP_INTERVAL_S / settings.placers, interval_s)
 
     def _encode(self) -> bytes:
         """Encode own demand on machines; where there are too many, on random ones."""
--- a/thornshelf/placement/machine_index.py
+++ b/thornshelf/placement/machine_index.py
@@ -60,27 +60,29 @@
             self._changed.append(self)
 
 
-M = TypeVar("M", bound=IndexedMachine)
+MachineT = TypeVar("MachineT", bound=IndexedMachine)
 
 
-class MachineIndex(Generic[M]):
+class MachineIndex(Generic[MachineT]):
     """Sums over the machines that are up, and their order by group and order key."""
 
     def __init__(
-        self, usage_of: Callable[[M], tuple[float, ...]], group_of: Callable[[M], tuple[bool, int]]
+        self,
+        usage_of: Callable[[MachineT], tuple[float, ...]],
+        group_of: Callable[[MachineT], tuple[bool, int]],
     ) -> None:
         """``usage_of`` estimates a machine's usage; ``group_of`` gives its group, the first group least."""
-        self.up: list[M] = []  # in the order of the endpoint list
-        self.changed: list[M] = []  # machines whose usage may have changed
+        self.up: list[MachineT] = []  # in the order of the endpoint list
+        self.changed: list[MachineT] = []  # machines whose usage may have changed
         self._usage_of = usage_of
         self._group_of = group_of
-        self._groups: dict[tuple[bool, int], list[tuple[float, int, M]]] = {}
+        self._groups: dict[tuple[bool, int], list[tuple[float, int, MachineT]]] = {}
         self._usage_sums = [0.0, 0.0]
         self._capacity_sums = [0.0, 0.0]
-        self._refresh_queue: deque[M] = deque()  # the machines that this round has not refreshed yet
+        self._refresh_queue: deque[MachineT] = deque()  # the machines that this round has not refreshed yet
         self._last_serial = 0
 
-    def replace(self, up: Iterable[M]) -> None:
+    def replace(self, up: Iterable[MachineT]) -> None:
         """Replace the machines that are up; the cost depends on the differences."""
         before = self.up
         self.up = list(up)
@@ -131,7 +133,7 @@
                 self._usage_sums[resource] = sum(m.indexed_usage[resource] for m in self.up)
                 self._capacity_sums[resource] = sum(m.capacity[resource] for m in self.up)
 
-    def _reindex(self, machine: M) -> None:
+    def _reindex(self, machine: MachineT) -> None:
         """Update the sums by the change of its usage, and its place in the order if its group changed."""
         usage = self._usage_of(machine)
         before = machine.indexed_usage
@@ -145,7 +147,7 @@
             machine.group = group
             self._insert_into_order(machine)
 
-    def _add(self, machine: M) -> None:
+    def _add(self, machine: MachineT) -> None:
         machine.indexed_usage = self._usage_of(machine)
         machine.indexed_capacity = machine.capacity
         machine.group = self._group_of(machine)
@@ -154,24 +156,24 @@
             self._capacity_sums[resource] += machine.indexed_capacity[resource]
         self._insert_into_order(machine)
 
-    def _remove(self, machine: M, serial: int = 0) -> None:
+    def _remove(self, machine: MachineT, serial: int = 0) -> None:
         for resource in RESOURCES:
             self._usage_sums[resource] -= machine.indexed_usage[resource]
             self._capacity_sums[resource] -= machine.indexed_capacity[resource]
         self._remove_from_order(machine)
         machine.serial = serial
 
-    def _insert_into_order(self, machine: M) -> None:
+    def _insert_into_order(self, machine: MachineT) -> None:
         ranked = self._groups.setdefault(machine.group, [])
         insort(ranked, (machine.order_key, machine.serial, machine))
 
-    def _remove_from_order(self, machine: M) -> None:
+    def _remove_from_order(self, machine: MachineT) -> None:
         ranked = self._groups[machine.group]
         del ranked[bisect_left(ranked, (machine.order_key, machine.serial))]
         if not ranked:
             del self._groups[machine.group]
 
-    def totals(self, excluded: Collection[M] = ()) -> tuple[list[float], list[float]]:
+    def totals(self, excluded: Collection[MachineT] = ()) -> tuple[list[float], list[float]]:
         """Return the summed usage and the summed capacity of all machines but the excluded ones."""
         usage = self._usage_sums
         capacity = self._capacity_sums
@@ -182,7 +184,7 @@
             [capacity[k] - sum(m.capacity[k] for m in excluded) for k in RESOURCES],
         )
 
-    def ordered(self) -> Iterator[M]:
+    def ordered(self) -> Iterator[MachineT]:
         """Iterate over all machines by group and order key."""
         for _, ranked in sorted(self._groups.items()):
             for _, _, machine in ranked:
--- a/thornshelf/placement/pricing.py
+++ b/thornshelf/placement/pricing.py
@@ -148,10 +148,10 @@
 
     def _start_delay_powers(self, machine: Machine) -> float:
         """[D4] Late or overdue starts make a machine expensive: it may accept tasks but run them slowly."""
-        overdue_s = 0.0
+        waiting_s = 0.0
         if machine.pending_starts:
-            overdue_s = self._context.now - next(iter(machine.pending_starts.values()))
-        expected_s = max(machine.start_delay_s or 0.0, overdue_s)
+            waiting_s = self._context.now - next(iter(machine.pending_starts.values()))
+        expected_s = max(machine.start_delay_s or 0.0, waiting_s)
         usual_s = TIMEOUT_FACTOR * self._latency.usual_start_s
         if expected_s > usual_s > 0.0:
             return min(math.log(expected_s / usual_s, COST_BASE), MAX_DELAY_POWERS)
--- a/thornshelf/placement/reservations.py
+++ b/thornshelf/placement/reservations.py
@@ -90,10 +90,10 @@
         fitting = [self._count_fitting(m, demand) for m in candidates]
         if len(fitting) <= 1:
             return None, 0.0
-        most = max(fitting)
-        machine = candidates[fitting.index(most)]
+        maximum = max(fitting)
+        machine = candidates[fitting.index(maximum)]
         self._emptiest[task_class.name] = machine
-        return machine, most
+        return machine, maximum
 
     def _count_fitting(self, machine: Machine, demand: ResourcePair) -> float:
         """How many tasks of this demand the machine still admits."""
--- a/thornshelf/placement/rules.py
+++ b/thornshelf/placement/rules.py
@@ -74,7 +74,7 @@
         if self._context.now >= keys_recorded_until - 2.0 * self._context.settings.tick_s:
             return False
         scope = task_class.idempotency_scope
-        return scope is Scope.ALL or all(_share_domain(scope, a.machine, machine) for a in earlier)
+        return scope is Scope.ALL or all(_are_in_same_domain(scope, a.machine, machine) for a in earlier)
 
     def _may_have_run(self, request: PendingRequest) -> bool:
         return any(a.state is not AttemptState.NEVER_RAN for a in request.attempts)
@@ -89,12 +89,12 @@
         count = sum(
             other.tasks_by_service.get(service, 0)
             for other in self._endpoints.machines.values()
-            if other is machine or _share_domain(scope, other, machine)
+            if other is machine or _are_in_same_domain(scope, other, machine)
         )
         return count < task_class.max_per_domain
 
 
-def _share_domain(scope: Scope, first: Machine, second: Machine) -> bool:
+def _are_in_same_domain(scope: Scope, first: Machine, second: Machine) -> bool:
     """Whether two machines are in the same zone, or in the same cell."""
     return (scope is Scope.ZONE and first.zone == second.zone) or (
         scope is Scope.CELL and first.cell == second.cell
--- a/thornshelf/placement/usage.py
+++ b/thornshelf/placement/usage.py
@@ -30,7 +30,7 @@
         full_cores = min((one.full_speed_utilization for one in classes), default=1.0)
         self._full = (full_cores, FULL_MEMORY)
         self._mean = [0.0, 0.0]  # used part of the fleet's capacity
-        self._unheard = 0.0  # the part of all placers from which no gossip came
+        self._unreported_fraction = 0.0  # the part of all placers from which no gossip came
         self.fullness_steps = FULLNESS_STEPS
 
     def usage(self, machine: Machine) -> tuple[float, ...]:
@@ -46,11 +46,11 @@
             trust = 0.0
             if machine.reported_usage is not None:  # [D6] an old report tends to the average
                 age = self.report_age_s(machine)
-                trust = 1.0 - self._unheard * (1.0 - math.exp(-age / REPORT_DECAY_S))
+                trust = 1.0 - self._unreported_fraction * (1.0 - math.exp(-age / REPORT_DECAY_S))
             filled = 1.0
             if machine.started_at:  # it was empty when it started
                 filled -= math.exp(min(0.0, machine.started_at - self._context.now) / REPORT_DECAY_S)
-            others = self._unheard * filled
+            others = self._unreported_fraction * filled
             mean = self._mean
             capacity = machine.capacity
             peers = machine.peer_demand
@@ -97,27 +97,27 @@
         """[D1] Where services differ, distinguish fewer steps: placers' estimates differ more then."""
         self.fullness_steps = FULLNESS_STEPS * (1.0 - service_diversity)
 
-    def update_averages(self, machines: Sequence[Machine], peers_heard: Collection[int]) -> None:
+    def update_averages(self, machines: Sequence[Machine], reporting_peers: Collection[int]) -> None:
         """Compute the used part of the fleet: of machines that reported, and of all known tasks as one more.
 
         Where there are many placers, own tasks on a machine say little of it: others' tasks count by average.
         """
-        heard = 1 + len(peers_heard)
-        known = heard / max(1, self._context.settings.placers, heard)
+        reporting_placers = 1 + len(reporting_peers)
+        known = reporting_placers / max(1, self._context.settings.placers, reporting_placers)
         reported = [0.0, 0.0]
         reporting_capacity = [0.0, 0.0]
         capacity = [0.0, 0.0]
         known_demand = [0.0, 0.0]
         for machine in machines:
-            for k in RESOURCES:
-                capacity[k] += machine.capacity[k]
-                known_demand[k] += machine.own_demand[k] + machine.peer_demand[k]
+            for resource in RESOURCES:
+                capacity[resource] += machine.capacity[resource]
+                known_demand[resource] += machine.own_demand[resource] + machine.peer_demand[resource]
                 if machine.reported_usage is not None:
-                    reported[k] += machine.reported_usage[k]
-                    reporting_capacity[k] += machine.capacity[k]
+                    reported[resource] += machine.reported_usage[resource]
+                    reporting_capacity[resource] += machine.capacity[resource]
         count = max(1, len(machines))
-        for k in RESOURCES:
-            if capacity[k] > 0.0:
-                used = reported[k] + known_demand[k] / known / count
-                self._mean[k] = used / (reporting_capacity[k] + capacity[k] / count)
-        self._unheard = 1.0 - known
+        for resource in RESOURCES:
+            if capacity[resource] > 0.0:
+                used = reported[resource] + known_demand[resource] / known / count
+                self._mean[resource] = used / (reporting_capacity[resource] + capacity[resource] / count)
+        self._unreported_fraction = 1.0 - known
