--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -69,7 +69,7 @@
     return max(sum(each[k + part] for part in range(20)) for k in range(max(each) + 1))
 
 
-def test_a_node_is_not_called_by_all_dispatchers_in_the_moment_in_which_they_start(
+def test_dispatchers_that_start_together_do_not_connect_to_a_node_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against 1,024 connects at once at each node when a fleet of dispatchers comes back."""
@@ -78,7 +78,7 @@
     assert busiest(tried) <= connect_pacing.CONNECTS_PER_S * 1.1
 
 
-def test_a_dispatcher_does_not_call_all_nodes_in_the_moment_in_which_it_starts(
+def test_a_dispatcher_that_starts_does_not_connect_to_all_nodes_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     tried = starts(monkeypatch, [77], MANY, MANY, 20)
@@ -86,13 +86,13 @@
     assert busiest(tried) <= connect_pacing.CONNECTS_PER_S * 1.1
 
 
-def test_few_dispatchers_call_their_nodes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nothing is held back where nothing is too much: news of what stands goes to open connections."""
+def test_few_dispatchers_connect_to_their_nodes_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Nothing is delayed where the load is bounded: reports on running tasks go to open connections."""
     tried = starts(monkeypatch, range(16), 20, 16, 1)
     assert len(tried) == 320 and max(tried) <= 100_000
 
 
-def test_an_offer_does_not_wait_for_the_greeting(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_attempt_does_not_wait_for_the_initial_connect(monkeypatch: pytest.MonkeyPatch) -> None:
     loop, _ = a_loop()
     tried: list[int] = []
 
@@ -120,8 +120,10 @@
 
 
 @pytest.mark.parametrize(("placers", "most"), [(16, 64.0), (230, 64.0), (1024, 128.0)])
-def test_a_suspect_is_probed_by_all_together_no_more_often_than_it_bears(placers: int, most: float) -> None:
-    """Guards against 4,096 probes a second at a node that all dispatchers found silent in the same moment."""
+def test_an_ejected_machine_is_health_checked_by_all_placers_within_a_bound(
+    placers: int, most: float
+) -> None:
+    """Guards against 4,096 health checks a second of a node that all dispatchers ejected in the same moment."""
     all_of_them = []
     for me in range(placers):
         one = Placer(replace(settings(SAFE, placers=placers), me=me), 1)
@@ -145,7 +147,7 @@
     assert len(probes) >= placers * 2  # and each of them does find out, once in 8 s at the latest
 
 
-def test_a_probe_turn_begins_after_the_suspicion() -> None:
+def test_a_health_check_turn_begins_after_the_ejection() -> None:
     turns = HealthCheckSchedule(3, 1024)
     assert not turns.is_due(9, 100.0)
     assert sum(turns.is_due(9, 100.0 + tick / 4) for tick in range(1, 33)) == 1
@@ -206,7 +208,7 @@
     loop.close()
 
 
-# a round goes by slices
+# a refresh is done in slices
 
 
 class IndexOrderPlacer(FullScanPlacer):
@@ -223,7 +225,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 @pytest.mark.parametrize("slice_of", [1, 7])
-def test_in_the_middle_of_a_round_the_index_chooses_as_the_plain_scan_does(
+def test_in_the_middle_of_a_refresh_the_index_chooses_as_the_full_scan_does(
     seed: int, slice_of: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(machine_index, "SLICE", slice_of)
@@ -242,30 +244,30 @@
             assert index.totals()[1][k] == pytest.approx(sum(m.capacity[k] for m in index.up))
 
 
-def test_no_call_works_out_all_views_of_a_large_fleet() -> None:
+def test_no_call_refreshes_all_estimates_of_a_large_fleet() -> None:
     """Guards against 20 ms in one go, four times a second."""
     one = Placer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, MANY + 1)))])
-    looked: Counter[int] = Counter()
+    refreshed: Counter[int] = Counter()
     usual = one.endpoints.index._reindex
 
-    def recount(machine: Machine) -> None:
-        looked[machine.id] += 1
+    def count(machine: Machine) -> None:
+        refreshed[machine.id] += 1
         usual(machine)
 
-    one.endpoints.index._reindex = recount  # type: ignore[method-assign]
+    one.endpoints.index._reindex = count  # type: ignore[method-assign]
     most = 0
     for call in range(200):
-        before = looked.total()
+        before = refreshed.total()
         one.handle(1.0 + call * 0.05, [ask(call + 1, service=call % 8, cores=0.1, memory=0.1)])
-        most = max(most, looked.total() - before)
+        most = max(most, refreshed.total() - before)
     assert most <= 448  # a quarter of the fleet, and 64 a decision
     assert (
-        min(looked.values()) >= 8 and len(looked) == MANY
-    )  # 10 s: every view was worked out at least each 1.25 s
+        min(refreshed.values()) >= 8 and len(refreshed) == MANY
+    )  # 10 s: every estimate was refreshed at least each 1.25 s
 
 
-def test_with_few_decisions_a_round_is_over_in_four_surveys_all_the_same() -> None:
+def test_with_few_decisions_a_refresh_is_complete_after_four_calls_all_the_same() -> None:
     one = Placer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, MANY + 1)))])
     for call in range(5):
@@ -285,7 +287,7 @@
 def far_from_home(machines: int) -> tuple[Placer, int, int]:
     """A placer that meets no service twice, and a near and a far machine of one service's order, both down it.
 
-    A strike of the near one came with another service's task.
+    A task of another service failed on the near one.
     """
     one = Placer(settings(SAFE), 1)
     one.handle(0.0, [listing(*(entry(machine) for machine in range(machines)))])
@@ -297,14 +299,14 @@
     return one, near, far
 
 
-def test_a_strike_counts_beside_the_order_of_homes_at_4096() -> None:
-    """At 4,096 machines the order alone was worth hundreds of powers of the price's base."""
+def test_a_failure_counts_along_with_the_order_of_homes_at_4096() -> None:
+    """At 4,096 machines the order alone cost hundreds of powers of the price's base."""
     one, near, far = far_from_home(4096)
     actions = one.handle(1.2, [small(3, 2, near, far)])
     assert [offer.machine for offer in offers(actions)] == [far]
 
 
-def test_the_first_places_of_the_order_keep_their_price_at_any_size() -> None:
+def test_the_first_homes_keep_their_price_at_any_size() -> None:
     """Five places down a service's order are one power of the base, with 80 machines as with 18,000."""
     for machines in (80, 4096, 18_000):
         one, *_ = far_from_home(machines)
@@ -318,7 +320,7 @@
         assert one.pricing.home_cost_scale == pytest.approx(machines / HOMES_PER_POWER)
 
 
-def test_a_list_of_18000_is_ranked_whatever_went_wrong_there() -> None:
+def test_a_fleet_of_18000_is_ranked_whatever_failed_there() -> None:
     """No sum of terms leaves the range of floating-point numbers: one machine may have failed for hours."""
     one, near, far = far_from_home(18_000)
     one.machines[near].consecutive_failures = 10_000
@@ -330,7 +332,7 @@
 
 @pytest.mark.parametrize("free", [-1e9, 1e9, -1e300])
 def test_one_machine_with_figures_out_of_range_costs_the_others_nothing(free: float) -> None:
-    """The price of all tasks was worked out with them: no decision was made any more."""
+    """All tasks were priced with them: no decision was made any more."""
     one = Placer(settings(SAFE), 1)
     one.handle(0.0, [listing(*(entry(machine) for machine in range(8)))])
     one.handle(0.1, [small(1, 1, 3)])
@@ -344,8 +346,8 @@
 
 
 @pytest.mark.parametrize("cores", [1e4, 1e6, 1e9])
-def test_a_task_of_any_size_costs_those_that_are_asked_for_with_it_nothing(cores: float) -> None:
-    """They are put in order by their price before those that fit nowhere are refused."""
+def test_a_task_of_any_size_does_not_affect_those_requested_with_it(cores: float) -> None:
+    """Tasks are ordered by their price before those that fit nowhere are rejected."""
     one = Placer(settings(SAFE), 1)
     one.handle(0.0, [listing(*(entry(machine) for machine in range(8)))])
     actions = one.handle(0.1, [ask(1, cores=cores), small(2, 1)])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The indexed decision makes the plain scan's choices, at a cost that doesn't grow with what hasn't changed."""
+"""The indexed decision makes the full scan's choices, at a cost that depends on what has changed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class FullScanPlacer(Placer):
-    """The design as it reads: every machine is looked at for every task."""
+    """The design as described: every machine is examined for every task."""
 
     def __init__(self, terms: api.Settings, seed: int) -> None:
         super().__init__(terms, seed)
@@ -110,7 +110,7 @@
 
 
 def day(chance: random.Random, placers: tuple[Placer, Placer], machines: int, steps: int) -> int:
-    """The same events to both; their actions must be the same. Gives the number of offers."""
+    """Give the same events to both, whose actions must be the same; return the number of attempts."""
     now, number, made = 0.0, 0, 0
     out: list[tuple[int, int, int, bool]] = []
     states = {m: entry(m, kind=chance.choice(("small", "large"))) for m in range(1, machines + 1)}
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("placers", [1, 16, 230])
-def test_the_index_chooses_as_the_plain_scan_does(seed: int, placers: int) -> None:
+def test_the_index_chooses_as_the_full_scan_does(seed: int, placers: int) -> None:
     terms = settings(SAFE, LEDGER, placers=placers, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET)
     both = Placer(terms, 1), FullScanPlacer(terms, 1)
     assert day(random.Random(seed), both, (5, 40)[seed % 2], 120) > 50
@@ -190,7 +190,7 @@
 
 
 @pytest.mark.parametrize("machines", [64, 1024])
-def test_a_decision_works_out_what_has_changed_and_no_more(machines: int) -> None:
+def test_a_decision_computes_what_has_changed_and_no_more(machines: int) -> None:
     """Guards against decisions that cost as much as the fleet is large: 13 ms each at 1,000 nodes."""
     one = CountingPlacer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, machines + 1)))])
@@ -201,4 +201,4 @@
     one.handle(1.0, asks(1, 64))
     one.work = 0
     assert len(offers(one.handle(1.1, asks(65, 100)))) == 100
-    assert one.work < 100 * 30  # the plain scan: at least 100 times the fleet
+    assert one.work < 100 * 30  # the full scan: at least 100 times the fleet
--- a/thornshelf/placement/candidates.py
+++ b/thornshelf/placement/candidates.py
@@ -121,8 +121,8 @@
         settings = self._context.settings
         index = self._endpoints.index
         is_overcommitted = max(settings.overcommit_cores, settings.overcommit_memory) > 1.0
-        # A pool saves nothing where machines are free of charge, and where they are overcommitted and do not report
-        # their usage, crowding on it would not be noticed.
+        # A pool saves nothing where machines are free of charge, and where they are overcommitted and do not
+        # report their usage, crowding there would not be noticed.
         if settings.prices.fleet <= 0.0 or (is_overcommitted and not settings.reports_usage):
             return [m for m in index.up if m not in excluded]
         demand = request.demand
