--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -57,7 +57,7 @@
 SUBMIT = "SUBMIT\t3\t1564119492\tkeyed\t-\t4569004829183723\t0.24\t0.012\t4050608788307276\t2\t1.5\t1"
 
 
-def drill(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
+def run_simulator(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
     """Run the adapter on some input."""
     env = {**os.environ, "PYTHONHASHSEED": seed}
     command = [sys.executable, "-m", "thornshelf.placement.simulator"]
@@ -65,7 +65,7 @@
 
 
 def test_a_transcript_from_start_to_refusal() -> None:
-    done = drill(f"TICK\t6.1\nEOB\n{START}TICK\t8.41225\n{SUBMIT}\nEOB\n")
+    done = run_simulator(f"TICK\t6.1\nEOB\n{START}TICK\t8.41225\n{SUBMIT}\nEOB\n")
     assert done.returncode == 0 and done.stderr == ""
     replies = done.stdout.split("DONE\n")
     assert replies[0] == ""
@@ -76,7 +76,7 @@
     end = f"TICK\t8.5\nRESULT\t3\t1564119492\t{host}\t1\t0\tF\t0\t0.02\t0.4,1.25\nEOB\n"
     other = ({"51530247", "747639282"} - {host}).pop()
     last = f"TICK\t8.6\nRESULT\t3\t1564119492\t{other}\t2\t0\tF\t1\t0.02\t-\nEOB\n"
-    replies = drill(f"{START}TICK\t8.41225\n{SUBMIT}\nEOB\n{end}{last}").stdout.split("DONE\n")
+    replies = run_simulator(f"{START}TICK\t8.41225\n{SUBMIT}\nEOB\n{end}{last}").stdout.split("DONE\n")
     assert f"\t{other}\n" in replies[2] and "BOUNCE\t3\t1564119492\t-\n" in replies[3]
 
 
@@ -98,7 +98,7 @@
         "ROSTER_CHANGE\t3\tC\t41\t0",
         SUBMIT,
     ]
-    done = drill(START + "TICK\t9\n" + "\n".join(lines) + "\nEOB\n")
+    done = run_simulator(START + "TICK\t9\n" + "\n".join(lines) + "\nEOB\n")
     assert done.returncode == 0 and done.stdout.count("DONE\n") == 2
     assert done.stdout.count("TRY\t") == 1 and "INTERNAL_ERROR" not in done.stdout
 
@@ -107,29 +107,29 @@
     ("line", "fault"),
     [
         ("WHAT\t3", "message is not known"),
-        ("ALARM\t3", "ALARM has 1 values where 2 are wanted"),
-        ("ALARM\t3\tsoon", "nonce is no whole number"),
+        ("ALARM\t3", "ALARM has 1 values where 2 are expected"),
+        ("ALARM\t3\tsoon", "nonce is not a whole number"),
         ("ALARM\t8\t77", "instance was never started: 8"),
         ("ROSTER_CHANGE\t3\tD\t41\t9", "list number was never given: 9"),
         ("ROSTER\t16\t0", "list number is above 15"),
         ("PROBED\t3\tnan\tS\t1\t-", "lag-s is not finite"),
         ("PROBED\t3\t0.1\tQ\t1\t-", "state-code is not known"),
-        ("PROBED\t3\t0.1\tS\t1\t4.2", "a report of 1 values where 2 are told"),
-        ("NOTE_FROM\t3\t1\t@@", "raw is no base64"),
+        ("PROBED\t3\t0.1\tS\t1\t4.2", "a report of 1 values where 2 are declared"),
+        ("NOTE_FROM\t3\t1\t@@", "raw is not base64"),
         (SUBMIT.replace("keyed", "other"), "class is not known"),
         (BORN.replace("me=0", "you=0"), "setting missing: me"),
     ],
 )
 def test_bad_input_ends_with_one_plain_line(line: str, fault: str) -> None:
-    done = drill(f"{START}TICK\t9\n{line}\nEOB\n")
+    done = run_simulator(f"{START}TICK\t9\n{line}\nEOB\n")
     assert done.returncode not in (0, None)
     number = START.count("\n") + 2
-    assert done.stderr.startswith(f"thornshelf.placement: line {number}: ") and fault in done.stderr
+    assert done.stderr.startswith(f"thornshelf: line {number}: ") and fault in done.stderr
     assert done.stderr.count("\n") == 1
 
 
 def test_input_that_ends_within_a_batch_is_a_fault() -> None:
-    done = drill(START + "TICK\t9\n")
+    done = run_simulator(START + "TICK\t9\n")
     assert done.returncode != 0 and "ends within a batch" in done.stderr
 
 
@@ -138,4 +138,4 @@
         SUBMIT.replace("1564119492", str(n)).replace("405060878830", f"40506087{n}") for n in range(40)
     )
     text = f"{START}TICK\t8.5\n{asks}\nEOB\n"
-    assert len({drill(text, seed).stdout for seed in ("0", "1", "4711")}) == 1
+    assert len({run_simulator(text, seed).stdout for seed in ("0", "1", "4711")}) == 1
--- a/thornshelf/configuration.py
+++ b/thornshelf/configuration.py
@@ -13,7 +13,7 @@
 from thornshelf.errors import InvalidParameterError, KeyFileError, SchemaError
 from thornshelf.errors import WireError as SettingsError
 from thornshelf.placement import interface as api
-from thornshelf.placement.simulator.__main__ import read_settings
+from thornshelf.placement.simulator.settings import decode_settings
 
 if TYPE_CHECKING:
     from thornshelf import schema
@@ -158,7 +158,7 @@
     if not isinstance(value.get("settings"), dict):
         raise ConfigError("settings: missing or no object")
     try:
-        settings, _ = read_settings(_pairs(value["settings"]))
+        settings = decode_settings(_pairs(value["settings"])).settings
     except SettingsError as fault:
         raise ConfigError(f"settings: {fault}") from None
     try:
