--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -42,7 +42,8 @@
         "heavy = ('click', 'msgspec', 'google', 'h2', 'thornshelf.translation.translator',"
         " 'thornshelf.translation.field_mapping', 'thornshelf.core.idempotency', 'thornshelf.admission',"
         " 'thornshelf.socket_handover', 'thornshelf.retries.budget',"
-        " 'thornshelf.retries.jitter', 'thornshelf.schema', 'thornshelf.lab')\n"
+        " 'thornshelf.retries.jitter', 'thornshelf.configuration.schema',"
+        " 'thornshelf.configuration.operator_file', 'thornshelf.lab')\n"
         "print([one for one in heavy if one in sys.modules])"
     )
     environment = os.environ | ENVIRONMENT
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -6,10 +6,11 @@
 
 from tests.test_platform import PLACED
 from thornshelf.configuration import read_config
+from thornshelf.configuration.descriptors import descriptor_limits
 from thornshelf.frontends.listener import ConnectionBudget
-from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, FakeCluster, NodeBehavior
 from thornshelf.nodes.connection_pool import MIN_REST_US, ConnectionPool
-from thornshelf.service import SPARE_NODES, descriptor_limits
+from thornshelf.service import SPARE_NODES
 
 
 class FakePooledConnection:
@@ -79,8 +80,8 @@
 def test_the_change_log_and_the_rest_have_descriptors_of_their_own() -> None:
     config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
     for sockets in (64, 256, 1024):
-        total, floor = descriptor_limits(replace(config, max_descriptors=sockets))
-        assert sockets // 3 < floor < total <= sockets - min(24, sockets // 4)
+        limits = descriptor_limits(replace(config, max_descriptors=sockets))
+        assert sockets // 3 < limits.client_floor < limits.total <= sockets - min(24, sockets // 4)
 
 
 def test_tasks_are_placed_and_heard_of_with_fewer_connections_than_nodes() -> None:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -19,13 +19,13 @@
 
 from thornshelf import syslog
 from thornshelf.configuration import Config, ConfigError, read_config
+from thornshelf.configuration.descriptors import descriptor_limits
 from thornshelf.core import EndpointListUpdate
 from thornshelf.discovery import endpoint_watch
 from thornshelf.discovery.endpoint_watch import EndpointWatch
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, HOST, TIMEOUT_S, FakeCluster
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
-from thornshelf.service import descriptor_limits
 from thornshelf.syslog import Syslog
 
 ROOT = Path(__file__).parent.parent
@@ -70,7 +70,7 @@
         ("[grpc]\nlisen = ''", "grpc.lisen"),
         ("[syslog]\ncollector = 'x'", "syslog.collector"),
         ("[syslog]\ncollector = 'tcp:x'", "syslog.collector"),
-        ("[", "no TOML"),
+        ("[", "not TOML"),
     ],
 )
 def test_a_bad_operator_file_names_its_key(tmp_path: Path, text: str, key: str) -> None:
@@ -220,7 +220,7 @@
     assert since(old) == [1, 7] and since(new) == [7, 8]
     assert {"a", "b"} <= world.service.core.endpoints._machine_by_name.keys()
     assert (
-        world.service.json_frontend.listener.budget.total == descriptor_limits(world.service.config)[0] < 256
+        world.service.json_frontend.listener.budget.total == descriptor_limits(world.service.config).total < 256
     )
 
 
@@ -329,7 +329,7 @@
 
 def test_the_build_leaves_nothing_to_be_compiled_at_a_start(tmp_path: Path) -> None:
     """Guards against starts that compile all sources anew: on a share of a core each restart took as long again."""
-    for name in ("thornshelf.placement", "thornshelf", "deploy"):
+    for name in ("thornshelf", "deploy"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
@@ -337,7 +337,7 @@
         shutil.copy(ROOT / "requirements.txt", tmp_path / name)
     build = tomllib.loads((tmp_path / "deploy" / "balancer.toml").read_text())["build"]
     subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=TIMEOUT_S * 3)
-    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith(('thornshelf.placement', 'thornshelf'))]"
+    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith('thornshelf')]"
     script = f"import sys, thornshelf.start; print(*{ours}, sep='\\n')"
     command = [sys.executable, "-B", "-c", script]
 
--- a/thornshelf/cli.py
+++ b/thornshelf/cli.py
@@ -77,9 +77,9 @@
 @cli.command()
 def schema() -> None:
     """Print the schema of the operator's file (JSON Schema)."""
-    from thornshelf import schema as tables
+    from thornshelf.configuration.schema import render_json_schema
 
-    click.echo(tables.text())
+    click.echo(render_json_schema())
 
 
 @cli.command()
--- /dev/null
+++ b/thornshelf/configuration/admission_table.py
@@ -0,0 +1,112 @@
+"""Decodes the table ``admission`` of the operator's file."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import replace
+
+from thornshelf.admission.controller import AdmissionConfig, Limits, PrefixRule
+from thornshelf.admission.fair_queue import FairQueueConfig
+from thornshelf.admission.gcra import Rate
+from thornshelf.admission.overload import OverloadConfig
+from thornshelf.admission.prefixes import parse_prefix
+from thornshelf.admission.reputation import ReputationConfig
+from thornshelf.admission.reserved_connections import ReservedConnectionsConfig
+from thornshelf.configuration import schema
+from thornshelf.configuration.descriptors import RESERVED_DESCRIPTORS, within_fraction
+from thornshelf.configuration.model import Config
+from thornshelf.errors import ConfigError
+from thornshelf.frontends.admission_filter import AdmissionFilterConfig
+from thornshelf.placement import interface as api
+from thornshelf.retries.jitter import JitterConfig
+
+_MICROSECONDS = 1_000_000  # in a second
+_QUOTA_SCALE = 1000  # quotas are counted in thousandths of a request a second
+_QUOTA_BURST_S = 2  # a tenant may use up its quota of so many seconds at once
+
+
+def apply_admission(table: schema.Admission, config: Config) -> Config:
+    """The configuration with admission control, and with the fair queue where the table has one.
+
+    Weights and quotas of the fair queue are those of the settings' tenants. Raises ``ConfigError`` with the key
+    where the table contradicts itself or the rest of the configuration.
+    """
+    rules = _decode_rules(table.rule)
+    floors = {name: getattr(table.descriptors, name) for name in table.descriptors.__struct_fields__}
+    if sum(floors.values()) > config.max_descriptors:
+        raise ConfigError("admission.descriptors: the floors are more than limits.sockets")
+    controller = AdmissionConfig(
+        reserved_connections=_decode_reserved_connections(table, config.max_descriptors),
+        rules=tuple(rules),
+        source_limits=_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
+        unknown_request_rate=_rate(table.unknown_set_ups_per_s),
+        reputation=ReputationConfig(table.known_after, table.known_half_life_s * _MICROSECONDS),
+        max_sources=table.most_sources,
+    )
+    config = replace(config, admission=AdmissionFilterConfig(controller, floors))
+    if table.shares is None:
+        return config
+    max_wait_us = int(config.settings.limits.max_retry_after_s * 1e6)
+    return replace(
+        config,
+        fair_queue=_decode_fair_queue(table.shares, config.settings.tenants),
+        retry_after_jitter=JitterConfig(table.shares.returns_per_s, max_wait_us),
+    )
+
+
+def _decode_rules(tables: Sequence[schema.RuleTable]) -> list[PrefixRule]:
+    rules: list[PrefixRule] = []
+    for index, table in enumerate(tables):
+        key = f"admission.rule.{index}"
+        try:
+            prefix = parse_prefix(table.prefix)
+        except ValueError as fault:
+            raise ConfigError(f"{key}.prefix: {fault}") from None
+        if any(table.name == rule.name or prefix == rule.prefix for rule in rules):
+            raise ConfigError(f"{key}.name: another rule has this name or prefix: {table.name!r}")
+        source = (table.each_connections, table.each_connections_per_s, table.each_set_ups_per_s)
+        rule = PrefixRule(
+            name=table.name,
+            prefix=prefix,
+            known=table.known,
+            prefix_limits=_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
+            source_limits=_limits(*source) if any(source) else None,
+        )
+        rules.append(rule)
+    return rules
+
+
+def _decode_reserved_connections(table: schema.Admission, max_descriptors: int) -> ReservedConnectionsConfig:
+    capacity = max_descriptors - within_fraction(RESERVED_DESCRIPTORS, max_descriptors)
+    try:
+        return ReservedConnectionsConfig(capacity, table.reserve, table.reserve_floor)
+    except ValueError:
+        text = f"not between reserve_floor and the {capacity} connections that there are"
+        raise ConfigError(f"admission.reserve: {text}: {table.reserve}") from None
+
+
+def _decode_fair_queue(table: schema.SharesTable, tenants: Sequence[api.Tenant]) -> FairQueueConfig:
+    return FairQueueConfig(
+        weights={tenant.name: tenant.fraction for tenant in tenants if tenant.fraction > 0.0},
+        quotas={tenant.name: _quota_rate(tenant) for tenant in tenants if tenant.quota_per_s > 0.0},
+        batch_size=table.asks_a_turn,
+        max_waiting=table.most_waiting,
+        overload=OverloadConfig(table.target_ms * 1000, table.interval_ms * 1000),
+    )
+
+
+def _quota_rate(tenant: api.Tenant) -> Rate:
+    return Rate(
+        count=max(1, round(tenant.quota_per_s * _QUOTA_SCALE)),
+        period_us=_QUOTA_SCALE * _MICROSECONDS,
+        burst=max(1, round(_QUOTA_BURST_S * tenant.quota_per_s)),
+    )
+
+
+def _rate(per_s: int | None) -> Rate | None:
+    """A rate that may be used up at once in each second."""
+    return None if per_s is None else Rate(count=per_s, period_us=_MICROSECONDS, burst=per_s)
+
+
+def _limits(connections: int | None, connections_per_s: int | None, requests_per_s: int | None) -> Limits:
+    return Limits(connections, _rate(connections_per_s), _rate(requests_per_s))
--- a/thornshelf/schema.py
+++ b/thornshelf/configuration/schema.py
@@ -1,6 +1,8 @@
 """The schema of the operator's file (TOML): every table and key, with its type, bounds and default.
 
-``config`` reads files through this; loaded only where a file is named. Errors name the key.
+The structures mirror the file: their fields are its keys, and the modules of this package that decode its tables
+map them to the terms of the program. ``thornshelf schema`` prints their names and doc comments, which are a part of
+the file's format. This module needs ``msgspec`` and is loaded only where there is such a file.
 """
 
 from __future__ import annotations
@@ -13,11 +15,11 @@
 
 from thornshelf.errors import SchemaError
 
-Share = Annotated[float, Meta(ge=0.0, le=10.0)]
+Ratio = Annotated[float, Meta(ge=0.0, le=10.0)]
 Positive = Annotated[int, Meta(ge=1, le=1_000_000_000)]
 Milliseconds = Annotated[int, Meta(ge=1, le=86_400_000)]
-FormName = Literal["binary", "v1", "v2"]
-Forms = Annotated[list[FormName], Meta(min_length=1, max_length=3)]
+FormatName = Literal["binary", "v1", "v2"]
+Formats = Annotated[list[FormatName], Meta(min_length=1, max_length=3)]
 
 
 class Grpc(Struct, forbid_unknown_fields=True):
@@ -44,10 +46,10 @@
 class RetryTable(Struct, forbid_unknown_fields=True):
     """Further attempts, and when refused tasks come again."""
 
-    service_share: Share = 0.2
-    service_floor_per_s: Share = 1.0
+    service_share: Ratio = 0.2
+    service_floor_per_s: Ratio = 1.0
     service_most: Positive = 20
-    fleet_share: Share = 0.2
+    fleet_share: Ratio = 0.2
     fleet_floor_per_s: Annotated[float, Meta(ge=0.0, le=100_000.0)] = 10.0
     fleet_most: Positive = 200
     returns_per_s: Positive = 200
@@ -58,8 +60,8 @@
 class Translate(Struct, forbid_unknown_fields=True):
     """The translation layer."""
 
-    otherwise: Forms = msgspec.field(default_factory=lambda: ["binary"])
-    nodes: dict[str, Forms] = {}
+    otherwise: Formats = msgspec.field(default_factory=lambda: ["binary"])
+    nodes: dict[str, Formats] = {}
     classes: dict[str, ClassTable] = msgspec.field(default_factory=dict, name="class")
     hello_ms: Milliseconds = 500
     settle_ms: Milliseconds = 1000
@@ -123,11 +125,11 @@
 class FleetUses(Struct, forbid_unknown_fields=True):
     """What the view is used for; each may be off by itself."""
 
-    allowances: bool = True  # the live members take the place of the configured number
-    news: bool = True  # drains reach those whose change log is silent
-    probes: bool = True  # suspects are probed by two for all
-    evidence: bool = True  # what others saw makes a node second choice
-    messages: bool = True  # the decision module's own words to its peers
+    allowances: bool = True  # quotas are divided by the live members in place of the configured number
+    news: bool = True  # drains reach members whose watch of the endpoint list is broken
+    probes: bool = True  # two members check the health of an ejected node for all
+    evidence: bool = True  # outliers that other members report are avoided
+    messages: bool = True  # the decision modules exchange gossip
 
 
 class Fleet(Struct, forbid_unknown_fields=True):
@@ -163,7 +165,7 @@
     """Which nodes this dispatcher holds: its zone's, and spare ones of other zones while that is short."""
 
     zone: Annotated[str, Meta(min_length=1, max_length=64)] | None = None
-    dispatchers: Annotated[int, Meta(ge=1, le=65_536)] = 1  # of this zone
+    dispatchers: Annotated[int, Meta(ge=1, le=65_536)] = 1  # in this zone
     spare_step: Positive = 64
     most_spare: Positive = 512
     short_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.9
@@ -184,36 +186,38 @@
 
 
 def convert(value: Any) -> OperatorFile:
-    """Check a parsed file."""
+    """The tables of a parsed file; ``SchemaError`` with the key where a value is not allowed."""
     try:
         return msgspec.convert(value, OperatorFile)
     except msgspec.ValidationError as fault:
         text, _, path = str(fault).rpartition(" - at `$")
         if not text:
-            text, path = str(fault), ""
+            text = str(fault)
+            path = ""
         key = path.rstrip("`").lstrip(".")
         if "unknown field" in text:
             field = text.rpartition("field `")[2].rstrip("`")
-            key, text = f"{key}.{field}" if key else field, "not known"
-        raise SchemaError(_named(value, key), text) from None
+            key = f"{key}.{field}" if key else field
+            text = "not known"
+        raise SchemaError(_resolve_key(value, key), text) from None
 
 
-def _named(value: Any, key: str) -> str:
-    """msgspec writes [...] for the key of a table of tables; the first entry that is at fault names it."""
+def _resolve_key(value: Any, key: str) -> str:
+    """The key with the name of the table at fault, where msgspec writes ``[...]`` for any key of a mapping."""
     if "[...]" not in key:
         return key
     before, _, after = key.partition("[...]")
     for part in before.split("."):
         value = value.get(part, {}) if isinstance(value, dict) else {}
-    for name, one in value.items() if isinstance(value, dict) else ():
-        kind: Any = ClassTable if before.endswith("class") else Forms
+    entry_type: Any = ClassTable if before.endswith("class") else Formats
+    for name, entry in value.items() if isinstance(value, dict) else ():
         try:
-            msgspec.convert(one, kind)
+            msgspec.convert(entry, entry_type)
         except msgspec.ValidationError:
             return f"{before}.{name}{after}"
     return f"{before}{after}"
 
 
-def text() -> str:
+def render_json_schema() -> str:
     """The schema as JSON Schema (2020-12)."""
     return json.dumps(msgspec.json.schema(OperatorFile), indent=1)
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -12,7 +12,8 @@
 from typing import TYPE_CHECKING
 
 from thornshelf.components import create_components
-from thornshelf.configuration import CLIENTS_SHARE, OVERHEAD, RESERVED_SHARE, Config, ConfigError
+from thornshelf.configuration import Config, ConfigError
+from thornshelf.configuration.descriptors import descriptor_limits
 from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
 from thornshelf.core.dispatcher import ENDPOINT_LIST_TIMEOUT_US
 from thornshelf.discovery.endpoint_watch import EndpointWatch, decode_events
@@ -40,14 +41,6 @@
 FLUSH_TIMEOUT_US = 1_000_000  # and so long, at most, for those that their readers are slow to take
 
 
-def descriptor_limits(config: Config) -> tuple[int, int]:
-    """The descriptors that clients and nodes share, and how many of them are the clients' in any case."""
-    if config.admission is not None:
-        return config.max_descriptors, config.max_descriptors  # the door and its ledger count
-    total = config.max_descriptors - min(OVERHEAD, config.max_descriptors // RESERVED_SHARE)
-    return total, min(total - 1, config.max_descriptors // CLIENTS_SHARE + 1)
-
-
 def refuse(fault: WireError) -> None:
     """A configuration is good as a whole or not at all."""
     raise fault
@@ -97,7 +90,8 @@
         )  # read once; on a large fleet it is most of the process's memory
         connections = ConnectionPool(lambda: self.connection_budget.max_nodes)
         needed = lambda: max(len(connections), len(self.core.endpoints.nodes) + SPARE_NODES)  # noqa: E731
-        self.connection_budget = ConnectionBudget(*descriptor_limits(config), needed)
+        limits = descriptor_limits(config)
+        self.connection_budget = ConnectionBudget(limits.total, limits.client_floor, needed)
         if config.admission is None:
             self.core.node_connections = connections
         handed = self.inherited.sockets.get("listen") if self.inherited is not None else None
@@ -182,12 +176,16 @@
             self.log(5, "config-reloaded", {}, "nothing to read the configuration from")
             return
         try:
-            config, waiting = self.config.reloaded(self._reread())
+            reloaded = self.config.reloaded(self._reread())
         except ConfigError as fault:
             self.log(4, "config-reloaded", {"kept": "old", "code": fault.code}, str(fault))
             return
+        config = reloaded.config
+        waiting = reloaded.restart_keys
         self.config = config
-        self.connection_budget.total, self.connection_budget.client_floor = descriptor_limits(config)
+        limits = descriptor_limits(config)
+        self.connection_budget.total = limits.total
+        self.connection_budget.client_floor = limits.client_floor
         for part in self.components:
             part.reload(config)
         self._follow(config.endpoint_source)
