--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line and the operator's file, as an operator meets them; and the experiment in the small."""
+"""The command line and the operator's file, as an operator uses them; and the experiment in the small."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 import sys
 from pathlib import Path
 
+import click
 import pytest
 from click.testing import CliRunner
 
 from thornshelf import __version__
+from thornshelf.__main__ import COMMANDS
 from thornshelf.cli import cli
 from thornshelf.configuration import ConfigError, read_config
 from thornshelf.lab import translation
@@ -100,12 +102,85 @@
     assert said.exit_code == 2 and "translate.x: not known" in said.output
 
 
-def test_the_schema_and_the_fates_can_be_printed() -> None:
+@pytest.mark.parametrize("command", ["field-mapping", "fates"])
+def test_the_schema_and_the_field_mapping_can_be_printed(command: str) -> None:
     run = CliRunner().invoke
     schema = json.loads(run(cli, ["schema"]).output)
     assert "RetryTable" in schema["$defs"]
-    assert run(cli, ["fates", "--check"]).exit_code == 0
-    assert "| hint |" in run(cli, ["fates"]).output
+    assert run(cli, [command, "--check"]).exit_code == 0
+    assert "| hint |" in run(cli, [command]).output
+
+
+def find_command(path: str) -> click.Command:
+    """The command with this name, through the groups above it."""
+    command: click.Command = cli
+    for name in path.split():
+        assert isinstance(command, click.Group)
+        command = command.commands[name]
+    return command
+
+
+@pytest.mark.parametrize(
+    ("path", "options"),
+    [
+        ("check-config", ""),
+        ("explain", "--page"),
+        ("fates", "--check"),
+        ("lab", ""),
+        ("lab door", "--seed --door --plant --json"),
+        ("lab fleet-view", "--seed --plant --json"),
+        ("lab members-at-size", "--members --seed --json --plot"),
+        ("lab restart", "--seed --handovers --json"),
+        ("lab scale", "--seed --short --plant --json --page"),
+        ("lab shell", "--seed --plant --json"),
+        ("lab show", ""),
+        ("lab translation", "--seed --tasks --seconds --plant --calm --json --report"),
+        ("query", "--rows --seconds --fleet --here --at --json --csv"),
+        ("record", ""),
+        ("record inspect", ""),
+        ("record verify", ""),
+        ("schema", ""),
+        ("serve", ""),
+        ("shell", "--rows --seconds --fleet --here --at"),
+    ],
+)
+def test_each_command_and_option_of_version_0_3_is_accepted(path: str, options: str) -> None:
+    """Guards against scripts that a new name breaks: the old one stays as an alias for one version."""
+    command = find_command(path)
+    accepted = {name for one in command.params for name in (*one.opts, *one.secondary_opts)}
+    assert set(options.split()) <= accepted
+    done = CliRunner().invoke(cli, [*path.split(), "--help"])
+    assert done.exit_code == 0
+    assert "--plant" not in done.output and "--door" not in done.output
+
+
+@pytest.mark.parametrize(
+    ("path", "old", "new"),
+    [
+        ("lab admission", ["--plant", "no-reserve"], ["--inject-fault", "no-reserve"]),
+        ("lab admission", ["--door", "off"], ["--admission", "off"]),
+        ("lab translation", ["--plant", "silent-hint"], ["--inject-fault", "silent-hint"]),
+        ("lab scale", ["--plant", "leak"], ["--inject-fault", "leak"]),
+        ("lab shell", ["--plant", "silent-gap"], ["--inject-fault", "silent-gap"]),
+        ("lab fleet-view", ["--plant", "replay"], ["--inject-fault", "replay"]),
+    ],
+)
+def test_an_old_option_means_the_same_as_the_new_one(path: str, old: list[str], new: list[str]) -> None:
+    command = find_command(path)
+    params = command.make_context(path, list(new)).params
+    assert command.make_context(path, list(old)).params == params
+    assert old[1] in params.values()
+    assert command.make_context(path, []).params != params
+
+
+@pytest.mark.parametrize(("group", "alias"), [("", "fates"), ("lab", "door")])
+def test_help_does_not_list_an_alias(group: str, alias: str) -> None:
+    listed = CliRunner().invoke(cli, [*group.split(), "--help"]).output.split("Commands:")[1]
+    assert alias not in [line.split()[0] for line in listed.splitlines() if line.strip()]
+
+
+def test_no_command_is_taken_for_the_path_of_an_operators_file() -> None:
+    assert set(COMMANDS) == set(cli.commands)
 
 
 def test_the_main_job_can_be_seen() -> None:
