--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -151,7 +151,7 @@
     feed = Feed(
         world.loop, [http({"seq": 9, "results": [event(8, "s-00000008"), event(9, "s-00000009")]}), None]
     )
-    world.service._follow(feed.sock.getsockname())
+    world.service._watch_endpoints(feed.sock.getsockname())
     world.run_until(lambda: {8, 9} <= world.service.core.endpoints.entries.keys())
     assert [line[1] for line in world.logged].count("coroutine-failed") == 2
     feed.sock.close()
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -211,7 +211,7 @@
     world.run_until(lambda: len(old.asked) == 2)
     world.service.reload()  # a faulty file leaves the old one in force
     world.run_for(10)
-    assert world.logged[-1][:3] == (4, "config-reloaded", {"kept": "old", "code": "TS1001"}) and not new.asked
+    assert world.logged[-1][:3] == (4, "config-reload-failed", {"kept": "old", "code": "TS1001"}) and not new.asked
     begun = world.loop.now
     world.service.reload()
     assert world.logged[-1][:3] == (5, "config-reloaded", {"restart": "seed"})
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.test_bad_clients import read_all, stranger
-from thornshelf import service
-from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, HOST, JSON, NodeBehavior, FakeCluster
+from thornshelf import graceful_shutdown
+from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, HOST, JSON, FakeCluster, NodeBehavior
 from thornshelf.wire import jsonl
 
 PLACED = ("placed", DESCRIPTION)
@@ -21,7 +21,7 @@
     monkeypatch: pytest.MonkeyPatch, front: str = JSON, node: str = BINARY, **more: Any
 ) -> FakeCluster:
     """A dispatcher that is told to end, at ``world.due`` for its own part; ``world.stopped`` once it stops."""
-    monkeypatch.setattr(service, "SHUTDOWN_DELAY_US", 100_000)
+    monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_DELAY_US", 100_000)
     world = FakeCluster(front, node, **more)
     world.run_until(lambda: all(one.streams for one in world.nodes))
     return world
@@ -192,7 +192,7 @@
 def test_a_second_stop_or_a_client_that_never_reads_does_not_hold_it_up(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(service, "FLUSH_TIMEOUT_US", 50_000)
+    monkeypatch.setattr(graceful_shutdown, "FLUSH_TIMEOUT_US", 50_000)
     world = ending(monkeypatch)
     sock = stranger(world, JSON, HOST)
     sock.sendall(line(100, NodeBehavior.RUN)[:30])  # and no more
--- a/thornshelf/components/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -1,11 +1,13 @@
-"""What a dispatcher may have beside its first front: each part a file with the same few verbs, loaded if it is set.
+"""The optional components of a dispatcher, beside its core and its first frontend.
 
-A new part adds its file and a line in ``KNOWN``; ``service`` knows none of them by name.
+Each is a module with a function ``make`` and a subclass of ``Component``, and is loaded only where the configuration
+asks for it. A new component adds its module and a line in ``_COMPONENTS``; ``service`` names none of them.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
 from importlib import import_module
 from typing import TYPE_CHECKING, Protocol
 
@@ -26,64 +28,78 @@
 
 
 class Host(Protocol):
-    """The service, as parts see it."""
+    """The service, as its components see it."""
 
     config: Config
-    settings: api.Settings  # as the core is going to have them
+    settings: api.Settings  # as the core gets them; a component may change them while it prepares
     loop: Loop
-    inherited: InheritedSockets | None
+    inherited: InheritedSockets | None  # from a predecessor
     admission_filter: AdmissionFilter | None
     translator: Translator | None
     core: Dispatcher
     connection_budget: ConnectionBudget
     frontends: list[JsonLinesFrontend | GrpcFrontend]
     endpoint_watch: EndpointWatch | None
-    node_factories: list[
-        Callable[[int, NodeEndpoint, Dispatcher], NodeConnection | None]
-    ]  # the first that gives a node has it
-    endpoint_listeners: list[Callable[[EndpointListUpdate], None]]
-    endpoint_filter: (
-        Callable[[EndpointListUpdate], EndpointListUpdate] | None
-    )  # what the core hears of the list, where that is not all
-    catalog: Catalog | None  # the tables that a control socket shows: parts add theirs as they start
+    # Called in order for each new node; the first connection that is returned is used.
+    node_factories: list[Callable[[int, NodeEndpoint, Dispatcher], NodeConnection | None]]
+    endpoint_listeners: list[Callable[[EndpointListUpdate], None]]  # after the core has taken an update
+    endpoint_filter: Callable[[EndpointListUpdate], EndpointListUpdate] | None  # before the core takes it
+    catalog: Catalog | None  # the tables of the control socket; components add theirs as they start
 
     @property
     def log(self) -> LogFunction:
-        """One line."""
+        """Writes one line of the log."""
 
     def unix_ms(self, us: int) -> int:
         """A time of the loop's clock as Unix milliseconds."""
 
+    def named_frontends(self) -> Mapping[str, JsonLinesFrontend | GrpcFrontend]:
+        """The frontends, by the names under which a successor gets their sockets."""
+
 
 class Component:
-    """Does nothing by itself."""
+    """An optional component. It is told of each step of the dispatcher's life; by itself it does nothing."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
 
     def prepare(self) -> None:
-        """Before there is a core: what it is made of."""
+        """Called before the core is made, for what it is made of."""
 
     def start(self) -> None:
-        """The core and the first front stand; nothing is served yet."""
+        """Called when the core and the first frontend are made, and before anything is served."""
 
     def reload(self, config: Config) -> None:
-        """The configuration was read again; ``config`` is what is in force now."""
+        """Called after a reload with the configuration that is in force now."""
 
     def stop(self) -> None:
-        """The loop has stopped."""
+        """Called when the loop has stopped."""
+
+
+@dataclass(frozen=True, slots=True)
+class _ComponentModule:
+    """Whether a configuration asks for a component, and the module that makes it."""
+
+    is_enabled: Callable[[Config], bool]
+    module: str
 
 
-KNOWN: tuple[tuple[Callable[[Config], bool], str], ...] = (
-    (lambda config: config.admission is not None, "thornshelf.components.admission"),
-    (lambda config: config.translation is not None, "thornshelf.components.translation"),
-    (lambda config: config.grpc.listen is not None or config.grpc.has_nodes, "thornshelf.components.grpc"),
-    (lambda config: config.subset is not None, "thornshelf.components.subsetting"),
-    (lambda config: config.fleet is not None, "thornshelf.components.fleet"),
-    (lambda config: config.control is not None, "thornshelf.components.control"),
+_COMPONENTS = (  # in the order in which they are prepared and started
+    _ComponentModule(lambda config: config.admission is not None, "thornshelf.components.admission"),
+    _ComponentModule(lambda config: config.translation is not None, "thornshelf.components.translation"),
+    _ComponentModule(
+        lambda config: config.grpc.listen is not None or config.grpc.has_nodes, "thornshelf.components.grpc"
+    ),
+    _ComponentModule(lambda config: config.subset is not None, "thornshelf.components.subsetting"),
+    _ComponentModule(lambda config: config.fleet is not None, "thornshelf.components.fleet"),
+    _ComponentModule(lambda config: config.control is not None, "thornshelf.components.control"),
 )
 
 
 def create_components(host: Host) -> list[Component]:
-    """The parts that the configuration asks for; the others are not loaded."""
-    return [import_module(module).make(host) for asks, module in KNOWN if asks(host.config)]
+    """The components that the configuration asks for; the modules of the others are not loaded."""
+    return [
+        import_module(component.module).make(host)
+        for component in _COMPONENTS
+        if component.is_enabled(host.config)
+    ]
--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -57,7 +57,7 @@
             os.kill(pids[-1], signal.SIGUSR2)
             at += EVERY_S
             turn(at)
-            found = re.findall(r'succession \[\S+ pid="(\d+)"\] a successor', dispatcher.log_path.read_text())
+            found = re.findall(r'successor-started \[\S+ pid="(\d+)"\] a successor', dispatcher.log_path.read_text())
             if len(found) < len(pids):
                 failed += 1
             elif _descriptors(int(found[-1])):
@@ -77,7 +77,7 @@
         if not (one.get("placed") or one["done"])
     ]
     county.finish()
-    handed = [int(one) for one in re.findall(r'standing="(\d+)"\] taken over', log)]
+    handed = [int(one) for one in re.findall(r'tasks="(\d+)"\] taken over', log)]
     loop.close()
     return {
         "seed": seed,
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -1,4 +1,4 @@
-"""A whole dispatcher: loop, core, fronts, nodes, change log and log. Embed it, or see ``__main__``."""
+"""A whole dispatcher: loop, core, frontends, nodes, endpoint watch and log. Embed it, or see ``__main__``."""
 
 from __future__ import annotations
 
@@ -13,41 +13,56 @@
 
 from thornshelf.components import create_components
 from thornshelf.configuration import Config, ConfigError
+from thornshelf.configuration.addresses import Address
 from thornshelf.configuration.descriptors import descriptor_limits
 from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
 from thornshelf.core.dispatcher import ENDPOINT_LIST_TIMEOUT_US
 from thornshelf.discovery.endpoint_watch import EndpointWatch, decode_events
-from thornshelf.errors import InternalError, StartupError
+from thornshelf.errors import InternalError
 from thornshelf.frontends.json_lines import JsonLinesFrontend
 from thornshelf.frontends.listener import ConnectionBudget
+from thornshelf.graceful_shutdown import drain
 from thornshelf.loop import Loop, Wait
-from thornshelf.loop.loop import IN
 from thornshelf.nodes.binary import BinaryNodeConnection
 from thornshelf.nodes.connection_pool import ConnectionPool
+from thornshelf.signals import watch_signals
 from thornshelf.syslog import Syslog
 from thornshelf.wire.errors import WireError
 
 if TYPE_CHECKING:
+    from thornshelf.admission.fair_queue import FairQueue
     from thornshelf.control.tables import Catalog
+    from thornshelf.core.task import TaskRecord
     from thornshelf.frontends.admission_filter import AdmissionFilter
     from thornshelf.frontends.grpc import GrpcFrontend
+    from thornshelf.retries.jitter import RetryAfterJitter
     from thornshelf.socket_handover import InheritedSockets
     from thornshelf.translation.translator import Translator
 
-SHUTDOWN_DELAY_US = 750_000  # after SIGTERM new requests keep coming for so long
-HAND_OVER_US = 2_000_000  # clients with open set-ups are waited for so long beyond the longest deadline
-SPARE_NODES = 16  # connections to nodes that are about to join
-LINGER_US = 50_000  # for last lines to leave
-FLUSH_TIMEOUT_US = 1_000_000  # and so long, at most, for those that their readers are slow to take
+SPARE_NODES = 16  # descriptors for connections to nodes that are about to join
+_FRONTEND_NAMES = ("listen", "grpc")  # of the listening sockets, as a successor gets them
 
 
-def refuse(fault: WireError) -> None:
-    """A configuration is good as a whole or not at all."""
+def _raise_invalid(fault: WireError) -> None:
+    """Reject all of the initial endpoints where one of them is malformed."""
     raise fault
 
 
+def _inherit_sockets() -> InheritedSockets | None:
+    """The sockets of a predecessor, where there is one; the module is loaded only then."""
+    if "LISTEN_FDS" not in os.environ:
+        return None
+    from thornshelf.socket_handover import inherit_sockets
+
+    return inherit_sockets(os.environ)
+
+
 class Service:
-    """One dispatcher."""
+    """One dispatcher, from its configuration to its end.
+
+    ``loop`` and ``log`` replace those that it would make for itself. ``reread`` reads the configuration again for a
+    reload; without it a reload changes nothing. Raises ``ConfigError`` where the configuration can't be used.
+    """
 
     def __init__(
         self,
@@ -56,343 +71,285 @@
         log: LogFunction | None = None,
         reread: Callable[[], Config] | None = None,
     ) -> None:
-        self.config, self._reread = config, reread
-        self.settings = config.settings  # as the core has them: a part may have them for fewer dispatchers
+        self.config = config
+        self.settings = (
+            config.settings
+        )  # as the core gets them; a component may change them before it is made
         self.loop = loop or Loop()
-        # The one edge between Unix time and the loop's clock.
+        # The one place where Unix time and the loop's clock meet.
         self._unix_offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
-        self.log = log or Syslog(
-            self.loop, config.name, "thornshelf", self._unix_offset_us, config.syslog_collector
-        )
-        self.loop.on_fault = self._fault
-        self.inherited = self._inherit()
+        self.log = log or self._make_log()
+        self.loop.on_fault = self._log_fault
+        self.inherited = _inherit_sockets()
         self.admission_filter: AdmissionFilter | None = None
         self.translator: Translator | None = None
         self.node_factories: list[Callable[[int, NodeEndpoint, Dispatcher], NodeConnection | None]] = []
         self.endpoint_listeners: list[Callable[[EndpointListUpdate], None]] = []
-        self.endpoint_filter: Callable[[EndpointListUpdate], EndpointListUpdate] | None = (
-            None  # to the nodes that this dispatcher holds
-        )
+        self.endpoint_filter: Callable[[EndpointListUpdate], EndpointListUpdate] | None = None
         self.catalog: Catalog | None = None
+        self.endpoint_watch: EndpointWatch | None = None
+        self._reread = reread
+        self._shutting_down = False
+        self._handing_over = False
         self.components = create_components(self)
-        for part in self.components:
-            part.prepare()
+        for component in self.components:
+            component.prepare()
         self.core = self._make_core(config)
+        self._last_sequence = self._load_initial_endpoints()
+        self.connection_budget = self._make_connection_budget()
+        self.json_frontend = self._make_json_frontend()
+        self.frontends: list[JsonLinesFrontend | GrpcFrontend] = [self.json_frontend]
+        self._watch_endpoints(config.endpoint_source)
+        self._guard_stale_endpoints()
+        for component in self.components:
+            component.start()
+
+    def _make_log(self) -> Syslog:
+        config = self.config
+        return Syslog(self.loop, config.name, "thornshelf", self._unix_offset_us, config.syslog_collector)
+
+    def _make_core(self, config: Config) -> Dispatcher:
+        queue, jitter = self._make_fair_queue(config)
+        core = Dispatcher(
+            self.loop,
+            self.settings,
+            config.seed,
+            self._make_node_connection,
+            self.log,
+            self.translator,
+            queue,
+            jitter,
+            self._unix_offset_us,
+        )
+        core.descriptor_ledger = (
+            self.admission_filter.descriptor_ledger if self.admission_filter is not None else None
+        )
+        return core
+
+    def _make_fair_queue(
+        self, config: Config
+    ) -> tuple[FairQueue[TaskRecord] | None, RetryAfterJitter | None]:
+        if config.fair_queue is None or config.retry_after_jitter is None:
+            return None, None
+        from thornshelf.admission.fair_queue import FairQueue
+        from thornshelf.core.task import TaskRecord
+        from thornshelf.retries.jitter import RetryAfterJitter
+
+        return FairQueue[TaskRecord](config.fair_queue), RetryAfterJitter(config.retry_after_jitter)
+
+    def _make_node_connection(self, machine: int, endpoint: NodeEndpoint, core: Dispatcher) -> NodeConnection:
+        for make in self.node_factories:
+            if (connection := make(machine, endpoint, core)) is not None:
+                return connection
+        return BinaryNodeConnection(self.loop, machine, endpoint, core)
+
+    def _load_initial_endpoints(self) -> int:
+        """Hand the configured endpoints to the core; the number of the last event among them.
+
+        The configuration drops them afterwards: for a large fleet they would be most of the memory of the process.
+        """
         try:
-            since, changes = decode_events(config.initial_endpoints, 0, self.monotonic_us, refuse)
+            last_sequence, updates = decode_events(
+                self.config.initial_endpoints, 0, self.monotonic_us, _raise_invalid
+            )
         except WireError as fault:
             raise ConfigError(f"known: {fault}") from None
-        for change in changes:
-            self._narrowed(change)
-        self._since = since
-        self.config = replace(
-            config, initial_endpoints={}
-        )  # read once; on a large fleet it is most of the process's memory
-        connections = ConnectionPool(lambda: self.connection_budget.max_nodes)
-        needed = lambda: max(len(connections), len(self.core.endpoints.nodes) + SPARE_NODES)  # noqa: E731
-        limits = descriptor_limits(config)
-        self.connection_budget = ConnectionBudget(limits.total, limits.client_floor, needed)
-        if config.admission is None:
-            self.core.node_connections = connections
-        handed = self.inherited.sockets.get("listen") if self.inherited is not None else None
+        for update in updates:
+            self._update_core(update)
+        self.config = replace(self.config, initial_endpoints={})
+        return last_sequence
+
+    def _make_connection_budget(self) -> ConnectionBudget:
+        """Divide the descriptors between clients and nodes.
+
+        Without admission control, nodes share the descriptors that are theirs by a pool of connections.
+        """
+        pool = ConnectionPool(lambda: self.connection_budget.max_nodes)
+        if self.config.admission is None:
+            self.core.node_connections = pool
+
+        def nodes_needed() -> int:
+            return max(len(pool), len(self.core.endpoints.nodes) + SPARE_NODES)
+
+        limits = descriptor_limits(self.config)
+        return ConnectionBudget(limits.total, limits.client_floor, nodes_needed)
+
+    def _make_json_frontend(self) -> JsonLinesFrontend:
+        address = self.config.listen
+        sock = self.inherited.sockets.get("listen") if self.inherited is not None else None
         try:
-            self.json_frontend = JsonLinesFrontend(
-                self.loop, self.core, config.listen, self.connection_budget, self.admission_filter, handed
+            return JsonLinesFrontend(
+                self.loop, self.core, address, self.connection_budget, self.admission_filter, sock
             )
         except OSError as fault:
-            raise ConfigError(f"listen: {fault.strerror}: {config.listen[0]}:{config.listen[1]}") from None
-        self.frontends: list[JsonLinesFrontend | GrpcFrontend] = [self.json_frontend]
-        self.endpoint_watch: EndpointWatch | None = None
-        self._follow(config.endpoint_source)
-        if self.endpoint_watch is not None:
-            # Guards against offers to nodes whose drain was told while this process was starting.
-            self.core.is_endpoint_list_stale = (
-                lambda: self.endpoint_watch is not None and not self.endpoint_watch.has_synced
-            )
-            self.loop.after(ENDPOINT_LIST_TIMEOUT_US, lambda: None)  # a turn, should none come by itself
-        self._ending = self._succeeding = False
-        for part in self.components:
-            part.start()
+            raise ConfigError(f"listen: {fault.strerror}: {address[0]}:{address[1]}") from None
 
     def unix_ms(self, us: int) -> int:
         """A time of the loop's clock as Unix milliseconds."""
         return (us + self._unix_offset_us) // 1000
 
-    def _narrowed(self, change: EndpointListUpdate) -> EndpointListUpdate:
-        """The core hears of the nodes that this dispatcher holds; and so do its parts."""
-        told = change if self.endpoint_filter is None else self.endpoint_filter(change)
-        self.core.update_endpoints(told)
-        return told
+    def monotonic_us(self, unix_us: int) -> int:
+        """Unix time in microseconds on the loop's clock."""
+        return unix_us - self._unix_offset_us
+
+    def named_frontends(self) -> dict[str, JsonLinesFrontend | GrpcFrontend]:
+        """The frontends, by the names under which a successor gets their sockets."""
+        return dict(zip(_FRONTEND_NAMES, self.frontends, strict=False))
+
+    def _update_core(self, update: EndpointListUpdate) -> EndpointListUpdate:
+        """Pass an update of the endpoint list to the core, filtered to the nodes of this dispatcher."""
+        filtered = update if self.endpoint_filter is None else self.endpoint_filter(update)
+        self.core.update_endpoints(filtered)
+        return filtered
 
-    def _listed(self, change: EndpointListUpdate) -> None:
-        """The change log's word; a part's fault in hearing it must not keep back the rest of an answer."""
-        change = self._narrowed(change)
-        for call in self.endpoint_listeners:
+    def _endpoints_updated(self, update: EndpointListUpdate) -> None:
+        """An update of the endpoint watch. A fault of one listener must not keep it from the others."""
+        filtered = self._update_core(update)
+        for listener in self.endpoint_listeners:
             try:
-                call(change)
+                listener(filtered)
             except Exception as fault:
-                self._fault(fault)
+                self._log_fault(fault)
 
-    def monotonic_us(self, unix_us: int) -> int:
-        """Unix time on the loop's clock."""
-        return unix_us - self._unix_offset_us
+    def _watch_endpoints(self, address: Address | None) -> None:
+        """Watch the endpoint list at an address, from the last event that is known; None ends the watch."""
+        watch = self.endpoint_watch
+        if address is None:
+            if watch is not None:
+                self._last_sequence = watch.last_sequence
+                self.endpoint_watch = None
+                watch.stop()
+        elif watch is None:
+            self.endpoint_watch = EndpointWatch(
+                self.loop,
+                address,
+                self._last_sequence,
+                self.monotonic_us,
+                self._endpoints_updated,
+                self.log,
+            )
+        elif watch.address != address:
+            watch.reconnect_to(address)
 
-    def close(self) -> None:
-        """Drop everything at once."""
-        for front in self.frontends:
-            front.listener.close()
-        if self.admission_filter is not None:
-            self.admission_filter.close()
-        self.loop.close()
+    def _guard_stale_endpoints(self) -> None:
+        """Hold back attempts until the endpoint watch has caught up with what happened during the start.
+
+        Without this, attempts could go to nodes whose drain was announced while this process was starting.
+        """
+        if self.endpoint_watch is None:
+            return
+        self.core.is_endpoint_list_stale = (
+            lambda: self.endpoint_watch is not None and not self.endpoint_watch.has_synced
+        )
+        self.loop.after(ENDPOINT_LIST_TIMEOUT_US, lambda: None)  # a turn, where nothing else causes one
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then finish what is open."""
+        """Serve until SIGTERM or SIGINT, then complete what is open."""
         self._watch_signals()
         self.log(6, "dispatcher-started", {"name": self.config.name} | self._addresses(), "ready")
         gc.collect()
         gc.freeze()
-        if self.inherited is not None and self.inherited.channel is not None:
-            from thornshelf.socket_handover import READY_MESSAGE
-
-            self.inherited.channel.send(READY_MESSAGE)
-            self.loop.spawn(self._take_over(self.inherited))
+        self._take_over()
         self.loop.run()
         self.log(6, "dispatcher-stopped", dict(self.core.counters), "ended")
-        for part in self.components:
-            part.stop()
+        for component in self.components:
+            component.stop()
         if isinstance(self.log, Syslog):
             self.log.flush()
 
+    def _watch_signals(self) -> None:
+        handlers: dict[signal.Signals, Callable[[], None]] = {
+            signal.SIGTERM: self.shut_down,
+            signal.SIGINT: self.shut_down,
+            signal.SIGHUP: self.reload,  # without a handler it would end the process
+        }
+        if self.admission_filter is not None:
+            handlers[signal.SIGUSR2] = self.hand_over
+        watch_signals(self.loop, handlers)
+
     def _addresses(self) -> dict[str, object]:
-        """Where the fronts listen."""
+        """Where the frontends listen, as parameters of a log line."""
         return {
-            name: "{}:{}".format(*front.listener.address)
-            for name, front in zip(("listen", "grpc"), self.frontends, strict=False)
+            name: "{}:{}".format(*frontend.listener.address)
+            for name, frontend in self.named_frontends().items()
         }
 
+    def close(self) -> None:
+        """Drop everything at once."""
+        for frontend in self.frontends:
+            frontend.listener.close()
+        if self.admission_filter is not None:
+            self.admission_filter.close()
+        self.loop.close()
+
     def reload(self) -> None:
-        """Read the configuration again; a faulty one leaves the old in force."""
+        """Read the configuration again; a faulty one leaves the old one in force."""
         if self._reread is None:
-            self.log(5, "config-reloaded", {}, "nothing to read the configuration from")
+            self.log(5, "config-reload-failed", {}, "nothing to read the configuration from")
             return
         try:
             reloaded = self.config.reloaded(self._reread())
         except ConfigError as fault:
-            self.log(4, "config-reloaded", {"kept": "old", "code": fault.code}, str(fault))
+            self.log(4, "config-reload-failed", {"kept": "old", "code": fault.code}, str(fault))
             return
-        config = reloaded.config
-        waiting = reloaded.restart_keys
-        self.config = config
-        limits = descriptor_limits(config)
+        self.config = reloaded.config
+        limits = descriptor_limits(self.config)
         self.connection_budget.total = limits.total
         self.connection_budget.client_floor = limits.client_floor
-        for part in self.components:
-            part.reload(config)
-        self._follow(config.endpoint_source)
-        values: dict[str, object] = {"restart": ",".join(waiting)} if waiting else {}
-        said = "; what changed under 'restart' waits for one" if waiting else ""
-        self.log(5, "config-reloaded", values, f"configuration read again{said}")
-
-    def _follow(self, address: tuple[str, int] | None) -> None:
-        """Follow the change log at an address, from the last event that is known."""
-        follower = self.endpoint_watch
-        if address is None:
-            if follower is not None:
-                self._since, self.endpoint_watch = follower.last_sequence, None
-                follower.stop()
-        elif follower is None:
-            self.endpoint_watch = EndpointWatch(
-                self.loop, address, self._since, self.monotonic_us, self._listed, self.log
-            )
-        elif follower.address != address:
-            follower.reconnect_to(address)
+        for component in self.components:
+            component.reload(self.config)
+        self._watch_endpoints(self.config.endpoint_source)
+        self._log_reload(reloaded.restart_keys)
+
+    def _log_reload(self, restart_keys: list[str]) -> None:
+        values: dict[str, object] = {}
+        text = "configuration read again"
+        if restart_keys:
+            values["restart"] = ",".join(restart_keys)
+            text += "; what changed under 'restart' waits for one"
+        self.log(5, "config-reloaded", values, text)
 
     def hand_over(self) -> None:
         """Start a successor on the same listening sockets, and end once it is ready."""
-        if self._ending or self._succeeding:
+        if self._shutting_down or self._handing_over:
             return
-        self._succeeding = True
-        self.loop.spawn(self._succeed())
+        self._handing_over = True
+        self.loop.spawn(self._hand_over())
 
-    def _succeed(self) -> Generator[Wait, int, None]:
-        from thornshelf import socket_handover
-        from thornshelf.core.state_transfer import export_state
+    def _hand_over(self) -> Generator[Wait, int, None]:
+        from thornshelf import graceful_restart
 
-        sockets = {
-            name: front.listener.sock for name, front in zip(("listen", "grpc"), self.frontends, strict=False)
-        }
-        held = self.admission_filter.descriptor_ledger.open_count if self.admission_filter is not None else 0
-        try:
-            child, channel = socket_handover.spawn_successor(
-                socket_handover.own_command_line(), sockets, held
-            )
-        except OSError as fault:
-            why = f"no successor could be started: {fault.strerror}"
-            self.log(3, "succession", {"kept": "old", "code": StartupError.code}, why)
-            self._succeeding = False
+        successor = yield from graceful_restart.start_successor(self)
+        if successor is None:
+            self._handing_over = False
             return
-        self.log(5, "succession", {"pid": child}, "a successor was started")
-        why = yield from socket_handover.await_ready(self.loop, channel)
-        if why:
-            # A successor that fails leaves this one serving, as if nothing had been asked for.
-            self.log(3, "succession", {"pid": child, "kept": "old", "code": StartupError.code}, why)
-            self.loop.unregister(channel.fileno())
-            channel.close()
-            for signal_number in (0, signal.SIGTERM, signal.SIGKILL):
-                os.kill(child, signal_number)  # it is ours, and not waited for yet: the number is its own
-                until = self.loop.now + 100_000
-                while self.loop.now < until:
-                    yield Wait(until=until)
-                if os.waitpid(child, os.WNOHANG)[0]:
-                    break
-            self._succeeding = False
-            return
-        self._ending = True
-        for front in self.frontends:
-            front.listener.close()
-        # Connections are closed as they come to rest; a set-up that crosses a close is sent again by its client.
-        longest_s = max((one.deadline_s for one in self.config.settings.classes), default=0.0)
-        until = self.loop.now + int(longest_s * 1e6) + HAND_OVER_US
-        while self.loop.now < until and (
-            self.core.open_count or self.core.inbox or self.connection_budget.client_count
-        ):
-            for front in self.frontends:
-                front.shutting_down = True
-                front.close_idle()
-            yield Wait(until=self.loop.now + 5_000)
-        # What the last connections left behind (releases that were not heard) is still on its way to the core.
-        until = self.loop.now + LINGER_US
-        while self.loop.now < until or self.core.inbox:
-            yield Wait(until=self.loop.now + 2_000)
-        standing = export_state(self.core)
-        sent = yield from socket_handover.send_state(self.loop, channel, standing)
-        self.log(5, "succession", {"standing": len(standing), "sent": sent}, "handed over")
-        yield Wait(until=self.loop.now + LINGER_US)
+        self._shutting_down = True
+        yield from graceful_restart.hand_over(self, successor)
         self.loop.stop()
 
-    def _take_over(self, handed: InheritedSockets) -> Generator[Wait, int, None]:
-        """What stands at a predecessor, as it ends."""
-        from thornshelf import socket_handover
-        from thornshelf.core.state_transfer import import_record, reconnect_nodes
-
-        channel = handed.channel
-        if channel is None:
-            return
-        standing = yield from socket_handover.receive_state(channel)
-        self.loop.unregister(channel.fileno())  # else the next connection with its number is never heard
-        channel.close()
-        if self.admission_filter is not None:
-            self.admission_filter.predecessor_ended(self.config.admission, self.config.max_descriptors)
-        if standing is None:
-            self.log(4, "succession", {}, "the predecessor ended without handing over what stands")
+    def _take_over(self) -> None:
+        """Tell a predecessor, where there is one, that this process is ready, and take its tasks over."""
+        inherited = self.inherited
+        if inherited is None or inherited.channel is None:
             return
-        taken = sum(import_record(self.core, one) for one in standing)
-        reconnect_nodes(self.core)
-        self.log(5, "succession", {"standing": taken}, "taken over from the predecessor")
+        from thornshelf.graceful_restart import take_over
+        from thornshelf.socket_handover import READY_MESSAGE
+
+        inherited.channel.send(READY_MESSAGE)
+        self.loop.spawn(take_over(self, inherited))
 
     def shut_down(self) -> None:
-        """A planned stop: serve on while requests still come, then finish the open ones."""
-        if not self._ending:
-            self._ending = True
+        """A planned stop: serve on while requests still come, then complete the open ones."""
+        if not self._shutting_down:
+            self._shutting_down = True
             self.log(5, "shutdown-started", {"open": self.core.open_count}, "told to end")
-            self.loop.spawn(self._end())
-
-    def _end(self) -> Generator[Wait, int, None]:
-        until = self.loop.now + SHUTDOWN_DELAY_US
-        while self.loop.now < until:
-            yield Wait(until=until)
-        # By state, not by time: accepted what waits, read what came, closed only what is at rest, and no word unsent.
-        until = self.loop.now + FLUSH_TIMEOUT_US
-        while not self._settled() and self.loop.now < until:
-            if self.core.open_count or self.core.inbox:
-                until = self.loop.now + FLUSH_TIMEOUT_US
-            yield Wait(until=self.loop.now + 5_000)
-        self.loop.stop()
-
-    def _settled(self) -> bool:
-        """Nothing is owed any more, to clients or nodes, and no connection of a client is left."""
-        settled = True
-        for front in self.frontends:
-            front.shutting_down = True
-            settled = front.listener.drain_backlog() and settled
-            front.close_idle()
-        settled = settled and not (
-            self.connection_budget.client_count or self.core.open_count or self.core.inbox
-        )
-        return settled and not any(node.has_pending_data for node in self.core.endpoints.nodes.values())
-
-    def _watch_signals(self) -> None:
-        ours, theirs = os.pipe2(
-            os.O_NONBLOCK | os.O_CLOEXEC
-        )  # a socket pair is AF_UNIX: not to be had everywhere
-        signal.set_wakeup_fd(theirs)
-        self._signal_pipe = ours, theirs
-        # SIGHUP too: left alone, it would end the process.
-        for number in (
-            signal.SIGTERM,
-            signal.SIGINT,
-            signal.SIGHUP,
-            *([signal.SIGUSR2] if self.admission_filter else []),
-        ):
-            signal.signal(number, lambda *_: None)
-        self.loop.spawn(self._signals(ours))
-
-    def _signals(self, pipe: int) -> Generator[Wait, int, None]:
-        while True:
-            yield Wait(pipe, IN)
-            try:
-                numbers = os.read(pipe, 64)
-            except BlockingIOError:
-                continue
-            if signal.SIGTERM in numbers or signal.SIGINT in numbers:
-                self.shut_down()
-            if signal.SIGHUP in numbers:
-                self.reload()
-            if signal.SIGUSR2 in numbers:
-                self.hand_over()
-
-    def _inherit(self) -> InheritedSockets | None:
-        """What a predecessor hands over, where one does; the module is not loaded else."""
-        if "LISTEN_FDS" not in os.environ:
-            return None
-        from thornshelf.socket_handover import inherit_sockets
-
-        return inherit_sockets(os.environ)
-
-    def _make_core(self, config: Config) -> Dispatcher:
-        queue = spread = None
-        if config.fair_queue is not None and config.retry_after_jitter is not None:
-            from thornshelf.admission.fair_queue import FairQueue
-            from thornshelf.core.task import TaskRecord
-            from thornshelf.retries.jitter import RetryAfterJitter
-
-            queue, spread = (
-                FairQueue[TaskRecord](config.fair_queue),
-                RetryAfterJitter(config.retry_after_jitter),
-            )
-        core = Dispatcher(
-            self.loop,
-            self.settings,
-            config.seed,
-            self._make_node,
-            self.log,
-            self.translator,
-            queue,
-            spread,
-            self._unix_offset_us,
-        )
-        core.descriptor_ledger = (
-            self.admission_filter.descriptor_ledger if self.admission_filter is not None else None
-        )
-        return core
+            self.loop.spawn(self._shut_down())
 
-    def _make_node(self, machine: int, entry: NodeEndpoint, core: Dispatcher) -> NodeConnection:
-        for make in self.node_factories:
-            if (node := make(machine, entry, core)) is not None:
-                return node
-        return BinaryNodeConnection(self.loop, machine, entry, core)
+    def _shut_down(self) -> Generator[Wait, int, None]:
+        yield from drain(self)
+        self.loop.stop()
 
-    def _fault(self, fault: BaseException) -> None:
-        """One coroutine's fault costs its connection, not the process."""
+    def _log_fault(self, fault: BaseException) -> None:
+        """An exception of one coroutine costs its connection, not the process."""
         text = "".join(traceback.format_exception(fault)).strip().replace(os.linesep, " | ")
         self.log(3, "coroutine-failed", {"code": InternalError.code, "type": type(fault).__name__}, text)
