--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -18,7 +18,7 @@
 from hypothesis import strategies as st
 
 from thornshelf import errors
-from thornshelf.components.control import make_socket
+from thornshelf.components.control_socket import open_control_socket
 from thornshelf.control import framing
 from thornshelf.control.core_tables import flatten_settings
 from thornshelf.control.history import ErrorCounters, History
@@ -372,14 +372,14 @@
     place = folder / "control.sock"
     before = os.umask(0)
     try:
-        sock = make_socket(place)
+        sock = open_control_socket(place)
     finally:
         os.umask(before)
     assert os.stat(place).st_mode & 0o777 == 0o600
     with pytest.raises(errors.SocketInUseError):
-        make_socket(place)
+        open_control_socket(place)
     sock.close()
-    make_socket(place).close()  # what a process that died left behind makes way
+    open_control_socket(place).close()  # what a process that died left behind makes way
 
 
 @pytest.mark.parametrize("what", ["folder", "file", "nothing"])
@@ -392,7 +392,7 @@
     if what == "file":
         (folder / "s").write_text("precious")
     with pytest.raises(errors.ControlSocketError) as found:
-        make_socket(folder / "s")
+        open_control_socket(folder / "s")
     assert "control.socket" in str(found.value) and "mkdir -m 700" in found.value.remedy
     assert what != "file" or (folder / "s").read_text() == "precious"
 
@@ -576,10 +576,11 @@
 
 def test_a_peer_is_told_who_it_is_by_the_system(tmp_path: Path) -> None:
     """What the dispatcher reads of a shell's user comes from the kernel, in this shape."""
-    from thornshelf.components.control import PEER
+    from thornshelf.components.control_socket import PEER_CREDENTIALS
 
     left, right = socket.socketpair(socket.AF_UNIX)
-    process, user, _ = PEER.unpack(left.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER.size))
+    credentials = left.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
+    process, user, _ = PEER_CREDENTIALS.unpack(credentials)
     assert (process, user) == (os.getpid(), os.geteuid())
     left.close()
     right.close()
--- a/thornshelf/components/subsetting.py
+++ b/thornshelf/components/subsetting.py
@@ -1,6 +1,7 @@
-"""The part of the list of nodes that this dispatcher holds, between the change log and the core.
+"""Subsetting: the core gets a part of the endpoint list, the nodes of this dispatcher's zone and some spares.
 
-All decisions are in ``thornshelf.subsetting``; see docs/subsetting.md. This opens no socket of its own.
+All decisions are in ``thornshelf.subsetting``; see docs/subsetting.md. It stands between the endpoint watch and the
+core, and opens no socket of its own.
 """
 
 from __future__ import annotations
@@ -15,27 +16,34 @@
 from thornshelf.subsetting.subset import log_fields
 
 
-def with_health(entry: NodeEndpoint, health: Health) -> NodeEndpoint:
-    """The entry in another state."""
-    return replace(entry, health=health)
+def with_health(endpoint: NodeEndpoint, health: Health) -> NodeEndpoint:
+    """The endpoint with another health."""
+    return replace(endpoint, health=health)
 
 
 def zone_settings(settings: Settings, subset: ZoneSubsetConfig) -> Settings:
-    """The settings as the dispatchers of one zone share them: each tenant's quota stays divided by all of them."""
-    share = subset.dispatchers / max(1, settings.placers)
-    tenants = tuple(replace(one, quota_cores=one.quota_cores * share) for one in settings.tenants)
+    """The settings for the dispatchers of one zone alone.
+
+    The placer divides quotas by the dispatchers that it knows of, so that those of a tenant are scaled to the zone:
+    a dispatcher's part of them stays what it would be among all dispatchers.
+    """
+    zone_fraction = subset.dispatchers / max(1, settings.placers)
+    tenants = tuple(
+        replace(tenant, quota_cores=tenant.quota_cores * zone_fraction) for tenant in settings.tenants
+    )
     zone = subset.selection.zone
     return replace(settings, placers=subset.dispatchers, zone=zone, tenants=tenants)
 
 
 class SubsettingComponent(Component):
-    """Passes on what concerns the nodes that are held, and takes in spare ones as they are wanted."""
+    """Passes updates of the subset's nodes to the core, and adds spares of other zones while they are needed."""
 
     def prepare(self) -> None:
-        """The core is to have the settings of its zone, and to hear of the nodes that are held only."""
-        host, config = self.host, self.host.config.subset
+        """Give the core the settings of its zone, and a filter for the endpoint list."""
+        host = self.host
+        config = host.config.subset
         assert config is not None
-        self._all = host.settings.placers
+        self._all_dispatchers = host.settings.placers
         host.settings = zone_settings(host.settings, config)
         self.subset: Subset[NodeEndpoint] = Subset(
             config.selection, host.loop.now, with_health, lambda name: not host.core.endpoints.has_work(name)
@@ -43,32 +51,38 @@
         host.endpoint_filter = self.filter_change
 
     def start(self) -> None:
-        """Offers to cold nodes stay divided by all dispatchers: any of them may hold a node as a spare one."""
-        host, config = self.host, self.host.config.subset
+        """Start the reviews of the subset.
+
+        Attempts at nodes in slow start stay divided by all dispatchers, as any of them may have a node as a spare.
+        """
+        host = self.host
+        config = host.config.subset
         assert config is not None
-        host.core.placer.set_quota(host.settings.me, config.dispatchers, self._all)
-        host.core.endpoints.on_unknown_endpoint = self._unlisted
+        host.core.placer.set_quota(host.settings.me, config.dispatchers, self._all_dispatchers)
+        host.core.endpoints.on_unknown_endpoint = self._retain_unknown
         host.loop.after(config.selection.review_interval_us, self._review)
-        self._said = log_fields(self.subset)
-        host.log(
-            6, "subset-changed", {"zone": config.selection.zone} | self._said, "holding the nodes of a zone"
-        )
+        self._logged_fields = log_fields(self.subset)
+        values: dict[str, object] = {"zone": config.selection.zone} | self._logged_fields
+        host.log(6, "subset-changed", values, "holding the nodes of a zone")
 
     def reload(self, config: Config) -> None:
-        """The table waits for a restart."""
+        """Does nothing: the table takes effect after a restart."""
 
     def filter_change(self, change: EndpointListUpdate) -> EndpointListUpdate:
-        """What the core hears of a change of the list."""
-        told = self.subset.apply(change.complete, change.endpoints, self.host.loop.now)
-        return EndpointListUpdate(change.complete, change.version, told)
+        """The part of an update of the endpoint list that concerns the subset."""
+        endpoints = self.subset.apply(change.complete, change.endpoints, self.host.loop.now)
+        return EndpointListUpdate(change.complete, change.version, endpoints)
+
+    def _retain_unknown(self, name: str) -> None:
+        """Add a node that the core does not know, where a client's task runs."""
+        self._update_core(self.subset.retain(name))
+        self._relist_if_needed()
 
-    def _unlisted(self, name: str) -> None:
-        """A client's task stands on a node that the core does not know."""
-        if told := self.subset.retain(name):
-            self.host.core.update_endpoints(EndpointListUpdate(False, 0, told))
-        self._read_again()
+    def _update_core(self, endpoints: list[NodeEndpoint]) -> None:
+        if endpoints:
+            self.host.core.update_endpoints(EndpointListUpdate(False, 0, endpoints))
 
-    def _read_again(self) -> None:
+    def _relist_if_needed(self) -> None:
         if self.subset.needs_relist(self.host.loop.now) and self.host.endpoint_watch is not None:
             self.host.log(
                 5, "subset-changed", {"zones": len(self.subset.zones) + 1}, "the whole list is read again"
@@ -76,18 +90,18 @@
             self.host.endpoint_watch.relist()
 
     def _review(self) -> None:
-        host, terms = self.host, self.subset.config
-        counts = host.core.counters
-        told = self.subset.review(RequestCounts(counts["taken"], counts["refused"]), host.loop.now)
-        if told:
-            host.core.update_endpoints(EndpointListUpdate(False, 0, told))
-        if (said := log_fields(self.subset)) != self._said:
-            self._said = said
-            host.log(6, "subset-changed", said, "nodes held")
-        self._read_again()
-        host.loop.after(terms.review_interval_us, self._review)
+        host = self.host
+        counters = host.core.counters
+        counts = RequestCounts(counters["taken"], counters["refused"])
+        self._update_core(self.subset.review(counts, host.loop.now))
+        fields = log_fields(self.subset)
+        if fields != self._logged_fields:
+            self._logged_fields = fields
+            host.log(6, "subset-changed", fields, "nodes held")
+        self._relist_if_needed()
+        host.loop.after(self.subset.config.review_interval_us, self._review)
 
 
 def make(host: Host) -> Component:
-    """The part."""
+    """The component of subsetting."""
     return SubsettingComponent(host)
