--- a/thornshelf/components/control.py
+++ b/thornshelf/components/control.py
@@ -239,19 +239,19 @@
         loop = self.host.loop
         started_ns = time.thread_time_ns()
         started_wall_us = loop.turn_elapsed_us()
-        again = self._serve()
+        has_more = self._serve()
         spent_us = (time.thread_time_ns() - started_ns) // 1000
         self._turn_times.record(spent_us, loop.turn_elapsed_us() - started_wall_us)
-        return again
+        return has_more
 
     def _serve(self) -> bool:
         loop = self.host.loop
         unix_ms = self.host.unix_ms(loop.now)
-        again = self._sessions.run_turn(loop.now, unix_ms, loop.turn_elapsed_us, loop.has_backlog)
+        has_more = self._sessions.run_turn(loop.now, unix_ms, loop.turn_elapsed_us, loop.has_backlog)
         if self._fleet_queries is not None:
-            again = self._fleet_queries.run_turn(unix_ms) or again
+            has_more = self._fleet_queries.run_turn(unix_ms) or has_more
             self._wake_at(self._fleet_queries.next_due_us())
-        return again
+        return has_more
 
     def _wake_at(self, due_us: int | None) -> None:
         """Have a turn at that time, where none is due earlier."""
--- a/thornshelf/components/fleet_queries.py
+++ b/thornshelf/components/fleet_queries.py
@@ -51,12 +51,12 @@
         """Answer other members, and repeat what was not answered; whether there is more to do at once."""
         loop = self._loop
         until = loop.turn_elapsed_us() + _ANSWER_TIME_BUDGET_US
-        again = self._responder.serve(loop.now, unix_ms, loop.turn_elapsed_us, until)
+        has_more = self._responder.serve(loop.now, unix_ms, loop.turn_elapsed_us, until)
         self._due_us = [gatherer.tick(loop.now) for gatherer in self._gatherers.values()]
         self._send(MessageKind.QUERY_REPLY, self._responder.outgoing)
         for gatherer in self._gatherers.values():
             self._send(MessageKind.QUERY, gatherer.outgoing)
-        return again
+        return has_more
 
     def next_due_us(self) -> int | None:
         """When the next turn is needed, by the last one; None where no query is open."""
