--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -438,8 +438,8 @@
         one.record_placement(given, 0)
     assert all(one.admit_request(given, 0).admitted for _ in range(10)) and given.known
     assert (one.reserved_connections.known_count, one.reserved_connections.unknown_count) == (1, 0)
-    one.close(given)
-    assert one.reserved_connections.open_count == 0 and one.known(one.source("198.51.100.7"), 0)
+    one.release(given)
+    assert one.reserved_connections.open_count == 0 and one.is_known(one.source_of("198.51.100.7"), 0)
 
 
 def test_a_known_county_that_floods_is_bounded_by_its_own_limits() -> None:
--- a/tests/test_words.py
+++ b/tests/test_words.py
@@ -159,15 +159,20 @@
         and not node.answers_queries
     )
     assert Router(MissingFieldPolicies({})).rejection_by("lookup", ALL, node) is not None
-    assert node.greeted(NodeCapabilities(1, "s-1", frozenset({55}), True)) and not node.answers
-    node.greeted(NodeCapabilities(2, "s-1", frozenset(), True))
-    assert node.refused(FailureReason.HINT_NEEDED) and not node.refused(FailureReason.HINT_NEEDED)
-    assert node.requires == {RequiredField.HINT} and not node.refused(FailureReason.LICENCE)
+    assert (
+        node.update_capabilities(NodeCapabilities(1, "s-1", frozenset({55}), True))
+        and not node.answers_queries
+    )
+    node.update_capabilities(NodeCapabilities(2, "s-1", frozenset(), True))
+    assert node.record_rejection(FailureReason.HINT_NEEDED) and not node.record_rejection(
+        FailureReason.HINT_NEEDED
+    )
+    assert node.required_fields == {RequiredField.HINT} and not node.record_rejection(FailureReason.LICENCE)
     for _ in range(2):
-        node.broke_word()
-    assert not node.answers
-    node.connected(WireFormat.GRPC_V1)
-    assert node.requires == set() and not node.answers
+        node.record_broken_promise()
+    assert not node.answers_queries
+    node.reset_for_connection(WireFormat.GRPC_V1)
+    assert node.required_fields == set() and not node.answers_queries
 
 
 def test_the_form_of_a_node_is_found_and_found_again() -> None:
@@ -180,14 +185,14 @@
     assert choice.current.value == "binary messages" and choice.has_untried_format
     choice.reject_current()
     assert not choice.has_untried_format  # all have been tried: what waits is not held any longer
-    choice.form = WireFormat.BINARY
+    choice.current = WireFormat.BINARY
     choice.confirm()
-    assert choice.untried
-    choice.ended(True)
-    assert choice.form.value == "thornshelf.v2"  # a node that was restarted may be a newer one
-    choice.ended(False)
-    assert choice.form.value == "thornshelf.v1"  # but one that was proven older is not waited for twice
-    assert WireFormatNegotiation((WireFormat.GRPC_V2,)).sure
+    assert choice.has_untried_format
+    choice.connection_closed(True)
+    assert choice.current.value == "thornshelf.v2"  # a node that was restarted may be a newer one
+    choice.connection_closed(False)
+    assert choice.current.value == "thornshelf.v1"  # but one that was proven older is not waited for twice
+    assert WireFormatNegotiation((WireFormat.GRPC_V2,)).is_fixed
     with pytest.raises(ValueError):
         WireFormatNegotiation(())
 
