--- a/tests/test_words.py
+++ b/tests/test_translation_rules.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
 from thornshelf.placement.interface import Outcome, Reason
-from thornshelf.translation import field_mapping, field_mapping_audit
+from thornshelf.translation import element_bindings, field_mapping, field_mapping_audit
 from thornshelf.translation.capabilities import (
     NodeCapabilities,
     NodeProfile,
@@ -50,23 +50,23 @@
 
 def test_the_table_is_total_and_the_page_is_its_own() -> None:
     assert field_mapping_audit.find_problems() == []
-    page = Path(__file__).parent.parent / "docs" / "fates.md"
+    page = Path(__file__).parent.parent / "docs" / "field-mapping.md"
     assert page.read_text() == field_mapping_audit.render_page()
 
 
 @pytest.mark.parametrize("form", list(WireFormat))
 def test_a_field_without_a_fate_is_found(form: WireFormat, monkeypatch: pytest.MonkeyPatch) -> None:
-    bound = dict(field_mapping.ELEMENT_BINDINGS[form])
+    bound = dict(element_bindings.ELEMENT_BINDINGS[form])
     gone = next(name for name, thing in bound.items() if not thing.startswith("="))
     del bound[gone]
-    monkeypatch.setitem(field_mapping.ELEMENT_BINDINGS, form, bound)
+    monkeypatch.setitem(element_bindings.ELEMENT_BINDINGS, form, bound)
     assert f"{form.value}: {gone} has no binding" in field_mapping_audit.find_problems()
 
 
 def test_a_fate_that_the_form_has_no_word_for_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     row = dict(field_mapping.RESPONSE_MAPPINGS["advice"]) | {WireFormat.GRPC_V1: field_mapping.CARRIED}
     monkeypatch.setitem(field_mapping.RESPONSE_MAPPINGS, "advice", row)
-    assert any("advice is said to be carried" in one for one in field_mapping_audit.find_problems())
+    assert any("advice is declared as carried" in one for one in field_mapping_audit.find_problems())
 
 
 @pytest.mark.parametrize("trouble", list(FailureReason))
--- a/thornshelf/translation/__init__.py
+++ b/thornshelf/translation/__init__.py
@@ -1,1 +1,1 @@
-"""Between the forms: what each can say, who can take what, and what is known of a task in doubt. No I/O."""
+"""Translation between wire formats and protocol generations, and the idempotency keys in use. No I/O."""
--- a/thornshelf/translation/capabilities.py
+++ b/thornshelf/translation/capabilities.py
@@ -1,7 +1,7 @@
-"""What is known of each node's generation: by the operator's file, by its hello, and by what it did.
+"""What is known of each node's wire format and capabilities: by configuration, by its hello and by observation.
 
-Nodes are upgraded and downgraded in place, some say one thing and do another, and a hello may come from another
-node than the list names at that address. Facts come in, beliefs go out; nothing is sent or read here.
+Nodes are upgraded and downgraded in place, some don't behave as they declare, and a hello may come from another node
+than the one listed at that address. No I/O here.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 from thornshelf.errors import InvalidParameterError
 from thornshelf.translation.failures import GENERATION, FailureReason, WireFormat
 
-SILENT_CLOSES_BEFORE_FALLBACK = (
-    2  # connections in a row that ended before any word, and the next form is tried
-)
-MAX_BROKEN_PROMISES = 2  # broken words, and a node's answers about names are not believed any more
+# Connections in a row that close before any message came, until the next wire format is tried.
+SILENT_CLOSES_BEFORE_FALLBACK = 2
+# Denials that proved wrong, from which on a node's answers to status queries are not trusted any more.
+MAX_BROKEN_PROMISES = 2
+MAX_REQUIRED_FIELDS = 16  # in a hello; more are reported as inconsistent
 
 
 class RequiredField(enum.IntEnum):
-    """What a node wants to be told with each offer; numbered as in thornshelf.v2."""
+    """A field that a node requires in each attempt; numbered as ``Requirement`` in ``thornshelf.v2``."""
 
     NONE = 0
     HINT = 1
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeCapabilities:
-    """A node's own word. ``name`` is empty and ``generation`` 0 where it gave none."""
+    """What a node declares in its hello. ``name`` is empty and ``generation`` 0 where it declared none."""
 
     generation: int
     name: str = ""
@@ -41,43 +42,46 @@
 
 
 class WireFormatNegotiation:
-    """Which form to speak with a node, of those that the operator allows it.
+    """Finds the wire format that a node understands, among those that the operator allows.
 
-    The newest comes first. A node that does not know it says so (gRPC's UNIMPLEMENTED), or ends connections without
-    a word; then the next is tried, and after the last the first again: a node upgraded in place is found by that,
-    as its restart ends the connection.
+    The newest is tried first. A node that does not know it says so (UNIMPLEMENTED in gRPC) or closes connections
+    without a message; then the next one is tried, and after the last the first again. So a node that was upgraded
+    in place is detected, as its restart closes the connection.
     """
 
     def __init__(self, allowed: Sequence[WireFormat]) -> None:
         if not allowed:
-            raise InvalidParameterError("a node needs a form")
-        self.allowed = tuple(sorted(set(allowed), key=lambda form: -GENERATION[form]))
+            raise InvalidParameterError("a node needs at least one wire format")
+        self.allowed = tuple(sorted(set(allowed), key=lambda candidate: -GENERATION[candidate]))
         self.current = self.allowed[0]
         self._silent_closes = 0
-        self._formats_tried = 0  # forms, since the node was last heard in one
+        self._formats_tried = 0  # since the last message from the node
         self._confirmed_format: WireFormat | None = None
 
     @property
     def has_untried_format(self) -> bool:
-        """Some form has not been tried since the node was last heard: what waits for it is not given up yet."""
+        """Whether some format was not tried since the node's last message, so that attempts may wait for it."""
         return self._formats_tried < len(self.allowed)
 
     @property
     def is_fixed(self) -> bool:
-        """There is no other, so that nothing has to be proved before an offer leaves."""
+        """Whether only one format is allowed, so that attempts may be sent before it is confirmed."""
         return len(self.allowed) == 1
 
     def confirm(self) -> None:
-        """A message in the present form came: the node speaks it."""
-        self._silent_closes, self._formats_tried, self._confirmed_format = 0, 0, self.current
+        """A message in the current format was received."""
+        self._silent_closes = 0
+        self._formats_tried = 0
+        self._confirmed_format = self.current
 
     def reject_current(self) -> None:
-        """The node has said that it does not speak the present form."""
+        """The node replied that it does not know the current format."""
         self._try_next()
 
     def connection_closed(self, received_message: bool) -> None:
-        """A connection is over; a node that was restarted may have come back as a newer one."""
+        """A connection was closed; ``received_message``: after a message of the node."""
         if received_message:
+            # The node may have been restarted as a newer version.
             self._silent_closes = 0
             self.current = self.allowed[0]
             return
@@ -88,77 +92,80 @@
     def _try_next(self) -> None:
         self._silent_closes = 0
         self._formats_tried += 1
-        at = self.allowed.index(self.current)
-        self.current = self.allowed[(at + 1) % len(self.allowed)]
+        index = self.allowed.index(self.current)
+        self.current = self.allowed[(index + 1) % len(self.allowed)]
 
 
 @dataclass(slots=True)
 class NodeProfile:
-    """What is believed of one node."""
+    """What is known of one node."""
 
-    name: str
-    wire_format: WireFormat | None = None  # the one its last connection spoke; none until one has
+    name: str  # in the endpoint list
+    wire_format: WireFormat | None = None  # of its last connection; None before the first
     capabilities: NodeCapabilities | None = None
     required_fields: set[int] = field(default_factory=set)
     learned_requirements: set[int] = field(
         default_factory=set
-    )  # what it refused for the lack of, whatever its hello says
-    mismatched_name: str = ""  # the name that it calls itself, where that is not the one of the list
+    )  # by its rejections, not declared in its hello
+    mismatched_name: str = ""  # the name in its hello, if it differs from the listed one
     broken_promises: int = 0
 
-    def reset_for_connection(self, form: WireFormat) -> None:
-        """A connection in some form is up. What an earlier process required is forgotten with it."""
-        if form is not self.wire_format:
+    def reset_for_connection(self, wire_format: WireFormat) -> None:
+        """A connection was opened; discards what an earlier process of the node declared."""
+        if wire_format is not self.wire_format:
             self.learned_requirements.clear()
-        self.wire_format, self.capabilities, self.mismatched_name = form, None, ""
+        self.wire_format = wire_format
+        self.capabilities = None
+        self.mismatched_name = ""
         self.required_fields = set(self.learned_requirements)
 
     def update_capabilities(self, capabilities: NodeCapabilities) -> list[str]:
-        """Its hello, or a later one that takes its place; returns what contradicts what was known."""
-        odd = []
+        """Takes over a hello; returns descriptions of all that is inconsistent with what is known."""
+        inconsistencies = self._inconsistencies(capabilities)
+        is_mismatched = bool(capabilities.name) and capabilities.name != self.name
+        self.mismatched_name = capabilities.name if is_mismatched else ""
+        self.capabilities = capabilities
+        declared = {number for number in capabilities.required_fields if number != RequiredField.NONE}
+        self.required_fields = declared | self.learned_requirements
+        return inconsistencies
+
+    def _inconsistencies(self, capabilities: NodeCapabilities) -> list[str]:
+        found = []
         known = {one.value for one in RequiredField}
         if capabilities.name and capabilities.name != self.name:
-            self.mismatched_name = capabilities.name
-            odd.append(f"the list calls it {self.name!r}, it calls itself {capabilities.name!r:.60}")
-        else:
-            self.mismatched_name = ""
-        if (
-            self.wire_format is WireFormat.GRPC_V2
-            and capabilities.generation < GENERATION[WireFormat.GRPC_V2]
-        ):
-            odd.append(f"it says generation {capabilities.generation} in the form of generation 2")
+            found.append(f"the list calls it {self.name!r}, it calls itself {capabilities.name!r:.60}")
+        uses_v2 = self.wire_format is WireFormat.GRPC_V2
+        if uses_v2 and capabilities.generation < GENERATION[WireFormat.GRPC_V2]:
+            found.append(f"it declares generation {capabilities.generation} in the format of generation 2")
         if unknown := sorted(capabilities.required_fields - known):
-            odd.append(f"it requires what this program doesn't know: {unknown}")
-        if len(capabilities.required_fields) > 16:
-            odd.append("it requires more than there is")
-        self.capabilities = capabilities
-        self.required_fields = {
-            one for one in capabilities.required_fields if one != RequiredField.NONE
-        } | self.learned_requirements
-        return odd
+            found.append(f"it requires fields that this version does not know: {unknown}")
+        if len(capabilities.required_fields) > MAX_REQUIRED_FIELDS:
+            found.append("it requires more fields than there are")
+        return found
 
     def record_rejection(self, reason: FailureReason) -> bool:
-        """A refusal for the task's lack of something; true where its hello had not said so."""
-        need = {FailureReason.HINT_NEEDED: RequiredField.HINT}.get(reason)
-        if need is None or need in self.required_fields or RequiredField.CLIENT_HINT in self.required_fields:
+        """The node rejected a task; true if for a missing field that it had not declared as required."""
+        if reason is not FailureReason.HINT_NEEDED:
+            return False
+        if not self.required_fields.isdisjoint((RequiredField.HINT, RequiredField.CLIENT_HINT)):
             return False
-        self.learned_requirements.add(need)
-        self.required_fields.add(need)
+        self.learned_requirements.add(RequiredField.HINT)
+        self.required_fields.add(RequiredField.HINT)
         return True
 
     def record_broken_promise(self) -> None:
-        """It said 'never' of a task that then ran there."""
+        """The node denied having run a task that then ran there."""
         self.broken_promises += 1
 
     @property
     def answers_queries(self) -> bool:
-        """It can be asked about a task's name, and its answers are worth something."""
-        hello = self.capabilities
+        """Whether it answers status queries about idempotency keys, and its answers are trusted."""
+        capabilities = self.capabilities
         return (
             self.wire_format is WireFormat.GRPC_V2
-            and hello is not None
-            and hello.answers_queries
-            and hello.generation >= GENERATION[WireFormat.GRPC_V2]
+            and capabilities is not None
+            and capabilities.answers_queries
+            and capabilities.generation >= GENERATION[WireFormat.GRPC_V2]
             and not self.mismatched_name
             and self.broken_promises < MAX_BROKEN_PROMISES
         )
--- a/thornshelf/translation/failures.py
+++ b/thornshelf/translation/failures.py
@@ -1,8 +1,8 @@
-"""The words that all forms are translated through: forms, troubles and what each of them promises.
+"""Wire formats, and the failure causes that are translated between them.
 
-A trouble is why a task was refused, failed or ended. Its number is its number in ``thornshelf.v2``. What a form
-has no word for becomes its one general answer with the same promise, and its text where the form has room. The
-promise of a translated answer is never stronger than that of the original.
+A reason says why a task was rejected, failed or ended; its number is that of ``Reason`` in ``thornshelf.v2``. A
+format without a field for a reason carries its general answer with the same execution guarantee, and the reason as
+text where there is room for it. A translated answer never guarantees more than the original did.
 """
 
 from __future__ import annotations
@@ -12,11 +12,14 @@
 
 from thornshelf.placement.interface import Outcome, Reason
 
-MAX_TEXT_CHARS = 200  # characters of a peer's text that are passed on
+MAX_TEXT_CHARS = 200  # of a peer's text; the rest is cut off
 
 
 class WireFormat(enum.Enum):
-    """A wire form. Clients speak LINES, V1 or V2; nodes speak MESSAGES, V1 or V2."""
+    """The encoding on a connection. Clients use JSON_LINES or gRPC, nodes BINARY or gRPC.
+
+    The values are shown to operators and name log parameters.
+    """
 
     JSON_LINES = "json lines"
     BINARY = "binary messages"
@@ -30,7 +33,11 @@
 
 
 class FailureReason(enum.IntEnum):
-    """Why; numbered as in thornshelf.v2. Up to SENT_AWAY they are the decision module's reasons, too."""
+    """Why a task was rejected, failed or ended.
+
+    Names and numbers are those of ``Reason`` in ``thornshelf.v2``: the names appear in texts to clients and in the
+    log. Up to ``LAST_V1_REASON`` the numbers are those of the placement module's ``Reason``, too.
+    """
 
     UNTOLD = 0
     NO_CORES = 1
@@ -49,18 +56,18 @@
     OVERLOADED = 14
 
 
-LAST_V1_REASON = FailureReason.SENT_AWAY  # the forms of generations 0 and 1 have words up to this one
+LAST_V1_REASON = FailureReason.SENT_AWAY  # the last one that formats of generations 0 and 1 can express
 
 
 class ExecutionGuarantee(enum.IntEnum):
-    """What an answer promises about the past; the larger, the stronger the promise."""
+    """What an answer guarantees about the task's execution; a larger value is a stronger guarantee."""
 
     MAY_HAVE_RUN = 0
     NEVER_RAN = 1
 
 
 class RetryAdvice(enum.IntEnum):
-    """What an answer says about coming again; numbered as in thornshelf.v2."""
+    """When a rejected request may be sent again; numbered as ``Advice`` in ``thornshelf.v2``."""
 
     ANY = 0
     LATER = 1
@@ -69,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureCause:
-    """What is known of the cause of a refusal, a failure or an end."""
+    """The cause of a rejection, a failure or an end, as far as it is known."""
 
     reason: FailureReason = FailureReason.UNTOLD
     text: str = ""
@@ -77,13 +84,13 @@
 
     @property
     def message(self) -> str:
-        """In words, for forms without a field for the trouble."""
+        """The reason and its text, for formats without a field for the reason."""
         name = self.reason.name.lower().replace("_", " ")
         return f"{name}: {self.text}" if self.text else name
 
 
 def decode_reason(number: int) -> FailureReason:
-    """A trouble by its number; one that a newer peer knows and this program does not is UNTOLD."""
+    """The reason with a number; UNTOLD where only a newer generation knows the number."""
     try:
         return FailureReason(number)
     except ValueError:
@@ -91,7 +98,7 @@
 
 
 def decode_advice(number: int) -> RetryAdvice:
-    """Likewise; an unknown advice is the weakest one."""
+    """The advice with a number; the weakest one where only a newer generation knows the number."""
     try:
         return RetryAdvice(number)
     except ValueError:
@@ -99,8 +106,8 @@
 
 
 def sanitize_text(text: str) -> str:
-    """A peer's text, short and without control characters."""
-    return "".join(one if one.isprintable() else " " for one in text[:MAX_TEXT_CHARS])
+    """A peer's text, cut to ``MAX_TEXT_CHARS``, with a space in place of each unprintable character."""
+    return "".join(char if char.isprintable() else " " for char in text[:MAX_TEXT_CHARS])
 
 
 _DEFAULT_ADVICE = {
@@ -117,12 +124,13 @@
 def failure_cause(
     reason: FailureReason, text: str = "", advice: RetryAdvice = RetryAdvice.ANY
 ) -> FailureCause:
-    """A cause with the advice that goes with it, where its author gave none."""
-    return FailureCause(reason, sanitize_text(text), advice or _DEFAULT_ADVICE.get(reason, RetryAdvice.ANY))
+    """A cause with a sanitized text; without advice it gets the default advice of its reason."""
+    default_advice = _DEFAULT_ADVICE.get(reason, RetryAdvice.ANY)
+    return FailureCause(reason, sanitize_text(text), advice or default_advice)
 
 
-# What the decision module is told of a refusal by a trouble that it has no reason for. The task's own troubles say
-# nothing about the node's room, so they must not shut the node to others: for the module that offer never left.
+# What the placement module is notified of where it has no such reason. A reason that lies in the task itself says
+# nothing about the node's capacity and must not exclude the node for other tasks: the attempt counts as never sent.
 _PLACEMENT_REJECTION = {
     FailureReason.HINT_NEEDED: (Outcome.NOT_SENT, Reason.UNSPECIFIED),
     FailureReason.QUOTA: (Outcome.NOT_SENT, Reason.UNSPECIFIED),
@@ -135,7 +143,7 @@
 
 
 def to_placement_outcome(outcome: Outcome, reason: FailureReason) -> tuple[Outcome, Reason]:
-    """An end in the decision module's words, with the same promise about the past."""
+    """The outcome and reason to report to the placement module, with the same execution guarantee."""
     if reason <= LAST_V1_REASON:
         return outcome, Reason(int(reason))
     if outcome is Outcome.REFUSED:
@@ -144,11 +152,6 @@
 
 
 def execution_guarantee(outcome: Outcome) -> ExecutionGuarantee:
-    """What the end of an attempt that was not answered promises about the past."""
-    never = outcome in (Outcome.REFUSED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
-    return ExecutionGuarantee.NEVER_RAN if never else ExecutionGuarantee.MAY_HAVE_RUN
-
-
-def to_v1_reason(reason: FailureReason) -> FailureReason:
-    """The trouble in words of generations 0 and 1: their general one where they have none of their own."""
-    return reason if reason <= LAST_V1_REASON else FailureReason.UNTOLD
+    """What the outcome of an attempt that did not start its task guarantees about its execution."""
+    never_ran = outcome in (Outcome.REFUSED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
+    return ExecutionGuarantee.NEVER_RAN if never_ran else ExecutionGuarantee.MAY_HAVE_RUN
--- a/thornshelf/translation/field_mapping_audit.py
+++ b/thornshelf/translation/field_mapping_audit.py
@@ -1,4 +1,4 @@
-"""The check of the translation table by reflection over the forms themselves, and its page for operators."""
+"""Checks the field mapping against the wire formats by reflection, and renders it as a page for operators."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from collections.abc import Iterator
 from typing import Any
 
-from thornshelf.nodes import binary as binary_nodes
+from thornshelf.nodes import binary as node_binary
+from thornshelf.translation.element_bindings import ELEMENT_BINDINGS
 from thornshelf.translation.failures import CLIENT_FORMATS, NODE_FORMATS, WireFormat
 from thornshelf.translation.field_mapping import (
-    ELEMENT_BINDINGS,
     REQUEST_MAPPINGS,
     RESPONSE_MAPPINGS,
     FieldMapping,
@@ -17,14 +17,22 @@
 )
 from thornshelf.wire import binary, jsonl, placement_pb2, placement_v2_pb2
 
-_TYPES = ("SET_UP", "PROGRESS", "ANSWER", "RELEASE", "RELEASE_ACK", "NOTE", "MOVE", "TEST", "TESTED")
-_NO_THING = (
-    "="  # bindings that begin so name no thing: frames, fields that only carry derived words, unused types
+_MESSAGE_TYPES = (
+    "SET_UP",
+    "PROGRESS",
+    "ANSWER",
+    "RELEASE",
+    "RELEASE_ACK",
+    "NOTE",
+    "MOVE",
+    "TEST",
+    "TESTED",
 )
+_UNMAPPED = "="  # begins the subjects of elements that need no mapping: see ``element_bindings``
 
 
 def proto_elements(file: Any) -> Iterator[str]:
-    """All fields and enum values of a proto file."""
+    """All fields and enum values of a generated proto module."""
     for message in file.DESCRIPTOR.message_types_by_name.values():
         for inner in (message, *message.nested_types):
             name = inner.name if inner is message else f"{message.name}.{inner.name}"
@@ -36,7 +44,7 @@
 
 
 def json_lines_elements() -> Iterator[str]:
-    """All that JSON lines can say."""
+    """All fields, kinds and causes of JSON lines."""
     for name, kind in (("Line", jsonl.Line), ("Launch", jsonl.LaunchFields)):
         for field in dataclasses.fields(kind):
             yield f"{name}.{field.name}"
@@ -46,23 +54,22 @@
 
 
 def binary_elements() -> Iterator[str]:
-    """All that binary messages can say."""
+    """All fields, types, parameters, causes, reasons and facts of binary messages."""
     for field in dataclasses.fields(binary.Message):
         yield f"Message.{field.name}"
     for name, value in vars(binary).items():
         if name.isupper() and not name.startswith(("_", "MAX_")) and isinstance(value, int):
-            yield f"{'type' if name in _TYPES else 'parameter'}.{name}"
-    yield from (
-        f"cause.{one}"
-        for one in {*binary_nodes.OUTCOMES_BEFORE_START, *binary_nodes.OUTCOMES_AFTER_START, "other"}
-    )
-    yield from (f"reason.{one}" for one in binary_nodes.REASONS_BY_NAME)
-    yield from (f"fact.{one}" for one in binary_nodes.FACTS_BY_NAME)
+            group = "type" if name in _MESSAGE_TYPES else "parameter"
+            yield f"{group}.{name}"
+    causes = {*node_binary.OUTCOMES_BEFORE_START, *node_binary.OUTCOMES_AFTER_START, "other"}
+    yield from (f"cause.{one}" for one in causes)
+    yield from (f"reason.{one}" for one in node_binary.REASONS_BY_NAME)
+    yield from (f"fact.{one}" for one in node_binary.FACTS_BY_NAME)
 
 
-def elements(form: WireFormat) -> set[str]:
-    """All fields, causes and enum values of a form."""
-    match form:
+def elements(wire_format: WireFormat) -> set[str]:
+    """All fields, causes and enum values of a wire format."""
+    match wire_format:
         case WireFormat.JSON_LINES:
             return set(json_lines_elements())
         case WireFormat.BINARY:
@@ -74,55 +81,72 @@
 
 
 def find_problems() -> list[str]:
-    """What the table lacks or has too much of, and where it contradicts the forms; nothing where it is total."""
-    found = []
-    for form in WireFormat:
-        bound, there = ELEMENT_BINDINGS[form], elements(form)
-        found += [f"{form.value}: {one} has no binding" for one in sorted(there - bound.keys())]
-        found += [f"{form.value}: {one} is bound and does not exist" for one in sorted(bound.keys() - there)]
-        for one, thing in bound.items():
-            if (
-                not thing.startswith(_NO_THING)
-                and thing not in REQUEST_MAPPINGS
-                and thing not in RESPONSE_MAPPINGS
-            ):
-                found.append(f"{form.value}: {one} says {thing!r}, which has no fate")
-    for rows, forms in ((REQUEST_MAPPINGS, NODE_FORMATS), (RESPONSE_MAPPINGS, CLIENT_FORMATS)):
-        for thing, row in rows.items():
-            for form in forms:
-                found += _contradictions(thing, form, row.get(form))
-    return found
-
-
-def _contradictions(thing: str, form: WireFormat, fate: FieldMapping | None) -> Iterator[str]:
-    if fate is None:
-        yield f"{thing} has no fate towards {form.value}"
+    """All gaps and contradictions of the field mapping; empty if it is complete."""
+    problems: list[str] = []
+    for wire_format in WireFormat:
+        problems += _binding_problems(wire_format)
+    for mappings, wire_formats in ((REQUEST_MAPPINGS, NODE_FORMATS), (RESPONSE_MAPPINGS, CLIENT_FORMATS)):
+        for subject, row in mappings.items():
+            for wire_format in wire_formats:
+                problems += _mapping_problems(subject, wire_format, row.get(wire_format))
+    return problems
+
+
+def _binding_problems(wire_format: WireFormat) -> Iterator[str]:
+    """Elements without a binding, bindings without an element, and bindings to unknown subjects."""
+    name = wire_format.value
+    bindings = ELEMENT_BINDINGS[wire_format]
+    existing = elements(wire_format)
+    yield from (f"{name}: {element} has no binding" for element in sorted(existing - bindings.keys()))
+    yield from (
+        f"{name}: {element} is bound and does not exist" for element in sorted(bindings.keys() - existing)
+    )
+    for element, subject in bindings.items():
+        is_mapped = subject in REQUEST_MAPPINGS or subject in RESPONSE_MAPPINGS
+        if not is_mapped and not subject.startswith(_UNMAPPED):
+            yield f"{name}: {element} is bound to {subject!r}, which has no mapping"
+
+
+def _mapping_problems(subject: str, wire_format: WireFormat, mapping: FieldMapping | None) -> Iterator[str]:
+    """A missing mapping, a missing explanation, and a subject that the format can't carry."""
+    name = wire_format.value
+    if mapping is None:
+        yield f"{subject} has no mapping to {name}"
         return
-    if fate.kind is not MappingKind.CARRIED and not fate.explanation:
-        yield f"{thing} towards {form.value} is {fate.kind.value} without a word on how"
-    words = {said for said in ELEMENT_BINDINGS[form].values() if not said.startswith(_NO_THING)}
-    if fate.kind is MappingKind.CARRIED and thing not in words and thing != "release":
-        yield f"{thing} is said to be carried to {form.value}, which has no word for it"
+    if mapping.kind is not MappingKind.CARRIED and not mapping.explanation:
+        yield f"{subject} to {name} is {mapping.kind.value} without an explanation"
+    expressible = {
+        bound for bound in ELEMENT_BINDINGS[wire_format].values() if not bound.startswith(_UNMAPPED)
+    }
+    if mapping.kind is MappingKind.CARRIED and subject not in expressible and subject != "release":
+        yield f"{subject} is declared as carried to {name}, which has no element for it"
 
 
-def _cell(fate: FieldMapping) -> str:
-    return f"{fate.kind.value}: {fate.explanation}" if fate.explanation else fate.kind.value
+def _cell(mapping: FieldMapping) -> str:
+    return f"{mapping.kind.value}: {mapping.explanation}" if mapping.explanation else mapping.kind.value
 
 
 def render_page() -> str:
-    """The table for people, in Markdown."""
-    out = [
-        "# What becomes of each word between the forms",
+    """The field mapping as a Markdown page."""
+    lines = [
+        "# Field mapping between the wire formats",
         "",
-        "Made by `python -m thornshelf fates` from `thornshelf/translate/table.py`; a test compares the two.",
+        "Made by `python -m thornshelf field-mapping` from `thornshelf/translation/field_mapping.py`; a test compares"
+        " the two.",
     ]
-    parts = (
-        ("What clients say, towards nodes", REQUEST_MAPPINGS, NODE_FORMATS),
-        ("What nodes and the dispatcher say, towards clients", RESPONSE_MAPPINGS, CLIENT_FORMATS),
+    sections = (
+        ("Client messages, in the formats of nodes", REQUEST_MAPPINGS, NODE_FORMATS),
+        (
+            "Messages of nodes and of the dispatcher, in the formats of clients",
+            RESPONSE_MAPPINGS,
+            CLIENT_FORMATS,
+        ),
     )
-    for title, rows, forms in parts:
-        out += ["", f"## {title}", "", "| thing | " + " | ".join(form.value for form in forms) + " |"]
-        out.append("| --- " * (len(forms) + 1) + "|")
-        for thing, row in rows.items():
-            out.append(f"| {thing} | " + " | ".join(_cell(row[form]) for form in forms) + " |")
-    return "\n".join(out) + "\n"
+    for title, mappings, wire_formats in sections:
+        columns = " | ".join(wire_format.value for wire_format in wire_formats)
+        lines += ["", f"## {title}", "", f"| subject | {columns} |"]
+        lines.append("| --- " * (len(wire_formats) + 1) + "|")
+        for subject, row in mappings.items():
+            cells = " | ".join(_cell(row[wire_format]) for wire_format in wire_formats)
+            lines.append(f"| {subject} | {cells} |")
+    return "\n".join(lines) + "\n"
--- a/thornshelf/translation/missing_fields.py
+++ b/thornshelf/translation/missing_fields.py
@@ -1,7 +1,7 @@
-"""What is done about a field that a newer node requires and an older client's form can't say, or did not.
+"""Policies for fields that a newer node requires and a client did not declare, or its wire format can't express.
 
-The operator sets it for each class. Without a word from the operator the task goes to nodes that don't require the
-field, and is refused with the reason where there are none: a figure is never made up in silence.
+The operator sets a policy for each task class. By default the task goes to nodes that don't require the field, and is
+rejected with the reason where there are none: no value is assumed unless the operator configured one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class MissingFieldAction(enum.Enum):
-    """What to do where a hint is missing."""
+    """What to do about a missing lifetime hint. The values are those of the operator's file."""
 
     REJECT = "refuse"
     ASSUME = "assume"
@@ -23,7 +23,11 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingFieldPolicy:
-    """For one class. ``assumed_us`` is the hint that is filled in, in microseconds, for ASSUME alone."""
+    """The policy of one task class.
+
+    ``assumed_hint_us`` is the hint to assume, in microseconds; it is set for ASSUME and only for ASSUME. Raises
+    ``InvalidParameterError`` otherwise.
+    """
 
     on_missing_hint: MissingFieldAction = MissingFieldAction.REJECT
     assumed_hint_us: int | None = None
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DeclaredFields:
-    """What a set-up says of the fields that nodes may require."""
+    """The values that a client declared for the fields that nodes may require; 0 or None if not declared."""
 
     hint_us: int | None
     tenant: str | None
@@ -45,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LifetimeHint:
-    """A lifetime hint as it goes to a node, in microseconds."""
+    """The expected lifetime of a task as sent to a node; ``assumed`` if the operator's policy set it."""
 
     duration_us: int
     assumed: bool
@@ -55,45 +59,46 @@
 
 
 class MissingFieldPolicies:
-    """The policies of all classes."""
+    """The policies of all task classes."""
 
     def __init__(self, policies: Mapping[str, MissingFieldPolicy]) -> None:
         self._policies = dict(policies)
 
     def policy_for(self, task_class: str) -> MissingFieldPolicy:
-        """A class's own, or the one that refuses."""
+        """The policy of a class; without one, missing fields are rejected."""
         return self._policies.get(task_class, DEFAULT_POLICY)
 
     def missing_fields(
         self, task_class: str, declared: DeclaredFields, required: set[int]
     ) -> list[RequiredField]:
-        """What a node requires and neither the set-up nor the policy gives."""
-        lacks = []
-        for one in sorted(required):
-            match one:
+        """The fields that a node requires and that neither the client nor the policy provides."""
+        missing = []
+        for number in sorted(required):
+            match number:
                 case RequiredField.HINT:
-                    lacking = declared.hint_us is None and self.policy_for(task_class).assumed_hint_us is None
+                    assumed_us = self.policy_for(task_class).assumed_hint_us
+                    is_missing = declared.hint_us is None and assumed_us is None
                 case RequiredField.CLIENT_HINT:
-                    lacking = declared.hint_us is None
+                    is_missing = declared.hint_us is None
                 case RequiredField.TENANT:
-                    lacking = not declared.tenant
+                    is_missing = not declared.tenant
                 case RequiredField.KEY:
-                    lacking = not declared.idempotency_key
+                    is_missing = not declared.idempotency_key
                 case RequiredField.SERVICE:
-                    lacking = not declared.service
+                    is_missing = not declared.service
                 case _:
-                    continue  # a later requirement: the node itself will say what it lacks
-            if lacking:
-                lacks.append(RequiredField(one))
-        return lacks
+                    continue  # of a newer generation: the node itself will reject the task and say why
+            if is_missing:
+                missing.append(RequiredField(number))
+        return missing
 
     def effective_hint(
         self, task_class: str, declared: DeclaredFields, required: set[int]
     ) -> LifetimeHint | None:
-        """The hint that an offer carries: the owner's own, else an assumed one where the node requires any."""
+        """The hint to send with an attempt: the client's, or an assumed one if the node requires any hint."""
         if declared.hint_us is not None:
-            return LifetimeHint(declared.hint_us, False)
-        assumed = self.policy_for(task_class).assumed_hint_us
-        if assumed is not None and RequiredField.HINT in required:
-            return LifetimeHint(assumed, True)
+            return LifetimeHint(declared.hint_us, assumed=False)
+        assumed_us = self.policy_for(task_class).assumed_hint_us
+        if assumed_us is not None and RequiredField.HINT in required:
+            return LifetimeHint(assumed_us, assumed=True)
         return None
--- a/thornshelf/translation/routing.py
+++ b/thornshelf/translation/routing.py
@@ -1,7 +1,7 @@
-"""Which nodes can take a task at all, before the decision module ranks them.
+"""Which nodes can run a task at all, before the placement module ranks them.
 
-A node can't where its form or its own requirements leave something out that must not be left out. A node of which
-nothing is known yet (no connection so far) is taken to be able: its own word comes before the offer leaves.
+A node can't if its wire format or the fields it requires leave out what must not be left out. A node of which nothing
+is known yet (no connection so far) counts as able: its hello comes before the attempt is sent.
 """
 
 from __future__ import annotations
@@ -22,60 +22,64 @@
 
 
 class Router:
-    """Verdicts on pairs of a task and a node."""
+    """Decides for a task and a node whether the node can run it.
+
+    ``minimum_generations``: by task class, the protocol generation that its nodes need.
+    """
 
     def __init__(
         self, policies: MissingFieldPolicies, minimum_generations: dict[str, int] | None = None
     ) -> None:
         self.policies = policies
-        self._minimum_generations = (
-            minimum_generations or {}
-        )  # the generation that a class's nodes have to speak
+        self._minimum_generations = minimum_generations or {}
 
     def rejection_by(
         self, task_class: str, declared: DeclaredFields, profile: NodeProfile
     ) -> FailureCause | None:
-        """Why a node can't take a task; none where it can."""
+        """Why a node can't run a task; None if it can."""
         if profile.mismatched_name:
-            return failure_cause(
-                FailureReason.WRONG_GENERATION, f"{profile.name} is not the node that the list names"
-            )
-        least = self._minimum_generations.get(task_class, 0)
-        if profile.wire_format is not None and GENERATION[profile.wire_format] < least:
-            text = f"{task_class} wants nodes of generation {least}; {profile.name} speaks {profile.wire_format.value}"
+            text = f"{profile.name} is not the node that the list names"
+            return failure_cause(FailureReason.WRONG_GENERATION, text)
+        if not self._has_minimum_generation(task_class, profile) and profile.wire_format is not None:
+            minimum = self._minimum_generations[task_class]
+            wanted = f"{task_class} wants nodes of generation {minimum}"
+            text = f"{wanted}; {profile.name} speaks {profile.wire_format.value}"
             return failure_cause(FailureReason.WRONG_GENERATION, text)
         if not profile.required_fields:
             return None
-        lacks = self.policies.missing_fields(task_class, declared, profile.required_fields)
-        if not lacks:
+        missing = self.policies.missing_fields(task_class, declared, profile.required_fields)
+        if not missing:
             return None
-        hint = lacks[0] in (RequiredField.HINT, RequiredField.CLIENT_HINT)
-        trouble = FailureReason.HINT_NEEDED if hint else FailureReason.WRONG_GENERATION
-        return failure_cause(
-            trouble, f"{profile.name} requires " + ", ".join(_FIELD_DESCRIPTIONS[one] for one in lacks)
-        )
+        lacks_hint = missing[0] in (RequiredField.HINT, RequiredField.CLIENT_HINT)
+        reason = FailureReason.HINT_NEEDED if lacks_hint else FailureReason.WRONG_GENERATION
+        descriptions = ", ".join(_FIELD_DESCRIPTIONS[one] for one in missing)
+        return failure_cause(reason, f"{profile.name} requires {descriptions}")
 
     def rejection_by_all(
         self, task_class: str, declared: DeclaredFields, profiles: Iterable[NodeProfile]
     ) -> FailureCause | None:
-        """Why no node at all can take a task; none where one can, or where there are no nodes.
+        """Why none of the nodes can run a task; None if one can, or if there are no nodes.
 
-        Of several causes the one is told that a client can do something about.
+        Of several causes, a missing hint is preferred: the client can do something about it.
         """
-        worst: FailureCause | None = None
+        preferred: FailureCause | None = None
         for profile in profiles:
-            found = self.rejection_by(task_class, declared, profile)
-            if found is None:
+            cause = self.rejection_by(task_class, declared, profile)
+            if cause is None:
                 return None
-            if worst is None or (found.reason is FailureReason.HINT_NEEDED) > (
-                worst.reason is FailureReason.HINT_NEEDED
+            if preferred is None or (
+                cause.reason is FailureReason.HINT_NEEDED
+                and preferred.reason is not FailureReason.HINT_NEEDED
             ):
-                worst = found
-        return worst
+                preferred = cause
+        return preferred
 
     def accepts_every_task(self, task_class: str, profile: NodeProfile) -> bool:
-        """A node that takes any task of the class, whatever it says: nothing has to be looked at."""
+        """Whether a node can run every task of a class, whatever fields it declares."""
         if profile.mismatched_name or profile.required_fields:
             return False
-        least = self._minimum_generations.get(task_class, 0)
-        return not least or profile.wire_format is None or GENERATION[profile.wire_format] >= least
+        return self._has_minimum_generation(task_class, profile)
+
+    def _has_minimum_generation(self, task_class: str, profile: NodeProfile) -> bool:
+        minimum = self._minimum_generations.get(task_class, 0)
+        return profile.wire_format is None or GENERATION[profile.wire_format] >= minimum
--- a/thornshelf/translation/translator.py
+++ b/thornshelf/translation/translator.py
@@ -1,6 +1,6 @@
-"""The translation layer's one face to the core: nodes' profiles, routes, names in doubt, retries, and the account.
+"""The translation layer's interface to the core: node profiles, routes, idempotency keys, retries and counters.
 
-Nothing here sends, reads, waits or logs. The core asks; time comes in as a value (microseconds).
+Nothing here does I/O, waits or writes to the log; times are passed in, in microseconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,6 @@
 from thornshelf.translation.missing_fields import (
     DeclaredFields,
     LifetimeHint,
-    MissingFieldAction,
     MissingFieldPolicies,
     MissingFieldPolicy,
 )
@@ -31,19 +30,31 @@
     resolve_status,
 )
 
+# The names of the mapping kinds in log parameters.
+_COUNTER_LABELS = {
+    MappingKind.DERIVED: "derived",
+    MappingKind.REJECTED: "refused",
+    MappingKind.OMITTED: "left_out",
+}
+
 
 @dataclass(frozen=True, slots=True)
 class TranslationConfig:
-    """All that the operator sets. ``forms``: by node name, those it may speak; ``otherwise`` for all others."""
+    """All settings of the translation layer.
+
+    ``node_formats``: by node name, the wire formats it may use; ``default_formats`` for all other nodes.
+    ``minimum_generations``: by task class, the protocol generation that its nodes need.
+    ``query_timeout_us``: how long a node's answer to a status query is awaited.
+    """
 
     missing_field_policies: Mapping[str, MissingFieldPolicy] = field(default_factory=dict)
     node_formats: Mapping[str, tuple[WireFormat, ...]] = field(default_factory=dict)
     default_formats: tuple[WireFormat, ...] = (WireFormat.BINARY,)
-    minimum_generations: Mapping[str, int] = field(default_factory=dict)  # generation, by class
+    minimum_generations: Mapping[str, int] = field(default_factory=dict)
     hello_timeout_us: int = 500_000
     uncertain_retention_us: int = DEFAULT_RETENTION_US
     max_uncertain: int = DEFAULT_MAX_UNCERTAIN
-    query_timeout_us: int = 1_000_000  # a node's answer about a name is waited for so long
+    query_timeout_us: int = 1_000_000
     limits_retries: bool = False
     service_budget: RetryBudgetConfig = field(default_factory=RetryBudgetConfig)
     fleet_budget: RetryBudgetConfig = field(default_factory=lambda: RetryBudgetConfig(200, 10_000, 200_000))
@@ -60,43 +71,42 @@
             MissingFieldPolicies(config.missing_field_policies), dict(config.minimum_generations)
         )
         self.idempotency_keys = IdempotencyKeys(config.uncertain_retention_us, config.max_uncertain)
-        self.counters: Counter[str] = Counter()  # what was derived, left out or settled, by name
+        self.counters: Counter[str] = Counter()  # logged at the end; the keys name log parameters
+        self.retry_budget: RetryBudget | None = None
+        self.jitter: RetryAfterJitter | None = None
+        if config.limits_retries:
+            self.retry_budget = RetryBudget(config.service_budget, config.fleet_budget, now_us)
+            self.jitter = RetryAfterJitter(config.jitter)
         self._profiles: dict[int, NodeProfile] = {}
         self._negotiations: dict[str, WireFormatNegotiation] = {}
         self._ineligible: dict[tuple[str, bool, bool, bool, bool], frozenset[int]] = {}
-        self._restricted_nodes: set[int] = (
-            set()
-        )  # nodes that require something, or are not who they should be
-        self.retry_budget = (
-            RetryBudget(config.service_budget, config.fleet_budget, now_us) if config.limits_retries else None
-        )
-        self.jitter = RetryAfterJitter(config.jitter) if config.limits_retries else None
+        self._restricted_nodes: set[int] = set()  # that require fields, or are not the listed node
 
     @property
     def has_restrictions(self) -> bool:
-        """Some node may be unable to take some task, so that routes have to be looked at."""
+        """Whether some node may be unable to run some task, so that eligibility has to be checked."""
         return bool(self._restricted_nodes or self.config.minimum_generations)
 
     # nodes
 
     def allowed_formats(self, name: str) -> tuple[WireFormat, ...]:
-        """The forms that a node may speak."""
+        """The wire formats that a node may use."""
         return self.config.node_formats.get(name, self.config.default_formats)
 
     def negotiation(self, name: str) -> WireFormatNegotiation:
-        """Which form to speak with a node; kept while the list names it, whatever its address."""
+        """The wire format negotiation with a node; kept while the node is listed, also at another address."""
         if (found := self._negotiations.get(name)) is None:
             found = self._negotiations[name] = WireFormatNegotiation(self.allowed_formats(name))
         return found
 
     def profile(self, machine: int, name: str = "") -> NodeProfile:
-        """What is believed of a node."""
+        """What is known of a node; created on first use."""
         if (found := self._profiles.get(machine)) is None:
             found = self._profiles[machine] = NodeProfile(name)
         return found
 
     def remove_node(self, machine: int, name: str) -> None:
-        """The list names the node no more."""
+        """The node is not listed any more."""
         self._profiles.pop(machine, None)
         self._restricted_nodes.discard(machine)
         self._ineligible.clear()
@@ -105,31 +115,30 @@
     def _update_restrictions(self, machine: int) -> None:
         profile = self.profile(machine)
         self._ineligible.clear()
-        (
-            self._restricted_nodes.add
-            if profile.required_fields or profile.mismatched_name
-            else self._restricted_nodes.discard
-        )(machine)
+        if profile.required_fields or profile.mismatched_name:
+            self._restricted_nodes.add(machine)
+        else:
+            self._restricted_nodes.discard(machine)
 
     def record_capabilities(
-        self, machine: int, name: str, form: WireFormat, capabilities: NodeCapabilities | None
+        self, machine: int, name: str, wire_format: WireFormat, capabilities: NodeCapabilities | None
     ) -> list[str]:
-        """What a node speaks on a new connection, or says later; what is odd about it."""
+        """A handshake or a later hello; returns descriptions of all that is inconsistent in it."""
         profile = self.profile(machine, name)
-        if capabilities is None or profile.wire_format is not form:
-            profile.reset_for_connection(form)
-        odd = [] if capabilities is None else profile.update_capabilities(capabilities)
+        if capabilities is None or profile.wire_format is not wire_format:
+            profile.reset_for_connection(wire_format)
+        inconsistencies = [] if capabilities is None else profile.update_capabilities(capabilities)
         self._update_restrictions(machine)
-        self.counters["odd hello"] += bool(odd)
-        return odd
+        self.counters["odd hello"] += bool(inconsistencies)
+        return inconsistencies
 
     # routes
 
     def ineligible_nodes(self, task_class: str, declared: DeclaredFields) -> frozenset[int]:
-        """The nodes that can't take a task, by what is known of them.
+        """The nodes that can't run a task, by what is known of them.
 
-        Verdicts look at which fields are there and not at what they say, so that few kinds of tasks share them; they
-        are made anew when something is learned of a node.
+        Only the presence of the declared fields matters, so that few kinds of tasks share the cached results; these
+        are discarded when something is learned of a node.
         """
         kind = (
             task_class,
@@ -138,18 +147,18 @@
             bool(declared.idempotency_key),
             bool(declared.service),
         )
-        found = self._ineligible.get(kind)
-        if found is None:
-            verdict = self.router.rejection_by
-            found = self._ineligible[kind] = frozenset(
+        ineligible = self._ineligible.get(kind)
+        if ineligible is None:
+            rejection_by = self.router.rejection_by
+            ineligible = self._ineligible[kind] = frozenset(
                 machine
-                for machine, one in self._profiles.items()
-                if verdict(task_class, declared, one) is not None
+                for machine, profile in self._profiles.items()
+                if rejection_by(task_class, declared, profile) is not None
             )
-        return found
+        return ineligible
 
     def eligibility_filter(self, task_class: str, declared: DeclaredFields) -> Callable[[int], bool] | None:
-        """Which nodes can take a task; none where all can, so that nothing has to be looked at."""
+        """Tells for a node whether it can run a task; None if all can."""
         if not self.ineligible_nodes(task_class, declared):
             return None
         return lambda machine: machine not in self.ineligible_nodes(task_class, declared)
@@ -157,87 +166,81 @@
     def rejection_by_all(
         self, task_class: str, declared: DeclaredFields, machines: Sequence[int]
     ) -> FailureCause | None:
-        """Why no node can take a task; none where one may."""
-        unable = self.ineligible_nodes(task_class, declared)
-        if not unable or not unable.issuperset(machines):
+        """Why none of the nodes can run a task; None if one may."""
+        ineligible = self.ineligible_nodes(task_class, declared)
+        if not ineligible or not ineligible.issuperset(machines):
             return None
-        found = self.router.rejection_by_all(
-            task_class, declared, [self._profiles[machine] for machine in machines]
-        )
-        if found is not None:
-            self.counters[f"nowhere: {found.reason.name}"] += 1
-        return found
+        profiles = [self._profiles[machine] for machine in machines]
+        cause = self.router.rejection_by_all(task_class, declared, profiles)
+        if cause is not None:
+            self.counters[f"nowhere: {cause.reason.name}"] += 1
+        return cause
 
     def rejection_by(self, task_class: str, declared: DeclaredFields, machine: int) -> FailureCause | None:
-        """Why a node can't take a task, by what is known of it."""
+        """Why a node can't run a task, by what is known of it; None if it may."""
         profile = self._profiles.get(machine)
         return None if profile is None else self.router.rejection_by(task_class, declared, profile)
 
     def effective_hint(self, task_class: str, declared: DeclaredFields, machine: int) -> LifetimeHint | None:
-        """The hint that goes with an offer to a node."""
-        hint = self.router.policies.effective_hint(
-            task_class, declared, self.profile(machine).required_fields
-        )
+        """The lifetime hint to send with an attempt to a node; None without one."""
+        required = self.profile(machine).required_fields
+        hint = self.router.policies.effective_hint(task_class, declared, required)
         if hint is not None and hint.assumed:
             self.counters["hint assumed"] += 1
         return hint
 
-    def assumes_hint(self, task_class: str) -> bool:
-        """The operator lets a missing hint be filled in."""
-        return self.router.policies.policy_for(task_class).on_missing_hint is MissingFieldAction.ASSUME
-
     def record_rejection(self, machine: int, cause: FailureCause) -> bool:
-        """A node's refusal; true where it contradicts its hello."""
+        """A node rejected a task; true if that contradicts the capabilities it declared."""
         self.counters[f"refused: {cause.reason.name}"] += 1
-        odd = self.profile(machine).record_rejection(cause.reason)
+        is_unexpected = self.profile(machine).record_rejection(cause.reason)
         self._update_restrictions(machine)
-        return odd
+        return is_unexpected
 
-    # the account of what the forms could not carry
+    # counters of what a wire format could not carry
 
     def count_omitted_fields(
-        self, form: WireFormat, declared: DeclaredFields, cores: float, memory: float
+        self, wire_format: WireFormat, declared: DeclaredFields, cores: float, memory: float
     ) -> None:
-        """An offer left in a form: count what its owner said and the form can't say."""
-        gone = omitted_subjects(form)
-        there = {
+        """An attempt was sent: counts the fields that its client declared and the format can't express."""
+        omitted = omitted_subjects(wire_format)
+        is_declared = {
             "hint": declared.hint_us is not None,
             "tenant": bool(declared.tenant),
             "service": bool(declared.service),
             "cores": cores > 0.0,
             "memory": memory > 0.0,
         }
-        for thing, given in there.items():
-            if given and thing in gone:
-                self.counters[f"left out to {form.value}: {thing}"] += 1
+        for subject, declares in is_declared.items():
+            if declares and subject in omitted:
+                self.counters[f"left out to {wire_format.value}: {subject}"] += 1
 
-    def count_untranslated_cause(self, form: WireFormat, cause: FailureCause) -> None:
-        """A cause went to a client in a form: count where it became words, or was left out."""
-        for thing in (f"reason {cause.reason.name}", "advice"):
-            found = mapping_for(thing, form)
-            if found.kind is not MappingKind.CARRIED and (thing != "advice" or cause.advice):
-                self.counters[f"{found.kind.name.lower()} to {form.value}: {thing}"] += 1
+    def count_untranslated_cause(self, wire_format: WireFormat, cause: FailureCause) -> None:
+        """A cause was sent to a client: counts what the format carried as text only, or not at all."""
+        for subject in (f"reason {cause.reason.name}", "advice"):
+            kind = mapping_for(subject, wire_format).kind
+            if kind is not MappingKind.CARRIED and (subject != "advice" or cause.advice):
+                self.counters[f"{_COUNTER_LABELS[kind]} to {wire_format.value}: {subject}"] += 1
 
-    # names
+    # idempotency keys
 
     def can_query(self, machine: int) -> bool:
-        """A node can be asked about a task's name."""
+        """Whether a node answers status queries about idempotency keys."""
         profile = self._profiles.get(machine)
         return profile is not None and profile.answers_queries
 
     def tracks_keys(self, machine: int) -> bool:
-        """It knows tasks by name, and is told to end what was given up."""
+        """Whether a node knows tasks by idempotency key, and cancels an attempt that it starts late."""
         profile = self._profiles.get(machine)
         return profile is not None and profile.wire_format is WireFormat.GRPC_V2
 
     def resolve_status(self, machine: int, status: int) -> Resolution:
-        """What a node's word on a name means."""
-        found = resolve_status(status, self.can_query(machine))
-        self.counters[f"asked: {found.value}"] += 1
-        return found
+        """What a node's answer to a status query means."""
+        resolution = resolve_status(status, self.can_query(machine))
+        self.counters[f"asked: {resolution.value}"] += 1
+        return resolution
 
     def record_late_start(self, machine: int, after_denial: bool) -> None:
-        """A node began what had been given up; ``after_never``: though it had said that it would not."""
+        """A node started a cancelled attempt; ``after_denial``: although it had denied having it."""
         self.counters["late yes"] += 1
         if after_denial:
             self.profile(machine).record_broken_promise()
@@ -245,12 +248,12 @@
     # retries
 
     def record_first_attempt(self, service: int, now_us: int) -> None:
-        """A first attempt leaves."""
+        """The first attempt of a task is sent."""
         if self.retry_budget is not None:
             self.retry_budget.record_first_attempt(service, now_us)
 
     def allow_retry(self, service: int, now_us: int, priority: int) -> bool:
-        """Whether a further attempt may leave."""
+        """Whether the retry budget allows another attempt."""
         if self.retry_budget is None or self.retry_budget.try_spend(service, now_us, priority):
             return True
         self.counters["over the retry budget"] += 1
--- a/thornshelf/translation/uncertain_attempts.py
+++ b/thornshelf/translation/uncertain_attempts.py
@@ -1,8 +1,8 @@
-"""Tasks that must never be started twice, by the name that stays the same whenever they come again.
+"""The state of idempotency keys: tasks that must not be started twice.
 
-One entry a name: a task that is open or stands here (LIVE), or an attempt that may have run and of which the end
-is not known (DOUBT). A set-up under another id joins what is live, and asks about what is in doubt: it never makes
-a start of its own. The table is bounded, and doubts age: a name that comes again long after is another task.
+A key is either active (its task is open or running here) or uncertain (an attempt may have run, and its end is not
+known). A request with a key that is known under another id never starts the task: it joins the active one, or has
+the node queried. Uncertain keys are bounded in number and expire: the same key much later is another task.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-DEFAULT_RETENTION_US = 30_000_000
-DEFAULT_MAX_UNCERTAIN = 100_000
+DEFAULT_RETENTION_US = 30_000_000  # how long a key stays uncertain
+DEFAULT_MAX_UNCERTAIN = 100_000  # keys
 
 
 class ExecutionStatus(enum.IntEnum):
-    """A node's word on a task's name; numbered as in thornshelf.v2."""
+    """A node's answer about a key; numbered as ``Standing`` in ``thornshelf.v2``."""
 
     UNKNOWN = 0
     NEVER_RAN = 1
@@ -27,14 +27,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveKey:
-    """It is open or stands, under this id."""
+    """The task is open or running under this id."""
 
     uid: int
 
 
 @dataclass(frozen=True, slots=True)
 class UncertainKey:
-    """It may run, or have run, at this node, where it was offered under this id; since when (microseconds)."""
+    """An attempt under this id may be running, or have run, on this node; uncertain since ``since_us``."""
 
     machine: int
     uid: int
@@ -45,50 +45,54 @@
 
 
 class KeyAction(enum.Enum):
-    """What is to be done with a set-up."""
+    """What to do with a request that has an idempotency key."""
 
-    START = "start"  # nothing is known of the name
-    JOIN = "join"  # another id of the same task is served here
-    QUERY_NODE = "ask"  # its node can be asked
-    FAIL = "refuse"  # it may run, and nobody can be asked: today's answer, 'failed'
+    START = "start"  # the key is not known
+    JOIN = "join"  # the task is active under another id
+    QUERY_NODE = "query node"  # the task may have run, and its node can answer a query
+    FAIL = "fail"  # the task may have run, and its node can't be queried
 
 
 class IdempotencyKeys:
-    """The table."""
+    """All active and uncertain keys of one dispatcher.
+
+    ``retention_us`` and ``max_uncertain`` bound the uncertain keys, of which the oldest are evicted first.
+    """
 
     def __init__(
         self, retention_us: int = DEFAULT_RETENTION_US, max_uncertain: int = DEFAULT_MAX_UNCERTAIN
     ) -> None:
-        self.retention_us, self.max_uncertain = retention_us, max_uncertain
-        self._states: OrderedDict[int, KeyState] = OrderedDict()  # doubts oldest first among themselves
-        self._uncertain_keys: OrderedDict[int, None] = OrderedDict()
-        self.evicted_count = 0  # doubts that went for lack of room, before their time
+        self.retention_us = retention_us
+        self.max_uncertain = max_uncertain
+        self.evicted_count = 0  # uncertain keys that were evicted before their retention was over
+        self._states: OrderedDict[int, KeyState] = OrderedDict()
+        self._uncertain_keys: OrderedDict[int, None] = OrderedDict()  # oldest first
 
     def __len__(self) -> int:
         return len(self._states)
 
     @property
     def uncertain_count(self) -> int:
-        """How many names are in doubt."""
+        """Number of uncertain keys."""
         return len(self._uncertain_keys)
 
     def expire(self, now_us: int) -> None:
-        """Drop doubts that are older than they are remembered."""
+        """Discard the uncertain keys that are older than the retention."""
         while self._uncertain_keys:
             key = next(iter(self._uncertain_keys))
-            entry = self._states[key]
-            assert isinstance(entry, UncertainKey)
-            if now_us - entry.since_us < self.retention_us:
+            state = self._states[key]
+            assert isinstance(state, UncertainKey)
+            if now_us - state.since_us < self.retention_us:
                 return
             self.discard(key)
 
     def lookup(self, key: int, now_us: int) -> KeyState | None:
-        """What is known of a name."""
+        """The state of a key; None if it is not known or has expired."""
         self.expire(now_us)
         return self._states.get(key)
 
     def action_for(self, key: int, now_us: int, can_query: bool) -> KeyAction:
-        """What to do with a set-up of this name; ``can_ask``: the node in doubt can be asked."""
+        """What to do with a request; ``can_query``: the node of an uncertain attempt can answer a query."""
         match self.lookup(key, now_us):
             case None:
                 return KeyAction.START
@@ -98,12 +102,12 @@
                 return KeyAction.QUERY_NODE if can_query else KeyAction.FAIL
 
     def mark_active(self, key: int, uid: int) -> None:
-        """A task of this name is served under an id."""
+        """The task of a key is open or running under an id."""
         self._uncertain_keys.pop(key, None)
         self._states[key] = ActiveKey(uid)
 
     def mark_uncertain(self, key: int, machine: int, uid: int, now_us: int) -> None:
-        """An attempt may have run and is not followed any more."""
+        """An attempt may have run and is not tracked any more; evicts the oldest keys beyond the bound."""
         self.discard(key)
         self._states[key] = UncertainKey(machine, uid, now_us)
         self._uncertain_keys[key] = None
@@ -112,19 +116,19 @@
             self.evicted_count += 1
 
     def discard(self, key: int) -> None:
-        """Nothing of this name runs, and its owner knows."""
+        """The task of a key has ended, and its client was notified."""
         self._states.pop(key, None)
         self._uncertain_keys.pop(key, None)
 
     def discard_if_active_as(self, key: int, uid: int) -> None:
-        """The same, unless the name is served under another id by now."""
-        entry = self._states.get(key)
-        if entry is not None and entry.uid == uid:
+        """Discard a key unless its task is known under another id by now."""
+        state = self._states.get(key)
+        if state is not None and state.uid == uid:
             self.discard(key)
 
 
 class Resolution(enum.Enum):
-    """What a node's word on a name means for an attempt in doubt."""
+    """What a node's answer means for an uncertain attempt. The values name log parameters."""
 
     NEVER_RAN = "never ran"
     RUNNING = "runs"
@@ -134,7 +138,7 @@
 
 
 def resolve_status(status: int, trusted: bool) -> Resolution:
-    """Read a node's word. 'Never' is believed only of a node that has kept its word so far."""
+    """The meaning of a status number; NEVER_RAN only from a trusted node, whose answers proved right so far."""
     match status:
         case ExecutionStatus.NEVER_RAN if trusted:
             return Resolution.NEVER_RAN
@@ -145,4 +149,4 @@
         case ExecutionStatus.PENDING:
             return Resolution.PENDING
         case _:
-            return Resolution.UNRESOLVED  # it has forgotten, or says what a newer generation knows
+            return Resolution.UNRESOLVED  # the node evicted the key, or the status is of a newer generation
