--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,6 +1,6 @@
 """What the door costs: a verdict at many sources, the sketch, the prefix table and the order by share.
 
-    python -m benchmarks.door
+    python -m benchmarks.admission
 
 Each structure is measured beside the plain one that it takes the place of, in one run.
 """
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -396,7 +396,7 @@
     assert len(given) == 4  # of the block together, though each may have nine
     assert (
         len(admitted(one, "10.9.0.2", 3)) == 0
-        and one._sources[4, int(ipaddress.ip_address("10.9.0.2"))].open == 0
+        and one._sources[4, int(ipaddress.ip_address("10.9.0.2"))].open_count == 0
     )
     assert len(admitted(one, "10.8.0.1", 9)) == 5
     assert len(admitted(one, "10.1.0.1", 9)) == 3  # twelve of the wide prefix together
--- a/thornshelf/admission/descriptors.py
+++ b/thornshelf/admission/descriptors.py
@@ -1,7 +1,7 @@
-"""One ledger of all descriptors: each kind has a floor that no other kind can take.
+"""A ledger of all file descriptors: each kind has a floor that no other kind can use.
 
-The limit is the smaller of the configured one and the process's own, less what is open at the start. Counts are
-kept where descriptors are made and closed; the ledger never looks at the system.
+The limit is the smaller of the configured one and that of the process. Descriptors are counted where they are opened
+and closed; the ledger never queries the system.
 """
 
 from __future__ import annotations
@@ -16,7 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DescriptorLedgerConfig:
-    """``limit``: descriptors in all; ``base``: those that are not counted by kind; ``floors``: by kind."""
+    """The limits of a ledger, in descriptors.
+
+    ``limit``: for all of them; ``baseline``: open at the start and not counted by kind; ``floors``: by kind, reserved
+    for it. Raises ``InvalidParameterError`` for an unknown kind, or if the floors exceed the limit.
+    """
 
     limit: int
     baseline: int
@@ -30,7 +34,7 @@
 
 
 class DescriptorLedger:
-    """What is open, by kind."""
+    """Counts of open descriptors by kind, and of rejected requests for one."""
 
     def __init__(self, config: DescriptorLedgerConfig) -> None:
         self.config = config
@@ -40,18 +44,18 @@
 
     @property
     def open_count(self) -> int:
-        """All of them."""
+        """Open descriptors of all kinds, with the baseline."""
         return self.config.baseline + sum(self.used.values())
 
     def available(self, kind: str) -> int:
-        """How many more of a kind may be opened: the limit, less what is open and what others' floors keep."""
-        kept = sum(
+        """How many more of a kind may be opened without using the floors of other kinds."""
+        reserved_for_others = sum(
             max(0, floor - self.used[other]) for other, floor in self.config.floors.items() if other != kind
         )
-        return max(0, self.config.limit - self.open_count - kept)
+        return max(0, self.config.limit - self.open_count - reserved_for_others)
 
     def acquire(self, kind: str) -> bool:
-        """Open one more; false where there is no room for it."""
+        """Counts one more of a kind as open; false if none is available."""
         if self.available(kind) <= 0:
             self.rejected[kind] += 1
             return False
@@ -60,10 +64,10 @@
         return True
 
     def release(self, kind: str) -> None:
-        """One was closed."""
+        """A descriptor of a kind was closed."""
         self.used[kind] -= 1
 
     def reconfigure(self, config: DescriptorLedgerConfig) -> int:
-        """New terms, maybe below what is open: nothing is dropped by them; how many are too many now."""
+        """Applies new limits; returns how many open descriptors exceed them. None of these is closed."""
         self.config = config
         return max(0, self.open_count - config.limit)
--- a/thornshelf/admission/fair_queue.py
+++ b/thornshelf/admission/fair_queue.py
@@ -1,9 +1,9 @@
-"""The order by share and deadline: set-ups that wait for the decision module, county by county.
+"""A queue of requests for the placement module, fair between tenants: by weight, quota and deadline.
 
-Within its share a county comes by weight (stride scheduling: the one that has had least for its share is next);
-what it asks beyond its share comes when nobody within theirs waits, again by weight. Within a county the higher
-priority is first, then the nearest deadline. What can't start in time any more is given back at once, and under
-pressure what is beyond a share is, the last of its order first.
+Requests within their tenant's quota are taken first, by weight (stride scheduling: the tenant that has had least for
+its weight is next); requests beyond a quota follow when nobody within a quota waits, again by weight. Of one tenant
+the highest priority is first, then the nearest deadline. What can't start in time any more is returned at once, and
+in an overload so are requests beyond a quota, the last of their order first.
 """
 
 from __future__ import annotations
@@ -19,13 +19,15 @@
 
 T = TypeVar("T")
 STRIDE_SCALE = 1 << 20
-UNASSIGNED_TENANT = ""  # the county of set-ups that name none, or one without a share
+MIN_WEIGHT = 1e-6
+UNASSIGNED_TENANT = ""  # of requests that name no tenant, or one without a weight
+_STALE_DEADLINES = 64  # deadlines of requests taken since, beyond which the heap is rebuilt
 
 
 @dataclass(frozen=True, slots=True)
 class FairQueueConfig:
-    """``shares``: weights by county; ``quotas``: set-ups within the share, by county (none: all are);
-    ``a_turn``, ``least_us`` and ``most`` as in ``retries.queue``."""
+    """``weights``: by tenant; ``quotas``: rate of requests that are within the quota, by tenant (none: all are);
+    ``batch_size``, ``min_remaining_us`` and ``max_waiting`` as in ``retries.deadline_queue``."""
 
     weights: Mapping[str, float] = field(default_factory=dict)
     quotas: Mapping[str, Rate] = field(default_factory=dict)
@@ -38,136 +40,139 @@
 @dataclass(slots=True)
 class _Waiting(Generic[T]):
     item: T
-    county: str
-    within: bool
+    within_quota: bool
     priority: int
     deadline_us: int
-    came_us: int
+    enqueued_us: int
 
 
 class _Lane:
-    """One county's set-ups of one kind, within its share or beyond it."""
+    """The requests of one tenant, either within its quota or beyond it."""
 
-    __slots__ = ("heap", "passed", "stride")
+    __slots__ = ("heap", "stride", "virtual_time")
 
     def __init__(self, weight: float) -> None:
-        self.heap: list[tuple[int, int, int]] = []
-        self.stride = max(1, int(STRIDE_SCALE / max(weight, 1e-6)))
-        self.passed = 0
+        self.heap: list[tuple[int, int, int]] = []  # negated priority, deadline, ticket
+        self.stride = max(1, int(STRIDE_SCALE / max(weight, MIN_WEIGHT)))
+        self.virtual_time = 0
 
 
 class FairQueue(Generic[T]):
-    """Waiting set-ups; takes the place of ``retries.queue.AskQueue``."""
+    """Waiting requests; implements ``RequestQueue`` like ``retries.deadline_queue.DeadlineQueue``."""
 
     def __init__(self, config: FairQueueConfig) -> None:
-        self.config, self.max_waiting = config, config.max_waiting
+        self.config = config
+        self.max_waiting = config.max_waiting
         self.overload = OverloadDetector(config.overload)
+        self.shed_count = 0
         self._tickets = itertools.count()
         self._items: dict[int, _Waiting[T]] = {}
         self._lanes: dict[tuple[str, bool], _Lane] = {}
-        self._deadlines: list[tuple[int, int]] = []
-        self._tats: dict[str, int] = {}
-        self._passed = {True: 0, False: 0}  # how far each order has come
-        self._spared: list[T] = []  # turned away under pressure, to be given back
-        self.shed_count = 0
+        self._deadlines: list[tuple[int, int]] = []  # a heap of deadlines and tickets
+        self._arrival_times: dict[str, int] = {}  # of the tenants' quotas
+        self._virtual_times = {True: 0, False: 0}  # within the quotas, and beyond
+        self._shed: list[T] = []  # to be returned by pop_expired
 
     def __len__(self) -> int:
         return len(self._items)
 
     def __bool__(self) -> bool:
-        return bool(self._items or self._spared)
+        return bool(self._items or self._shed)
 
     def put(
         self, item: T, priority: int, deadline_us: int, tenant: str | None = None, now_us: int = 0
     ) -> int:
-        """Add one; the ticket takes it back."""
-        name = tenant if tenant in self.config.weights else UNASSIGNED_TENANT
-        within = self._within(name or UNASSIGNED_TENANT, now_us)
-        lane = self._lane(name or UNASSIGNED_TENANT, within)
+        """Adds a request; returns the ticket that removes it."""
+        name = tenant if tenant is not None and tenant in self.config.weights else UNASSIGNED_TENANT
+        within_quota = self._use_quota(name, now_us)
+        lane = self._lane(name, within_quota)
         ticket = next(self._tickets)
         if not lane.heap:
-            # A county that was idle has no claim on what it did not ask for then.
-            lane.passed = max(lane.passed, self._passed[within])
-        self._items[ticket] = _Waiting(item, name or UNASSIGNED_TENANT, within, priority, deadline_us, now_us)
+            # A tenant that was idle has no claim on what it did not request then.
+            lane.virtual_time = max(lane.virtual_time, self._virtual_times[within_quota])
+        self._items[ticket] = _Waiting(item, within_quota, priority, deadline_us, now_us)
         heapq.heappush(lane.heap, (-priority, deadline_us, ticket))
         heapq.heappush(self._deadlines, (deadline_us, ticket))
         return ticket
 
     def remove(self, ticket: int) -> None:
-        """Its owner gave it up."""
+        """A client cancelled its request."""
         self._items.pop(ticket, None)
 
     def pop_expired(self, now_us: int) -> list[T]:
-        """Those that can't start any more, those beyond the most, and those turned away under pressure."""
-        found, self._spared = self._spared, []
+        """Requests that can't start in time, those beyond the maximum, and those shed in an overload."""
+        expired = self._shed
+        self._shed = []
         while self._deadlines and self._deadlines[0][0] - now_us < self.config.min_remaining_us:
             ticket = heapq.heappop(self._deadlines)[1]
             if ticket in self._items:
-                found.append(self._items.pop(ticket).item)
+                expired.append(self._items.pop(ticket).item)
         while len(self._items) > self.max_waiting:
-            found.append(self._items.pop(self._last()).item)
-        if len(self._deadlines) > 64 + 2 * len(self._items):
-            self._deadlines = [one for one in self._deadlines if one[1] in self._items]
+            last = max(self._items, key=self._order)
+            expired.append(self._items.pop(last).item)
+        if len(self._deadlines) > _STALE_DEADLINES + 2 * len(self._items):
+            self._deadlines = [entry for entry in self._deadlines if entry[1] in self._items]
             heapq.heapify(self._deadlines)
-        return found
+        return expired
 
     def pop_batch(self, now_us: int = 0) -> list[T]:
-        """The next ones for the module."""
-        found: list[T] = []
-        while len(found) < self.config.batch_size and (ticket := self._next()) is not None:
-            one = self._items.pop(ticket)
-            found.append(one.item)
-            if (
-                self.overload.record_wait(now_us - one.came_us, now_us)
-                and (spare := self._spare()) is not None
-            ):
-                self._spared.append(self._items.pop(spare).item)
-                self.shed_count += 1
+        """The next requests for the placement module."""
+        batch: list[T] = []
+        while len(batch) < self.config.batch_size and (ticket := self._next_ticket()) is not None:
+            waiting = self._items.pop(ticket)
+            batch.append(waiting.item)
+            if self.overload.record_wait(now_us - waiting.enqueued_us, now_us):
+                self._shed_one()
         if not self._items:
             self.overload.reset()
-        return found
+        return batch
 
-    def _within(self, county: str, now_us: int) -> bool:
-        quota = self.config.quotas.get(county)
+    def _use_quota(self, tenant: str, now_us: int) -> bool:
+        """Whether a request is within its tenant's quota, which it uses up then."""
+        quota = self.config.quotas.get(tenant)
         if quota is None:
-            return county in self.config.weights or not self.config.weights
-        tat = next_arrival_time(quota, self._tats.get(county, 0), now_us)
-        if tat is not None:
-            self._tats[county] = tat
-        return tat is not None
-
-    def _lane(self, county: str, within: bool) -> _Lane:
-        if (lane := self._lanes.get((county, within))) is None:
-            least = min(self.config.weights.values(), default=1.0)
-            lane = self._lanes[county, within] = _Lane(self.config.weights.get(county, least))
+            return tenant in self.config.weights or not self.config.weights
+        arrival_time = next_arrival_time(quota, self._arrival_times.get(tenant, 0), now_us)
+        if arrival_time is None:
+            return False
+        self._arrival_times[tenant] = arrival_time
+        return True
+
+    def _lane(self, tenant: str, within_quota: bool) -> _Lane:
+        if (lane := self._lanes.get((tenant, within_quota))) is None:
+            lowest = min(self.config.weights.values(), default=1.0)
+            lane = _Lane(self.config.weights.get(tenant, lowest))
+            self._lanes[tenant, within_quota] = lane
         return lane
 
-    def _top(self, lane: _Lane) -> int | None:
+    def _has_waiting(self, lane: _Lane) -> bool:
+        """Whether a lane has a request; drops the tickets of removed ones from its top."""
         while lane.heap and lane.heap[0][2] not in self._items:
             heapq.heappop(lane.heap)
-        return lane.heap[0][2] if lane.heap else None
+        return bool(lane.heap)
 
-    def _next(self) -> int | None:
-        for within in (True, False):
+    def _next_ticket(self) -> int | None:
+        for within_quota in (True, False):
             best: tuple[int, str] | None = None
-            for (county, kind), lane in self._lanes.items():
-                if kind is within and self._top(lane) is not None:
-                    best = min(best, (lane.passed, county)) if best else (lane.passed, county)
+            for (tenant, kind), lane in self._lanes.items():
+                if kind is within_quota and self._has_waiting(lane):
+                    candidate = (lane.virtual_time, tenant)
+                    best = min(best, candidate) if best else candidate
             if best is not None:
-                lane = self._lanes[best[1], within]
-                self._passed[within] = lane.passed
-                lane.passed += lane.stride
+                lane = self._lanes[best[1], within_quota]
+                self._virtual_times[within_quota] = lane.virtual_time
+                lane.virtual_time += lane.stride
                 return heapq.heappop(lane.heap)[2]
         return None
 
-    def _spare(self) -> int | None:
-        """What goes first under pressure: beyond a share, of least priority, with the most time left."""
-        beyond = [ticket for ticket, one in self._items.items() if not one.within]
-        return max(beyond, key=self._order) if beyond else None
-
-    def _last(self) -> int:
-        return max(self._items, key=self._order)
+    def _shed_one(self) -> None:
+        """Sheds the request beyond a quota that is last in the order, if there is one."""
+        beyond_quota = [ticket for ticket, waiting in self._items.items() if not waiting.within_quota]
+        if beyond_quota:
+            last = max(beyond_quota, key=self._order)
+            self._shed.append(self._items.pop(last).item)
+            self.shed_count += 1
 
     def _order(self, ticket: int) -> tuple[bool, int, int, int]:
-        one = self._items[ticket]
-        return not one.within, -one.priority, one.deadline_us, ticket
+        waiting = self._items[ticket]
+        return not waiting.within_quota, -waiting.priority, waiting.deadline_us, ticket
--- a/thornshelf/admission/gcra.py
+++ b/thornshelf/admission/gcra.py
@@ -1,8 +1,8 @@
-"""Rate limits by GCRA (ITU-T I.371, annex A, the virtual scheduling form), in whole numbers.
+"""Rate limits by the generic cell rate algorithm (ITU-T I.371, annex A, virtual scheduling), in integers.
 
-A limit is ``count`` in ``period_us`` microseconds with room for ``burst`` at once. The theoretical arrival time is
-kept in units of 1/count of a microsecond, so that no rate is rounded. A clock that stands still, is late or jumps
-ahead never gives more than the burst, as time earns nothing beyond it.
+A limit is ``count`` in ``period_us`` microseconds, with a burst of up to ``burst``. The theoretical arrival time is
+held in units of 1/count microseconds, so that no rate is rounded. A clock that stands still, is late or jumps ahead
+never allows more than the burst, as idle time earns nothing beyond it.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rate:
-    """A limit; ``burst`` at least 1."""
+    """A rate limit; raises ``InvalidParameterError`` unless all three values are at least 1."""
 
     count: int
     period_us: int
@@ -26,9 +26,9 @@
 
 
 def next_arrival_time(rate: Rate, arrival_time: int, now_us: int) -> int | None:
-    """The new theoretical arrival time where one more conforms; none where it does not.
+    """The new theoretical arrival time if one more conforms now; None if it does not.
 
-    ``tat``: the one before, 0 where nothing was seen. In units of 1/rate.count microseconds.
+    ``arrival_time``: the previous one, 0 initially. Both in units of 1/rate.count microseconds.
     """
     now = now_us * rate.count
     arrival_time = max(arrival_time, now)
@@ -38,11 +38,11 @@
 
 
 def wait_us(rate: Rate, arrival_time: int, now_us: int) -> int:
-    """How long until one more would conform; 0 for at once."""
-    over = arrival_time - now_us * rate.count - (rate.burst - 1) * rate.period_us
-    return max(0, -(-over // rate.count))
+    """Microseconds until one more would conform; 0 if it would now."""
+    excess = arrival_time - now_us * rate.count - (rate.burst - 1) * rate.period_us
+    return max(0, -(-excess // rate.count))
 
 
 def is_idle(rate: Rate, arrival_time: int, now_us: int) -> bool:
-    """Nothing of the past counts any more: its state need not be kept."""
+    """Whether the state equals the initial one by now, so that it need not be stored."""
     return arrival_time <= now_us * rate.count
--- a/thornshelf/admission/heavy_hitters.py
+++ b/thornshelf/admission/heavy_hitters.py
@@ -1,8 +1,8 @@
-"""Heavy sources in bounded memory: space-saving (Metwally, Agrawal, El Abbadi 2005), with decay.
+"""Heavy hitters in bounded memory: the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005), with decay.
 
-At most ``size`` sources are kept. A new one takes the place of the lightest and inherits its weight, so that a
-weight is never too low, and too high by at most the total over the size. Buckets of equal weight are linked by a
-dict, so that an addition costs the same however many sources there are.
+At most ``capacity`` sources are tracked. A new one replaces the one with the lowest count and inherits that count, so
+that a count is never too low, and too high by at most the total divided by the capacity. Sources of equal count share
+a bucket, so that an addition takes constant time.
 """
 
 from __future__ import annotations
@@ -16,76 +16,86 @@
 
 
 class SpaceSavingCounter(Generic[K]):
-    """Counts by source. Whole numbers; ``halve`` lets the past count half."""
+    """Approximate counts by source; raises ``InvalidParameterError`` for a capacity below 1."""
 
     def __init__(self, capacity: int) -> None:
         if capacity < 1:
             raise InvalidParameterError("at least one source has to be kept")
         self.capacity = capacity
         self.total = 0
-        self._weights: dict[K, int] = {}
-        self._over: dict[K, int] = {}  # how much of it may be others'
-        self._buckets: dict[int, dict[K, None]] = {}  # by weight; in each the one that came first is first
-        self._least = 0
+        self._counts: dict[K, int] = {}
+        self._errors: dict[K, int] = {}  # how much of a count may belong to replaced sources
+        self._buckets: dict[int, dict[K, None]] = {}  # by count; in each the oldest source is first
+        self._lowest_count = 0
 
     def __len__(self) -> int:
-        return len(self._weights)
+        return len(self._counts)
 
     def upper_bound(self, source: K) -> int:
-        """At least its count; 0 where it is not kept."""
-        return self._weights.get(source, 0)
+        """At least the true count of a tracked source; 0 for others."""
+        return self._counts.get(source, 0)
 
     def lower_bound(self, source: K) -> int:
-        """At most its count: what can't be others'."""
-        return self._weights.get(source, 0) - self._over.get(source, 0)
+        """At most the true count of a source."""
+        return self._counts.get(source, 0) - self._errors.get(source, 0)
 
     def add(self, source: K, count: int = 1) -> int:
-        """Count a source; its weight now."""
+        """Adds to the count of a source; returns its count, as ``upper_bound``."""
         self.total += count
-        weight = self._weights.get(source)
-        if weight is None:
-            if len(self._weights) < self.capacity:
-                weight = 0
-                self._over[source] = 0
-            else:
-                weight = self._lightest()
-                bucket = self._buckets[weight]
-                gone = next(iter(bucket))
-                self._leave(gone, weight)
-                del self._weights[gone], self._over[gone]
-                self._over[source] = weight
+        previous = self._counts.get(source)
+        if previous is None:
+            previous = self._errors[source] = self._replaced_count()
         else:
-            self._leave(source, weight)
-        weight += count
-        self._weights[source] = weight
-        self._buckets.setdefault(weight, {})[source] = None
-        self._least = min(self._least, weight) if len(self._weights) > 1 else weight
-        return weight
+            self._remove_from_bucket(source, previous)
+        new_count = previous + count
+        self._counts[source] = new_count
+        self._buckets.setdefault(new_count, {})[source] = None
+        if len(self._counts) > 1:
+            self._lowest_count = min(self._lowest_count, new_count)
+        else:
+            self._lowest_count = new_count
+        return new_count
 
     def decay(self) -> None:
-        """Decay: all weights count half, and what comes to nothing goes."""
-        weights, over = self._weights, self._over
-        self._weights, self._over, self._buckets, self.total = {}, {}, {}, self.total // 2
-        for source, weight in weights.items():
-            if half := weight // 2:
-                self._weights[source], self._over[source] = half, over[source] // 2
+        """Halves all counts; sources without a count left are dropped."""
+        counts = self._counts
+        errors = self._errors
+        self._counts = {}
+        self._errors = {}
+        self._buckets = {}
+        self.total //= 2
+        for source, count in counts.items():
+            if half := count // 2:
+                self._counts[source] = half
+                self._errors[source] = errors[source] // 2
                 self._buckets.setdefault(half, {})[source] = None
-        self._least = min(self._buckets, default=0)
+        self._lowest_count = min(self._buckets, default=0)
 
     def top(self, count: int) -> list[tuple[K, int]]:
-        """The heaviest, with their weights."""
-        return sorted(self._weights.items(), key=lambda one: -one[1])[:count]
-
-    def _leave(self, source: K, weight: int) -> None:
-        bucket = self._buckets[weight]
+        """The ``count`` sources with the highest counts, and these counts, the highest first."""
+        return sorted(self._counts.items(), key=lambda item: -item[1])[:count]
+
+    def _replaced_count(self) -> int:
+        """Makes place for a new source; returns the count that it inherits."""
+        if len(self._counts) < self.capacity:
+            return 0
+        lowest = self._find_lowest_count()
+        replaced = next(iter(self._buckets[lowest]))
+        self._remove_from_bucket(replaced, lowest)
+        del self._counts[replaced]
+        del self._errors[replaced]
+        return lowest
+
+    def _remove_from_bucket(self, source: K, count: int) -> None:
+        bucket = self._buckets[count]
         del bucket[source]
         if not bucket:
-            del self._buckets[weight]
-
-    def _lightest(self) -> int:
-        # Weights only grow between two halvings, so the least one moves up by few steps in all.
-        while self._least not in self._buckets:
-            self._least += 1
-            if self._least > self.total:
-                self._least = min(self._buckets)
-        return self._least
+            del self._buckets[count]
+
+    def _find_lowest_count(self) -> int:
+        # Counts only grow between two decays, so the search advances by few steps in all.
+        while self._lowest_count not in self._buckets:
+            self._lowest_count += 1
+            if self._lowest_count > self.total:
+                self._lowest_count = min(self._buckets)
+        return self._lowest_count
--- a/thornshelf/admission/overload.py
+++ b/thornshelf/admission/overload.py
@@ -1,7 +1,7 @@
-"""Pressure, measured by how long set-ups wait in the dispatcher, after CoDel (RFC 8289, section 5).
+"""Overload detection by the time that requests wait in the queue, after CoDel (RFC 8289, section 5).
 
-While the shortest wait of an interval stays under the target there is none, however long the queue may be for a
-moment. When it does not, set-ups are turned away one after another, faster the longer it lasts.
+While the shortest wait of an interval stays under the target there is no overload, however long the queue may be for
+a moment. Otherwise requests are shed one after another, at a rate that grows while the overload lasts.
 """
 
 from __future__ import annotations
@@ -9,50 +9,54 @@
 import math
 from dataclasses import dataclass
 
+# Overload that returns within so many intervals continues at nearly the rate reached before.
+_RESUME_INTERVALS = 8
+
 
 @dataclass(frozen=True, slots=True)
 class OverloadConfig:
-    """Microseconds."""
+    """``target_us``: acceptable wait; ``interval_us``: how long it must be exceeded to count as overload."""
 
     target_us: int = 20_000
     interval_us: int = 200_000
 
 
 class OverloadDetector:
-    """The control law, told of each set-up's wait as it is taken from the queue."""
+    """The control law; gets the wait of each request that is taken from the queue."""
 
     def __init__(self, config: OverloadConfig) -> None:
         self.config = config
-        self._overload_from_us: int | None = None  # when the wait will have been too long for an interval
-        self._next_shed_us = 0
         self.shed_in_episode = 0
         self.is_overloaded = False
+        self._overload_from_us: int | None = None  # when the target will have been exceeded for an interval
+        self._next_shed_us = 0
 
     def record_wait(self, wait_us: int, now_us: int) -> bool:
-        """A set-up is taken from the queue; true where one that can be spared is to be turned away now."""
-        terms = self.config
-        if wait_us < terms.target_us:
-            self._overload_from_us, self.is_overloaded = None, False
+        """A request was taken from the queue; true if another one is to be shed now."""
+        if wait_us < self.config.target_us:
+            self.reset()
             return False
         if self._overload_from_us is None:
-            self._overload_from_us = now_us + terms.interval_us
+            self._overload_from_us = now_us + self.config.interval_us
             return False
         if now_us < self._overload_from_us:
             return False
         if not self.is_overloaded:
-            self.is_overloaded = True
-            # Pressure that comes back soon goes on where it was.
-            lately = now_us - self._next_shed_us < 8 * terms.interval_us
-            self.shed_in_episode = max(1, self.shed_in_episode - 2) if lately else 1
-            self._next_shed_us = now_us
+            self._begin_episode(now_us)
         if now_us < self._next_shed_us:
             return False
-        self._next_shed_us = max(now_us, self._next_shed_us) + int(
-            terms.interval_us / math.sqrt(self.shed_in_episode)
-        )
+        pause_us = int(self.config.interval_us / math.sqrt(self.shed_in_episode))
+        self._next_shed_us = max(now_us, self._next_shed_us) + pause_us
         self.shed_in_episode += 1
         return True
 
     def reset(self) -> None:
-        """The queue is empty."""
-        self._overload_from_us, self.is_overloaded = None, False
+        """The queue is empty or the wait acceptable: there is no overload."""
+        self._overload_from_us = None
+        self.is_overloaded = False
+
+    def _begin_episode(self, now_us: int) -> None:
+        self.is_overloaded = True
+        is_resumed = now_us - self._next_shed_us < _RESUME_INTERVALS * self.config.interval_us
+        self.shed_in_episode = max(1, self.shed_in_episode - 2) if is_resumed else 1
+        self._next_shed_us = now_us
--- a/thornshelf/admission/prefixes.py
+++ b/thornshelf/admission/prefixes.py
@@ -1,7 +1,8 @@
-"""Address prefixes: which rules hold for an address, the longest prefix last. IPv4 and IPv6.
+"""Tables of address prefixes (IPv4 and IPv6), to find all rules that apply to an address.
 
-A path-compressed binary trie (each node has a prefix; a child's extends it). It is measured against a dict for each
-length in ``benchmarks``; the trie finds all that contain an address in one walk, also where lengths are many.
+``PrefixTable`` is a path-compressed binary trie: the prefix of a child extends that of its parent. One walk finds
+all prefixes that contain an address, however many lengths there are. ``PerLengthPrefixTable`` is the plain
+alternative that tests and ``benchmarks`` compare it with.
 """
 
 from __future__ import annotations
@@ -12,15 +13,14 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-Prefix = tuple[int, int, int]  # version, the bits that count (right-aligned), how many
+Prefix = tuple[int, int, int]  # IP version, significant bits (right-aligned), their number
 
 
 def parse_address(text: str) -> tuple[int, int]:
-    """Version and value of an address; ValueError where it is none. A mapped IPv4 address is the IPv4 one."""
+    """IP version and value of an address; an IPv4-mapped address counts as IPv4. Raises ``ValueError``."""
     try:
-        return 4, int.from_bytes(
-            socket.inet_pton(socket.AF_INET, text), "big"
-        )  # nearly all, and much quicker
+        # Nearly all addresses are IPv4, and this is much faster than ``ipaddress``.
+        return 4, int.from_bytes(socket.inet_pton(socket.AF_INET, text), "big")
     except OSError:
         pass
     address = ipaddress.ip_address(text.partition("%")[0])
@@ -30,13 +30,10 @@
 
 
 def parse_prefix(text: str) -> Prefix:
-    """A prefix as in 10.0.0.0/8 or fd00::/8; ValueError where it is none, or has bits beyond its length."""
+    """A prefix as in 10.0.0.0/8 or fd00::/8; raises ``ValueError``, also for bits beyond its length."""
     network = ipaddress.ip_network(text)
-    return (
-        network.version,
-        int(network.network_address) >> (network.max_prefixlen - network.prefixlen),
-        network.prefixlen,
-    )
+    host_bits = network.max_prefixlen - network.prefixlen
+    return network.version, int(network.network_address) >> host_bits, network.prefixlen
 
 
 ADDRESS_BITS = {4: 32, 6: 128}
@@ -46,13 +43,14 @@
     __slots__ = ("bits", "children", "length", "value")
 
     def __init__(self, bits: int, length: int) -> None:
-        self.bits, self.length = bits, length
+        self.bits = bits
+        self.length = length
         self.children: list[_Node[T] | None] = [None, None]
         self.value: T | None = None
 
 
 class PrefixTable(Generic[T]):
-    """Values by prefix; None is no value."""
+    """Values by prefix; a value can't be None."""
 
     def __init__(self) -> None:
         self._roots: dict[int, _Node[T]] = {version: _Node(0, 0) for version in ADDRESS_BITS}
@@ -62,7 +60,7 @@
         return self._count
 
     def insert(self, prefix: Prefix, value: T) -> None:
-        """Set the value of a prefix."""
+        """Sets the value of a prefix."""
         version, bits, length = prefix
         node = self._roots[version]
         while True:
@@ -77,14 +75,14 @@
             else:
                 common = _common(child.bits, child.length, bits, length)
                 if common < child.length:
-                    # the paths part within this edge, or the prefix ends in it
+                    # The paths diverge within this edge, or the new prefix ends in it.
                     middle: _Node[T] = _Node(bits >> (length - common), common)
                     middle.children[child.bits >> (child.length - common - 1) & 1] = child
                     node.children[side] = child = middle
             node = child
 
     def matches(self, version: int, address: int) -> Iterator[T]:
-        """The values of all prefixes that contain an address, the shortest first."""
+        """The values of all prefixes that contain an address, the shortest prefix first."""
         width = ADDRESS_BITS[version]
         node: _Node[T] | None = self._roots[version]
         while node is not None:
@@ -97,7 +95,7 @@
             node = node.children[address >> (width - node.length - 1) & 1]
 
     def longest_match(self, version: int, address: int) -> T | None:
-        """The value of the longest prefix that contains an address."""
+        """The value of the longest prefix that contains an address; None if there is none."""
         found = None
         for found in self.matches(version, address):  # noqa: B007
             pass
@@ -105,26 +103,26 @@
 
 
 def _common(a: int, a_length: int, b: int, b_length: int) -> int:
-    """How many leading bits two prefixes share."""
-    least = min(a_length, b_length)
-    differ = (a >> (a_length - least)) ^ (b >> (b_length - least))
-    return least - differ.bit_length()
+    """Number of leading bits that two prefixes share."""
+    length = min(a_length, b_length)
+    difference = (a >> (a_length - length)) ^ (b >> (b_length - length))
+    return length - difference.bit_length()
 
 
 class PerLengthPrefixTable(Generic[T]):
-    """The plain one: a dict for each length that occurs."""
+    """Values by prefix, in a dict for each prefix length."""
 
     def __init__(self) -> None:
         self._by_length: dict[int, dict[int, dict[int, T]]] = {4: {}, 6: {}}
 
     def insert(self, prefix: Prefix, value: T) -> None:
-        """Set the value of a prefix."""
+        """Sets the value of a prefix."""
         version, bits, length = prefix
         self._by_length[version].setdefault(length, {})[bits] = value
         self._by_length[version] = dict(sorted(self._by_length[version].items()))
 
     def matches(self, version: int, address: int) -> Iterator[T]:
-        """The values of all prefixes that contain an address, the shortest first."""
+        """The values of all prefixes that contain an address, the shortest prefix first."""
         width = ADDRESS_BITS[version]
         for length, table in self._by_length[version].items():
             if (value := table.get(address >> (width - length))) is not None:
--- a/thornshelf/admission/reputation.py
+++ b/thornshelf/admission/reputation.py
@@ -1,8 +1,8 @@
-"""Sources that are known by their conduct: tasks were placed for them lately.
+"""Sources that are known by their reputation: tasks were placed for them recently.
 
-Bounded and decaying: a county that moves to another address is known there after a few placings, and one that is
-gone is forgotten. Only what can't be another source's counts, so that a crowd of addresses can't make itself known
-by pushing others out.
+Bounded and decaying: a client network that moves to another address is known there after a few placements, and a
+network that left is forgotten. Only the placements that surely belong to a source count, so that many new addresses
+can't become known by evicting others.
 """
 
 from __future__ import annotations
@@ -12,10 +12,13 @@
 
 from thornshelf.admission.heavy_hitters import SpaceSavingCounter
 
+_MAX_HALVINGS = 32
+
 
 @dataclass(frozen=True, slots=True)
 class ReputationConfig:
-    """``placed``: so many tasks placed make a source known; ``half_life_us``: after which they count half."""
+    """``known_after``: placements that make a source known; ``half_life_us``: after which they count half;
+    ``max_sources``: tracked at once."""
 
     known_after: int = 4
     half_life_us: int = 60_000_000
@@ -23,7 +26,7 @@
 
 
 class Reputation:
-    """Who is known."""
+    """Counts placements by source."""
 
     def __init__(self, config: ReputationConfig, now_us: int = 0) -> None:
         self.config = config
@@ -36,13 +39,13 @@
         self._placements.add(source)
 
     def is_known(self, source: Hashable, now_us: int) -> bool:
-        """It has had tasks placed lately."""
+        """Whether enough tasks were placed for a source recently."""
         self._decay(now_us)
         return self._placements.lower_bound(source) >= self.config.known_after
 
     def _decay(self, now_us: int) -> None:
-        # A long gap is a few halvings, not one for each half-life that has passed.
-        steps = min(32, max(0, now_us - self._halved_us) // self.config.half_life_us)
+        # After that many halvings nothing is left, however long the pause was.
+        steps = min(_MAX_HALVINGS, max(0, now_us - self._halved_us) // self.config.half_life_us)
         for _ in range(steps):
             self._placements.decay()
         if steps:
--- a/thornshelf/admission/reserved_connections.py
+++ b/thornshelf/admission/reserved_connections.py
@@ -1,8 +1,8 @@
-"""Connections kept for known counties.
+"""Connections reserved for known sources.
 
-Unknown sources never use the last ``floor`` places. The rest of the reserve is lent to them as far as it could be
-taken back at once: an unknown connection without an open set-up can be closed for a known one, one with an open
-set-up can't. So an unused reserve is not wasted, and a known county finds a place without waiting for anybody.
+Unknown sources never use the last ``floor`` connections. The rest of the reservation is available to them as far as
+it could be reclaimed at once: an unknown connection without an open request can be closed for a known one, one with
+an open request can't. So an unused reservation is not wasted, and a known source never waits for a connection.
 """
 
 from __future__ import annotations
@@ -14,8 +14,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReservedConnectionsConfig:
-    """``capacity``: connections in all; ``reserve`` of them for known sources; ``floor`` of these are never lent:
-    as many as known sources may open in the time that it takes to close a lent one."""
+    """``capacity``: all connections; ``reserved``: those for known sources; ``floor``: those that unknown sources
+    never use, as many as known sources may open in the time that it takes to close an unknown connection.
+
+    Raises ``InvalidParameterError`` unless 0 <= floor <= reserved <= capacity.
+    """
 
     capacity: int
     reserved: int
@@ -27,7 +30,7 @@
 
 
 class ReservedConnections:
-    """Counts of open connections; ``busy``: unknown ones that can't be closed now."""
+    """Counts of open connections. In its methods, ``busy``: unknown connections that can't be closed now."""
 
     def __init__(self, config: ReservedConnectionsConfig) -> None:
         self.config = config
@@ -36,41 +39,40 @@
 
     @property
     def open_count(self) -> int:
-        """All of them."""
+        """All open connections."""
         return self.known_count + self.unknown_count
 
     def withheld_from_unknown(self, busy: int) -> int:
-        """Places that unknown sources may not take now."""
-        terms = self.config
-        unused = max(0, terms.reserved - self.known_count)
-        # What is lent has to come back at once: only closable connections may stand on it.
+        """Free connections that unknown sources may not use now."""
+        unused = max(0, self.config.reserved - self.known_count)
+        # Only connections that can be closed at once may use what is reserved.
         closable = max(0, self.unknown_count - busy)
-        return max(min(unused, terms.floor), unused - closable)
+        return max(min(unused, self.config.floor), unused - closable)
 
     def can_open(self, known: bool, busy: int) -> bool:
-        """There is a place as things are."""
-        room = self.config.capacity - self.open_count
-        return room > 0 if known else room > self.withheld_from_unknown(busy)
+        """Whether a source may open a connection without closing another."""
+        free = self.config.capacity - self.open_count
+        return free > 0 if known else free > self.withheld_from_unknown(busy)
 
     def can_replace(self, busy: int) -> bool:
-        """A known source may have the place of an unknown connection that can be closed."""
+        """Whether an unknown connection can be closed in favour of a known source."""
         return self.unknown_count > busy
 
     def record_open(self, known: bool) -> None:
-        """One more."""
+        """A connection was opened."""
         if known:
             self.known_count += 1
         else:
             self.unknown_count += 1
 
     def record_close(self, known: bool) -> None:
-        """One less."""
+        """A connection was closed."""
         if known:
             self.known_count -= 1
         else:
             self.unknown_count -= 1
 
     def record_promotion(self) -> None:
-        """A source has become known by its conduct: one of its connections counts as known from now on."""
+        """The source of an unknown connection became known by its reputation: the connection counts as known."""
         self.unknown_count -= 1
         self.known_count += 1
--- a/thornshelf/components/admission.py
+++ b/thornshelf/components/admission.py
@@ -1,4 +1,4 @@
-"""The door (see docs/admission.md)."""
+"""The component that controls admission (see docs/admission.md)."""
 
 from __future__ import annotations
 
@@ -8,23 +8,28 @@
 
 
 class AdmissionComponent(Component):
-    """Who gets in."""
+    """Creates the admission filter, and reconfigures it."""
 
     def prepare(self) -> None:
-        """The door stands before anything takes a descriptor."""
+        """Creates the filter before anything opens a descriptor, so that all are counted."""
         host = self.host
-        held = host.inherited.predecessor_descriptors if host.inherited is not None else 0
+        inherited = host.inherited
+        predecessor_descriptors = inherited.predecessor_descriptors if inherited is not None else 0
         if host.config.admission is not None:
             host.admission_filter = AdmissionFilter(
-                host.loop, host.config.admission, host.config.max_descriptors, host.log, held
+                host.loop,
+                host.config.admission,
+                host.config.max_descriptors,
+                host.log,
+                predecessor_descriptors,
             )
 
     def reload(self, config: Config) -> None:
-        """A door can change, but neither come nor go."""
+        """Applies new settings; admission control can't be turned on or off without a restart."""
         if self.host.admission_filter is not None and config.admission is not None:
             self.host.admission_filter.reconfigure(config.admission, config.max_descriptors)
 
 
 def make(host: Host) -> Component:
-    """The part."""
+    """The component."""
     return AdmissionComponent(host)
--- a/thornshelf/frontends/admission_filter.py
+++ b/thornshelf/frontends/admission_filter.py
@@ -1,4 +1,4 @@
-"""The door with its hinges: verdicts of ``admission`` carried out on sockets, within the ledger of descriptors."""
+"""Applies admission decisions to accepted sockets, within the file descriptor budget."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from typing import Protocol
 
 from thornshelf.admission.controller import (
+    FULL_RETRY_AFTER_US,
     AdmissionConfig,
     AdmissionController,
     ConnectionPermit,
@@ -21,16 +22,18 @@
 from thornshelf.loop import Loop, Stream
 from thornshelf.translation.failures import FailureCause, FailureReason, failure_cause
 
-FULL_RETRY_AFTER_US = 1_000_000
-INITIAL_PAUSE_US = 20_000  # a connection whose set-ups are turned away is not read from for so long,
-MAX_PAUSE_US = 640_000  # doubling up to this while it goes on
+INITIAL_PAUSE_US = 20_000  # in reading from a connection whose requests are rejected; doubles each time
+MAX_PAUSE_US = 640_000
+MIN_RETRY_AFTER_US = 1000
+_UNCOUNTED_DESCRIPTORS = 8  # kept free beside what is open at the start
+_WARNING = 4  # severity of syslog
 
 
 class ReadBackoff:
-    """How slowly a connection is read whose set-ups the door turns away.
+    """Slows down reading from a connection whose requests are rejected.
 
-    Guards against a flood that takes the turns of all others merely by being refused: what is not read yet waits in
-    the client's own buffers.
+    Otherwise a flood would take the turns of all other connections merely by being rejected. What is not read yet
+    waits in the client's own buffers.
     """
 
     __slots__ = ("_pause_us", "rejected_count")
@@ -40,12 +43,12 @@
         self._pause_us = 0
 
     def record_admission(self) -> None:
-        """A set-up got in."""
+        """A request was admitted."""
         if not self.rejected_count:
             self._pause_us = 0
 
     def next_pause_us(self) -> int:
-        """How long to wait now; 0 where nothing was turned away."""
+        """How long to pause reading now; 0 if nothing was rejected since the last pause."""
         if not self.rejected_count:
             return 0
         self.rejected_count = 0
@@ -54,31 +57,34 @@
 
 
 class EvictableConnection(Protocol):
-    """A client's connection, as far as the door has to know it."""
+    """A client's connection, as far as admission uses it."""
 
     @property
     def stream(self) -> Stream:
-        """Its bytes."""
+        """Its byte stream."""
 
     @property
     def is_idle(self) -> bool:
-        """Closing it costs its client no answer."""
+        """Whether its client loses no answer if it is closed."""
 
     @property
     def retention_rank(self) -> int:
-        """Of idle ones that of least worth goes first."""
+        """Of idle connections the one with the lowest rank is closed first."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionFilterConfig:
-    """The door's terms, and the floors of the ledger."""
+    """The settings of the controller, and the descriptor floors by kind."""
 
     controller: AdmissionConfig
     descriptor_floors: dict[str, int]
 
 
 class AdmissionFilter:
-    """One dispatcher's door."""
+    """The admission control of one dispatcher.
+
+    ``predecessor_descriptors``: those that a predecessor still has open; both keep within the limit together.
+    """
 
     def __init__(
         self,
@@ -88,147 +94,153 @@
         log: LogFunction,
         predecessor_descriptors: int = 0,
     ) -> None:
-        """``held``: descriptors that a predecessor still holds; both keep within the limit together."""
-        self.loop, self.log, self._predecessor_descriptors = loop, log, predecessor_descriptors
+        self.loop = loop
+        self.log = log
         self.rejection_log = RejectionLog(RejectionLogConfig(), loop.now)
         self.controller = AdmissionController(config.controller, loop.now)
         self.baseline = len(os.listdir("/proc/self/fd"))
-        self.descriptor_ledger = DescriptorLedger(self._ledger_terms(config, sockets))
-        self.connection_lists: list[Callable[[], Iterable[EvictableConnection]]] = []  # of each front
-        self._busy = self._busy_at = 0
+        self._predecessor_descriptors = predecessor_descriptors
+        self.descriptor_ledger = DescriptorLedger(self._ledger_config(config, sockets))
+        self.connection_lists: list[Callable[[], Iterable[EvictableConnection]]] = []  # of each frontend
+        self._busy_unknown = 0
+        self._busy_counted_us = 0
         self._spare = -1
         for kind in ("changelog", "log"):
             self.descriptor_ledger.acquire(kind)
         self.reserve_spare()
 
-    def _ledger_terms(self, terms: AdmissionFilterConfig, sockets: int) -> DescriptorLedgerConfig:
-        own = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        limit = min(
-            sockets - self._predecessor_descriptors, own if own != resource.RLIM_INFINITY else sockets
-        )
-        floors, least = dict(terms.descriptor_floors), self.baseline + 8
-        if sum(floors.values()) + least > limit:
+    def _ledger_config(self, config: AdmissionFilterConfig, sockets: int) -> DescriptorLedgerConfig:
+        process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        if process_limit == resource.RLIM_INFINITY:
+            process_limit = sockets
+        limit = min(sockets - self._predecessor_descriptors, process_limit)
+        floors = dict(config.descriptor_floors)
+        minimum = self.baseline + _UNCOUNTED_DESCRIPTORS
+        if sum(floors.values()) + minimum > limit:
             # A process that may open less than its configuration says still has to serve: all floors shrink alike.
-            share = max(0, limit - least) / max(1, sum(floors.values()))
-            floors = {kind: int(floor * share) for kind, floor in floors.items()}
-        return DescriptorLedgerConfig(max(limit, least), self.baseline, floors)
+            fraction = max(0, limit - minimum) / max(1, sum(floors.values()))
+            floors = {kind: int(floor * fraction) for kind, floor in floors.items()}
+        return DescriptorLedgerConfig(max(limit, minimum), self.baseline, floors)
 
-    def reconfigure(self, terms: AdmissionFilterConfig, sockets: int) -> None:
-        """New terms: nobody is dropped."""
-        self.controller.reconfigure(terms.controller)
-        self.descriptor_ledger.reconfigure(self._ledger_terms(terms, sockets))
+    def reconfigure(self, config: AdmissionFilterConfig, sockets: int) -> None:
+        """Applies new settings; no connection is closed."""
+        self.controller.reconfigure(config.controller)
+        self.descriptor_ledger.reconfigure(self._ledger_config(config, sockets))
 
-    def predecessor_ended(self, terms: AdmissionFilterConfig | None, sockets: int) -> None:
-        """The predecessor has ended."""
+    def predecessor_ended(self, config: AdmissionFilterConfig | None, sockets: int) -> None:
+        """The predecessor has exited: its descriptors are available."""
         self._predecessor_descriptors = 0
-        if terms is not None:
-            self.descriptor_ledger.reconfigure(self._ledger_terms(terms, sockets))
+        if config is not None:
+            self.descriptor_ledger.reconfigure(self._ledger_config(config, sockets))
 
     # connections
 
     def admit_connection(self, peer: str) -> tuple[Decision, ConnectionPermit | None]:
-        """A connection was accepted: may it stay?"""
+        """Decides on an accepted connection; the permit is None if it is rejected."""
         if self.descriptor_ledger.available("clients") <= 0 and not self.evict_idle(unknown_only=True):
             self.descriptor_ledger.rejected["clients"] += 1
-            self._record_rejection("descriptors", self.controller.source_of(peer), False)
+            self._record_rejection("descriptors", self.controller.source_of(peer), known=False)
             return Decision(False, "no descriptor is left", FULL_RETRY_AFTER_US), None
-        verdict, given = self.controller.admit_connection(peer, self.loop.now, self.busy_unknown)
-        if given is not None and verdict.replaces_idle and not self.evict_idle(unknown_only=True):
-            self.controller.release(given)
-            self._record_rejection("connections", given.source, given.known)
+        decision, permit = self.controller.admit_connection(peer, self.loop.now, self.busy_unknown)
+        if permit is None:
+            self._record_rejection("connections", self.controller.source_of(peer), decision.known)
+            return decision, None
+        if decision.replaces_idle and not self.evict_idle(unknown_only=True):
+            self.controller.release(permit)
+            self._record_rejection("connections", permit.source, permit.known)
             return Decision(False, "no place is left", FULL_RETRY_AFTER_US), None
-        if given is not None:
-            self.descriptor_ledger.acquire("clients")
-        else:
-            self._record_rejection("connections", self.controller.source_of(peer), verdict.known)
-        return verdict, given
-
-    def release(self, given: ConnectionPermit) -> None:
-        """An admitted connection is over."""
-        if not given.over:
-            self.controller.release(given)
+        self.descriptor_ledger.acquire("clients")
+        return decision, permit
+
+    def release(self, permit: ConnectionPermit) -> None:
+        """An admitted connection was closed; releasing its permit again has no effect."""
+        if not permit.released:
+            self.controller.release(permit)
             self.descriptor_ledger.release("clients")
 
     @property
     def busy_unknown(self) -> int:
-        """Unknown connections that can't be closed now; counted once a turn."""
-        if self._busy_at != self.loop.now:
-            self._busy_at = self.loop.now
-            self._busy = sum(
+        """Connections of unknown sources that can't be closed now; counted once a turn."""
+        if self._busy_counted_us != self.loop.now:
+            self._busy_counted_us = self.loop.now
+            self._busy_unknown = sum(
                 1
-                for guest in self._connections()
-                if (given := guest.stream.admission_permit) and not given.known and not guest.is_idle
+                for connection in self._connections()
+                if (permit := connection.stream.admission_permit)
+                and not permit.known
+                and not connection.is_idle
             )
-        return min(self._busy, self.controller.reserved_connections.unknown_count)
+        return min(self._busy_unknown, self.controller.reserved_connections.unknown_count)
 
     def evict_idle(self, unknown_only: bool) -> bool:
-        """Close an idle connection: of unknown sources first, and of those the one of least worth."""
-        best: tuple[bool, int] | None = None
-        found: EvictableConnection | None = None
-        for guest in self._connections():
-            given = guest.stream.admission_permit
-            known = given is not None and given.known
-            if (
-                guest.is_idle
-                and not (known and unknown_only)
-                and (best is None or (known, guest.retention_rank) < best)
-            ):
-                best, found = (known, guest.retention_rank), guest
-                if best == (False, 0):
-                    break
-        if found is None:
+        """Closes an idle connection, of unknown sources and of low rank first; false if there is none."""
+        best_rank: tuple[bool, int] | None = None
+        best: EvictableConnection | None = None
+        for connection in self._connections():
+            permit = connection.stream.admission_permit
+            known = permit is not None and permit.known
+            if not connection.is_idle or (known and unknown_only):
+                continue
+            rank = (known, connection.retention_rank)
+            if best_rank is None or rank < best_rank:
+                best_rank = rank
+                best = connection
+                if rank == (False, 0):
+                    break  # none can rank lower
+        if best is None:
             return False
-        found.stream.close()
+        best.stream.close()
         return True
 
     def _connections(self) -> Iterable[EvictableConnection]:
-        for guests in self.connection_lists:
-            yield from list(guests())
+        for connections in self.connection_lists:
+            yield from list(connections())
 
-    # set-ups
+    # requests
 
     def admit_request(self, stream: Stream) -> tuple[int, FailureCause] | None:
-        """A set-up has come; the wait and the cause where it is refused at the door."""
-        given = stream.admission_permit
-        if given is None:
+        """None if a request is admitted; else the time to retry after, in microseconds, and the cause."""
+        permit = stream.admission_permit
+        if permit is None:
             return None
-        verdict = self.controller.admit_request(given, self.loop.now)
-        if verdict.admitted:
+        decision = self.controller.admit_request(permit, self.loop.now)
+        if decision.admitted:
             return None
-        self._record_rejection("set-ups", given.source, verdict.known)
-        return max(1000, verdict.retry_after_us), failure_cause(FailureReason.OVERLOADED, verdict.reason)
+        self._record_rejection("set-ups", permit.source, decision.known)
+        cause = failure_cause(FailureReason.OVERLOADED, decision.reason)
+        return max(MIN_RETRY_AFTER_US, decision.retry_after_us), cause
 
     def record_placement(self, stream: Stream) -> None:
-        """A task was placed for this connection's source."""
-        if (given := stream.admission_permit) is not None:
-            self.controller.record_placement(given, self.loop.now)
+        """A task was placed for the source of this connection."""
+        if (permit := stream.admission_permit) is not None:
+            self.controller.record_placement(permit, self.loop.now)
 
     def new_read_backoff(self) -> ReadBackoff:
-        """For one connection."""
+        """The read backoff of one connection."""
         return ReadBackoff()
 
-    # what operators are told
+    # the log
 
     def _record_rejection(self, kind: str, source: Source, known: bool) -> None:
-        """Counted, and told together at most once a second: a flood must not fill the log."""
-        due = self.rejection_log.record(kind, source, known, self.loop.now)
-        if due is not None:
-            self.loop.at(due, self._log_summary)
+        """Counts a rejection; summaries are logged at most once a second, so that no flood fills the log."""
+        due_us = self.rejection_log.record(kind, source, known, self.loop.now)
+        if due_us is not None:
+            self.loop.at(due_us, self._log_summary)
 
     def _log_summary(self) -> None:
-        if (found := self.rejection_log.take_summary(self.loop.now)) is None:
+        summary = self.rejection_log.take_summary(self.loop.now)
+        if summary is None:
             return
-        values: dict[str, object] = dict(found.counts)
-        values["known"] = found.known_count
-        values["heaviest"] = ",".join(
-            f"{format_source(source)}={count}" for source, count in found.top_sources
-        )
-        self.log(4, "connections-rejected", values, "turned away since the last line")
+        sources = [f"{format_source(source)}={count}" for source, count in summary.top_sources]
+        values: dict[str, object] = dict(summary.counts)
+        values["known"] = summary.known_count
+        values["heaviest"] = ",".join(sources)
+        self.log(_WARNING, "connections-rejected", values, "rejected since the last summary")
 
     # the spare descriptor
 
     def reserve_spare(self) -> None:
-        """Hold one descriptor that can be given up, so that at a full table one can still be told so."""
+        """Opens a spare descriptor: closing it allows one accept when descriptors have run out, to reject it."""
         if self._spare < 0:
             try:
                 self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
@@ -237,7 +249,7 @@
                 self._spare = -1
 
     def release_spare(self) -> bool:
-        """Free it for one accept; false where it is not there."""
+        """Closes the spare descriptor for one accept; false if there is none."""
         if self._spare < 0:
             return False
         os.close(self._spare)
@@ -246,5 +258,5 @@
         return True
 
     def close(self) -> None:
-        """Give the spare back."""
+        """Closes the spare descriptor."""
         self.release_spare()
