--- /dev/null
+++ b/tests/test_admission_rules.py
@@ -0,0 +1,329 @@
+"""The rules of admission: rates, prefixes, counters, reservations, descriptors, overload and fair queueing."""
+
+from __future__ import annotations
+
+import itertools
+import random
+from collections import Counter
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from thornshelf.admission.descriptors import DescriptorLedger, DescriptorLedgerConfig
+from thornshelf.admission.fair_queue import FairQueue, FairQueueConfig
+from thornshelf.admission.gcra import Rate, is_idle, next_arrival_time, wait_us
+from thornshelf.admission.heavy_hitters import SpaceSavingCounter
+from thornshelf.admission.overload import OverloadConfig, OverloadDetector
+from thornshelf.admission.prefixes import PerLengthPrefixTable, PrefixTable, parse_address, parse_prefix
+from thornshelf.admission.rejection_log import RejectionLog, RejectionLogConfig, format_source
+from thornshelf.admission.reputation import Reputation, ReputationConfig
+from thornshelf.admission.reserved_connections import ReservedConnections, ReservedConnectionsConfig
+
+FIXED = settings(derandomize=True, max_examples=80, deadline=None)
+
+
+# rates
+
+
+def test_a_rate_allows_its_burst_and_then_its_count() -> None:
+    rate, tat, given_at = Rate(3, 1_000_000, 2), 0, []
+    for now in range(0, 2_000_001, 1000):
+        if (new := next_arrival_time(rate, tat, now)) is not None:
+            tat = new
+            given_at.append(now)
+    assert given_at[:4] == [0, 0 + 1000, 334_000, 667_000] and len(given_at) == 8
+
+
+@FIXED
+@given(
+    st.integers(1, 50),
+    st.integers(1, 2_000_000),
+    st.integers(1, 20),
+    st.lists(st.integers(0, 500_000), max_size=100),
+)
+def test_no_window_exceeds_the_rate_and_the_burst(
+    count: int, period: int, burst: int, gaps: list[int]
+) -> None:
+    rate, tat, now, taken = Rate(count, period, burst), 0, 0, list[int]()
+    for gap in gaps:
+        now += gap
+        wait = wait_us(rate, tat, now)
+        new = next_arrival_time(rate, tat, now)
+        assert (new is None) == (wait > 0)
+        if new is None:
+            assert (
+                next_arrival_time(rate, tat, now + wait) is not None
+                and next_arrival_time(rate, tat, now + wait - 1) is None
+            )
+        else:
+            tat = new
+            taken.append(now)
+    for i, begin in enumerate(taken):
+        for j in range(i, len(taken)):
+            assert (j - i + 1 - burst) * period <= (taken[j] - begin) * count
+
+
+def test_a_clock_jump_earns_no_more_than_the_burst() -> None:
+    rate = Rate(10, 1_000_000, 3)
+    tat = 0
+    for _ in range(3):
+        tat = next_arrival_time(rate, tat, 0) or 0
+    assert next_arrival_time(rate, tat, 0) is None and not is_idle(rate, tat, 0)
+    jump, got = 10**13, 0
+    while (new := next_arrival_time(rate, tat, jump)) is not None:
+        tat, got = new, got + 1
+    assert got == 3
+    assert next_arrival_time(rate, tat, 0) is None  # nor does one that steps back
+    with pytest.raises(ValueError):
+        Rate(0, 1, 1)
+
+
+# prefixes
+
+
+def test_nested_prefixes_match_in_order_of_length() -> None:
+    table = PrefixTable[str]()
+    for text in ("0.0.0.0/0", "10.0.0.0/8", "10.1.0.0/16", "10.1.2.3/32", "fd00::/8", "fd00:1::/32"):
+        table.insert(parse_prefix(text), text)
+    assert list(table.matches(*parse_address("10.1.2.3"))) == [
+        "0.0.0.0/0",
+        "10.0.0.0/8",
+        "10.1.0.0/16",
+        "10.1.2.3/32",
+    ]
+    assert table.longest_match(*parse_address("10.2.0.1")) == "10.0.0.0/8"
+    assert table.longest_match(*parse_address("fd00:1::9")) == "fd00:1::/32" and len(table) == 6
+    assert list(table.matches(*parse_address("fe80::1%eth0"))) == []
+    assert parse_address("::ffff:10.1.2.3") == parse_address("10.1.2.3")
+    for bad in ("10.0.0.1/8", "10.0.0.0/33", "x"):
+        with pytest.raises(ValueError):
+            parse_prefix(bad)
+
+
+@FIXED
+@given(
+    st.integers(0, 2**32 - 1), st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 32)), max_size=40)
+)
+def test_the_trie_matches_like_a_dict_for_each_length(seed: int, prefixes: list[tuple[int, int]]) -> None:
+    trie, plain = PrefixTable[int](), PerLengthPrefixTable[int]()
+    for number, (value, length) in enumerate(prefixes, 1):
+        prefix = (4, value >> (32 - length), length)
+        trie.insert(prefix, number)
+        plain.insert(prefix, number)
+    rng = random.Random(seed)
+    for value in [one[0] for one in prefixes] + [rng.randrange(2**32) for _ in range(20)]:
+        assert list(trie.matches(4, value)) == list(plain.matches(4, value))
+
+
+# heavy hitters, reputation and rejections
+
+
+@FIXED
+@given(st.integers(1, 12), st.lists(st.integers(0, 30), max_size=300))
+def test_space_saving_counts_stay_within_their_bounds(size: int, seen: list[int]) -> None:
+    sketch, plain = SpaceSavingCounter[int](size), Counter[int]()
+    for one in seen:
+        sketch.add(one)
+        plain[one] += 1
+        assert len(sketch) <= size
+    for one, count in plain.items():
+        if one in dict(sketch.top(size)):
+            assert sketch.lower_bound(one) <= count <= sketch.upper_bound(one) <= count + len(seen) // size
+        else:
+            assert count <= len(seen) // size
+
+
+def test_many_sources_use_no_more_memory_than_the_capacity() -> None:
+    sketch = SpaceSavingCounter[int](256)
+    for one in range(200_000):
+        sketch.add(one)
+        if one % 10 == 0:
+            sketch.add(-1)
+    assert len(sketch) == 256 and sketch.top(1)[0][0] == -1 and sketch.lower_bound(-1) == 20_000
+    for _ in range(20):
+        sketch.decay()
+    assert len(sketch) == 0 and sketch.total == 0
+    sketch.add(5)
+    assert sketch.upper_bound(5) == 1
+
+
+def test_a_reputation_is_earned_by_placements_and_decays() -> None:
+    reputation = Reputation(ReputationConfig(known_after=4, half_life_us=100, max_sources=2))
+    for _ in range(8):
+        reputation.record_placement("hollis", 0)
+    assert (
+        reputation.is_known("hollis", 99)
+        and reputation.is_known("hollis", 150)
+        and not reputation.is_known("hollis", 350)
+    )
+    for number in range(100):
+        reputation.record_placement(number, 400)  # a crowd that pushes others out makes nobody known
+        assert not reputation.is_known(number, 400)
+    assert not reputation.is_known("hollis", 10**12)
+
+
+def test_a_flood_is_summarised_once_an_interval() -> None:
+    rejections, summaries = (
+        RejectionLog(RejectionLogConfig(interval_us=100, top_sources=2, max_sources=8)),
+        list[tuple[int, int]](),
+    )
+    due = None
+    for now in range(0, 1000, 2):
+        for source, count in (((4, 1), 5), ((4, 2), 2), ((4, 1000 + now), 1)):
+            for _ in range(count):
+                at = rejections.record("connections", source, source == (4, 2), now)
+                due = at if at is not None else due
+        if due is not None and now >= due and (found := rejections.take_summary(now)) is not None:
+            due = None
+            summaries.append((now, found.counts["connections"]))
+            assert len(found.top_sources) <= 2 and found.top_sources[0][0] == (4, 1)
+    assert 9 <= len(summaries) <= 10 and all(b[0] - a[0] >= 100 for a, b in itertools.pairwise(summaries))
+    assert rejections.take_summary(1000) is not None and rejections.take_summary(1001) is None
+    assert [format_source(one) for one in ((4, 0x0A010203), (6, 0xFD00000000000001), (0, 0), (0, 1))] == [
+        "10.1.2.3", "fd00:0:0:1::/64", "unreadable", "others"
+    ]  # fmt: skip
+
+
+# reserved connections and descriptors
+
+
+def test_unknown_sources_never_use_the_reserved_connections() -> None:
+    connections = ReservedConnections(ReservedConnectionsConfig(capacity=10, reserved=4, floor=1))
+    while connections.can_open(False, busy=connections.unknown_count):
+        connections.record_open(False)
+    assert connections.unknown_count == 6  # all busy: none of them could be closed, and nothing is lent
+    assert connections.can_open(True, 6) and not connections.can_replace(6)
+    while connections.can_open(False, busy=0):
+        connections.record_open(False)
+    assert connections.unknown_count == 9  # idle ones may stand on the reserve, but for the floor
+    for _ in range(1):
+        connections.record_open(True)
+    assert not connections.can_open(True, 0) and connections.can_replace(0)
+    with pytest.raises(ValueError):
+        ReservedConnectionsConfig(5, 4, 5)
+
+
+@FIXED
+@given(st.lists(st.tuples(st.booleans(), st.booleans(), st.integers(0, 10)), max_size=100))
+def test_a_known_source_always_gets_a_reserved_connection(steps: list[tuple[bool, bool, int]]) -> None:
+    connections = ReservedConnections(ReservedConnectionsConfig(capacity=10, reserved=4, floor=2))
+    busy = 0
+    for known, opens, share in steps:
+        if opens and connections.can_open(known, busy):
+            connections.record_open(known)
+        elif not opens and (connections.known_count if known else connections.unknown_count - busy) > 0:
+            connections.record_close(known)
+        # an unknown connection becomes busy only where that leaves the reserve what it needs
+        busy = min(busy, connections.unknown_count)
+        if (
+            share < 3
+            and connections.unknown_count > busy
+            and connections.unknown_count + max(4, connections.known_count) <= 10
+        ):
+            busy += 1
+        assert connections.open_count <= 10
+        if connections.known_count < 4 and busy <= 6:
+            assert connections.can_open(True, busy) or connections.can_replace(busy)
+
+
+def test_each_kind_of_descriptor_keeps_its_floor() -> None:
+    ledger = DescriptorLedger(
+        DescriptorLedgerConfig(
+            limit=20, baseline=5, floors={"nodes": 4, "changelog": 1, "spare": 1, "clients": 2}
+        )
+    )
+    taken = 0
+    while ledger.acquire("clients"):
+        taken += 1
+    assert taken == 9 and ledger.rejected["clients"] == 1
+    for _ in range(4):
+        assert ledger.acquire("nodes")
+    assert not ledger.acquire("nodes") and ledger.acquire("changelog") and ledger.acquire("spare")
+    assert ledger.open_count == ledger.peak == 20
+    assert ledger.reconfigure(
+        DescriptorLedgerConfig(limit=15, baseline=5, floors={"nodes": 4})
+    ) == 5 and not ledger.acquire("clients")
+    for _ in range(6):
+        ledger.release("clients")
+    assert ledger.acquire("clients")
+    for floors in ({"x": 1}, {"nodes": 99}):
+        with pytest.raises(ValueError):
+            DescriptorLedgerConfig(20, 5, floors)
+
+
+# overload and fair queueing
+
+
+def test_overload_is_a_wait_that_exceeds_its_target_for_an_interval() -> None:
+    overload = OverloadDetector(OverloadConfig(target_us=10, interval_us=100))
+    assert not any(overload.record_wait(1000, now) for now in range(0, 99))  # a moment is none
+    turned = [now for now in range(100, 1000) if overload.record_wait(1000, now)]
+    assert turned[:3] == [100, 200, 270] and overload.is_overloaded  # ever faster
+    assert not overload.record_wait(9, 1000) and not overload.is_overloaded
+    assert not any(overload.record_wait(1000, now) for now in range(1001, 1100))
+
+
+CONFIG = FairQueueConfig(
+    weights={"hollis-county": 0.72, "pruett-county": 0.28},
+    quotas={"hollis-county": Rate(10, 1_000_000, 72), "pruett-county": Rate(4, 1_000_000, 28)},
+    batch_size=1,
+    min_remaining_us=10,
+    overload=OverloadConfig(1_000, 10_000),
+)
+
+
+def test_tenants_are_served_by_weight_and_requests_beyond_a_quota_last() -> None:
+    queue = FairQueue[str](CONFIG)
+    for number in range(100):
+        queue.put(f"h{number}", 0, 10**9 + number, "hollis-county", 0)
+        queue.put(f"p{number}", 0, 10**9 + number, "pruett-county", 0)
+    order = [queue.pop_batch(0)[0] for _ in range(200)]
+    first = Counter(one[0] for one in order[:100])
+    assert first == {"h": 72, "p": 28}  # all within the shares, in their proportion from the start
+    assert 60 <= Counter(one[0] for one in order[:50])["h"] * 2 <= 80
+    assert order[100][1:] in ("72", "28") and not queue
+
+
+def test_requests_of_a_tenant_are_ordered_by_priority_and_deadline() -> None:
+    queue = FairQueue[str](CONFIG)
+    for name, priority, deadline in (("late", 0, 900), ("soon", 0, 500), ("ledger", 1, 950)):
+        queue.put(name, priority, deadline, "hollis-county", 0)
+    ticket = queue.put("given up", 1, 100, "hollis-county", 0)
+    queue.put("stranger", 1, 800, "nowhere-county", 0)
+    queue.remove(ticket)
+    order = [queue.pop_batch(0)[0] for _ in range(4)]
+    assert [one for one in order if one != "stranger"] == ["ledger", "soon", "late"] and order[
+        -1
+    ] == "stranger"
+
+
+def test_an_idle_tenant_earns_no_credit() -> None:
+    queue = FairQueue[str](CONFIG)
+    for _ in range(60):
+        queue.put("h", 0, 10**9, "hollis-county", 0)
+        queue.pop_batch(0)
+    for _ in range(20):
+        queue.put("h", 0, 10**9, "hollis-county", 10**7)
+        queue.put("p", 0, 10**9, "pruett-county", 10**7)
+    order = "".join(queue.pop_batch(10**7)[0] for _ in range(20))
+    assert 4 <= order.count("p") <= 8  # not all at once for what it did not ask before
+
+
+def test_expired_and_shed_requests_are_returned() -> None:
+    queue = FairQueue[str](CONFIG)
+    queue.put("short", 0, 15, "hollis-county", 0)
+    assert queue.pop_expired(10) == ["short"]
+    for number in range(120):
+        queue.put(f"h{number}", 0, 10**9 + number, "hollis-county", 0)
+    given_back = []
+    for step in range(40):
+        now = 2_000 + step * 2_000
+        queue.pop_batch(now)
+        given_back += queue.pop_expired(now)
+    assert queue.shed_count == len(given_back) > 2
+    assert all(int(one[1:]) >= 72 for one in given_back) and given_back[0] == "h119"
+    small = FairQueue[str](FairQueueConfig(max_waiting=2))
+    for name, deadline in (("a", 10**8), ("b", 3 * 10**8), ("c", 2 * 10**8)):
+        small.put(name, 0, deadline, None, 0)
+    assert small.pop_expired(0) == ["b"] and len(small) == 2
