--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors have one root, a code and a remedy each; nothing bare reaches an operator; modules import one way."""
+"""Errors have one root, a code and a remedy each, modules import each other without cycles, bad keys are named."""
 
 from __future__ import annotations
 
@@ -16,15 +16,22 @@
 
 ROOT = Path(__file__).parent.parent
 SOURCES = [path for path in sorted((ROOT / "thornshelf").rglob("*.py")) if not path.name.endswith("_pb2.py")]
+BUILTIN_ERRORS = ("Exception", "RuntimeError", "ValueError", "TypeError")
 
 
 def subclasses(error: type[BaseException]) -> Iterator[type[BaseException]]:
-    for one in error.__subclasses__():
-        yield one
-        yield from subclasses(one)
+    """All direct and indirect subclasses."""
+    for subclass in error.__subclasses__():
+        yield subclass
+        yield from subclasses(subclass)
 
 
-def test_each_error_has_a_code_of_its_own_and_says_what_can_be_done() -> None:
+def nodes(path: Path) -> Iterator[ast.AST]:
+    """All nodes of a module's syntax tree."""
+    return ast.walk(ast.parse(path.read_text()))
+
+
+def test_each_error_has_a_code_of_its_own_and_a_remedy() -> None:
     found = [one for one in subclasses(errors.ThornshelfError) if one is not errors.RejectedDatagramError]
     assert set(found) == set(errors.ERRORS_BY_CODE.values())
     for error in errors.ERRORS_BY_CODE.values():
@@ -33,34 +40,31 @@
         assert error.__doc__
 
 
-def test_no_bare_error_is_raised() -> None:
+def test_no_builtin_error_is_raised() -> None:
     """Guards against a text without a code: an operator could not look it up."""
-    bare = []
+    raised = []
     for path in SOURCES:
-        for node in ast.walk(ast.parse(path.read_text())):
+        for node in nodes(path):
             if isinstance(node, ast.Raise) and node.exc is not None:
-                call = node.exc.func if isinstance(node.exc, ast.Call) else node.exc
-                if isinstance(call, ast.Name) and call.id in (
-                    "Exception",
-                    "RuntimeError",
-                    "ValueError",
-                    "TypeError",
-                ):
-                    bare.append(f"{path.name}:{node.lineno}")
-    assert not bare
-
-
-def test_no_error_is_defined_beside_the_table() -> None:
-    beside = []
+                error = node.exc.func if isinstance(node.exc, ast.Call) else node.exc
+                if isinstance(error, ast.Name) and error.id in BUILTIN_ERRORS:
+                    raised.append(f"{path.name}:{node.lineno}")
+    assert not raised
+
+
+def test_no_error_is_defined_in_another_module() -> None:
+    defining = []
     for path in SOURCES:
-        for node in ast.walk(ast.parse(path.read_text())) if path.name != "errors.py" else ():
-            bases = [one.id for one in getattr(node, "bases", []) if isinstance(one, ast.Name)]
+        if path.name == "errors.py":
+            continue
+        for node in nodes(path):
+            bases = [base.id for base in getattr(node, "bases", []) if isinstance(base, ast.Name)]
             if any(base.endswith(("Error", "Exception")) for base in bases):
-                beside.append(path.name)
-    assert not beside
+                defining.append(path.name)
+    assert not defining
 
 
-def test_the_page_is_the_table() -> None:
+def test_the_page_is_up_to_date() -> None:
     assert (ROOT / "docs" / "errors.md").read_text() == errors.render_page()
 
 
@@ -74,9 +78,9 @@
 
 
 def imports(path: Path) -> set[str]:
-    """The modules of the program that a module imports, in functions and for types, too."""
+    """The modules of the program that a module imports, also inside functions and only for types."""
     found = set()
-    for node in ast.walk(ast.parse(path.read_text())):
+    for node in nodes(path):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("thornshelf"):
             found.add(node.module)
             found |= {f"{node.module}.{one.name}" for one in node.names}
@@ -85,19 +89,22 @@
     return found
 
 
-def test_modules_import_one_way() -> None:
-    """No circles, not even where one leg is only for types or inside a function."""
+def test_modules_import_each_other_without_cycles() -> None:
+    """Not even where one of the imports is only for types or inside a function."""
     modules = {".".join(path.relative_to(ROOT).with_suffix("").parts): path for path in SOURCES}
     graph = {name: imports(path) & modules.keys() for name, path in modules.items()}
-    state: dict[str, int] = {}
+    visiting: set[str] = set()
+    visited: set[str] = set()
 
     def visit(name: str, trail: tuple[str, ...]) -> None:
-        assert state.get(name) != 1, f"a circle: {' -> '.join((*trail, name))}"
-        if name not in state:
-            state[name] = 1
-            for other in sorted(graph[name]):
-                visit(other, (*trail, name))
-            state[name] = 2
+        assert name not in visiting, f"a cycle: {' -> '.join((*trail, name))}"
+        if name in visited:
+            return
+        visiting.add(name)
+        for imported in sorted(graph[name]):
+            visit(imported, (*trail, name))
+        visiting.remove(name)
+        visited.add(name)
 
     for name in sorted(graph):
         visit(name, ())
