--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from thornshelf.core import TaskFinished, dispatcher, releases
+from thornshelf.core import TaskFinished, deadlines, releases, running_tasks
 from thornshelf.frontends import grpc as grpc_front
 from thornshelf.frontends import json_lines
 from thornshelf.lab.fakes.cluster import (
@@ -147,7 +147,7 @@
     world.client.ask(5, NodeBehavior.SILENT, left="999999999")
     world.run_until(lambda: world.offer_count(5) == 1)
     core = world.service.core
-    longest = dispatcher.MAX_CLASS_DEADLINES * core.task_classes["lookup"].deadline_s
+    longest = deadlines.MAX_CLASS_DEADLINES * core.task_classes["lookup"].deadline_s
     assert core.tasks_by_uid[5].request.deadline_us <= world.loop.now + longest * 1e6
 
 
@@ -273,7 +273,7 @@
     world.run_for(10)
     for uid in (5, 6):
         world.run_for(40)
-        core._send_release(owner, uid, Outcome.OK, Reason.UNSPECIFIED, None)
+        core.answers.send_release(owner, uid, Outcome.OK, Reason.UNSPECIFIED, None)
     assert [one[2] for one in core.releases._pending] == [6] and world.logged[-1][1] == "release-dropped"
 
 
@@ -290,7 +290,7 @@
 
 @FRONTS
 def test_nothing_is_kept_of_clients_and_nodes_that_went(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(dispatcher, "UNKNOWN_NODE_TIMEOUT_US", 100_000)
+    monkeypatch.setattr(running_tasks, "UNKNOWN_NODE_TIMEOUT_US", 100_000)
     world = FakeCluster(front, nodes=1)
     core = world.service.core
     for uid in range(1, 30):
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -10,7 +10,7 @@
 
 from tests.test_turns import Rig
 from thornshelf.core import TaskFinished, TaskProgress
-from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.loop.stream import connect as usual_connect
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,7 +10,7 @@
 from tests.conftest import ask, entry, listing, offers, settings
 from tests.test_turns import a_loop
 from thornshelf.core import Dispatcher, EndpointListUpdate, NodeEndpoint
-from thornshelf.core.messages import NodeConnection
+from thornshelf.core.ports import NodeConnection
 from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
@@ -143,7 +143,7 @@
     (one, at), (other, _) = cores
     assert one.unix_seconds(at) == other.unix_seconds(at) == (at + offset) / 1e6
     assert all(
-        core.unix_seconds(core._loop_us(at_s)) >= at_s
+        core.unix_seconds(core.placement.loop_us(at_s)) >= at_s
         for core, _ in cores
         for at_s in (one.unix_seconds(at) + k * 0.0137 for k in range(200))
     )
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -30,7 +30,7 @@
     QuerySessions,
 )
 from thornshelf.control.tables import INTEGER, TEXT, Catalog, Table, TableReader, declare_columns
-from thornshelf.core.task import TaskPages
+from thornshelf.core.task_table import TaskPages
 from thornshelf.membership import scatter_gather
 from thornshelf.membership.scatter_gather import QueryGatherer, QueryResponder
 from thornshelf.placement.interface import Outcome
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -337,7 +337,7 @@
         shutil.copy(ROOT / "requirements.txt", tmp_path / name)
     build = tomllib.loads((tmp_path / "deploy" / "balancer.toml").read_text())["build"]
     subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=TIMEOUT_S * 3)
-    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith(('thornshelf.placement', 'thornshelf'))]"
+    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith('thornshelf')]"
     script = f"import sys, thornshelf.start; print(*{ours}, sep='\\n')"
     command = [sys.executable, "-B", "-c", script]
 
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -15,7 +15,7 @@
 def check_picture(world: FakeCluster) -> Counter[str]:
     """In flight, standing and their cores, by machine: the same to module, core and connection."""
     core, seen = world.service.core, Counter[str]()
-    if core.inbox or core._events or core._ended_attempts or core.queue:
+    if core.inbox or core.placement.events or core.attempts.ended or core.queue:
         return seen  # the turn's end has left something to the next
     believed, attempts = Counter[tuple[int, int]](), list[tuple[int, float]]()
     for request in core.placer.requests.values():
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -504,7 +504,7 @@
     attempt = task.attempt
     assert attempt is not None
     kept = node.waiting[5]
-    core._attempt_timed_out(task, attempt)
+    core.attempts.timed_out(task, attempt)
     world.run_until(lambda: ("question", 5) in node.seen)
     assert ("release", 5) in node.seen
     heard = world.wait_for_events(5)  # it was told to end before it was asked: it never ran
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -220,7 +220,7 @@
     for task in out:
         assert task.attempt is not None
         rig.core.inbox.append(TaskFinished(task.attempt.machine, task.node_uid, Outcome.BROKEN))
-    while rig.core.inbox or rig.core._ended_attempts:
+    while rig.core.inbox or rig.core.attempts.ended:
         before = len(rig.offered)
         rig.loop.turn(True)
         assert len(rig.offered) - before <= 16
@@ -295,7 +295,7 @@
             looked.append(1)
             return super().values()
 
-    rig.core.tasks_by_number = Watched(rig.core.tasks_by_number)
+    rig.core.tasks.by_number = Watched(rig.core.tasks.by_number)
     rig.core.update_endpoints(EndpointListUpdate(False, 2, entries(Health.REMOVED, range(500))))
     while rig.loop.turn(True):
         pass
--- a/thornshelf/core/__init__.py
+++ b/thornshelf/core/__init__.py
@@ -6,13 +6,10 @@
     Attempt,
     CancelTask,
     ClientConnected,
-    ClientConnection,
     ClientDisconnected,
     EndpointListUpdate,
     HandshakeCompleted,
     HealthCheckCompleted,
-    LogFunction,
-    NodeConnection,
     NodeEndpoint,
     NodeLost,
     TaskFinished,
@@ -21,6 +18,7 @@
     TaskStarted,
     TaskStatusReply,
 )
+from thornshelf.core.ports import ClientConnection, LogFunction, NodeConnection
 
 __all__ = [
     "AnswerMetadata",
--- /dev/null
+++ b/thornshelf/core/attempts.py
@@ -0,0 +1,243 @@
+"""The one attempt of a task that may be in flight: its start, its end, and the report of its outcome."""
+
+from __future__ import annotations
+
+from collections import deque
+from typing import TYPE_CHECKING
+
+from thornshelf.core.messages import Attempt, TaskFinished, TaskStarted
+from thornshelf.core.task import AttemptTimedOut, TaskRecord, TaskState
+from thornshelf.placement import interface as api
+from thornshelf.placement.interface import Idempotency, Outcome, Reason
+from thornshelf.translation.failures import FailureReason, failure_cause
+
+if TYPE_CHECKING:
+    from thornshelf.core.dispatcher import Dispatcher
+
+MAX_ENDED_PER_TURN = 16  # ended attempts: the decision module places each of their tasks anew
+RETRY_BUDGET_TEXT = "the retry budget is spent"
+
+
+class Attempts:
+    """Starts attempts, and ends each of them with exactly one outcome.
+
+    ``ended``: attempts that are over, whose tasks are placed anew a few a turn.
+    """
+
+    def __init__(self, core: Dispatcher) -> None:
+        self._core = core
+        self.ended: deque[TaskFinished | AttemptTimedOut] = deque()
+
+    # the start
+
+    def start(self, action: api.StartAttempt) -> None:
+        """Send a task to a node, as the decision module asks; one that may not be sent ends at once as NOT_SENT."""
+        core = self._core
+        task = core.tasks.by_number.get(action.request_id)
+        if task is None:
+            return
+        machine = action.machine
+        node = core.endpoints.nodes.get(machine)
+        attempt = self._create(task, action)
+        if task.state is TaskState.OPEN and not task.is_awaited():
+            # Guards against an attempt for a client that has disconnected: the item that says so is still queued.
+            core.requests.abandon(task)
+        if node is None or not self._may_start(task, attempt):
+            self.report_outcome(task, attempt, Outcome.NOT_SENT)
+            return
+        task.attempt = attempt
+        core.tasks.index_machine(task, machine)
+        core.record_event(task, task.request.uid, "offered", machine, "attempt", attempt.number)
+        task.timer = core.loop.at(
+            attempt.deadline_us, lambda: core.inbox.append(AttemptTimedOut(task, attempt))
+        )
+        node.send_attempt(attempt)
+
+    def _create(self, task: TaskRecord, action: api.StartAttempt) -> Attempt:
+        """The next attempt of a task; it counts as made, whether it is sent or not."""
+        core = self._core
+        request = task.request
+        task_class = core.task_classes[request.task_class]
+        number = task.attempt_count
+        task.attempt_count += 1
+        deadline_us = request.deadline_us
+        if action.timeout_s is not None:
+            deadline_us = min(deadline_us, core.loop.now + int(action.timeout_s * 1e6))
+        return Attempt(
+            uid=task.node_uid,
+            number=number,
+            task_class=request.task_class,
+            idempotency_key=request.idempotency_key,
+            description=request.description,
+            sent_us=core.loop.now,
+            deadline_us=deadline_us,
+            machine=action.machine,
+            request=request,
+            priority=task_class.priority,
+            at_most_once=task_class.idempotency is not Idempotency.ALWAYS,
+            is_awaited=task.is_awaited,
+        )
+
+    def _may_start(self, task: TaskRecord, attempt: Attempt) -> bool:
+        """Whether an attempt may be sent; charges the retry budgets where it may."""
+        core = self._core
+        return (
+            task.state is TaskState.OPEN
+            and task.attempt is None  # never two in flight
+            and attempt.number < core.settings.limits.max_attempts
+            and attempt.deadline_us > core.loop.now
+            and core.endpoints.is_up(attempt.machine)
+            and self._within_retry_budget(task, attempt)
+        )
+
+    def _within_retry_budget(self, task: TaskRecord, attempt: Attempt) -> bool:
+        """Whether the retry budgets allow the attempt; without a translator there are none."""
+        translator = self._core.translator
+        if translator is None:
+            return True
+        service = task.request.service
+        now = self._core.loop.now
+        if attempt.number == 0:
+            translator.record_first_attempt(service, now)
+            return True
+        if translator.allow_retry(service, now, attempt.priority):
+            return True
+        task.last_failure = failure_cause(FailureReason.OVERLOADED, RETRY_BUDGET_TEXT)
+        return False
+
+    # what nodes report
+
+    def started(self, item: TaskStarted) -> None:
+        """A node reports that the task of an attempt runs."""
+        core = self._core
+        task = core.tasks.by_uid.get(item.uid)
+        attempt = task.attempt if task is not None else None
+        if task is None or attempt is None or attempt.machine != item.machine:
+            values: dict[str, object] = {"uid": f"{item.uid:016x}"}
+            core.log(6, "answer-unmatched", values, "a node answered, and no attempt there is in flight")
+            if core.idempotency is not None:
+                core.idempotency.late_start(item)
+            return
+        if core.idempotency is not None:
+            core.idempotency.cancel_query(task)  # the node reports by itself what it is being asked
+        task.cancel_timer()
+        task.attempt = None
+        if task.state is not TaskState.OPEN:
+            return
+        latency_s = (core.loop.now - attempt.sent_us) / 1e6
+        accepted = api.AttemptAccepted(task.number, item.machine, attempt.number, latency_s)
+        core.placement.events.append(accepted)
+        core.running_tasks.mark_running(task, item.machine, item.description, attempt.metadata)
+
+    def process_ended(self) -> None:
+        """End some of the attempts that are over, in their order."""
+        for _ in range(min(len(self.ended), MAX_ENDED_PER_TURN)):
+            item = self.ended.popleft()
+            if isinstance(item, AttemptTimedOut):
+                self.timed_out(item.task, item.attempt)
+                continue
+            task = self._core.tasks.by_uid.get(item.uid)
+            if task is not None and task.attempt is not None:
+                self._finished(task, task.attempt, item)
+
+    def _finished(self, task: TaskRecord, attempt: Attempt, item: TaskFinished) -> None:
+        """A node, or its connection, reports how an attempt ended."""
+        core = self._core
+        idempotency = core.idempotency
+        if attempt.machine != item.machine:
+            return
+        if idempotency is not None and task.uncertain is not None:
+            if idempotency.may_have_run(item.outcome):
+                return  # nothing new: the node is being asked about it
+            idempotency.cancel_query(task)
+        task.cancel_timer()
+        node = core.endpoints.nodes.get(item.machine)
+        if node is not None:
+            node.unwatch_task(item.uid)
+        self._record_failure(task, item)
+        if idempotency is not None and idempotency.resolve_uncertain(
+            task, attempt, item.outcome, item.reason
+        ):
+            return
+        task.attempt = None
+        self.report_outcome(task, attempt, item.outcome, item.reason, item.load_report)
+        core.discard(task)
+
+    def _record_failure(self, task: TaskRecord, item: TaskFinished) -> None:
+        """Keep why an attempt ended for the final answer, and for the node's profile where it is new there."""
+        core = self._core
+        translator = core.translator
+        if translator is None:
+            return
+        detail = item.detail
+        if detail is not None:
+            task.last_failure = detail
+            if translator.record_rejection(item.machine, detail):
+                values: dict[str, object] = {"machine": item.machine, "reason": detail.reason.name}
+                text = "its capabilities do not say that it requires this"
+                core.log(4, "rejection-unexpected", values, text)
+        elif item.reason is not Reason.UNSPECIFIED:
+            task.last_failure = failure_cause(FailureReason(item.reason.value))
+
+    # the end
+
+    def timed_out(self, task: TaskRecord, attempt: Attempt) -> None:
+        """Withdraw an attempt that had no answer within its time, unless it has ended or its node is being asked."""
+        if task.attempt is attempt and task.uncertain is None:
+            self.withdraw(task, attempt, Outcome.TIMED_OUT)
+            self._core.discard(task)
+
+    def cancel(self, action: api.CancelAttempt) -> None:
+        """Withdraw an attempt, as the decision module asks."""
+        task = self._core.tasks.by_number.get(action.request_id)
+        if task is None or task.attempt is None or task.attempt.number != action.attempt:
+            return
+        self.withdraw(task, task.attempt, Outcome.CANCELLED)
+        self._core.discard(task)
+
+    def withdraw(self, task: TaskRecord, attempt: Attempt, outcome: Outcome) -> None:
+        """Stop waiting for an attempt; one of which nothing was sent ends as NOT_SENT, others with ``outcome``."""
+        core = self._core
+        idempotency = core.idempotency
+        task.cancel_timer()
+        node = core.endpoints.nodes.get(attempt.machine)
+        was_queried = task.uncertain is not None
+        if idempotency is not None:
+            idempotency.cancel_query(task)
+        if was_queried and node is not None:
+            node.cancel_task(task.node_uid)  # it may run: the connection that it was sent on is closed
+        never_sent = not was_queried and node is not None and node.withdraw_attempt(attempt)
+        if (
+            idempotency is not None
+            and not never_sent
+            and not was_queried
+            and idempotency.resolve_uncertain(task, attempt, outcome, Reason.UNSPECIFIED)
+        ):
+            return
+        task.attempt = None
+        self.report_outcome(task, attempt, Outcome.NOT_SENT if never_sent else outcome)
+
+    def report_outcome(
+        self,
+        task: TaskRecord,
+        attempt: Attempt,
+        outcome: Outcome,
+        reason: Reason = Reason.UNSPECIFIED,
+        load_report: api.LoadReport | None = None,
+    ) -> None:
+        """Report to the decision module, to peers and to the history how an attempt ended."""
+        core = self._core
+        machine = attempt.machine
+        latency_s = (core.loop.now - attempt.sent_us) / 1e6
+        is_last = task.state is not TaskState.OPEN
+        if core.gossip is not None:
+            core.gossip.attempt_ended(machine, outcome, reason)
+        idempotency = core.idempotency
+        if task.deduplicated and idempotency is not None and idempotency.may_have_run(outcome):
+            task.possibly_running_at = machine
+        core.record_event(task, task.request.uid, "ended", machine, outcome, reason)
+        core.placement.events.append(
+            api.AttemptEnded(
+                task.number, machine, attempt.number, outcome, reason, is_last, latency_s, load_report
+            )
+        )
--- a/thornshelf/core/endpoint_registry.py
+++ b/thornshelf/core/endpoint_registry.py
@@ -5,7 +5,8 @@
 import zlib
 from collections.abc import Callable, Iterator
 
-from thornshelf.core.messages import Attempt, EndpointListUpdate, NodeConnection, NodeEndpoint
+from thornshelf.core.messages import Attempt, EndpointListUpdate, NodeEndpoint
+from thornshelf.core.ports import NodeConnection
 from thornshelf.placement import interface as api
 from thornshelf.placement.interface import Health
 
--- a/thornshelf/core/idempotency.py
+++ b/thornshelf/core/idempotency.py
@@ -13,13 +13,12 @@
 from thornshelf.core.messages import (
     AnswerMetadata,
     Attempt,
-    ClientConnection,
-    LogFunction,
     TaskFinished,
     TaskRequest,
     TaskStarted,
     TaskStatusReply,
 )
+from thornshelf.core.ports import ClientConnection, LogFunction
 from thornshelf.core.task import TaskRecord, TaskState, UncertainAttempt
 from thornshelf.loop import Loop
 from thornshelf.placement.interface import Idempotency, Outcome, Reason, TaskClass
--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -6,7 +6,8 @@
 from collections.abc import Mapping
 from typing import Any
 
-from thornshelf.core.messages import AnswerMetadata, ClientConnection, LogFunction
+from thornshelf.core.messages import AnswerMetadata
+from thornshelf.core.ports import ClientConnection, LogFunction
 from thornshelf.loop import Loop
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
--- a/thornshelf/core/task.py
+++ b/thornshelf/core/task.py
@@ -1,12 +1,13 @@
-"""The record of one task: its state, its attempt, and all who are told what becomes of it."""
+"""The record of one task: its state, its attempt, and the clients that subscribe to it."""
 
 from __future__ import annotations
 
 import enum
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from dataclasses import dataclass
 
-from thornshelf.core.messages import Attempt, ClientConnection, TaskRequest
+from thornshelf.core.messages import Attempt, TaskRequest
+from thornshelf.core.ports import ClientConnection
 from thornshelf.loop import Timer
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
@@ -14,33 +15,36 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task is; one that is ANSWERED may still have an attempt out."""
+    """The state of a task; one that is ANSWERED may still have an attempt in flight."""
 
     OPEN = 0
     RUNNING = 1
-    CANCELLING = 2  # told to end by its owner or by MOVE: no release is owed
+    CANCELLING = 2  # ended by its client or to be migrated: no release is due
     ANSWERED = 3
 
 
 class UncertainAttempt:
-    """An attempt of which it is asked, by the task's name, whether it ran.
+    """An attempt whose node is being asked, by the task's idempotency key, whether it ran.
 
-    ``outcome`` and ``reason`` are what the module is told where no answer settles it; ``before`` is the doubt that
-    an earlier id left behind, where it is not this task's own attempt.
+    ``outcome`` and ``reason`` are reported to the decision module where no reply settles it; ``previous`` is the
+    uncertain attempt that an earlier id left behind, where it is not this task's own.
     """
 
-    __slots__ = ("previous", "machine", "outcome", "reason", "timer")
+    __slots__ = ("machine", "outcome", "previous", "reason", "timer")
 
     def __init__(
         self, machine: int, outcome: Outcome, reason: Reason, previous: UncertainKey | None = None
     ) -> None:
-        self.machine, self.outcome, self.reason, self.previous = machine, outcome, reason, previous
+        self.machine = machine
+        self.outcome = outcome
+        self.reason = reason
+        self.previous = previous
         self.timer: Timer | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimedOut:
-    """An attempt that has had no answer within its time."""
+    """An inbox item: an attempt has had no answer within its time."""
 
     task: TaskRecord
     attempt: Attempt
@@ -49,97 +53,83 @@
 class TaskRecord:
     """One task of this dispatcher.
 
-    ``holders`` are told of it, each under an id of its own: more than one where a task that must not be started
-    twice was asked for again under another id. At nodes it goes by ``node_uid``.
+    ``number``: the decision module's name for the task.
+    ``subscribers``: the clients that are notified of it, each under an id of its own: more than one where a task that
+    must not be started twice was requested again under another id. Nodes know the task by ``node_uid``.
+    ``attempt``: the one in flight; ``attempt_count``: attempts made so far.
+    ``machine``: the node where the task runs; ``indexed_machines``: all nodes by which the task table finds it.
+    ``deduplicated``: its idempotency key is in the table of tasks that must not be started twice.
+    ``possibly_running_at``: the node of an attempt that may have run, and is not followed any more.
+    ``never_ran_at``: the node that replied about an attempt that it never ran.
+    ``uncertain``: the attempt whose node is being asked.
+    ``node_description``: kept for clients that join later, where the task is deduplicated.
+    ``last_failure``: the last cause that a node gave.
+    ``queue_ticket``: the task's place in the request queue, while it waits there.
     """
 
     __slots__ = (
         "attempt",
-        "node_description",
         "attempt_count",
-        "uncertain",
-        "subscribers",
-        "machine",
-        "possibly_running_at",
+        "created_us",
         "deduplicated",
+        "indexed_machines",
+        "last_failure",
+        "machine",
         "never_ran_at",
+        "node_description",
         "node_uid",
         "number",
-        "indexed_machines",
+        "possibly_running_at",
+        "queue_ticket",
         "request",
-        "created_us",
         "running_since_us",
         "state",
-        "queue_ticket",
+        "subscribers",
         "timer",
-        "last_failure",
+        "uncertain",
     )
 
     def __init__(self, request: TaskRequest, number: int, created_us: int = 0) -> None:
-        self.request, self.number, self.created_us = (
-            request,
-            number,
-            created_us,
-        )  # number: the module's name for it
+        self.request = request
+        self.number = number
+        self.created_us = created_us
         self.subscribers: dict[int, ClientConnection] = {request.uid: request.client}
         self.node_uid = request.uid
         self.state = TaskState.OPEN
-        self.attempt: Attempt | None = None  # the one in flight
-        self.attempt_count = 0  # attempts made
+        self.attempt: Attempt | None = None
+        self.attempt_count = 0
         self.machine = 0
-        self.indexed_machines: set[int] = set()  # nodes under which the core finds it
+        self.indexed_machines: set[int] = set()
         self.running_since_us = 0
         self.timer: Timer | None = None
-        self.deduplicated = False  # its name is in the table of those that must not be started twice
-        self.possibly_running_at: int | None = (
-            None  # the node of an attempt that may have run, and is not followed any more
-        )
-        self.never_ran_at: int | None = None  # the node that said of an attempt that it never ran
+        self.deduplicated = False
+        self.possibly_running_at: int | None = None
+        self.never_ran_at: int | None = None
         self.uncertain: UncertainAttempt | None = None
-        self.node_description: bytes | None = None  # kept for those who join, where the task is named
-        self.last_failure: FailureCause | None = None  # the last cause that a node gave
-        self.queue_ticket: int | None = None  # while it waits for its turn
+        self.node_description: bytes | None = None
+        self.last_failure: FailureCause | None = None
+        self.queue_ticket: int | None = None
 
     @property
     def has_connected_client(self) -> bool:
-        """Somebody is there who would hear of it."""
-        return any(owner.is_connected for owner in self.subscribers.values())
+        """Whether any subscribed client is still connected."""
+        return any(client.is_connected for client in self.subscribers.values())
 
     def is_awaited(self) -> bool:
-        """Somebody waits for its answer."""
-        return any(owner.awaits_answer(uid) for uid, owner in self.subscribers.items())
+        """Whether any subscribed client still waits for the answer."""
+        return any(client.awaits_answer(uid) for uid, client in self.subscribers.items())
 
     def each_subscriber(self) -> Iterator[tuple[int, ClientConnection]]:
-        """All who are told, each with its id."""
+        """The subscribers of this moment, each with its id."""
         return iter(list(self.subscribers.items()))
 
     @property
     def uids(self) -> set[int]:
-        """All ids under which it is known."""
+        """All ids under which the task is known."""
         return {self.node_uid, self.request.uid, *self.subscribers}
 
-
-class TaskPages(dict[int, TaskRecord]):
-    """Tasks by number, and in runs of neighbouring numbers, for those who read them a run at a time.
-
-    Guards against listing 100,000 tasks in one go: that alone holds a turn for 6 to 9 ms.
-    """
-
-    PAGE_BITS = 9  # bits: 512 numbers a run
-
-    def __init__(self, tasks: Mapping[int, TaskRecord]) -> None:
-        super().__init__()
-        self.pages: dict[int, dict[int, TaskRecord]] = {}
-        for number, task in tasks.items():
-            self[number] = task
-
-    def __setitem__(self, number: int, task: TaskRecord) -> None:
-        super().__setitem__(number, task)
-        self.pages.setdefault(number >> self.PAGE_BITS, {})[number] = task
-
-    def __delitem__(self, number: int) -> None:
-        super().__delitem__(number)
-        run = self.pages[number >> self.PAGE_BITS]
-        del run[number]
-        if not run:
-            del self.pages[number >> self.PAGE_BITS]
+    def cancel_timer(self) -> None:
+        """Cancel the timer of the attempt in flight, or of a cancellation, where one is set."""
+        if self.timer is not None:
+            self.timer.cancel()
+            self.timer = None
--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -14,6 +14,7 @@
 from thornshelf.configuration import Config, read_config
 from thornshelf.control import framing, query_sessions
 from thornshelf.core import Attempt, TaskRequest
+from thornshelf.core.attempts import Attempts
 from thornshelf.core.dispatcher import Dispatcher
 from thornshelf.core.endpoint_registry import EndpointRegistry
 from thornshelf.core.idempotency import IdempotencyTable
@@ -43,13 +44,13 @@
 
 def double_start() -> None:
     """What broke is taken to have never run, and names are not looked at."""
-    outcome = Dispatcher.report_outcome
+    outcome = Attempts.report_outcome
 
     def blind(self: Any, task: Any, attempt: Any, how: Outcome, *more: Any) -> None:
         maybe = how in (Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.CANCELLED)
         outcome(self, task, attempt, Outcome.NOT_CONNECTED if maybe else how, *more)
 
-    Dispatcher.report_outcome = blind  # type: ignore[method-assign, assignment]
+    Attempts.report_outcome = blind  # type: ignore[method-assign, assignment]
     IdempotencyTable.deduplicates = lambda self, setup: False  # type: ignore[method-assign]
     IdempotencyTable.resolve_uncertain = lambda self, *_: False  # type: ignore[method-assign]
 
