--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -206,9 +206,9 @@
     core.update_endpoints(EndpointListUpdate(True, 1, entries(nodes=range(2))))
     for uid, left in ((1, left_us), (2, 1000)):
         due = rig.loop.now + left
-        core.inbox.append(TaskRequest(rig.owner, uid, "safe", None, uid, due, None, uid, 1.0, 1.0, b"x"))  # type: ignore[arg-type]
+        core.inbox.append(TaskRequest(rig.client, uid, "safe", None, uid, due, None, uid, 1.0, 1.0, b"x"))  # type: ignore[arg-type]
     core.run_turn()
-    assert len(rig.offered) == 1 and rig.owner.heard == [("refused", 2, None)]
+    assert len(rig.attempts) == 1 and rig.client.answers == [("refused", 2, None)]
 
 
 def test_idle_clients_that_hold_all_descriptors_keep_nobody_from_a_change_log_that_returns(
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""Nothing leaves for a client that has gone, wherever its set-up waits and whatever frees that place in one turn."""
+"""Nothing is sent for a client that has disconnected, wherever its request waits and whatever frees it."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def leave(client: Any, how: str, uid: int = 5) -> None:
-    """What a client does that wants its task no more; it is in the system before the next turn."""
+    """How a client leaves that wants its task no more; the kernel has it before the next turn."""
     if how == "gives up":
         client.give_up(uid)
     client.stream.flush()
@@ -34,8 +34,8 @@
         client.stream.close()
 
 
-def crowd(world: FakeCluster) -> None:
-    """So much has happened before it that the news of a client waits for a later turn."""
+def fill_inbox(world: FakeCluster) -> None:
+    """Fill the inbox, so that what a client does next waits for a later turn."""
     core = world.service.core
     core.inbox.extend(TaskProgress(1, 0xFFFF + n, TaskUpdateKind.STARTED, 1.0) for n in range(600))
 
@@ -48,10 +48,10 @@
 @pytest.mark.parametrize(
     ("leaves", "count"), [("closes", 1), ("closes", 100), ("resets", 1), ("resets", 100), ("gives up", 1)]
 )
-def test_a_set_up_whose_client_has_left_before_it_is_read_is_not_sent_on(
+def test_a_request_whose_client_has_left_before_it_is_read_is_not_forwarded(
     front: str, node: str, leaves: str, count: int
 ) -> None:
-    """Guards against an offer made in the turn whose poll has told of the close: its end was read a turn later."""
+    """Guards against an attempt in the turn whose poll reported the close: the end of data was read a turn later."""
     world = FakeCluster(front, node)
     world.run_until(lambda: all(one.streams for one in world.nodes))
     world.run_for(20)
@@ -66,10 +66,10 @@
 @WIRES
 @LEAVES
 @pytest.mark.parametrize("crowded", [False, True])
-def test_what_waits_for_a_connection_does_not_leave_once_its_client_has(
+def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_left(
     front: str, node: str, leaves: str, crowded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection comes up in the very turn in which the client goes."""
+    """The connection is established in the very turn in which the client leaves."""
     up = False
 
     def slow(*arguments: Any) -> Generator[Wait, int, Stream | int]:
@@ -84,7 +84,7 @@
     up = True
     leave(world.client, leaves)
     if crowded:
-        crowd(world)
+        fill_inbox(world)
     world.run_until(lambda: all(one.streams for one in world.nodes))
     world.run_for(100)
     assert world.offer_count(5) == 0 and world.service.core.open_count == 0
@@ -92,10 +92,10 @@
 
 @WIRES
 @LEAVES
-def test_a_refused_set_up_is_not_sent_elsewhere_once_its_client_has_left(
+def test_a_rejected_request_is_not_sent_elsewhere_once_its_client_has_left(
     front: str, node: str, leaves: str
 ) -> None:
-    """The refusal is at hand first, and the news of the client waits behind a crowd."""
+    """The rejection is processed first, and the client's disconnect waits behind a full inbox."""
     world = FakeCluster(front, node)
     world.run_until(lambda: all(one.streams for one in world.nodes))
     world.client.ask(5, NodeBehavior.SILENT)
@@ -103,43 +103,42 @@
     core = world.service.core
     machine = core.tasks_by_uid[5].attempt.machine  # type: ignore[union-attr]
     core.inbox.append(TaskFinished(machine, 5, Outcome.REFUSED))
-    crowd(world)
+    fill_inbox(world)
     leave(world.client, leaves)
     world.run_for(100)
     assert world.offer_count(5) == 1 and core.open_count == 0 and not core.tasks_by_uid
 
 
-def test_a_set_up_that_waits_its_turn_is_dropped_with_its_client() -> None:
+def test_a_request_that_waits_its_turn_is_dropped_with_its_client() -> None:
     rig = Rig()
     rig.core.is_endpoint_list_stale = lambda: True
-    rig.ask(1, 20)
+    rig.submit(1, 20)
     rig.loop.turn(True)
-    rig.owner.gone = True  # and nothing else has told of it yet
+    rig.client.is_disconnected = True  # and no inbox item has reported it yet
     rig.core.is_endpoint_list_stale = None
-    while rig.loop.turn(True):
-        pass
-    assert not rig.offered and rig.core.counters["given_up"] == 20 and rig.core.open_count == 0
+    rig.run_until_idle()
+    assert not rig.attempts and rig.core.counters["given_up"] == 20 and rig.core.open_count == 0
     assert not rig.core.task_count and not rig.core.placer.requests
 
 
-def test_what_is_unwritten_can_be_called_back_in_the_turn_that_makes_room() -> None:
-    """Guards against a byte that leaves before all that came in the same turn was looked at."""
+def test_what_is_unwritten_can_be_withdrawn_in_the_turn_that_frees_capacity() -> None:
+    """Guards against a byte that is written before all that was read in the same turn is processed."""
     loop = Loop()
     ours, theirs = socket.socketpair()
     stream = Stream(loop, ours, "peer")
     while stream.buffered_bytes == 0:
         stream.send(b"x" * 65536)
         stream.flush()
-    offer = stream.send(b"offer")
-    called_back: list[bool] = []
+    attempt = stream.send(b"attempt")
+    withdrawn: list[bool] = []
 
-    def call_back() -> bool:
-        if called_back == [] and room:
-            called_back.append(stream.retract(offer))
+    def withdraw() -> bool:
+        if withdrawn == [] and has_capacity:
+            withdrawn.append(stream.retract(attempt))
         return False
 
-    room = False
-    loop.on_turn.append(call_back)
+    has_capacity = False
+    loop.on_turn.append(withdraw)
     loop.turn(True)
     theirs.setblocking(False)
     try:
@@ -147,21 +146,21 @@
             pass
     except BlockingIOError:
         pass
-    room = True
+    has_capacity = True
     loop.turn(True)
-    assert called_back == [True]
-    said = b""
+    assert withdrawn == [True]
+    received = b""
     while stream.buffered_bytes:
         loop.turn(True)
-        said += theirs.recv(1 << 20)
-    assert b"offer" not in said
+        received += theirs.recv(1 << 20)
+    assert b"attempt" not in received
     ours.close()
     theirs.close()
     loop.close()
 
 
-def test_a_task_that_is_handed_over_by_one_who_closes_is_taken() -> None:
-    """It wants no answer, and its release goes to whoever is there."""
+def test_a_task_that_is_handed_over_by_a_client_that_closes_is_adopted() -> None:
+    """It wants no answer, and its release goes to a client that is connected."""
     world = FakeCluster()
     other = world.connect_client(JSON)
     other.ask(6, NodeBehavior.RUN)
@@ -175,7 +174,7 @@
 
 @WIRES
 def test_a_release_that_crosses_its_client_s_close_goes_to_another_connection(front: str, node: str) -> None:
-    """Guards against a lost release: the end is at hand first, and its client is gone before it is told."""
+    """Guards against a lost release: the end is processed first, and the client disconnects before it is sent."""
     world = FakeCluster(front, node)
     other = world.connect_client(front)
     for client, uid in ((world.client, 5), (other, 6)):
@@ -187,22 +186,22 @@
     world.run_until(lambda: 5 in other.heard)
 
 
-def hangs_up(loop: Loop, sock: socket.socket) -> list[int]:
-    told: list[int] = []
-    loop.on_peer_close(sock.fileno(), lambda: told.append(loop.now))
-    return told
+def record_peer_close(loop: Loop, sock: socket.socket) -> list[int]:
+    reported: list[int] = []
+    loop.on_peer_close(sock.fileno(), lambda: reported.append(loop.now))
+    return reported
 
 
 @pytest.mark.parametrize("close", [lambda one: one.close(), lambda one: one.shutdown(socket.SHUT_WR)])
-def test_a_close_is_told_once_before_anything_is_read(close: Callable[[socket.socket], None]) -> None:
+def test_a_close_is_reported_once_before_anything_is_read(close: Callable[[socket.socket], None]) -> None:
     loop = Loop()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
-    told, order = hangs_up(loop, ours), list[str]()
+    reported, order = record_peer_close(loop, ours), list[str]()
 
     def read() -> Generator[Wait, int, None]:
         yield Wait(ours.fileno(), IN)
-        order.append("read, told" if told else "read")
+        order.append("read, reported" if reported else "read")
 
     loop.spawn(read())
     loop.turn(True)
@@ -210,15 +209,15 @@
     close(theirs)
     for _ in range(5):
         loop.turn(True)
-    assert order == ["read, told"] and len(told) == 1
+    assert order == ["read, reported"] and len(reported) == 1
     loop.unregister(ours.fileno())
     ours.close()
     theirs.close()
     loop.close()
 
 
-def a_set_up(uid: int, at: str = "") -> bytes:
-    """A set-up's line; with ``at`` one that stands already and wants no answer."""
+def request_line(uid: int, at: str = "") -> bytes:
+    """The line of a request; with ``at`` of a task that runs already and wants no answer."""
     meta = {
         "class": "lookup",
         "left": "8000",
@@ -231,9 +230,9 @@
 
 
 def test_what_a_closed_client_asked_for_is_not_parsed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a flood that closes after hundreds of set-ups: each took 70 us, for an answer to nobody.
+    """Guards against a flood that closes after hundreds of requests: each took 70 us, for an answer to nobody.
 
-    What wants no answer counts all the same: a task that stands, and the end of another.
+    What wants no answer is processed all the same: a running task, and the cancellation of another.
     """
     world = FakeCluster()
     parsed, usual = list[bytes](), jsonl.parse_line
@@ -246,8 +245,8 @@
     world.client.ask(3, NodeBehavior.RUN)
     world.wait_for_events(3)
     parsed.clear()
-    lines = [a_set_up(uid) for uid in range(100, 300)]
-    lines[150:150] = [a_set_up(5, ";at:s-00000001"), jsonl.encode_line("stop", 3, reason=16)]
+    lines = [request_line(uid) for uid in range(100, 300)]
+    lines[150:150] = [request_line(5, ";at:s-00000001"), jsonl.encode_line("stop", 3, reason=16)]
     world.client.send(b"".join(lines))
     leave(world.client, "closes")
     world.run_until(lambda: [task.request.uid for task in world.service.core.all_tasks()] == [5])
@@ -258,16 +257,16 @@
 @pytest.mark.parametrize(
     ("line", "sure"),
     [
-        (a_set_up(5), True),
-        (a_set_up(5).replace(b'":"', b'" : "'), True),
-        (a_set_up(5, ";at:s-00000001"), False),
-        (a_set_up(5).replace(b"tenant", b"t\\u0065nant"), False),
+        (request_line(5), True),
+        (request_line(5).replace(b'":"', b'" : "'), True),
+        (request_line(5, ";at:s-00000001"), False),
+        (request_line(5).replace(b"tenant", b"t\\u0065nant"), False),
         (jsonl.encode_line("stop", 5, {"kind": "launch"}, 16), False),
         (jsonl.encode_line("stop", 5, reason=16, body=b'"kind":"launch"'), False),
         (jsonl.encode_line("check", 5, reason=0), False),
     ],
-    ids=["set-up", "with spaces", "with at", "escaped", "another kind", "quoted in a body", "check"],
+    ids=["request", "with spaces", "with at", "escaped", "another kind", "quoted in a body", "check"],
 )
-def test_only_a_line_that_surely_wants_an_answer_is_passed_over(line: bytes, sure: bool) -> None:
+def test_only_a_line_that_surely_wants_an_answer_is_skipped(line: bytes, sure: bool) -> None:
     """All else is parsed, whatever it holds."""
     assert jsonl.is_plain_launch(line) is sure
