--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""Configuration, change log, log and the process itself."""
+"""Configuration, endpoint watch, log and the process itself."""
 
 from __future__ import annotations
 
@@ -98,20 +98,20 @@
 
 def test_the_process_ends_with_a_plain_message_or_on_sigterm(tmp_path: Path) -> None:
     with start({"LB_CONFIG": str(tmp_path / "none.json")}) as process:
-        _, said = process.communicate(timeout=TIMEOUT_S)
+        _, error_output = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 2
-    assert said.startswith("thornshelf: LB_CONFIG: ") and said.count("\n") == 1
+    assert error_output.startswith("thornshelf: LB_CONFIG: ") and error_output.count("\n") == 1
     with start({"LB_CONFIG": str(EXAMPLE_CONFIG), "LB_LISTEN": f"{HOST}:0"}) as process:
         assert process.stdout is not None and " dispatcher-started [" in process.stdout.readline()
         process.send_signal(signal.SIGHUP)  # left alone, it would end the process
         assert " config-reloaded " in process.stdout.readline()
         process.send_signal(signal.SIGTERM)
-        rest, said = process.communicate(timeout=TIMEOUT_S)
-    assert process.returncode == 0 and " dispatcher-stopped [" in rest and not said
+        log_lines, error_output = process.communicate(timeout=TIMEOUT_S)
+    assert process.returncode == 0 and " dispatcher-stopped [" in log_lines and not error_output
 
 
 class Feed:
-    """A change log whose answers are scripted: bytes for each request, or None to say nothing."""
+    """An endpoint source whose responses are scripted: bytes for each request, or None for no response."""
 
     def __init__(self, loop: Loop, script: list[bytes | None]) -> None:
         self.loop, self.script = loop, script
@@ -129,10 +129,10 @@
     def _serve(self, stream: Stream) -> Generator[Wait, int, None]:
         while data := (yield from stream.read()):
             self.asked.append(data.split(b" ")[1].decode())
-            answer = self.script.pop(0) if self.script else None
-            if answer is not None:
-                stream.send(answer)
-                if b"chunked" not in answer and b"\r\n\r\n{" not in answer:
+            response = self.script.pop(0) if self.script else None
+            if response is not None:
+                stream.send(response)
+                if b"chunked" not in response and b"\r\n\r\n{" not in response:
                     stream.end()
 
 
@@ -146,7 +146,7 @@
     return {"seq": seq, "fleet": {"generation": seq, "reset": False, "instances": [node]}}
 
 
-def test_the_change_log_goes_on_after_breaks_silence_and_garbage(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_endpoint_watch_goes_on_after_breaks_silence_and_garbage(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, value in (("POLL_TIMEOUT_MS", 50), ("RESPONSE_GRACE_US", 50_000), ("MIN_BACKOFF_US", 2_000)):
         monkeypatch.setattr(endpoint_watch, name, value)
     world = FakeCluster(nodes=0)
@@ -160,35 +160,37 @@
             b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
             b"no HTTP at all\r\n\r\n",
             None,  # silent from the start
-            http({"seq": 7, "results": 5}),  # unreadable as a whole: asked again
+            http({"seq": 7, "results": 5}),  # unreadable: polled again
             http({"seq": 7, "results": [event(7, "d")]}),
         ],
     )
-    told: list[EndpointListUpdate] = []
+    updates: list[EndpointListUpdate] = []
     logged: list[str] = []
 
-    def tell(change: EndpointListUpdate) -> None:
-        told.append(change)
-        if len(told) == 4:
+    def receive(update: EndpointListUpdate) -> None:
+        updates.append(update)
+        if len(updates) == 4:
             raise KeyError("whatever")
 
     EndpointWatch(
-        world.loop, feed.sock.getsockname(), 3, lambda us: us, tell, lambda *line: logged.append(line[3])
+        world.loop, feed.sock.getsockname(), 3, lambda us: us, receive, lambda *line: logged.append(line[3])
+    )
+    world.run_until(
+        lambda: any(text.startswith("fault: KeyError") for text in logged) and len(feed.asked) > 9
     )
-    world.run_until(lambda: any(why.startswith("fault: KeyError") for why in logged) and len(feed.asked) > 9)
     feed.sock.close()
-    assert [change.endpoints[0].name for change in told] == ["a", "b", "c", "d"]
+    assert [update.endpoints[0].name for update in updates] == ["a", "b", "c", "d"]
     assert since(feed)[:9] == [3, 4, 4, 6, 6, 6, 6, 6, 6]
-    # The first is answered at once: nothing is sent before it is known what changed while the process started.
+    # The first poll returns at once: nothing is sent before the changes made during the start are known.
     assert [path.partition("timeout=")[2] for path in feed.asked[:3]] == ["1", "50", "50"]
 
 
 def since(feed: Feed) -> list[int]:
-    """The numbers that a change log was asked with."""
+    """The sequence numbers that an endpoint source was polled with."""
     return [int(path.partition("since=")[2].partition("&")[0]) for path in feed.asked]
 
 
-def test_reload_moves_the_change_log_at_once_and_keeps_its_number() -> None:
+def test_reload_moves_the_endpoint_watch_at_once_and_keeps_its_number() -> None:
     """The old address stays open and silent: nothing of the new one may wait for it."""
     world = FakeCluster(nodes=1)
     old = Feed(world.loop, [http({"seq": 7, "results": [event(7, "a")]}), None])
@@ -212,11 +214,11 @@
     world.service.reload()  # a faulty file leaves the old one in force
     world.run_for(10)
     assert world.logged[-1][:3] == (4, "config-reloaded", {"kept": "old", "code": "TS1001"}) and not new.asked
-    begun = world.loop.now
+    reloaded_us = world.loop.now
     world.service.reload()
     assert world.logged[-1][:3] == (5, "config-reloaded", {"restart": "seed"})
     world.run_until(lambda: len(new.asked) == 2)
-    assert world.loop.now - begun < endpoint_watch.POLL_TIMEOUT_MS * 1000
+    assert world.loop.now - reloaded_us < endpoint_watch.POLL_TIMEOUT_MS * 1000
     assert since(old) == [1, 7] and since(new) == [7, 8]
     assert {"a", "b"} <= world.service.core.endpoints._machine_by_name.keys()
     assert (
@@ -224,7 +226,7 @@
     )
 
 
-def test_the_log_never_blocks_and_says_what_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_log_never_blocks_and_reports_what_it_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     reader, writer = os.pipe()
     monkeypatch.setattr(syslog, "STDOUT", writer)
     loop = Loop()
@@ -232,21 +234,21 @@
     for number in range(6000):  # far more than a pipe and the buffer hold, and nobody reads
         log(6, f"flood{number}", {"number": number, "odd": 'a"]\\'}, "x" * 60)
         log.flush()
-    got = b""
+    output = b""
     os.set_blocking(reader, False)
-    while b'dropped="' not in got:
+    while b'dropped="' not in output:
         try:
-            got += os.read(reader, 1 << 16)
+            output += os.read(reader, 1 << 16)
         except BlockingIOError:
             log.flush()
-    assert b'[thornshelf@32473 number="0" odd="a\\"\\]\\\\"] ' in got.splitlines()[0]
+    assert b'[thornshelf@32473 number="0" odd="a\\"\\]\\\\"] ' in output.splitlines()[0]
     os.close(reader)
     os.close(writer)
     loop.close()
 
 
 def test_a_flood_of_one_kind_of_line_is_cut_in_number_and_length(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against bad clients that fill the log and cost the dispatcher's time."""
+    """Guards against misbehaving clients that fill the log and use up the dispatcher's time."""
     monkeypatch.setattr(syslog, "MAX_LINES_PER_SECOND", 5)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind((HOST, 0))
@@ -262,9 +264,9 @@
         loop.now = 6_000_000
         log(6, "later", {}, "")
         log.flush()
-        told = collector.recv(1 << 16)
+        report = collector.recv(1 << 16)
     assert lines[-1].endswith(b" goes through") and max(map(len, lines)) < 2 * syslog.MAX_TEXT_CHARS + 200
-    assert b' log [thornshelf@32473 id="bad-line" left_out="7"]' in told
+    assert b' log [thornshelf@32473 id="bad-line" left_out="7"]' in report
     loop.close()
 
 
@@ -300,7 +302,7 @@
             world.run_for(50)
 
 
-def test_a_coroutines_fault_costs_itself() -> None:
+def test_a_coroutine_that_fails_ends_no_other() -> None:
     loop = Loop()
     faults: list[BaseException] = []
     loop.on_fault = faults.append
@@ -327,9 +329,9 @@
     loop.close()
 
 
-def test_the_build_leaves_nothing_to_be_compiled_at_a_start(tmp_path: Path) -> None:
-    """Guards against starts that compile all sources anew: on a share of a core each restart took as long again."""
-    for name in ("thornshelf.placement", "thornshelf", "deploy"):
+def test_the_build_leaves_nothing_to_be_compiled_at_start(tmp_path: Path) -> None:
+    """Guards against starts that compile all sources: on a fraction of a core each restart took twice as long."""
+    for name in ("thornshelf", "deploy"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
     (tmp_path / ".venv" / "bin" / "python").symlink_to(sys.executable)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,8 +12,8 @@
 from tests.conftest import SAFE, answers, ask, ended, entry, listing, offers, placer, settings
 from thornshelf.placement import interface as api
 
-KEYED = replace(SAFE, idempotency=api.Idempotency.WITH_KEY, idempotency_window_s=5.0)
-UNSAFE = replace(SAFE, idempotency=api.Idempotency.NEVER)
+WITH_KEY = replace(SAFE, idempotency=api.Idempotency.WITH_KEY, idempotency_window_s=5.0)
+NOT_IDEMPOTENT = replace(SAFE, idempotency=api.Idempotency.NEVER)
 PROVEN = (api.Outcome.REFUSED, api.Outcome.NOT_CONNECTED, api.Outcome.NOT_SENT)
 UNPROVEN = (api.Outcome.TIMED_OUT, api.Outcome.ERROR, api.Outcome.BROKEN, api.Outcome.CANCELLED)
 
@@ -28,16 +28,18 @@
 
 
 @pytest.mark.parametrize("outcome", UNPROVEN)
-def test_rule_2_an_unsafe_task_that_may_have_run_is_neither_sent_nor_refused(outcome: api.Outcome) -> None:
-    one = placer(entry(1), entry(2), using=settings(UNSAFE))
+def test_rule_2_a_non_idempotent_task_that_may_have_run_is_neither_retried_nor_rejected(
+    outcome: api.Outcome,
+) -> None:
+    one = placer(entry(1), entry(2), using=settings(NOT_IDEMPOTENT))
     first = offers(one.handle(1.0, [ask(1)]))[0].machine
     actions = one.handle(1.5, [ended(1, first, outcome)])
     assert not offers(actions) and answers(actions) == [api.Fail(1)]
 
 
 @pytest.mark.parametrize("outcome", PROVEN)
-def test_rule_2_an_unsafe_task_that_never_ran_goes_elsewhere(outcome: api.Outcome) -> None:
-    one = placer(entry(1), entry(2), using=settings(UNSAFE))
+def test_rule_2_a_non_idempotent_task_that_never_ran_is_retried(outcome: api.Outcome) -> None:
+    one = placer(entry(1), entry(2), using=settings(NOT_IDEMPOTENT))
     first = offers(one.handle(1.0, [ask(1)]))[0].machine
     assert offers(one.handle(1.5, [ended(1, first, outcome)]))
 
@@ -52,8 +54,10 @@
         (api.Scope.CELL, "here", 1, True),
     ],
 )
-def test_rule_2_a_keyed_task_stays_in_its_group(group: api.Scope, zone: str, cell: int, sent: bool) -> None:
-    one = placer(entry(1), using=settings(replace(KEYED, idempotency_scope=group)))
+def test_rule_2_a_task_with_an_idempotency_key_stays_in_its_scope(
+    group: api.Scope, zone: str, cell: int, sent: bool
+) -> None:
+    one = placer(entry(1), using=settings(replace(WITH_KEY, idempotency_scope=group)))
     one.handle(1.0, [ask(1)])
     one.handle(1.1, [listing(entry(2, zone=zone, cell=cell), complete=False)])
     actions = one.handle(1.5, [ended(1, 1, api.Outcome.TIMED_OUT)])
@@ -62,13 +66,13 @@
         assert answers(actions) == [api.Fail(1)]
 
 
-def test_rule_2_a_keyed_task_is_not_sent_after_its_window_but_may_be_refused_in_group_all() -> None:
-    one = placer(entry(1), entry(2), using=settings(KEYED))
+def test_rule_2_a_task_with_a_key_is_not_retried_after_its_window_but_rejected_in_scope_all() -> None:
+    one = placer(entry(1), entry(2), using=settings(WITH_KEY))
     first = offers(one.handle(1.0, [ask(1, budget_s=9.0)]))[0].machine
     assert answers(one.handle(6.0, [ended(1, first, api.Outcome.TIMED_OUT)])) == [api.Reject(1)]
 
 
-def test_rule_3_nothing_goes_to_a_machine_that_drains_or_is_gone() -> None:
+def test_rule_3_no_attempt_at_a_machine_that_drains_or_is_removed() -> None:
     one = placer(entry(1), entry(2), entry(3))
     one.handle(1.0, [listing(entry(1, health=api.Health.DRAINING), complete=False)])
     one.handle(1.1, [listing(entry(1, health=api.Health.DRAINING), entry(2))])
@@ -77,8 +81,8 @@
     assert not offers(one.handle(2.2, [ask(n) for n in range(40, 50)]))
 
 
-def test_rule_4_all_placers_together_stay_within_the_cold_offers() -> None:
-    """Few always-borne offers for many placers: some have none, and the sum is what is borne."""
+def test_rule_4_all_placers_together_stay_within_the_slow_start_attempts() -> None:
+    """Few slow-start attempts for many placers: some have none, and the sum is what is alldeadlines."""
     sent = 0
     for me in range(20):
         one = placer(entry(1, kind="large", started_at=0.5), using=settings(me=me, placers=20))
@@ -154,103 +158,108 @@
     using = settings(
         terms, placers=3, may_gossip=True, accepts_before_running=not running, slow_start_attempts=5.0
     )
-    entries = {
+    enattempts = {
         n: entry(n, zone=("here", "there")[n % 2], cell=n % 3, started_at=float(n == 3)) for n in range(6)
     }
-    one = placer(*entries.values(), using=using)
-    clock, fresh = 1.0, 0
-    owed: dict[int, float] = {}
+    one = placer(*enattempts.values(), using=using)
+    clock = 1.0
+    last_request = 0
+    deadlines: dict[int, float] = {}
     service: dict[int, int] = {}
-    tries: dict[int, list[tuple[int, float, str]]] = {}  # machine, time, state
-    cold: list[float] = []
+    attempts: dict[int, list[tuple[int, float, str]]] = {}  # machine, time, state
+    slow_start: list[float] = []
 
     for kind, pick, outcome, health, wait in steps:
         clock += wait * 0.4
-        alive = [
+        in_flight = [
             (r, n)
-            for r, made in tries.items()
-            for n, one_try in enumerate(made)
-            if one_try[2] in ("out", "bound")
+            for r, made in attempts.items()
+            for n, attempt in enumerate(made)
+            if attempt[2] in ("out", "bound")
         ]
-        events: list[api.Event] = [api.TimerFired(r) for r, at in owed.items() if clock >= at - 0.005]
+        events: list[api.Event] = [api.TimerFired(r) for r, at in deadlines.items() if clock >= at - 0.005]
         if kind == "ask":
-            fresh += 1
-            owed[fresh] = clock + 1.0 + wait
-            service[fresh] = pick % 3
-            tries[fresh] = []
-            events.append(ask(fresh, service=pick % 3, budget_s=1.0 + wait))
-        elif kind in ("end", "place", "note") and alive:
-            request, number = alive[pick % len(alive)]
-            machine, at, state = tries[request][number]
+            last_request += 1
+            deadlines[last_request] = clock + 1.0 + wait
+            service[last_request] = pick % 3
+            attempts[last_request] = []
+            events.append(ask(last_request, service=pick % 3, budget_s=1.0 + wait))
+        elif kind in ("end", "place", "note") and in_flight:
+            request, number = in_flight[pick % len(in_flight)]
+            machine, at, state = attempts[request][number]
             if kind == "note":
                 events.append(api.TaskUpdate(request, machine, number, api.TaskUpdateKind.CORES_USED, wait))
             elif kind == "end":
                 proven = outcome in PROVEN and state == "out"
-                tries[request][number] = (machine, at, "never" if proven else "maybe")
+                attempts[request][number] = (machine, at, "never" if proven else "maybe")
                 events.append(ended(request, machine, outcome, number, last=state == "bound"))
-            elif state == "out" and request in owed:
-                tries[request][number] = (machine, at, "bound")
-                del owed[request]
+            elif state == "out" and request in deadlines:
+                attempts[request][number] = (machine, at, "bound")
+                del deadlines[request]
                 events.append(api.AttemptAccepted(request, machine, number, 0.1))
         elif kind == "list":
             machine = pick % 6
-            entries[machine] = replace(entries[machine], health=health)
-            events.append(listing(entries[machine], complete=False))
+            enattempts[machine] = replace(enattempts[machine], health=health)
+            events.append(listing(enattempts[machine], complete=False))
         elif kind == "adopt":
-            fresh += 1
-            service[fresh] = pick % 3
-            tries[fresh] = [(pick % 6, clock, "bound")]
-            events.append(api.TaskAdopted(ask(fresh, service=pick % 3), pick % 6))
-        elif kind == "abandon" and owed and not events:
-            gone = sorted(owed)[pick % len(owed)]
-            del owed[gone]
-            events = [api.RequestCancelled(gone)]
+            last_request += 1
+            service[last_request] = pick % 3
+            attempts[last_request] = [(pick % 6, clock, "bound")]
+            events.append(api.TaskAdopted(ask(last_request, service=pick % 3), pick % 6))
+        elif kind == "abandon" and deadlines and not events:
+            cancelled = sorted(deadlines)[pick % len(deadlines)]
+            del deadlines[cancelled]
+            events = [api.RequestCancelled(cancelled)]
         elif kind == "peer":
             events.append(api.GossipMessage(pick % 3, bytes([1, *range(pick)])))
         for action in one.handle(clock, events):
             match action:
                 case api.StartAttempt(request, machine, _):
-                    assert request in owed
-                    made = tries[request]
+                    assert request in deadlines
+                    made = attempts[request]
                     assert all(state != "out" for _, _, state in made)
                     maybe = [(m, at) for m, at, state in made if state == "maybe"]
                     if maybe and effect is api.Idempotency.NEVER:
-                        pytest.fail("an unsafe task was sent again")
+                        pytest.fail("a task that is not idempotent was retried")
                     if maybe and effect is api.Idempotency.WITH_KEY:
                         assert clock <= min(at for _, at in maybe) + 2.0
                         for m, _ in maybe:
-                            assert group is not api.Scope.ZONE or entries[m].zone == entries[machine].zone
-                            assert group is not api.Scope.CELL or entries[m].cell == entries[machine].cell
-                    assert entries[machine].health is api.Health.UP
+                            assert (
+                                group is not api.Scope.ZONE or enattempts[m].zone == enattempts[machine].zone
+                            )
+                            assert (
+                                group is not api.Scope.CELL or enattempts[m].cell == enattempts[machine].cell
+                            )
+                    assert enattempts[machine].health is api.Health.UP
                     if machine == 3 and clock < 11.0:
-                        cold.append(clock)
-                        assert sum(at > clock - 1.0 for at in cold) <= 2
+                        slow_start.append(clock)
+                        assert sum(at > clock - 1.0 for at in slow_start) <= 2
                     made.append((machine, clock, "out"))
                     if spread is not api.Scope.NONE:
                         there = sum(
-                            state in ("out", "bound") and together(spread, entries[m], entries[machine])
-                            for r, made in tries.items()
+                            state in ("out", "bound") and together(spread, enattempts[m], enattempts[machine])
+                            for r, made in attempts.items()
                             if service[r] == service[request]
                             for m, _, state in made
                         )
                         assert there <= 2
                 case api.Reject(request, _):
-                    assert request in owed
-                    del owed[request]
-                    if any(state != "never" for _, _, state in tries[request]):
+                    assert request in deadlines
+                    del deadlines[request]
+                    if any(state != "never" for _, _, state in attempts[request]):
                         assert effect is api.Idempotency.ALWAYS or (
                             effect is api.Idempotency.WITH_KEY and group is api.Scope.ALL
                         )
                 case api.Fail(request):
-                    assert request in owed
-                    del owed[request]
+                    assert request in deadlines
+                    del deadlines[request]
                 case _:
                     pass
-        assert all(at - 0.005 > clock for at in owed.values())
+        assert all(at - 0.005 > clock for at in deadlines.values())
 
 
-def test_rule_4_holds_in_every_window_and_its_shares_move_on() -> None:
-    """More placers than always-borne offers: each in turn has one, and no window of the rule sees more."""
+def test_rule_4_holds_in_every_window_and_its_quotas_rotate() -> None:
+    """More placers than slow-start attempts: each in turn has one, and no window of the rule has more."""
     sent = []
     for me in range(40):
         one = placer(entry(1, kind="large", started_at=0.5), using=settings(me=me, placers=40))
@@ -262,12 +271,12 @@
     assert len({me for _, me in sent}) > 12
 
 
-def test_odd_input_breaks_no_rule_and_blames_no_machine() -> None:
-    """A clock that jumps, peers' words cut short, foreign or repeated, and events long after their time."""
-    quiet = settings(placers=3, may_gossip=True)
-    one = placer(entry(1), entry(2), using=quiet)
-    words = [b"", b"\x01", b"\x02abcdefgh", b"\x01short", b"\x01" + b"\xff" * 8, b"\x01" + b"\xff" * 8]
-    one.handle(1.0, [api.GossipMessage(sender, data) for sender in (1, 2, 99) for data in words])
+def test_unexpected_input_breaks_no_rule_and_blames_no_machine() -> None:
+    """A clock that jumps, gossip that is truncated, foreign or repeated, and events long after their time."""
+    using = settings(placers=3, may_gossip=True)
+    one = placer(entry(1), entry(2), using=using)
+    messages = [b"", b"\x01", b"\x02abcdefgh", b"\x01short", b"\x01" + b"\xff" * 8, b"\x01" + b"\xff" * 8]
+    one.handle(1.0, [api.GossipMessage(sender, data) for sender in (1, 2, 99) for data in messages])
     first = offers(one.handle(1.1, [ask(1, budget_s=6.0)]))[0].machine
     jumped = one.handle(500.0, [api.TimerFired(1), ended(1, first, api.Outcome.TIMED_OUT)])
     assert len(answers(jumped)) == 1 and not offers(jumped)
@@ -276,8 +285,8 @@
     assert len(offers(one.handle(500.2, [ask(n, service=n) for n in range(2, 6)]))) == 4
 
 
-def test_a_report_does_not_undo_what_is_known_to_run() -> None:
-    """Guards against a late report that shows a machine empty while own tasks fill it."""
+def test_a_load_report_does_not_undo_what_is_known_to_run() -> None:
+    """Guards against a delayed report that shows a machine empty while own tasks fill it."""
     one = placer(entry(1))
     one.handle(1.0, [api.TaskAdopted(ask(n, cores=2.0), 1) for n in range(4)])
     empty = api.LoadReport(free_cores=8.0, free_memory=16.0)
