--- a/tests/golden/wires.py
+++ b/tests/golden/wires.py
@@ -30,7 +30,7 @@
 from thornshelf.loop import Chunk, Loop, Stream
 from thornshelf.nodes.binary import BinaryLink, BinaryNodeConnection
 from thornshelf.nodes.grpc import GrpcLink, GrpcLinkV2, GrpcNodeConnection
-from thornshelf.nodes.node_connection import NodeLink
+from thornshelf.nodes.node_link import NodeLink
 from thornshelf.placement.interface import Health, LoadReport, Outcome, Reason, TaskUpdateKind
 from thornshelf.translation.capabilities import NodeCapabilities
 from thornshelf.translation.failures import FailureCause, FailureReason, RetryAdvice
@@ -466,7 +466,7 @@
 
     def decode(data: bytes) -> object:
         link = make_link()
-        link._report(grpc.parse(link.report, data[5:]))
+        link._process_report(grpc.parse(link.report_type, data[5:]))
         hello = link.capabilities if isinstance(link, GrpcLinkV2) else None
         return [*link.node.core.inbox, *([hello] if hello is not None else [])]
 
--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior
 from thornshelf.loop import loop as loop_module
-from thornshelf.nodes import node_connection
+from thornshelf.nodes import liveness, reconnect
 from thornshelf.wire import binary
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire.errors import WireError
@@ -33,7 +33,7 @@
     front: str, node: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It stays open, so nothing but its silence tells; news of what stands there comes on the next."""
-    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(front, node, nodes=1)
     bad = standing_and_open(world)
     if how == "half":
@@ -54,7 +54,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nothing is open on it, yet news of what stands there would be lost until the length is full."""
-    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.RUN)
     world.wait_for_events(5)
@@ -70,7 +70,7 @@
 
 @WIRES
 def test_a_safe_task_on_it_goes_elsewhere(front: str, node: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(front, node)
     world.run_until(lambda: all(one.streams for one in world.nodes))
     world.run_for(20)
@@ -90,10 +90,10 @@
     front: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It answers the test: what it owes may well be on its way."""
-    monkeypatch.setattr(node_connection, "LOOK_US", 2_000)
+    monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 2_000)
     world = FakeCluster(front, node, nodes=1)
     slow = standing_and_open(world)
-    world.run_for(5 * node_connection.DEAF_LOOKS * 2)
+    world.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
     assert len(slow.streams) == 1 and slow.streams[0].open and 6 not in world.client.heard
 
 
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize("spoilt", SPOILT)
 def test_a_spoilt_answer_is_never_passed_on(spoilt: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_connection, "LOOK_US", 5_000)
+    monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(nodes=1)
     bad = standing_and_open(world)
     bad.streams[0].send(spoilt)
@@ -122,7 +122,7 @@
     node = standing_and_open(world)
     link: Any = world.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
     with pytest.raises(WireError, match="without a description"):
-        link._report(pb.NodeReport(uid=6, binding=pb.Binding()))
+        link._process_report(pb.NodeReport(uid=6, binding=pb.Binding()))
     assert node.offers(6) == 1
 
 
@@ -147,7 +147,7 @@
 
 def test_a_connection_that_breaks_while_new_is_made_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against offers that wait out a pause meant for nodes that end every connection."""
-    monkeypatch.setattr(node_connection, "RETRY_US", 60_000_000)
+    monkeypatch.setattr(reconnect, "RECONNECT_BACKOFF_US", 60_000_000)
     world = FakeCluster(nodes=1)
     standing_and_open(world)
     world.nodes[0].break_streams()
--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior
 from thornshelf.wire import placement_pb2 as pb
 
 FORMS = [(JSON, BINARY), (GRPC, GRPC), (JSON, GRPC), (GRPC, BINARY)]
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,7 +17,7 @@
 from tests.test_turns import a_loop, entries
 from thornshelf.core import Dispatcher, EndpointListUpdate
 from thornshelf.loop import Wait
-from thornshelf.nodes import node_connection
+from thornshelf.nodes import reconnect
 from thornshelf.nodes.binary import BinaryNodeConnection
 from thornshelf.placement import health_check_schedule, machine_index
 from thornshelf.placement import interface as api
@@ -41,7 +41,7 @@
         yield Wait(until=loop.now)
         return errno.ECONNREFUSED
 
-    monkeypatch.setattr(node_connection, "connect", connect)
+    monkeypatch.setattr(reconnect, "connect", connect)
     for me in dispatchers:
         terms = replace(settings(SAFE, placers=placers), me=me)
         core = Dispatcher(
@@ -97,7 +97,7 @@
         yield Wait(until=loop.now)
         return errno.ECONNREFUSED
 
-    monkeypatch.setattr(node_connection, "connect", connect)
+    monkeypatch.setattr(reconnect, "connect", connect)
     terms = replace(settings(SAFE, placers=MANY), me=500)
     core = Dispatcher(
         loop,
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -20,7 +20,7 @@
 from thornshelf.configuration import ConfigError, read_config
 from thornshelf.core import Dispatcher, EndpointListUpdate, TaskRequest
 from thornshelf.discovery.endpoint_watch import EndpointWatch
-from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, HOST, TIMEOUT_S, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, HOST, TIMEOUT_S, FakeCluster, NodeBehavior
 from thornshelf.loop import Loop
 from thornshelf.loop.stream import connect
 from thornshelf.placement import interface as api
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -14,7 +14,7 @@
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.loop.stream import connect as usual_connect
-from thornshelf.nodes import node_connection
+from thornshelf.nodes import reconnect
 from thornshelf.placement.interface import Outcome, TaskUpdateKind
 from thornshelf.wire import jsonl
 
@@ -77,7 +77,7 @@
             yield Wait(until=arguments[0].now + 1000)
         return (yield from usual_connect(*arguments))
 
-    monkeypatch.setattr(node_connection, "connect", slow)
+    monkeypatch.setattr(reconnect, "connect", slow)
     world = FakeCluster(front, node)
     world.client.ask(5, NodeBehavior.RUN)
     world.run_until(lambda: pending(world) == 1)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -7,7 +7,7 @@
 from tests.test_platform import PLACED
 from thornshelf.configuration import read_config
 from thornshelf.frontends.listener import ConnectionBudget
-from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, FakeCluster, NodeBehavior
 from thornshelf.nodes.connection_pool import MIN_REST_US, ConnectionPool
 from thornshelf.service import SPARE_NODES, descriptor_limits
 
@@ -45,7 +45,7 @@
     for _ in range(4):
         now += MIN_REST_US
         for number, one in enumerate(holders):
-            if one not in room._open and room.acquire(one, now):
+            if one not in room._last_used_us and room.acquire(one, now):
                 heard.add(number)
     assert len(heard) == 1024 and len(room) == 600
 
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thornshelf.discovery.endpoint_watch import decode_events
+from thornshelf.discovery.endpoint_events import decode_events
 from thornshelf.loop import Chunk
 from thornshelf.wire import binary, grpc, http2, jsonl, rfc5424
 from thornshelf.wire import placement_pb2 as pb
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,9 +13,9 @@
 import pytest
 
 from thornshelf.core import Attempt, TaskStarted
-from thornshelf.lab.fakes.cluster import DESCRIPTION, JSON, TIMEOUT_S, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import DESCRIPTION, JSON, TIMEOUT_S, FakeCluster, NodeBehavior
 from thornshelf.loop import Loop, Stream
-from thornshelf.nodes.node_connection import NodeLink
+from thornshelf.nodes.node_link import NodeLink
 from thornshelf.placement import interface as api
 from thornshelf.wire import binary, jsonl
 from thornshelf.wire import placement_pb2 as pb
@@ -316,7 +316,7 @@
     with theirs:
         node.link = SlowLink(node, Stream(world.loop, ours, "node"))
         for uid in (4, 5):
-            node.offer(Attempt(uid, 0, "lookup", uid, b"", world.loop.now, world.loop.now + 10**7, 1))
+            node.send_attempt(Attempt(uid, 0, "lookup", uid, b"", world.loop.now, world.loop.now + 10**7, 1))
         assert [attempt.uid for attempt in node.drain()] == [4]
         node.link = None
     ours.close()
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -14,9 +14,9 @@
 from thornshelf.configuration import ConfigError, ZoneSubsetConfig, read_config
 from thornshelf.lab.fakes.behavior import HOST, NodeBehavior
 from thornshelf.lab.fakes.clients import FakeJsonLinesClient
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, TIMEOUT_S
 from thornshelf.lab.fakes.network import FakeEndpointSource, private
 from thornshelf.lab.fakes.nodes import FakeNode
-from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, TIMEOUT_S
 from thornshelf.loop import Loop
 from thornshelf.service import Service
 from thornshelf.subsetting import SubsetConfig
--- a/thornshelf/lab/fakes/cluster.py
+++ b/thornshelf/lab/fakes/cluster.py
@@ -10,7 +10,7 @@
 
 from thornshelf.configuration import GrpcConfig, read_config
 from thornshelf.core import EndpointListUpdate
-from thornshelf.discovery.endpoint_watch import decode_endpoint
+from thornshelf.discovery.endpoint_events import decode_endpoint
 from thornshelf.lab.fakes.behavior import BINARY as BINARY
 from thornshelf.lab.fakes.behavior import COMMON_BEHAVIORS as COMMON_BEHAVIORS
 from thornshelf.lab.fakes.behavior import DESCRIPTION as DESCRIPTION
--- a/thornshelf/lab/scale/quantities.py
+++ b/thornshelf/lab/scale/quantities.py
@@ -23,7 +23,7 @@
 from thornshelf.core import Attempt, Dispatcher, TaskRequest
 from thornshelf.core.releases import DisconnectedClient
 from thornshelf.core.state_transfer import export_state
-from thornshelf.discovery.endpoint_watch import decode_events
+from thornshelf.discovery.endpoint_events import decode_events
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
 from thornshelf.lab.membership import SECOND, Network, run_settled, run_until_settled
 from thornshelf.lab.scale.layout import Layout
--- a/thornshelf/nodes/__init__.py
+++ b/thornshelf/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""Node ports: one for the platform's binary messages, one for gRPC."""
+"""Connections to nodes, one module for each wire form."""
--- a/thornshelf/nodes/binary.py
+++ b/thornshelf/nodes/binary.py
@@ -4,18 +4,22 @@
 
 from thornshelf.core import Attempt, TaskProgress, TaskStarted
 from thornshelf.loop import Chunk, Stream
-from thornshelf.nodes.node_connection import BaseNodeConnection, NodeLink, decode_load_report
+from thornshelf.nodes.load_report import decode_load_report
+from thornshelf.nodes.node_connection import BaseNodeConnection
+from thornshelf.nodes.node_link import NodeLink
 from thornshelf.placement.interface import Outcome, Reason, TaskUpdateKind
 from thornshelf.wire import binary
 from thornshelf.wire.errors import WireError
 
-GIVEN_UP = ENDED = 16
-PROBE, LINK_TEST = 0, 1  # the ids of tests, which name no task
-OUTCOMES_BEFORE_START = {
-    34: Outcome.REFUSED,
-    47: Outcome.ERROR,
-    102: Outcome.NOT_SENT,
-}  # any other cause: it broke
+# Causes of a release: the same number ends a task at the dispatcher's request and at the end of its own time.
+CANCELLED = ENDED = 16
+
+# Tests carry one of these in place of a task's id.
+HEALTH_CHECK_ID = 0
+PING_ID = 1
+
+# Any other cause of a release stands for a broken attempt or task.
+OUTCOMES_BEFORE_START = {34: Outcome.REFUSED, 47: Outcome.ERROR, 102: Outcome.NOT_SENT}
 OUTCOMES_AFTER_START = {16: Outcome.OK, 31: Outcome.CANCELLED}
 REASONS_BY_NAME = {
     "lack_cpu": Reason.NO_CORES,
@@ -36,15 +40,15 @@
 
 
 class BinaryLink(NodeLink):
-    """One connection to a node."""
+    """One connection to a node that speaks binary messages."""
 
     def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
         self._reader = binary.MessageReader()
-        self._chunks: dict[int, Chunk] = {}
+        self._unanswered: dict[int, Chunk] = {}  # attempts by their id, as they were sent
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """The set-up, with the wait that is left of its attempt."""
+        """Send an attempt with the time that is left for it; one that is too long for the wire has not run."""
         wait_ms = max(1, (attempt.deadline_us - self.node.loop.now) // 1000)
         values = {
             binary.CLASS: attempt.task_class.encode(),
@@ -53,99 +57,107 @@
             binary.DESCRIPTION: attempt.description,
         }
         try:
-            self._chunks[attempt.uid] = self.stream.send(binary.encode(binary.SET_UP, attempt.uid, values))
+            data = binary.encode(binary.SET_UP, attempt.uid, values)
         except WireError:
             self.node.attempt_finished(attempt.uid, Outcome.NOT_SENT)
+            return
+        self._unanswered[attempt.uid] = self.stream.send(data)
 
     def withdraw_attempt(self, uid: int) -> bool:
-        """Call the set-up back, or tell the node that it is given up."""
-        chunk = self._chunks.pop(uid, None)
+        """Take an attempt out of the buffer, or else ask the node to cancel it."""
+        chunk = self._unanswered.pop(uid, None)
         if chunk is not None and self.stream.retract(chunk):
             return True
-        self._release(uid)
+        self.cancel_task(uid)
         return False
 
     def may_have_arrived(self, uid: int) -> bool:
-        """Whether all of it was handed to the system."""
-        chunk = self._chunks.get(uid)
+        """Whether all of an attempt was given to the operating system."""
+        chunk = self._unanswered.get(uid)
         return chunk is not None and chunk.fully_sent
 
     def cancel_task(self, uid: int) -> Chunk:
-        """A release ends a task that stands."""
-        return self._release(uid)
+        """Send a release, which cancels an attempt or ends a running task."""
+        return self.stream.send(binary.encode(binary.RELEASE, uid, {binary.CAUSE: bytes((CANCELLED,))}))
 
     def check_health(self) -> None:
-        """A test with cause 1 asks for a report."""
-        self.stream.send(binary.encode(binary.TEST, PROBE, {binary.CAUSE: b"\x01"}))
+        """Send a test with cause 1, which asks for a load report."""
+        self.stream.send(binary.encode(binary.TEST, HEALTH_CHECK_ID, {binary.CAUSE: b"\x01"}))
 
     def ping(self) -> None:
-        """A test with cause 0 is answered by a node that still listens to this connection."""
-        self.stream.send(binary.encode(binary.TEST, LINK_TEST, {binary.CAUSE: b"\x00"}))
+        """Send a test with cause 0, which is answered by a node that still reads from this connection."""
+        self.stream.send(binary.encode(binary.TEST, PING_ID, {binary.CAUSE: b"\x00"}))
 
     @property
     def mid_message(self) -> bool:
-        """A message has begun and not ended."""
+        """Whether a message has begun and not ended."""
         return self._reader.mid_message
 
     def receive(self, data: bytes) -> str | None:
-        """Bytes of the connection."""
+        """Process received bytes; binary messages end a connection by an error alone."""
         self._reader.feed(data)
         while (message := self._reader.next()) is not None:
             self.messages_received += 1
-            self._take(message)
+            self._process_message(message)
         return None
 
-    def _release(self, uid: int) -> Chunk:
-        return self.stream.send(binary.encode(binary.RELEASE, uid, {binary.CAUSE: bytes((GIVEN_UP,))}))
-
-    def _started(self, uid: int, description: bytes) -> None:
-        self._chunks.pop(uid, None)
-        self.node.task_started(uid)
-        self.node.core.inbox.append(TaskStarted(self.node.machine, uid, description))
-
-    def _take(self, message: binary.Message) -> None:
-        node, uid, values = self.node, message.uid, message.values
+    def _process_message(self, message: binary.Message) -> None:
         match message.type:
             case binary.ANSWER:
-                self._started(uid, _description(message))
+                self._task_started(message)
             case binary.RELEASE:
-                if message.cause is None:
-                    raise WireError("release without a cause", fatal=True)
-                if uid in self._chunks and message.cause == ENDED and binary.DESCRIPTION in values:
-                    # Guards against trying elsewhere what has run: a task whose time is over as it starts is
-                    # answered and released by this one message, which alone carries a description.
-                    self._started(uid, _description(message))
-                before = self._chunks.pop(uid, None) is not None
-                outcome = (OUTCOMES_BEFORE_START if before else OUTCOMES_AFTER_START).get(
-                    message.cause, Outcome.BROKEN
-                )
-                reason = REASONS_BY_NAME.get(message.text(binary.NOTE_NAME) or "", Reason.UNSPECIFIED)
-                report = decode_load_report(binary.parse_load_report(message.text(binary.REPORT)))
-                node.attempt_finished(uid, outcome, reason, report)
+                self._task_ended(message)
             case binary.NOTE:
-                fact = FACTS_BY_NAME.get(message.text(binary.NOTE_NAME) or "")
-                level = binary.parse_number(message.text(binary.FIGURE))
-                if fact is TaskUpdateKind.STARTED and level is None:
-                    level = 1.0
-                if fact is not None and level is not None:
-                    node.core.inbox.append(TaskProgress(node.machine, uid, fact, level))
-            case binary.TESTED if uid == LINK_TEST:
-                pass  # that it came is all
+                self._task_progressed(message)
+            case binary.TESTED if message.uid == PING_ID:
+                pass  # its arrival alone shows that the node is alive
             case binary.TESTED:
-                passed = message.cause == 1
+                outcome = Outcome.OK if message.cause == 1 else Outcome.ERROR
                 report = decode_load_report(binary.parse_load_report(message.text(binary.REPORT)))
-                node.health_check_completed(Outcome.OK if passed else Outcome.ERROR, report)
+                self.node.health_check_completed(outcome, report)
             case binary.TEST:
-                self.stream.send(binary.encode(binary.TESTED, uid, {binary.CAUSE: b"\x01"}))
+                self.stream.send(binary.encode(binary.TESTED, message.uid, {binary.CAUSE: b"\x01"}))
             case binary.PROGRESS | binary.RELEASE_ACK:
-                pass  # these mean nothing
+                pass  # these carry nothing that is used
             case _:
                 # Guards against reading on where a length did not fit: what follows is no message either.
                 raise WireError(f"type {message.type} is not known", fatal=True)
 
-
-def _description(message: binary.Message) -> bytes:
-    """What the node made for the task: text, as the platform's clients get it. Else the answer is spoilt."""
+    def _task_started(self, message: binary.Message) -> None:
+        description = _read_description(message)
+        self._unanswered.pop(message.uid, None)
+        self.node.task_started(message.uid)
+        self.node.core.inbox.append(TaskStarted(self.node.machine, message.uid, description))
+
+    def _task_ended(self, message: binary.Message) -> None:
+        uid = message.uid
+        if message.cause is None:
+            raise WireError("release without a cause", fatal=True)
+        if uid in self._unanswered and message.cause == ENDED and binary.DESCRIPTION in message.values:
+            # Guards against a retry of a task that has run: one whose time is over as it starts is answered and
+            # released by this one message, which alone carries a description.
+            self._task_started(message)
+        before_start = self._unanswered.pop(uid, None) is not None
+        outcomes = OUTCOMES_BEFORE_START if before_start else OUTCOMES_AFTER_START
+        outcome = outcomes.get(message.cause, Outcome.BROKEN)
+        reason = REASONS_BY_NAME.get(message.text(binary.NOTE_NAME) or "", Reason.UNSPECIFIED)
+        report = decode_load_report(binary.parse_load_report(message.text(binary.REPORT)))
+        self.node.attempt_finished(uid, outcome, reason, report)
+
+    def _task_progressed(self, message: binary.Message) -> None:
+        kind = FACTS_BY_NAME.get(message.text(binary.NOTE_NAME) or "")
+        level = binary.parse_number(message.text(binary.FIGURE))
+        if kind is TaskUpdateKind.STARTED and level is None:
+            level = 1.0
+        if kind is not None and level is not None:
+            self.node.core.inbox.append(TaskProgress(self.node.machine, message.uid, kind, level))
+
+
+def _read_description(message: binary.Message) -> bytes:
+    """What the node made for the task: text, as the platform's clients receive it.
+
+    Raises ``WireError`` for anything else, as the answer is then corrupt.
+    """
     value = message.values.get(binary.DESCRIPTION, b"")
     try:
         value.decode("utf-8", "surrogatepass")
@@ -157,8 +169,8 @@
 
 
 class BinaryNodeConnection(BaseNodeConnection):
-    """A node on the platform."""
+    """A node that speaks binary messages and nothing else."""
 
     def make_link(self, stream: Stream) -> NodeLink:
-        """Its connection."""
+        """A link of binary messages."""
         return BinaryLink(self, stream)
--- a/thornshelf/nodes/connection_pool.py
+++ b/thornshelf/nodes/connection_pool.py
@@ -5,64 +5,66 @@
 from collections.abc import Callable
 from typing import Protocol
 
-MIN_REST_US = 1_000_000  # a connection is kept so long after its node was offered a task, or it was made
+MIN_REST_US = (
+    1_000_000  # a connection is not evicted sooner after it was made or its node was sent an attempt
+)
 
 
 class PooledConnection(Protocol):
-    """A node, as far as its connection may have to make room."""
+    """A node, as far as its connection may be evicted."""
 
     @property
     def idle(self) -> bool:
-        """Nothing is waited for on it."""
+        """Whether nothing is waited for on the connection."""
 
     @property
     def listening_only(self) -> bool:
-        """Only news of standing tasks is waited for: the node tells it on the next connection as well."""
+        """Whether only updates of running tasks are waited for: the node repeats these on the next connection."""
 
     def evict(self) -> None:
-        """Close the connection, which calls ``give``."""
+        """Close the connection, which calls ``ConnectionPool.release``."""
 
 
 class ConnectionPool:
-    """The open node connections, the one used longest ago first.
+    """The open node connections, the least recently used first.
 
-    ``most``: how many there may be now, as clients come and go.
+    ``max_open``: how many there may be now, as clients connect and disconnect.
     """
 
     def __init__(self, max_open: Callable[[], int]) -> None:
         self._max_open = max_open
-        self._open: dict[PooledConnection, int] = {}  # since when it has rested
+        self._last_used_us: dict[PooledConnection, int] = {}
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._last_used_us)
 
     def acquire(self, node: PooledConnection, now_us: int, wanted: bool = True) -> bool:
-        """Make room for one more; an idle one goes first, then one that only listens and has rested.
+        """Add one more connection; an idle one is evicted for it first, then one that only listens and has rested.
 
-        ``wanted``: something waits for it; else none is closed for its sake. False where there is no room.
+        ``wanted``: something waits for the new one; no other is evicted otherwise. False where it can't be made.
         """
-        while len(self._open) >= self._max_open():
-            if not wanted or (victim := self._eviction_candidate(now_us)) is None:
+        while len(self._last_used_us) >= self._max_open():
+            if not wanted or (candidate := self._eviction_candidate(now_us)) is None:
                 return False
-            del self._open[victim]
-            victim.evict()
-        self._open[node] = now_us
+            del self._last_used_us[candidate]
+            candidate.evict()
+        self._last_used_us[node] = now_us
         return True
 
     def touch(self, node: PooledConnection, now_us: int) -> None:
-        """A task was offered to it."""
-        if self._open.pop(node, None) is not None:
-            self._open[node] = now_us
+        """Record that an attempt was sent on the node's connection."""
+        if self._last_used_us.pop(node, None) is not None:
+            self._last_used_us[node] = now_us
 
     def release(self, node: PooledConnection) -> None:
-        """Its connection is closed, or did not come up."""
-        self._open.pop(node, None)
+        """Remove a connection that is closed, or could not be made."""
+        self._last_used_us.pop(node, None)
 
     def _eviction_candidate(self, now_us: int) -> PooledConnection | None:
-        spare = None
-        for node, since in self._open.items():
+        rested: PooledConnection | None = None
+        for node, last_used_us in self._last_used_us.items():
             if node.idle:
                 return node
-            if spare is None and node.listening_only and now_us - since >= MIN_REST_US:
-                spare = node
-        return spare
+            if rested is None and node.listening_only and now_us - last_used_us >= MIN_REST_US:
+                rested = node
+        return rested
--- a/thornshelf/nodes/grpc.py
+++ b/thornshelf/nodes/grpc.py
@@ -1,4 +1,4 @@
-"""Nodes that speak gRPC, in its first or second generation: offers go out, bindings come back on one stream."""
+"""Nodes that speak gRPC, in its first or second generation: attempts and their answers share one stream."""
 
 from __future__ import annotations
 
@@ -10,12 +10,9 @@
 
 from thornshelf.core import AnswerMetadata, Attempt, TaskProgress, TaskStarted, TaskStatusReply
 from thornshelf.loop import Stream
-from thornshelf.nodes.node_connection import (
-    HEALTH_CHECK_TIMEOUT_US,
-    BaseNodeConnection,
-    NodeLink,
-    decode_load_report,
-)
+from thornshelf.nodes.load_report import decode_load_report
+from thornshelf.nodes.node_connection import HEALTH_CHECK_TIMEOUT_US, BaseNodeConnection
+from thornshelf.nodes.node_link import NodeLink
 from thornshelf.placement.interface import Outcome, Reason, TaskUpdateKind
 from thornshelf.translation.capabilities import NodeCapabilities
 from thornshelf.translation.failures import (
@@ -32,38 +29,41 @@
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire import placement_v2_pb2 as pb2
 from thornshelf.wire.errors import WireError
+from thornshelf.wire.rfc5424 import NOTICE
+
+# The numbers of outcomes, facts and the old reasons are the same in both generations. Any other outcome stands for a
+# broken attempt or task.
+OUTCOMES_BEFORE_START = {pb.ERROR: Outcome.ERROR, pb.FULL: Outcome.REFUSED, pb.MOOT: Outcome.NOT_SENT}
+OUTCOMES_AFTER_START = {pb.ENDED: Outcome.OK, pb.CANCELLED: Outcome.CANCELLED}
+REASONS_BY_NUMBER = {reason.value: reason for reason in Reason}
+FACTS_BY_NUMBER = {kind.value: kind for kind in TaskUpdateKind}
 
-# The numbers of outcomes, facts and the old reasons are the same in both generations.
-_BEFORE = {pb.ERROR: Outcome.ERROR, pb.FULL: Outcome.REFUSED, pb.MOOT: Outcome.NOT_SENT}  # else it broke
-_AFTER = {pb.ENDED: Outcome.OK, pb.CANCELLED: Outcome.CANCELLED}
-_REASONS = {reason.value: reason for reason in Reason}
-_FACTS = {fact.value: fact for fact in TaskUpdateKind}
+_UNIMPLEMENTED = str(grpc.UNIMPLEMENTED)
 
 
 class GrpcLink(NodeLink):
     """One connection with its Bind stream, first generation."""
 
     service = "/thornshelf.v1.Node/"
-    report: type[Message] = pb.NodeReport
-    load: type[Message] = pb.Load
+    report_type: type[Message] = pb.NodeReport
+    load_type: type[Message] = pb.Load
 
     def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
-        self.unknown = False  # the node has said that it does not know this generation
         self._http = http2.Http2(True, stream.send)
-        self._sent: dict[int, http2.OutgoingMessage] = {}
-        self._untouched = False  # the node says that it has not looked at the stream
-        self._bind = self._call("Bind")
-        self._probe = 0
+        self._unanswered: dict[int, http2.OutgoingMessage] = {}  # attempts by their id, as they were sent
+        self._stream_unprocessed = False  # the node has answered that it has not read the Bind stream
+        self._bind_stream = self._call("Bind")
+        self._health_check_stream = 0
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """The set-up, with the wait that is left of its attempt."""
+        """Send an attempt with the time that is left for it; one that is too long for the wire has not run."""
         try:
             data = grpc.frame(self._offer(attempt))
         except WireError:
             self.node.attempt_finished(attempt.uid, Outcome.NOT_SENT)
             return
-        self._sent[attempt.uid] = self._http.send(self._bind, data)
+        self._unanswered[attempt.uid] = self._http.send(self._bind_stream, data)
 
     def _wait_ms(self, attempt: Attempt) -> int:
         return max(1, (attempt.deadline_us - self.node.loop.now) // 1000)
@@ -78,79 +78,99 @@
         return pb.NodeOrder(uid=attempt.uid, offer=offer)
 
     def withdraw_attempt(self, uid: int) -> bool:
-        """Call the offer back, or tell the node that it is given up."""
-        sent = self._sent.pop(uid, None)
-        if sent is not None and self._http.retract(self._bind, sent):
+        """Take an attempt out of the queue, or else ask the node to cancel it."""
+        message = self._unanswered.pop(uid, None)
+        if message is not None and self._http.retract(self._bind_stream, message):
             return True
         self.cancel_task(uid)
         return False
 
     def may_have_arrived(self, uid: int) -> bool:
-        """Whether it may have reached the node."""
-        sent = self._sent.get(uid)
-        return sent is not None and sent.fully_sent and not self._untouched
+        """Whether an attempt may have reached the node."""
+        message = self._unanswered.get(uid)
+        return message is not None and message.fully_sent and not self._stream_unprocessed
 
     def cancel_task(self, uid: int) -> http2.OutgoingMessage:
-        """A release gives up an offer or ends a task that stands."""
-        return self._http.send(self._bind, grpc.frame(self._release(uid)))
+        """Send a release, which cancels an attempt or ends a running task."""
+        return self._http.send(self._bind_stream, grpc.frame(self._release(uid)))
 
     def _release(self, uid: int) -> Message:
         return pb.NodeOrder(uid=uid, release=pb.Release(outcome=pb.CANCELLED))
 
     def check_health(self) -> None:
-        """Ask for a report."""
-        self._probe = self._call("Probe", grpc.write_timeout(HEALTH_CHECK_TIMEOUT_US))
-        self._http.send(self._probe, grpc.frame(pb.ProbeRequest()))
-        self._http.finish(self._probe, [])
+        """Call Probe, which answers with a load report."""
+        self._start_health_check(pb.ProbeRequest())
+
+    def _start_health_check(self, request: Message) -> None:
+        self._health_check_stream = self._call("Probe", grpc.write_timeout(HEALTH_CHECK_TIMEOUT_US))
+        self._http.send(self._health_check_stream, grpc.frame(request))
+        self._http.finish(self._health_check_stream, [])
 
     def ping(self) -> None:
-        """HTTP/2's own PING."""
+        """Send HTTP/2's own PING."""
         self._http.ping()
 
     @property
     def mid_message(self) -> bool:
-        """A frame or message has begun and not ended."""
+        """Whether a frame or message has begun and not ended."""
         return self._http.mid_message
 
+    @property
+    def peer_identified(self) -> bool:
+        """Whether the peer speaks HTTP/2 at all."""
+        return self._http.peer_settings_received
+
     def receive(self, data: bytes) -> str | None:
-        """Bytes of the connection; says why it is over, where it is."""
+        """Process received bytes; returns why the connection can't go on, or None where it can."""
         for event in self._http.receive(data):
+            reason = None
             if isinstance(event, http2.GoAway):
-                # Open streams at most as new as the last one named go on; nothing new is sent on them.
-                self.accepting = False
-                if event.last < self._bind:
-                    self._untouched = True
-                    return "the node went away before it looked at the stream"
-            elif event.stream == self._bind:
-                match event:
-                    case http2.Received(data=message):
-                        self.messages_received += 1
-                        self._report(grpc.parse(self.report, message))
-                    case http2.Ended(trailers=trailers):
-                        self.unknown = self.unknown or trailers.get("grpc-status") == str(grpc.UNIMPLEMENTED)
-                        return f"stream ended with status {trailers.get('grpc-status', 'none')}"
-                    case http2.Broken(code=code, reason=cause):
-                        self._untouched = code == http2.REFUSED_STREAM
-                        return f"stream broke: {cause}, code {code}"
-                    case http2.Opened(headers=headers) if headers.get(":status") != "200":
-                        self.unknown = True
-                        return f"HTTP status {headers.get(':status')}"
-                    case http2.Opened(headers=headers) if headers.get("grpc-status") == str(
-                        grpc.UNIMPLEMENTED
-                    ):
-                        self.unknown = True
-                        return "it does not know this generation"
-            elif event.stream == self._probe:
-                match event:
-                    case http2.Received(data=message):
-                        fields = grpc.parse(self.load, message).fields  # type: ignore[attr-defined]
-                        self.node.health_check_completed(Outcome.OK, decode_load_report(_finite(fields)))
-                    case http2.Ended() | http2.Broken():
-                        self.node.health_check_completed(
-                            Outcome.ERROR, None
-                        )  # nothing, where the answer came before
+                reason = self._goaway_received(event)
+            elif event.stream == self._bind_stream:
+                reason = self._bind_event(event)
+            elif event.stream == self._health_check_stream:
+                self._health_check_event(event)
+            if reason is not None:
+                return reason
+        return None
+
+    def _goaway_received(self, event: http2.GoAway) -> str | None:
+        # Open streams that are at most as new as the last one named go on; nothing new is sent on them.
+        self.accepting = False
+        if event.last < self._bind_stream:
+            self._stream_unprocessed = True
+            return "the node went away before it looked at the stream"
+        return None
+
+    def _bind_event(self, event: http2.Event) -> str | None:
+        match event:
+            case http2.Received(data=message):
+                self.messages_received += 1
+                self._process_report(grpc.parse(self.report_type, message))
+            case http2.Ended(trailers=trailers):
+                if trailers.get("grpc-status") == _UNIMPLEMENTED:
+                    self.generation_rejected = True
+                return f"stream ended with status {trailers.get('grpc-status', 'none')}"
+            case http2.Broken(code=code, reason=reason):
+                self._stream_unprocessed = code == http2.REFUSED_STREAM
+                return f"stream broke: {reason}, code {code}"
+            case http2.Opened(headers=headers) if headers.get(":status") != "200":
+                self.generation_rejected = True
+                return f"HTTP status {headers.get(':status')}"
+            case http2.Opened(headers=headers) if headers.get("grpc-status") == _UNIMPLEMENTED:
+                self.generation_rejected = True
+                return "it does not know this generation"
         return None
 
+    def _health_check_event(self, event: http2.Event) -> None:
+        match event:
+            case http2.Received(data=message):
+                fields = grpc.parse(self.load_type, message).fields  # type: ignore[attr-defined]
+                self.node.health_check_completed(Outcome.OK, decode_load_report(_finite(fields)))
+            case http2.Ended() | http2.Broken():
+                # Without effect where the load report arrived before.
+                self.node.health_check_completed(Outcome.ERROR, None)
+
     def _call(self, method: str, timeout: str | None = None) -> int:
         headers = [
             (":method", "POST"),
@@ -164,48 +184,50 @@
             headers.append(("grpc-timeout", timeout))
         return self._http.call(headers)
 
-    @property
-    def spoke(self) -> bool:
-        """The peer speaks HTTP/2 at all."""
-        return self._http.peer_settings_received
-
-    def _report(self, report: Any) -> None:
-        """One report; the kinds that both generations have."""
-        node, uid = self.node, report.uid
+    def _process_report(self, report: Any) -> None:
+        """Process one report of a kind that both generations have."""
         match report.WhichOneof("kind"):
             case "binding":
-                if not report.binding.description:
-                    raise WireError("binding without a description", fatal=True)
-                self._sent.pop(uid, None)
-                node.task_started(uid)
-                node.core.inbox.append(TaskStarted(node.machine, uid, report.binding.description))
+                self._task_started(report.uid, report.binding.description)
             case "end":
-                before = self._sent.pop(uid, None) is not None
-                outcome = (_BEFORE if before else _AFTER).get(report.end.outcome, Outcome.BROKEN)
-                reason, cause = _REASONS.get(report.end.reason, Reason.UNSPECIFIED), self._cause(report.end)
-                if cause is not None:
-                    outcome, reason = to_placement_outcome(outcome, cause.reason)
-                node.attempt_finished(
-                    uid, outcome, reason, decode_load_report(_finite(report.end.load.fields)), cause
-                )
+                self._task_ended(report.uid, report.end)
             case "note":
-                fact = _FACTS.get(report.note.fact)
-                if fact is not None and math.isfinite(report.note.level):
-                    node.core.inbox.append(TaskProgress(node.machine, uid, fact, report.note.level))
+                kind = FACTS_BY_NUMBER.get(report.note.fact)
+                if kind is not None and math.isfinite(report.note.level):
+                    progress = TaskProgress(self.node.machine, report.uid, kind, report.note.level)
+                    self.node.core.inbox.append(progress)
             case _:
-                pass  # progress means nothing; later kinds are skipped
+                pass  # progress carries nothing that is used; kinds of later generations are skipped
+
+    def _task_started(self, uid: int, description: bytes) -> None:
+        if not description:
+            raise WireError("binding without a description", fatal=True)
+        self._unanswered.pop(uid, None)
+        self.node.task_started(uid)
+        self.node.core.inbox.append(TaskStarted(self.node.machine, uid, description))
+
+    def _task_ended(self, uid: int, end: Any) -> None:
+        before_start = self._unanswered.pop(uid, None) is not None
+        outcomes = OUTCOMES_BEFORE_START if before_start else OUTCOMES_AFTER_START
+        outcome = outcomes.get(end.outcome, Outcome.BROKEN)
+        reason = REASONS_BY_NUMBER.get(end.reason, Reason.UNSPECIFIED)
+        cause = self._cause(end)
+        if cause is not None:
+            outcome, reason = to_placement_outcome(outcome, cause.reason)
+        report = decode_load_report(_finite(end.load.fields))
+        self.node.attempt_finished(uid, outcome, reason, report, cause)
 
     def _cause(self, end: Any) -> FailureCause | None:
-        """What the first generation has no room for."""
+        """The cause that the node gave; the first generation has no field for it."""
         return None
 
 
 class GrpcLinkV2(GrpcLink):
-    """The second generation: the node says hello, is told more with each offer, and can be asked about a name."""
+    """The second generation: the node sends a hello, gets more with each offer, and answers queries."""
 
     service = "/thornshelf.v2.Node/"
-    report = pb2.NodeReport
-    load = pb2.Load
+    report_type = pb2.NodeReport
+    load_type = pb2.Load
 
     def __init__(
         self, node: BaseNodeConnection, stream: Stream, hint: Callable[[Attempt], LifetimeHint | None]
@@ -215,7 +237,8 @@
         self._hint = hint
 
     def _offer(self, attempt: Attempt) -> Message:
-        said, hint = attempt.request, self._hint(attempt)
+        request = attempt.request
+        hint = self._hint(attempt)
         offer = pb2.Offer(
             task_class=attempt.task_class,
             wait_ms=self._wait_ms(attempt),
@@ -224,73 +247,78 @@
             priority=attempt.priority,
             never_twice=attempt.at_most_once,
         )
-        if said is not None:
-            offer.cores, offer.memory, offer.service = said.cores, said.memory, said.service
-            offer.tenant = said.tenant or ""
+        if request is not None:
+            offer.cores = request.cores
+            offer.memory = request.memory
+            offer.service = request.service
+            offer.tenant = request.tenant or ""
         if hint is not None:
-            offer.hint.ms, offer.hint.assumed = hint.duration_us / 1000.0, hint.assumed
+            offer.hint.ms = hint.duration_us / 1000.0
+            offer.hint.assumed = hint.assumed
             if hint.assumed:
-                # An assumed figure never travels in silence: marked to the node, told to the owner, and logged.
-                attempt.metadata = AnswerMetadata(assumed_hint=hint)
-                values: dict[str, object] = {"uid": f"{attempt.uid:016x}", "class": attempt.task_class}
-                values |= {"node": self.node.name, "ms": hint.duration_us // 1000}
-                self.node.core.log(
-                    5, "hint-assumed", values, "no hint came, and the operator's figure is used"
-                )
+                self._disclose_assumed_hint(attempt, hint)
         return pb2.NodeOrder(uid=attempt.uid, offer=offer)
 
+    def _disclose_assumed_hint(self, attempt: Attempt, hint: LifetimeHint) -> None:
+        # An assumed figure is marked for the node, reported to the client and logged.
+        attempt.metadata = AnswerMetadata(assumed_hint=hint)
+        fields: dict[str, object] = {
+            "uid": f"{attempt.uid:016x}",
+            "class": attempt.task_class,
+            "node": self.node.name,
+            "ms": hint.duration_us // 1000,
+        }
+        text = "no hint came, and the operator's figure is used"
+        self.node.core.log(NOTICE, "hint-assumed", fields, text)
+
     def _release(self, uid: int) -> Message:
         return pb2.NodeOrder(uid=uid, release=pb2.Release(outcome=pb2.CANCELLED))
 
-    def query_task(self, key: int, uid: int) -> None:
-        """A question, behind all orders that were sent before."""
-        order = pb2.NodeOrder(uid=uid, question=pb2.Question(key=key))
-        self._http.send(self._bind, grpc.frame(order))
+    def query_task(self, idempotency_key: int, uid: int) -> None:
+        """Send a query, behind all orders that were sent before."""
+        order = pb2.NodeOrder(uid=uid, question=pb2.Question(key=idempotency_key))
+        self._http.send(self._bind_stream, grpc.frame(order))
 
     def check_health(self) -> None:
-        """Ask for a report."""
-        self._probe = self._call("Probe", grpc.write_timeout(HEALTH_CHECK_TIMEOUT_US))
-        self._http.send(self._probe, grpc.frame(pb2.ProbeRequest()))
-        self._http.finish(self._probe, [])
+        """Call Probe, which answers with a load report."""
+        self._start_health_check(pb2.ProbeRequest())
 
     def _cause(self, end: Any) -> FailureCause | None:
-        trouble = decode_reason(end.reason)
-        if trouble is FailureReason.UNTOLD and not end.text:
+        """The cause that the node gave; a reason of a later generation is kept as text."""
+        reason = decode_reason(end.reason)
+        if reason is FailureReason.UNTOLD and not end.text:
             text = f"reason {end.reason} of a newer generation" if end.reason else ""
-            return failure_cause(trouble, text) if text else None
-        return failure_cause(trouble, sanitize_text(end.text), decode_advice(end.advice))
+            return failure_cause(reason, text) if text else None
+        return failure_cause(reason, sanitize_text(end.text), decode_advice(end.advice))
 
-    def _report(self, report: Any) -> None:
-        node = self.node
+    def _process_report(self, report: Any) -> None:
         match report.WhichOneof("kind"):
             case "hello":
-                said = report.hello
-                requires = frozenset(said.requires)
+                hello = report.hello
                 self.capabilities = NodeCapabilities(
-                    said.generation, said.name, requires, said.answers_questions
+                    hello.generation, hello.name, frozenset(hello.requires), hello.answers_questions
                 )
                 self.hello_received(self.capabilities)
             case "answer":
-                said = report.answer
-                outcome = _AFTER.get(said.outcome, Outcome.BROKEN)
-                reason = _REASONS.get(said.reason, Reason.UNSPECIFIED)
-                node.core.inbox.append(
-                    TaskStatusReply(
-                        machine=node.machine,
-                        idempotency_key=said.key,
-                        status_code=said.standing,
-                        queried_uid=report.uid,
-                        uid=said.uid,
-                        description=said.description,
-                        outcome=outcome,
-                        reason=reason,
-                    )
-                )
+                self._task_status_received(report.uid, report.answer)
             case _:
-                super()._report(report)
+                super()._process_report(report)
+
+    def _task_status_received(self, queried_uid: int, answer: Any) -> None:
+        reply = TaskStatusReply(
+            machine=self.node.machine,
+            idempotency_key=answer.key,
+            status_code=answer.standing,
+            queried_uid=queried_uid,
+            uid=answer.uid,
+            description=answer.description,
+            outcome=OUTCOMES_AFTER_START.get(answer.outcome, Outcome.BROKEN),
+            reason=REASONS_BY_NUMBER.get(answer.reason, Reason.UNSPECIFIED),
+        )
+        self.node.core.inbox.append(reply)
 
-    def hello_received(self, hello: NodeCapabilities) -> None:
-        """A hello came; the first makes the connection ready, by way of the core."""
+    def hello_received(self, capabilities: NodeCapabilities) -> None:
+        """The node has sent its hello; the first one completes the handshake, by way of the core."""
 
 
 def _finite(fields: Any) -> dict[str, float]:
@@ -298,8 +326,8 @@
 
 
 class GrpcNodeConnection(BaseNodeConnection):
-    """A node that speaks gRPC."""
+    """A node that speaks the first generation of gRPC and nothing else."""
 
     def make_link(self, stream: Stream) -> NodeLink:
-        """Its connection."""
+        """A link of the first generation."""
         return GrpcLink(self, stream)
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -15,7 +15,8 @@
 from thornshelf.configuration import CLIENTS_SHARE, OVERHEAD, RESERVED_SHARE, Config, ConfigError
 from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
 from thornshelf.core.dispatcher import ENDPOINT_LIST_TIMEOUT_US
-from thornshelf.discovery.endpoint_watch import EndpointWatch, decode_events
+from thornshelf.discovery.endpoint_events import decode_events
+from thornshelf.discovery.endpoint_watch import EndpointWatch
 from thornshelf.errors import InternalError, StartupError
 from thornshelf.frontends.json_lines import JsonLinesFrontend
 from thornshelf.frontends.listener import ConnectionBudget
