--- a/thornshelf/subsetting/config.py
+++ b/thornshelf/subsetting/config.py
@@ -1,4 +1,4 @@
-"""The figures of a subset. Times are whole microseconds."""
+"""The settings of a subset. Times are whole microseconds."""
 
 from __future__ import annotations
 
@@ -6,30 +6,40 @@
 
 from thornshelf.errors import InvalidParameterError
 
+MIN_SAMPLE_SIZE = 8
+
 
 @dataclass(frozen=True, slots=True)
 class SubsetConfig:
-    """What one dispatcher goes by.
+    """How one dispatcher chooses its nodes. Raises ``InvalidParameterError`` for values that contradict each other.
+
+    ``zone``: the dispatcher's own zone. ``member``: its name, which decides which nodes of other zones it prefers.
+
+    ``spare_step``: so many more spare nodes are wanted each time that too many requests were rejected; at most
+    ``max_spares`` altogether, and ``spares_per_review`` of them are added at one review, so that a lost zone causes
+    no burst of connections. ``short_fraction``: the own zone is short of nodes below this fraction of its recent
+    peak. ``rejected_fraction``: more nodes are wanted where more than this fraction of requests was rejected, of at
+    least ``min_requests``, as fewer show nothing.
 
-    ``zone``: its own; ``member``: its name, by which it draws other nodes than its neighbours do.
+    ``cooldown_us``: after so long without demand, half of the surplus is released. ``peak_window_us``: how long the
+    peak of the own zone counts. ``relist_interval_us``: a depleted sample asks for the complete list no more often.
     """
 
     zone: str
     member: str
-    spare_step: int = 64  # nodes of other zones: so many more at a time while set-ups are refused
-    max_spares: int = 512  # held of other zones at most
-    spares_per_review: int = (
-        64  # taken in between two reviews, so that a lost zone is no burst of connections
-    )
-    short_fraction: float = 0.9  # the own zone is short below this share of the nodes that it had lately
-    rejected_fraction: float = 0.05  # of the set-ups since the last review: above it more nodes are wanted
-    min_requests: int = 20  # fewer since the last review say nothing
+    spare_step: int = 64
+    max_spares: int = 512
+    spares_per_review: int = 64
+    short_fraction: float = 0.9
+    rejected_fraction: float = 0.05
+    min_requests: int = 20
     review_interval_us: int = 500_000
-    cooldown_us: int = 30_000_000  # without a want for so long, half of the spare nodes are given back
-    peak_window_us: int = 600_000_000  # the number of the own zone's nodes is remembered for so long
-    relist_interval_us: int = 60_000_000  # the whole list is asked for again no more often than so
+    cooldown_us: int = 30_000_000
+    peak_window_us: int = 600_000_000
+    relist_interval_us: int = 60_000_000
 
     def __post_init__(self) -> None:
+        # The texts name the keys of the operator's file.
         if not self.zone or not self.member:
             raise InvalidParameterError("zone: a subset needs its zone and its member's name")
         if not 0 < self.spare_step <= self.max_spares:
@@ -38,5 +48,5 @@
             raise InvalidParameterError("short_share, refused_share: not between 0 and 1")
 
     def sample_size(self, zones: int) -> int:
-        """So many whole entries are kept of each of the other zones: twice what it may have to give."""
-        return max(8, -(-2 * self.max_spares // max(1, zones)))
+        """How many complete entries are kept of each of the other zones: twice what one may have to provide."""
+        return max(MIN_SAMPLE_SIZE, -(-2 * self.max_spares // max(1, zones)))
--- a/thornshelf/subsetting/zone_summary.py
+++ b/thornshelf/subsetting/zone_summary.py
@@ -12,79 +12,79 @@
 
 
 class ListedNode(Protocol):
-    """A node as the list shows it."""
+    """A node as the endpoint list shows it."""
 
     @property
     def name(self) -> str:
-        """The same for all its life."""
+        """Its name, which stays the same for its whole lifetime."""
 
     @property
     def zone(self) -> str:
-        """Where it stands."""
+        """The zone in which it is."""
 
     @property
     def health(self) -> Health:
-        """Up, draining or gone."""
+        """Whether it is up, draining or removed."""
 
 
 ListedNodeT = TypeVar("ListedNodeT", bound=ListedNode)
 
 
 def rendezvous_rank(member: str, name: str) -> int:
-    """A node's place in one member's order: other members have other orders, so they hold other nodes."""
+    """The rank of a node, or a zone, in one member's order, by rendezvous hashing.
+
+    Other members have other orders, so that they hold other nodes.
+    """
     return xxhash.xxh3_64_intdigest(f"{member}\0{name}".encode())
 
 
 class ZoneSummary(Generic[ListedNodeT]):
-    """One zone: how many of its nodes are up, and those of them that come first in this member's order."""
+    """One zone: how many of its nodes are up, and the entries of those that come first in this member's order."""
 
     def __init__(self, member: str) -> None:
         self._member = member
-        self._up = array("Q")  # the draws of all that are up, in their order
-        self._order: list[tuple[int, str]] = []  # of the sample
-        self._entries: dict[str, ListedNodeT] = {}  # the sample
-        self.version = 0  # grows with each change of the sample
+        self._up_ranks = array("Q")  # of all nodes that are up, sorted
+        self._sample_order: list[tuple[int, str]] = []  # rank and name, sorted
+        self._sample_entries: dict[str, ListedNodeT] = {}
 
     @property
     def up_count(self) -> int:
         """How many nodes are up."""
-        return len(self._up)
+        return len(self._up_ranks)
 
     @property
     def sample(self) -> list[ListedNodeT]:
         """The entries that are kept, in this member's order."""
-        return [self._entries[name] for _, name in self._order]
+        return [self._sample_entries[name] for _, name in self._sample_order]
 
     def get(self, name: str) -> ListedNodeT | None:
-        """An entry of the sample."""
-        return self._entries.get(name)
+        """A node's entry, where it is in the sample."""
+        return self._sample_entries.get(name)
 
     def is_depleted(self, sample_size: int) -> bool:
-        """Less than half of the sample is left though the zone has more: only the whole list can fill it."""
-        return len(self._entries) < min(sample_size, self.up_count) / 2
+        """Whether less than half of the sample is left though the zone has more: only a relist can refill it."""
+        return len(self._sample_entries) < min(sample_size, self.up_count) / 2
 
     def add(self, entry: ListedNodeT, sample_size: int) -> None:
-        """A node is up."""
-        key = rendezvous_rank(self._member, entry.name)
-        place = bisect_left(self._up, key)
-        if place == len(self._up) or self._up[place] != key:
-            self._up.insert(place, key)
-        if entry.name in self._entries:
-            self._entries[entry.name] = entry
-            self.version += 1
-        elif len(self._order) < sample_size or key < self._order[-1][0]:
-            insort(self._order, (key, entry.name))
-            self._entries[entry.name] = entry
-            self.version += 1
-            if len(self._order) > sample_size:
-                del self._entries[self._order.pop()[1]]
+        """Add a node that is up; the sample keeps at most ``sample_size`` entries."""
+        rank = rendezvous_rank(self._member, entry.name)
+        index = bisect_left(self._up_ranks, rank)
+        if index == len(self._up_ranks) or self._up_ranks[index] != rank:
+            self._up_ranks.insert(index, rank)
+        if entry.name in self._sample_entries:
+            self._sample_entries[entry.name] = entry
+        elif len(self._sample_order) < sample_size or rank < self._sample_order[-1][0]:
+            insort(self._sample_order, (rank, entry.name))
+            self._sample_entries[entry.name] = entry
+            if len(self._sample_order) > sample_size:
+                _, last_name = self._sample_order.pop()
+                del self._sample_entries[last_name]
 
     def remove(self, name: str) -> None:
-        """A node is up no more."""
-        key = rendezvous_rank(self._member, name)
-        place = bisect_left(self._up, key)
-        if place < len(self._up) and self._up[place] == key:
-            self._up.pop(place)
-        if self._entries.pop(name, None) is not None:
-            self._order.remove((key, name))
-            self.version += 1
+        """Remove a node that is no longer up."""
+        rank = rendezvous_rank(self._member, name)
+        index = bisect_left(self._up_ranks, rank)
+        if index < len(self._up_ranks) and self._up_ranks[index] == rank:
+            self._up_ranks.pop(index)
+        if self._sample_entries.pop(name, None) is not None:
+            self._sample_order.remove((rank, name))
--- a/thornshelf/syslog.py
+++ b/thornshelf/syslog.py
@@ -1,4 +1,7 @@
-"""One log of RFC 5424 lines, to standard output or a collector; it never blocks and drops what won't go."""
+"""One log of RFC 5424 lines, to standard output or a collector.
+
+It never blocks: lines that can't be written wait in a bounded buffer, and are dropped where that is full.
+"""
 
 from __future__ import annotations
 
@@ -13,31 +16,31 @@
 from thornshelf.wire import rfc5424
 
 MAX_BUFFERED_BYTES = 256 * 1024
-MAX_TEXT_CHARS = 2048  # characters of one line's text, and of one value
-MAX_LINES_PER_SECOND = 50  # lines under one message id: bad input may come by the thousand
-MAX_COLLECTOR_BUFFER_BYTES = 64 * 1024  # handed to a collector's connection; the rest is held here
-RETRY_US = 20_000
-CONNECT_US = 1_000_000
+MAX_TEXT_CHARS = 2048  # of one line's text, and of one value
+MAX_LINES_PER_SECOND = 50  # under one message id, as bad input may come by the thousand
+MAX_COLLECTOR_BUFFER_BYTES = 64 * 1024  # buffered by a collector's connection; the rest waits in the log
+FLUSH_RETRY_US = 20_000
+CONNECT_TIMEOUT_US = 1_000_000
 RECONNECT_US = 500_000
 STDOUT = 1
 
 
 class Sink(Protocol):
-    """Where lines go."""
+    """A destination of log lines."""
 
     def write(self, lines: deque[bytes]) -> int:
-        """Take lines from the front while that doesn't block; gives the number of those lost."""
+        """Remove lines from the front and write them while that doesn't block; returns how many were lost."""
 
 
 class StandardOutput:
-    """A line each."""
+    """Standard output, with an end of line behind each."""
 
     def __init__(self) -> None:
         self._rest = b""
         os.set_blocking(STDOUT, False)
 
     def write(self, lines: deque[bytes]) -> int:
-        """Write what the pipe holds."""
+        """Write as much as the pipe accepts."""
         while lines or self._rest:
             if not self._rest:
                 self._rest = b"".join(line + b"\n" for line in lines)
@@ -48,14 +51,14 @@
                 lines.appendleft(self._rest[:-1])
                 self._rest = b""
                 break
-            except OSError:  # nobody reads the log any more
+            except OSError:  # the reader has closed the pipe
                 written = len(self._rest)
             self._rest = self._rest[written:]
         return 0
 
 
 class UdpCollector:
-    """A datagram each, after RFC 5426."""
+    """A collector that gets a datagram for each line (RFC 5426)."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -63,7 +66,7 @@
         self._sock.connect(address)
 
     def write(self, lines: deque[bytes]) -> int:
-        """Send them; one that is refused is lost."""
+        """Send the lines; one that is refused is lost."""
         lost = 0
         while lines:
             try:
@@ -77,15 +80,16 @@
 
 
 class TcpCollector:
-    """A stream with counted lines, after RFC 6587; made anew when it breaks."""
+    """A collector that gets lines with their lengths on a connection (RFC 6587); a broken one is made again."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
-        self._loop, self._address = loop, address
+        self._loop = loop
+        self._address = address
         self._stream: Stream | None = None
         loop.spawn(self._run())
 
     def write(self, lines: deque[bytes]) -> int:
-        """Hand over what the connection takes."""
+        """Send as many lines as the connection buffers."""
         stream = self._stream
         while (
             lines
@@ -101,11 +105,11 @@
 
     def _run(self) -> Generator[Wait, int, None]:
         while True:
-            stream = yield from connect(self._loop, *self._address, self._loop.now + CONNECT_US)
+            stream = yield from connect(self._loop, *self._address, self._loop.now + CONNECT_TIMEOUT_US)
             if isinstance(stream, Stream):
                 self._stream = stream
                 try:
-                    while (yield from stream.read()):  # a collector says nothing
+                    while (yield from stream.read()):  # a collector sends nothing that is used
                         pass
                 finally:
                     self._stream = None
@@ -114,7 +118,10 @@
 
 
 class Syslog:
-    """Formats lines and holds them until their sink takes them."""
+    """Formats lines, and buffers them until their sink accepts them.
+
+    ``on_line`` is called with each line's time, fields and text, also of lines that are left out as too many.
+    """
 
     def __init__(
         self,
@@ -124,15 +131,18 @@
         unix_offset_us: int,
         collector: tuple[str, tuple[str, int]] | None = None,
     ) -> None:
-        self.loop, self.host, self.app = loop, host, app
-        self._offset, self._process = unix_offset_us, os.getpid()
-        self._buffered: deque[bytes] = deque()
-        self._size = self._dropped = 0
-        self._waiting = False
-        self._second = 0
-        self._lines: dict[str, int] = {}  # in this second, by message id
-        # Told of each line, also of those that a flood leaves out.
+        self.loop = loop
+        self.host = host
+        self.app = app
         self.on_line: Callable[[int, Mapping[str, object], str], None] | None = None
+        self._unix_offset_us = unix_offset_us
+        self._process_id = os.getpid()
+        self._buffered: deque[bytes] = deque()
+        self._buffered_bytes = 0
+        self._dropped_lines = 0
+        self._flush_scheduled = False
+        self._current_second = 0
+        self._lines_by_id: dict[str, int] = {}  # in the current second
         self._sink: Sink
         if collector is None:
             self._sink = StandardOutput()
@@ -142,42 +152,53 @@
             self._sink = TcpCollector(loop, collector[1])
 
     def __call__(self, severity: int, message_id: str, values: Mapping[str, object], text: str) -> None:
-        """One line."""
+        """Log one line; ``values`` are its structured data."""
         if self.on_line is not None:
             self.on_line(self.loop.now, values, text)
-        if self.loop.now // 1_000_000 != self._second:
-            self._second, lines, self._lines = self.loop.now // 1_000_000, self._lines, {}
-            for name, count in lines.items():
-                if count > MAX_LINES_PER_SECOND:
-                    self(
-                        rfc5424.WARNING,
-                        "log",
-                        {"id": name, "left_out": count - MAX_LINES_PER_SECOND},
-                        "too many lines",
-                    )
-        count = self._lines[message_id] = self._lines.get(message_id, 0) + 1
+        if self.loop.now // 1_000_000 != self._current_second:
+            self._begin_second()
+        count = self._lines_by_id.get(message_id, 0) + 1
+        self._lines_by_id[message_id] = count
         if count > MAX_LINES_PER_SECOND:
             return
-        if self._size > MAX_BUFFERED_BYTES:
-            self._dropped += 1
+        if self._buffered_bytes > MAX_BUFFERED_BYTES:
+            self._dropped_lines += 1
             return
-        values = {name: str(value)[:MAX_TEXT_CHARS] for name, value in values.items()}
-        at, text = self.loop.now + self._offset, text[:MAX_TEXT_CHARS]
-        line = rfc5424.format_line(severity, at, self.host, self.app, self._process, message_id, values, text)
+        line = rfc5424.format_line(
+            severity,
+            self.loop.now + self._unix_offset_us,
+            self.host,
+            self.app,
+            self._process_id,
+            message_id,
+            {name: str(value)[:MAX_TEXT_CHARS] for name, value in values.items()},
+            text[:MAX_TEXT_CHARS],
+        )
         self._buffered.append(line)
-        self._size += len(line)
-        if not self._waiting:
-            self._waiting = True
+        self._buffered_bytes += len(line)
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             self.loop.at_turn_end(self.flush)
 
+    def _begin_second(self) -> None:
+        """Count anew, and log how many lines of the last second were left out."""
+        last_second = self._lines_by_id
+        self._current_second = self.loop.now // 1_000_000
+        self._lines_by_id = {}
+        for message_id, count in last_second.items():
+            if count > MAX_LINES_PER_SECOND:
+                fields = {"id": message_id, "left_out": count - MAX_LINES_PER_SECOND}
+                self(rfc5424.WARNING, "log", fields, "too many lines")
+
     def flush(self) -> None:
-        """Hand over what the sink takes; the rest a little later."""
-        self._waiting = True  # no second call
-        self._dropped += self._sink.write(self._buffered)
-        self._size = sum(map(len, self._buffered))
-        if self._dropped and self._size < MAX_BUFFERED_BYTES // 2:
-            dropped, self._dropped = self._dropped, 0
+        """Write what the sink accepts, and schedule the rest for a little later."""
+        self._flush_scheduled = True  # a line that is logged meanwhile must not schedule another flush
+        self._dropped_lines += self._sink.write(self._buffered)
+        self._buffered_bytes = sum(map(len, self._buffered))
+        if self._dropped_lines and self._buffered_bytes < MAX_BUFFERED_BYTES // 2:
+            dropped = self._dropped_lines
+            self._dropped_lines = 0
             self(rfc5424.WARNING, "log", {"dropped": dropped}, "lines were dropped")
-        self._waiting = bool(self._buffered)
+        self._flush_scheduled = bool(self._buffered)
         if self._buffered:
-            self.loop.after(RETRY_US, self.flush)
+            self.loop.after(FLUSH_RETRY_US, self.flush)
--- a/thornshelf/wire/binary.py
+++ b/thornshelf/wire/binary.py
@@ -1,4 +1,7 @@
-"""The nodes' wire: length, type, task and parameters, big-endian."""
+"""The nodes' wire: length, type, task id and parameters, big-endian.
+
+The constants have the names of the platform's description of this wire.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message; ``values`` holds its parameters by code."""
+    """One message; ``values`` are its parameters by code, the first of each."""
 
     type: int
     uid: int
@@ -29,18 +32,18 @@
 
     @property
     def cause(self) -> int | None:
-        """The cause, where one came along."""
+        """The cause, where the message carries one."""
         value = self.values.get(CAUSE)
         return value[0] if value else None
 
     def text(self, code: int) -> str | None:
-        """A parameter's text, where it came along."""
+        """A parameter as text, where the message carries it."""
         value = self.values.get(code)
         return None if value is None else value.decode("utf-8", "replace")
 
 
 def encode(kind: int, uid: int, values: dict[int, bytes] | None = None) -> bytes:
-    """A whole message; the parameters keep their order."""
+    """A complete message, with the parameters in their order. Raises ``WireError`` where it is too long."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in (values or {}).items())
     if len(body) + _HEAD.size > MAX_MESSAGE:
         raise WireError(f"message is longer than {MAX_MESSAGE} bytes", uid=uid)
@@ -48,7 +51,7 @@
 
 
 def parse(body: bytes) -> Message:
-    """A message without its length."""
+    """Decode a message without its length. Raises ``WireError`` where it is malformed."""
     if len(body) < 9:
         raise WireError(f"message of {len(body)} bytes has no room for type and task", fatal=True)
     values: dict[int, bytes] = {}
@@ -68,7 +71,7 @@
 
 
 def parse_number(text: str | None) -> float | None:
-    """The figure of a note: finite, or none."""
+    """The number of a note where it is finite, else None."""
     try:
         number = float(text) if text is not None else math.nan
     except ValueError:
@@ -77,7 +80,7 @@
 
 
 def parse_load_report(text: str | None) -> dict[str, float]:
-    """The fields of a load report; what can't be read is left out."""
+    """The fields of a load report; those that can't be read are left out."""
     fields = {}
     for part in (text or "").split(";"):
         name, _, value = part.partition(":")
@@ -88,22 +91,22 @@
 
 
 class MessageReader:
-    """Cuts a stream of bytes into messages; what it holds is bounded by one message."""
+    """Splits a stream of bytes into messages; its buffer is bounded by one message."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Take more bytes of the stream."""
+        """Buffer more bytes of the stream."""
         self._buffer += data
 
     @property
     def mid_message(self) -> bool:
-        """A message has begun and not ended."""
+        """Whether a message has begun and not ended."""
         return bool(self._buffer)
 
     def next(self) -> Message | None:
-        """The next message, or none until more bytes come."""
+        """The next message, or None until more bytes come. Raises ``WireError`` for a malformed one."""
         if len(self._buffer) < 2:
             return None
         length = int.from_bytes(self._buffer[:2], "big")
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -27,7 +27,7 @@
 
 
 def frame(message: Message) -> bytes:
-    """A message with its prefix, uncompressed."""
+    """A message with its prefix, uncompressed. Raises ``WireError`` where it is too long."""
     data = message.SerializeToString()
     if len(data) > MAX_MESSAGE:
         raise WireError(f"message is longer than {MAX_MESSAGE} bytes")
@@ -35,7 +35,7 @@
 
 
 def parse(kind: type[_Message], data: bytes) -> _Message:
-    """A message without its prefix."""
+    """Decode a message without its prefix. Raises ``WireError`` where it is malformed."""
     try:
         return kind.FromString(data)
     except DecodeError as fault:
@@ -43,7 +43,7 @@
 
 
 def read_timeout(text: str) -> int:
-    """The value of grpc-timeout, in microseconds."""
+    """The value of grpc-timeout in microseconds. Raises ``WireError`` where it is malformed."""
     match = _TIMEOUT.fullmatch(text)
     if match is None:
         raise WireError(f"grpc-timeout is not understood: {text!r:.20}", fatal=True)
@@ -62,22 +62,22 @@
 
 
 class Framer:
-    """Cuts the data of one stream into messages; what it holds is bounded by one message."""
+    """Splits the data of one stream into messages; its buffer is bounded by one message."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Take more bytes of the stream."""
+        """Buffer more bytes of the stream."""
         self._buffer += data
 
     @property
     def mid_message(self) -> bool:
-        """A message has begun and not ended."""
+        """Whether a message has begun and not ended."""
         return bool(self._buffer)
 
     def next(self) -> bytes | None:
-        """The next message, or none until more bytes come."""
+        """The next message, or None until more bytes come. Raises ``WireError`` for one that can't be accepted."""
         if len(self._buffer) < 5:
             return None
         if self._buffer[0] != 0:
--- a/thornshelf/wire/http2.py
+++ b/thornshelf/wire/http2.py
@@ -1,16 +1,14 @@
-"""HTTP/2 for gRPC: h2 without sockets, and for each stream a queue of messages that keeps to flow control.
+"""HTTP/2 for gRPC: h2 without sockets, and for each stream a queue of messages that obeys flow control.
 
-DATA frames within an open stream, which are nearly all there are, are read and written here: h2 takes most of a
-message's cost for them and has nothing to add. Their windows are kept here on the way in (RFC 9113, section 5.2);
-on the way out h2's own figures are used, as the peer's WINDOW_UPDATE frames go to it. All else is h2's.
+DATA frames within an open stream, which are nearly all frames, are decoded and encoded here, as h2 would take most of
+the time that a message costs. The windows for receiving are kept here (RFC 9113, section 5.2); for sending h2's own
+figures are used, as it processes the peer's WINDOW_UPDATE frames. Everything else is left to h2.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol
 
 import h2.config
 import h2.connection
@@ -22,75 +20,45 @@
 
 from thornshelf.wire.errors import WireError
 from thornshelf.wire.grpc import Framer
-
-MAX_CONCURRENT_STREAMS = 128  # at once, opened by one client
-MAX_FRAMES = 1 << 20
-MAX_QUEUED_BYTES = 256 * 1024  # bytes that wait on one stream for a peer that doesn't read
-_PREFACE = 24
-_DATA, _GOAWAY = 0, 7
-_END_STREAM, _PADDED = 1, 8
-_CONSUMED = (
-    16 * 1024
-)  # bytes taken before the peer's window is opened again: a quarter of what it begins with
+from thornshelf.wire.http2_events import Broken, Ended, Event, GoAway, Opened, Received
+from thornshelf.wire.pending_write import PendingWrite
+
+__all__ = [
+    "CANCEL",
+    "REFUSED_STREAM",
+    "Broken",
+    "Ended",
+    "Event",
+    "GoAway",
+    "Http2",
+    "Opened",
+    "OutgoingMessage",
+    "Received",
+    "rejection_frames",
+]
+
+MAX_CONCURRENT_STREAMS = 128  # opened by one client
+MAX_FRAMES = 1 << 20  # processed by one call of ``receive``, where the caller sets no limit
+MAX_QUEUED_BYTES = 256 * 1024  # on one stream, for a peer that doesn't read
+# Bytes received before the peer's window is opened again: a quarter of what it begins with.
+WINDOW_UPDATE_BYTES = 16 * 1024
+
+_PREFACE_LENGTH = 24
+_FRAME_HEADER_LENGTH = 9
+_GOAWAY_MIN_LENGTH = _FRAME_HEADER_LENGTH + 8
+_STREAM_ID_MASK = 0x7FFFFFFF
+# Types and flags of frames.
+_DATA = 0
+_GOAWAY = 7
+_END_STREAM = 1
+_PADDED = 8
 
 REFUSED_STREAM = int(h2.errors.ErrorCodes.REFUSED_STREAM)
 CANCEL = int(h2.errors.ErrorCodes.CANCEL)
 
 
-@dataclass(frozen=True, slots=True)
-class Opened:
-    """Headers have come: a call at the server, the answer's at the client."""
-
-    stream: int
-    headers: dict[str, str]
-
-
-@dataclass(frozen=True, slots=True)
-class Received:
-    """One message."""
-
-    stream: int
-    data: bytes
-
-
-@dataclass(frozen=True, slots=True)
-class Ended:
-    """The peer has nothing more to say; at the client with the trailers."""
-
-    stream: int
-    trailers: dict[str, str]
-
-
-@dataclass(frozen=True, slots=True)
-class Broken:
-    """The stream is over: reset by the peer, or for what it sent."""
-
-    stream: int
-    code: int
-    reason: str
-
-
-@dataclass(frozen=True, slots=True)
-class GoAway:
-    """The peer takes no stream after ``last``; it goes on with the others."""
-
-    last: int
-    code: int
-
-
-Event = Opened | Received | Ended | Broken | GoAway
-
-
-class PendingWrite(Protocol):
-    """Bytes that were handed to the connection."""
-
-    @property
-    def fully_sent(self) -> bool:
-        """All of them were given to the system."""
-
-
 class OutgoingMessage:
-    """One message on its way out; ``chunks`` are the parts that were handed to the connection."""
+    """One message on its way out; ``chunks`` are the parts that were emitted so far."""
 
     __slots__ = ("chunks", "data", "offset")
 
@@ -101,17 +69,19 @@
 
     @property
     def fully_sent(self) -> bool:
-        """All of it was given to the system: the peer may have it."""
+        """Whether all of it was given to the operating system, so that the peer may have it."""
         return self.offset == len(self.data) and all(chunk.fully_sent for chunk in self.chunks)
 
 
 class _Stream:
-    __slots__ = ("consumed", "ended", "framer", "queue", "queued", "talking", "trailers")
+    """The state of one open stream."""
+
+    __slots__ = ("consumed", "ended", "framer", "queue", "queued", "receiving", "trailers")
 
     def __init__(self) -> None:
-        self.consumed = 0  # bytes of DATA frames read here since the window was opened
-        self.talking = False  # the peer's headers have come, and it has not ended
-        self.ended = False  # this side has
+        self.consumed = 0  # bytes of DATA frames since the window was opened last
+        self.receiving = False  # the peer has sent headers, and has not ended the stream
+        self.ended = False  # this side has ended the stream
         self.framer = Framer()
         self.queue: deque[OutgoingMessage] = deque()
         self.queued = 0
@@ -119,29 +89,34 @@
 
 
 class Http2:
-    """One connection's state. Bytes go out by ``emit``, which says what became of them."""
+    """One connection without its socket.
+
+    ``emit`` is called with the bytes to be sent, and returns by what it can be learned whether they were.
+    ``peer_settings_received``: the peer's SETTINGS frame has come, so that it speaks HTTP/2.
+    """
 
     def __init__(self, client: bool, emit: Callable[[bytes], PendingWrite]) -> None:
-        self.client, self._emit = client, emit
+        self.client = client
+        self._emit = emit
         config = h2.config.H2Configuration(client_side=client, header_encoding="utf-8")
         self._h2 = h2.connection.H2Connection(config)
         self._streams: dict[int, _Stream] = {}
-        self._buffer = b""  # input that is not yet a whole frame
-        self._preface = 0 if client else _PREFACE
-        self._last_seen = 0
+        self._buffer = b""  # input that is not yet a complete frame
+        self._preface_length = 0 if client else _PREFACE_LENGTH
+        self._last_peer_stream = 0
         self._consumed = 0  # on the whole connection
-        self.peer_settings_received = False  # the peer's SETTINGS came: it speaks HTTP/2
+        self.peer_settings_received = False
         self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = MAX_CONCURRENT_STREAMS
         self._h2.initiate_connection()
         self._flush()
 
     @property
     def streams(self) -> int:
-        """How many are open."""
+        """How many streams are open."""
         return len(self._streams)
 
     def call(self, headers: list[tuple[str, str]]) -> int:
-        """Open a stream as a client."""
+        """Open a stream as a client; returns its number."""
         stream = self._h2.get_next_available_stream_id()
         self._h2.send_headers(stream, headers)
         self._streams[stream] = _Stream()
@@ -149,27 +124,27 @@
         return stream
 
     def respond(self, stream: int, headers: list[tuple[str, str]], end: bool = False) -> None:
-        """Send headers as a server; with ``end`` they are all there is."""
+        """Send headers as a server; with ``end`` they end the stream."""
         if stream in self._streams:
             self._h2.send_headers(stream, headers, end_stream=end)
             if end:
-                self._done(stream)
+                self._discard(stream)
             self._flush()
 
     def send(self, stream: int, data: bytes) -> OutgoingMessage:
-        """Queue a message; it goes out as far as flow control lets it."""
+        """Queue a message, and emit as much of it as flow control allows."""
         message = OutgoingMessage(data)
         state = self._streams.get(stream)
         if state is not None and state.trailers is None and not state.ended:
             state.queue.append(message)
             state.queued += len(data)
-            self._pump(stream)
+            self._try_send_queued(stream)
             if state.queued > MAX_QUEUED_BYTES:
                 self.reset(stream, int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM))
         return message
 
     def retract(self, stream: int, message: OutgoingMessage) -> bool:
-        """Call a message back; only one of which nothing was handed over."""
+        """Take a message out of the queue; False where some of it was emitted."""
         state = self._streams.get(stream)
         if message.offset or state is None or message not in state.queue:
             return False
@@ -178,14 +153,14 @@
         return True
 
     def finish(self, stream: int, trailers: list[tuple[str, str]]) -> None:
-        """End the stream behind what is queued; a client ends with no trailers."""
+        """End the stream behind the queued messages; a client sends no trailers."""
         state = self._streams.get(stream)
         if state is not None and state.trailers is None:
             state.trailers = trailers
-            self._pump(stream)
+            self._try_send_queued(stream)
 
     def reset(self, stream: int, code: int = CANCEL) -> None:
-        """RST_STREAM."""
+        """Send RST_STREAM, where the stream is still open."""
         if self._streams.pop(stream, None) is not None:
             try:
                 self._h2.reset_stream(stream, code)
@@ -194,176 +169,176 @@
             self._flush()
 
     def close(self) -> None:
-        """The connection is over: nothing more is sent."""
+        """The connection has ended: nothing more is sent."""
         self._streams.clear()
 
     def ping(self) -> None:
-        """Ask for any byte at all."""
+        """Send PING, which any peer answers."""
         self._h2.ping(b"thornshf")
         self._flush()
 
     def go_away(self) -> None:
-        """Take no new streams; those that are open go on, which h2's own close would not allow."""
-        frame = GoAwayFrame(0, last_stream_id=self._last_seen, error_code=0)
+        """Accept no new streams. The open ones go on, which h2's own close would not allow."""
+        frame = GoAwayFrame(0, last_stream_id=self._last_peer_stream, error_code=0)
         self._emit(frame.serialize())
 
     @property
     def mid_message(self) -> bool:
-        """A frame, or a message on some stream, has begun and not ended."""
+        """Whether a frame, or a message on some stream, has begun and not ended."""
         return bool(self._buffer) or any(one.framer.mid_message for one in self._streams.values())
 
     @property
     def has_buffered_frame(self) -> bool:
-        """A whole frame is held that ``receive`` left for the next time."""
-        return self._whole() > 0
+        """Whether a complete frame is buffered that ``receive`` left for its next call."""
+        return self._frame_length() > 0
 
     def receive(self, data: bytes, max_frames: int = MAX_FRAMES) -> list[Event]:
-        """Take bytes of the connection, and ``most`` frames at once; a broken frame ends it by an error."""
+        """Buffer received bytes, and process at most ``max_frames`` of the buffered frames.
+
+        Raises ``WireError`` for a broken frame, after which the connection can't go on.
+        """
         events: list[Event] = []
         self._buffer += data
-        while max_frames > 0 and (piece := self._piece()) is not None:
+        while max_frames > 0 and (frame := self._next_frame()) is not None:
             max_frames -= 1
-            if not self._preface and piece[3:4] == bytes((_GOAWAY,)):
+            if not self._preface_length and frame[3:4] == bytes((_GOAWAY,)):
                 # h2 closes the whole connection on this, but the open streams are to go on.
-                if len(piece) < 17:
-                    raise WireError("GOAWAY frame breaks off", fatal=True)
-                last = int.from_bytes(piece[9:13], "big") & 0x7FFFFFFF
-                events.append(GoAway(last, int.from_bytes(piece[13:17], "big")))
+                events.append(_decode_goaway(frame))
                 continue
-            if not self._preface and piece[3] == _DATA and not piece[4] & (_END_STREAM | _PADDED):
-                stream = int.from_bytes(piece[5:9], "big") & 0x7FFFFFFF
-                if (open_one := self._streams.get(stream)) is not None and open_one.talking:
-                    self._read(stream, open_one, piece[9:], events)
+            if not self._preface_length and frame[3] == _DATA and not frame[4] & (_END_STREAM | _PADDED):
+                stream = int.from_bytes(frame[5:9], "big") & _STREAM_ID_MASK
+                if (state := self._streams.get(stream)) is not None and state.receiving:
+                    self._data_received(stream, state, frame[_FRAME_HEADER_LENGTH:], events)
                     continue
-                if open_one is None and 0 < stream <= self._last_seen and stream % 2:
+                if state is None and 0 < stream <= self._last_peer_stream and stream % 2:
                     # What was under way as the stream ended here counts towards the connection's window alone
                     # (RFC 9113, section 5.1). h2 would answer each such frame.
-                    self._used(len(piece) - 9)
+                    self._window_consumed(len(frame) - _FRAME_HEADER_LENGTH)
                     continue
-            self._preface = 0
+            self._preface_length = 0
             try:
-                told = self._h2.receive_data(piece)
-            except (h2.exceptions.ProtocolError, ValueError) as fault:
-                self._flush()  # h2 has its word to the peer ready
+                h2_events = self._h2.receive_data(frame)
+            except (h2.exceptions.ProtocolError, ValueError) as error:
+                self._flush()  # h2 has prepared its answer to the peer
                 self.close()
-                raise WireError(f"no HTTP/2: {type(fault).__name__} {fault}", fatal=True) from None
-            for event in told:
-                self._take(event, events)
+                raise WireError(f"no HTTP/2: {type(error).__name__} {error}", fatal=True) from None
+            for event in h2_events:
+                self._process_event(event, events)
         for stream, state in list(self._streams.items()):
             if state.queue or state.trailers is not None:
-                self._pump(stream)
+                self._try_send_queued(stream)
         self._flush()
         return events
 
-    def _piece(self) -> bytes | None:
-        """The preface, or the next whole frame."""
-        length = self._whole()
+    def _next_frame(self) -> bytes | None:
+        """The preface, or the next complete frame, or None."""
+        length = self._frame_length()
         if not length:
             return None
-        piece, self._buffer = self._buffer[:length], self._buffer[length:]
-        return piece
+        frame, self._buffer = self._buffer[:length], self._buffer[length:]
+        return frame
 
-    def _whole(self) -> int:
-        """The length of the whole piece that is held next; 0 for none."""
-        length = self._preface
+    def _frame_length(self) -> int:
+        """The length of the complete frame that is buffered first; 0 where there is none."""
+        length = self._preface_length
         if not length:
-            if len(self._buffer) < 9:
+            if len(self._buffer) < _FRAME_HEADER_LENGTH:
                 return 0
-            length = 9 + int.from_bytes(self._buffer[:3], "big")
-            if length > 9 + self._h2.max_inbound_frame_size:
+            length = _FRAME_HEADER_LENGTH + int.from_bytes(self._buffer[:3], "big")
+            if length > _FRAME_HEADER_LENGTH + self._h2.max_inbound_frame_size:
                 raise WireError("frame is too long", fatal=True)
         return length if len(self._buffer) >= length else 0
 
-    def _take(self, event: h2.events.Event, events: list[Event]) -> None:
+    def _process_event(self, event: h2.events.Event, events: list[Event]) -> None:
         match event:
             case h2.events.RequestReceived(stream_id=stream, headers=headers):
                 opened = self._streams[stream] = _Stream()
-                opened.talking = True
-                self._last_seen = max(self._last_seen, stream)
+                opened.receiving = True
+                self._last_peer_stream = max(self._last_peer_stream, stream)
                 events.append(Opened(stream, _texts(headers)))
             case h2.events.ResponseReceived(stream_id=stream, headers=headers):
                 if (state := self._streams.get(stream)) is not None:
-                    state.talking = True
+                    state.receiving = True
                 events.append(Opened(stream, _texts(headers)))
             case h2.events.DataReceived(stream_id=stream, data=data, flow_controlled_length=length):
                 if length:
                     self._h2.acknowledge_received_data(length, stream)
                 if (state := self._streams.get(stream)) is not None:
-                    self._messages(stream, state, data, events)
+                    self._extract_messages(stream, state, data, events)
             case h2.events.TrailersReceived(stream_id=stream, headers=headers):
                 events.append(Ended(stream, _texts(headers)))
             case h2.events.StreamEnded(stream_id=stream):
                 state = self._streams.get(stream)
                 if state is not None:
-                    state.talking = False
+                    state.receiving = False
                 if state is not None and state.framer.mid_message:
                     self.reset(stream)
                     events.append(Broken(stream, CANCEL, "ended within a message"))
                 elif not (events and isinstance(events[-1], Ended) and events[-1].stream == stream):
                     events.append(Ended(stream, {}))
                 if self.client:
-                    self.reset(stream)  # where this side has not ended, nobody listens to it any more
+                    self.reset(stream)  # where this side has not ended it, nobody reads from it any more
             case h2.events.StreamReset(stream_id=stream, error_code=code):
                 self._streams.pop(stream, None)
                 events.append(Broken(stream, int(code), "reset by the peer"))
             case h2.events.RemoteSettingsChanged():
                 self.peer_settings_received = True
             case _:
-                pass  # windows and pings are h2's own business
+                pass  # h2 itself answers pings and keeps the windows for sending
 
-    def _read(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
-        """A DATA frame; the peer's windows are opened again when enough of them is used up."""
+    def _data_received(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
+        """Process a DATA frame; the peer's windows are opened again when enough of them is used up."""
         state.consumed += len(data)
-        self._used(len(data))
-        step = min(_CONSUMED, self._h2.local_settings.initial_window_size // 4)
+        self._window_consumed(len(data))
+        step = min(WINDOW_UPDATE_BYTES, self._h2.local_settings.initial_window_size // 4)
         if state.consumed >= step:
             self._emit(WindowUpdateFrame(stream, window_increment=state.consumed).serialize())
             state.consumed = 0
-        self._messages(stream, state, data, events)
+        self._extract_messages(stream, state, data, events)
 
-    def _used(self, count: int) -> None:
-        """So much of the connection's window was used up by the peer, and is free again."""
+    def _window_consumed(self, count: int) -> None:
+        """Count what the peer has used of the connection's window, and open that again when it is enough."""
         self._consumed += count
-        if self._consumed >= _CONSUMED:
+        if self._consumed >= WINDOW_UPDATE_BYTES:
             self._emit(WindowUpdateFrame(0, window_increment=self._consumed).serialize())
             self._consumed = 0
 
-    def _messages(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
+    def _extract_messages(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
         state.framer.feed(data)
         try:
             while (message := state.framer.next()) is not None:
                 events.append(Received(stream, message))
-        except WireError as fault:
+        except WireError as error:
             self.reset(stream)
-            events.append(Broken(stream, CANCEL, str(fault)))
+            events.append(Broken(stream, CANCEL, str(error)))
 
-    def _pump(self, stream: int) -> None:
-        """Hand over what the windows allow."""
+    def _try_send_queued(self, stream: int) -> None:
+        """Emit what the windows allow."""
         try:
-            self._hand_over(stream)
+            self._send_queued(stream)
         except h2.exceptions.ProtocolError:  # closed by the peer in this very input
-            self._done(stream)
+            self._discard(stream)
 
-    def _hand_over(self, stream: int) -> None:
+    def _send_queued(self, stream: int) -> None:
         state = self._streams.get(stream)
         if state is None:
             return
-        known = self._h2.streams.get(stream)
-        if known is None:  # closed by the peer
-            self._done(stream)
+        h2_stream = self._h2.streams.get(stream)
+        if h2_stream is None:  # closed by the peer
+            self._discard(stream)
             return
         while state.queue:
             message = state.queue[0]
-            room = min(
+            window = min(
                 self._h2.outbound_flow_control_window,
-                known.outbound_flow_control_window,
+                h2_stream.outbound_flow_control_window,
                 self._h2.max_outbound_frame_size,
             )
-            size = min(room, len(message.data) - message.offset)
+            size = min(window, len(message.data) - message.offset)
             if size <= 0:
                 return
             part = message.data[message.offset : message.offset + size]
-            known.outbound_flow_control_window -= size
+            h2_stream.outbound_flow_control_window -= size
             self._h2.outbound_flow_control_window -= size
             message.offset += size
             state.queued -= size
@@ -375,13 +350,14 @@
         if state.trailers is not None:
             if state.trailers:
                 self._h2.send_headers(stream, state.trailers, end_stream=True)
-                self._done(stream)
+                self._discard(stream)
             else:
                 self._h2.end_stream(stream)
-                state.trailers, state.ended = None, True
+                state.trailers = None
+                state.ended = True
             self._flush()
 
-    def _done(self, stream: int) -> None:
+    def _discard(self, stream: int) -> None:
         self._streams.pop(stream, None)
 
     def _flush(self) -> None:
@@ -390,11 +366,18 @@
 
 
 def rejection_frames() -> bytes:
-    """All that a server says to a client that is turned away: SETTINGS, and GOAWAY with ENHANCE_YOUR_CALM."""
+    """All that a server sends to a rejected client: SETTINGS, and GOAWAY with ENHANCE_YOUR_CALM."""
     calm = int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
     return SettingsFrame(0).serialize() + GoAwayFrame(0, last_stream_id=0, error_code=calm).serialize()
 
 
+def _decode_goaway(frame: bytes) -> GoAway:
+    if len(frame) < _GOAWAY_MIN_LENGTH:
+        raise WireError("GOAWAY frame breaks off", fatal=True)
+    last = int.from_bytes(frame[9:13], "big") & _STREAM_ID_MASK
+    return GoAway(last, int.from_bytes(frame[13:17], "big"))
+
+
 def _texts(headers: object) -> dict[str, str]:
     """Headers by name; the first of equals counts."""
     texts: dict[str, str] = {}
--- a/thornshelf/wire/jsonl.py
+++ b/thornshelf/wire/jsonl.py
@@ -1,4 +1,4 @@
-"""The owners' wire: a JSON object a line, read once into the few values that are used."""
+"""The clients' wire: one JSON object on each line, decoded once into the few values that are used."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from thornshelf.wire.errors import WireError
 
 MAX_MESSAGE = 16 * 1024
-MAX_NUMBER = 1e9  # no figure of a set-up is larger: milliseconds, cores or units of memory
+MAX_NUMBER = 1e9  # the largest number of a request: milliseconds, cores or units of memory
 _HEX = frozenset("0123456789abcdefABCDEF")
 _KIND, _SET_UP = b'"kind"', re.compile(rb'"kind"\s*:\s*"launch"')
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One message of an owner, or to one."""
+    """One message of a client, or to one."""
 
     kind: str
     uid: int
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchFields:
-    """What the fields of a set-up say, in the units of the wire (milliseconds)."""
+    """The fields of a request to start a task, in the units of the wire (milliseconds)."""
 
     task_class: str
     left_ms: float
@@ -42,16 +42,16 @@
     at: str | None
 
 
-# All that a line can be, and the fields and causes of lines to owners: the translation table lists them.
+# All kinds of lines, and the fields and causes of lines to clients: the field mapping lists them.
 KINDS = ("launch", "running", "stop", "stopped", "migrate", "check", "checked")
 OUT_FIELDS = ("wait", "why", "hint", "assumed")
 REFUSED, FAILED, UNREADABLE, ENDED, CANCELLED = CAUSES = (34, 41, 100, 16, 31)
 
-UNKNOWN_UID = 0  # stands in a refusal for the id of a message whose own could not be read
+UNKNOWN_UID = 0  # in a rejection, in place of the id of a message whose own could not be decoded
 
 
 def read_hex(text: object, what: str) -> int:
-    """A task's name or a service: 1 to 16 hex digits."""
+    """An idempotency key or a service: 1 to 16 hex digits. Raises ``WireError`` for anything else."""
     if not isinstance(text, str) or not 0 < len(text) <= 16 or not _HEX.issuperset(text):
         raise WireError(f"{what} is not made of up to 16 hex digits: {text!r:.40}")
     return int(text, 16)
@@ -75,7 +75,7 @@
 
 
 def parse_line(text: bytes) -> Line:
-    """One line without its end."""
+    """Decode one line without its end. Raises ``WireError``, with the task's id where that could be decoded."""
     try:
         value: Any = json.loads(text.decode("utf-8"))
     except (ValueError, RecursionError) as fault:
@@ -100,7 +100,7 @@
 
 
 def launch_fields(line: Line) -> LaunchFields:
-    """The fields of a set-up; one error names the task, so that its owner can be answered."""
+    """The fields of a request. Raises ``WireError`` with the task's id, so that the client can be answered."""
     meta = line.meta
     try:
         extras = dict(part.partition(":")[::2] for part in str(meta.get("extras", "")).split(";") if part)
@@ -123,9 +123,9 @@
 
 
 def is_plain_launch(text: bytes) -> bool:
-    """Whether a line is surely a set-up without ``at``, told in a hundredth of the time that a parse takes.
+    """Whether a line is surely a request without ``at``, found in a hundredth of the time that a decoder takes.
 
-    False where only a parse can tell: with an escaped character, a second field ``kind``, or what may be an ``at``.
+    False where only a decoder can say: with an escaped character, a second field ``kind``, or what may be an ``at``.
     """
     return (
         _SET_UP.search(text) is not None
@@ -142,37 +142,40 @@
     reason: int | None = None,
     body: bytes | None = None,
 ) -> bytes:
-    """A whole line with its end."""
+    """Encode a line with its end."""
     value: dict[str, object] = {"kind": kind, "uid": f"{uid:016x}", "meta": meta or {}}
     if reason is not None:
         value["reason"] = reason
     if body is not None:
         try:
             value["body"] = body.decode("utf-8", "surrogatepass")
-        except UnicodeDecodeError:  # no text: each stray byte becomes a lone surrogate, so that none is lost
+        except UnicodeDecodeError:  # not UTF-8: each such byte becomes a lone surrogate, so that none is lost
             value["body"] = body.decode("utf-8", "surrogateescape")
     return json.dumps(value, separators=(",", ":")).encode("ascii") + b"\n"
 
 
 class LineReader:
-    """Cuts a stream of bytes into lines and parses them; what it holds is bounded by one message."""
+    """Splits a stream of bytes into lines and decodes them; its buffer is bounded by one message.
+
+    ``abandoned``: the client has gone, and lines that only ask for an answer are skipped.
+    """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._searched = 0
-        self.abandoned = False  # nobody waits for answers any more: lines that only want one are passed over
+        self.abandoned = False
 
     def feed(self, data: bytes) -> None:
-        """Take more bytes of the stream."""
+        """Buffer more bytes of the stream."""
         self._buffer += data
 
     @property
     def mid_message(self) -> bool:
-        """A line has begun and not ended."""
+        """Whether a line has begun and not ended."""
         return bool(self._buffer)
 
     def next(self) -> Line | None:
-        """The next message, or none until more bytes come; a bad line is passed over by its error."""
+        """The next message, or None until more bytes come. A bad line raises ``WireError`` and is skipped by that."""
         while True:
             end = self._buffer.find(b"\n", self._searched)
             if end < 0:
--- a/thornshelf/wire/rfc5424.py
+++ b/thornshelf/wire/rfc5424.py
@@ -8,22 +8,22 @@
 
 FACILITY_DAEMON = 3
 ERROR, WARNING, NOTICE, INFO = 3, 4, 5, 6
-ENTERPRISE = "thornshelf@32473"  # 32473: the number kept for examples, as the project has none of its own
+ENTERPRISE = "thornshelf@32473"  # 32473 is reserved for examples, as the project has no number of its own
 
 _UNPRINTABLE = re.compile(r"[^\x21-\x7e]")
-_NO_NAME = re.compile(r'[^\x21-\x7e]|[=\]"]')
+_NOT_IN_NAME = re.compile(r'[^\x21-\x7e]|[=\]"]')
 _ESCAPED = re.compile(r'(["\\\]])')
 
 
 def header_value(text: str, max_length: int) -> str:
-    """A header field: printable ASCII without spaces, cut to its limit; - where nothing is left."""
+    """A header field: printable ASCII without spaces, cut to ``max_length``; ``-`` where nothing is left."""
     return _UNPRINTABLE.sub("_", text)[:max_length] or "-"
 
 
 def element(identity: str, values: Mapping[str, object]) -> str:
     """One element of structured data."""
     quoted = {name: _ESCAPED.sub(r"\\\1", " ".join(str(value).split())) for name, value in values.items()}
-    parts = "".join(f' {_NO_NAME.sub("_", name)[:32]}="{value}"' for name, value in quoted.items())
+    parts = "".join(f' {_NOT_IN_NAME.sub("_", name)[:32]}="{value}"' for name, value in quoted.items())
     return f"[{identity}{parts}]"
 
 
@@ -37,11 +37,11 @@
     values: Mapping[str, object],
     text: str,
 ) -> bytes:
-    """One line without its end."""
+    """One line without its end; ``unix_us`` is its time in microseconds of Unix time."""
     at = datetime.fromtimestamp(unix_us // 1_000_000, UTC).replace(microsecond=unix_us % 1_000_000)
     stamp = at.strftime("%Y-%m-%dT%H:%M:%S.%fZ")
     head = f"<{FACILITY_DAEMON * 8 + severity}>1 {stamp} {header_value(host, 255)} {header_value(app, 48)}"
     data = element(ENTERPRISE, values) if values else "-"
-    said = " ".join(text.split())
+    one_line = " ".join(text.split())
     line = f"{head} {process} {header_value(message_id, 32)} {data}"
-    return (f"{line} {said}" if said else line).encode("utf-8", "replace")
+    return (f"{line} {one_line}" if one_line else line).encode("utf-8", "replace")
