--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -168,8 +168,8 @@
     world.run_until(lambda: bool(world.nodes[0].streams))
     world.run_for(30)
     (one,) = world.nodes
-    monkeypatch.setattr(loop_module, "STEPS", 1)
-    monkeypatch.setattr(loop_module, "STEPS_US", 0)
+    monkeypatch.setattr(loop_module, "STEPS_PER_CLOCK_CHECK", 1)
+    monkeypatch.setattr(loop_module, "TURN_BUDGET_US", 0)
     world.client.ask(5, NodeBehavior.RUN, task_class)
     world.client.stream.flush()
     one.streams[0].close()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -176,7 +176,7 @@
     clock.ns += 2_000_000_000
     loop.turn(True)
     assert called == [number for _, number in sorted(wanted)]
-    assert loop._void == 0 and not loop._timers
+    assert loop._cancelled_timers == 0 and not loop._timers
     loop.close()
 
 
--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -1,7 +1,7 @@
-"""The loop: select.epoll, generators as coroutines, timers; the time is read once a turn.
+"""The event loop: select.epoll, generators as coroutines, and timers. The clock is read once a turn.
 
-A turn is bounded: once its coroutines have worked for ``STEPS_US``, those that are still ready wait for the next, and
-descriptors are polled before them. An urgent coroutine is stepped before all others.
+A turn is bounded: once its coroutines have run for ``TURN_BUDGET_US``, those that are still ready wait for the next
+turn, which polls the descriptors first. An urgent coroutine is stepped before all others.
 """
 
 from __future__ import annotations
@@ -15,18 +15,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-IN, OUT, HUNG_UP = select.EPOLLIN, select.EPOLLOUT, select.EPOLLRDHUP
-_FAULT = select.EPOLLERR | select.EPOLLHUP
-LONGEST_SLEEP_US = 1_000_000
-STEPS_US = 20_000  # coroutines are stepped for so long in one turn; the rest of them in the next
-STEPS = 8  # so many between two looks at the clock
-AT_ONCE_US = 300
-VOID = 256  # so many cancelled timers are left to run out
+IN = select.EPOLLIN
+OUT = select.EPOLLOUT
+PEER_CLOSED = select.EPOLLRDHUP
+_ERROR_MASK = select.EPOLLERR | select.EPOLLHUP
+MAX_SLEEP_US = 1_000_000
+TURN_BUDGET_US = 20_000  # coroutines are stepped for so long in one turn
+STEPS_PER_CLOCK_CHECK = 8  # coroutines that are stepped between two readings of the clock
+IMMEDIATE_POLL_US = 300  # a poll that took less time than this found its events at once
+MAX_CANCELLED_TIMERS = 256  # kept until they are due, rather than removed
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """What a coroutine yields: wake me when ``fd`` is ready, or at ``until`` (microseconds) at the latest.
+    """What a coroutine yields to be woken when ``fd`` is ready, or at ``until`` (microseconds) at the latest.
 
     The yield gives the epoll mask, or 0 where the time ran out. Without ``fd`` it is a sleep.
     """
@@ -40,16 +42,17 @@
 
 
 class Timer:
-    """A call due at a time; ``cancel`` makes it void."""
+    """A call that is due at a time, unless it is cancelled before."""
 
     __slots__ = ("call", "due", "loop")
 
     def __init__(self, due: int, call: Callable[[], None], loop: Loop) -> None:
-        self.due, self.loop = due, loop
+        self.due = due
+        self.loop = loop
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Never call it."""
+        """Drop the call."""
         if self.call is not None:
             self.call = None
             self.loop.timer_cancelled()
@@ -61,60 +64,68 @@
     __slots__ = ("body", "done", "started", "timer", "urgent", "wait")
 
     def __init__(self, body: Coroutine, urgent: bool = False) -> None:
-        self.body, self.urgent = body, urgent
-        self.done = self.started = False
+        self.body = body
+        self.urgent = urgent
+        self.done = False
+        self.started = False
         self.wait: Wait | None = None
         self.timer: Timer | None = None
 
 
-class _Watch:
+class _Registration:
     """The coroutines that wait for one descriptor, and the mask that epoll has of it."""
 
-    __slots__ = ("hung_up", "mask", "reader", "writer")
+    __slots__ = ("mask", "on_peer_close", "reader", "writer")
 
     def __init__(self) -> None:
         self.mask = 0
-        self.hung_up: Callable[[], None] | None = None
+        self.on_peer_close: Callable[[], None] | None = None
         self.reader: Task | None = None
         self.writer: Task | None = None
 
 
 class Loop:
-    """Runs coroutines until ``stop``; ``on_turn`` hooks run at the end of each turn, in their order."""
+    """Runs coroutines until ``stop``.
+
+    ``on_turn``: hooks that run at the end of each turn, in their order; each returns whether it wants another turn
+    at once. ``on_fault``: called with an exception that ended a coroutine or a call; without it such an exception is
+    raised. ``now``: the time of this turn in microseconds. ``earliest_arrival_us``: what the present step reads may
+    have arrived as early as this.
+    """
 
     def __init__(self) -> None:
         self._epoll = select.epoll()
-        self._watches: dict[int, _Watch] = {}
+        self._registrations: dict[int, _Registration] = {}
         self._timers: list[tuple[int, int, Timer]] = []
-        self._void = 0  # of the timers, those that were cancelled
+        self._cancelled_timers = 0
         self._order = itertools.count()
         self._tasks: set[Task] = set()
         self._ready: deque[tuple[Task, int, int]] = deque()
         self._running = False
-        self._ends: list[Callable[[], None]] = []
-        self.on_turn: list[Callable[[], bool]] = []  # each says whether it wants another turn at once
+        self._turn_end_calls: list[Callable[[], None]] = []
+        self.on_turn: list[Callable[[], bool]] = []
         self.on_fault: Callable[[BaseException], None] | None = None
         self.clock: Callable[[], int] = time.monotonic_ns
         self.now = self.clock() // 1000
-        self.earliest_arrival_us = self.now  # what the present step reads may have come as early as this
+        self.earliest_arrival_us = self.now
 
     def turn_elapsed_us(self) -> int:
-        """How long this turn has worked, in microseconds: to bound it, and for no decision."""
+        """How long this turn has run, in microseconds; only to bound it, as decisions go by ``now``."""
         return self.clock() // 1000 - self.now
 
     @property
     def has_backlog(self) -> bool:
-        """Coroutines are ready that this turn had no time for."""
+        """Whether coroutines are ready that this turn had no time for."""
         return bool(self._ready)
 
     def spawn(self, body: Coroutine, urgent: bool = False) -> Task:
         """Start a coroutine in this turn; one that is ``urgent`` goes before all that wait to be stepped."""
         task = Task(body, urgent)
         self._tasks.add(task)
-        self._step_soon(task, 0)
+        self._schedule(task, 0)
         return task
 
-    def _step_soon(self, task: Task, value: int) -> None:
+    def _schedule(self, task: Task, value: int) -> None:
         entry = (task, value, self.earliest_arrival_us)
         if task.urgent:
             self._ready.appendleft(entry)
@@ -126,7 +137,7 @@
         if not task.done:
             task.done = True
             self._tasks.discard(task)
-            self._unwait(task)
+            self._stop_waiting(task)
             task.body.close()
 
     def at(self, due: int, call: Callable[[], None]) -> Timer:
@@ -136,47 +147,47 @@
         return timer
 
     def timer_cancelled(self) -> None:
-        """A timer is void: once more of them are than are not, they are swept out, due or not."""
-        self._void += 1
-        if self._void > VOID and 2 * self._void > len(self._timers):
+        """Count a cancelled timer; once most timers are cancelled, these are removed."""
+        self._cancelled_timers += 1
+        if self._cancelled_timers > MAX_CANCELLED_TIMERS and 2 * self._cancelled_timers > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].call is not None]
             heapq.heapify(self._timers)
-            self._void = 0
+            self._cancelled_timers = 0
 
     def after(self, delay: int, call: Callable[[], None]) -> Timer:
-        """Call when so many microseconds have passed."""
+        """Call when ``delay`` microseconds have passed."""
         return self.at(self.now + delay, call)
 
     def unregister(self, fd: int) -> None:
         """A descriptor is about to be closed: coroutines that wait for it wake with 0."""
-        watch = self._watches.pop(fd, None)
-        if watch is None:
+        registration = self._registrations.pop(fd, None)
+        if registration is None:
             return
-        if watch.mask:
+        if registration.mask:
             self._epoll.unregister(fd)
-        for task in {watch.reader, watch.writer} - {None}:
+        for task in {registration.reader, registration.writer} - {None}:
             if task is not None:
-                self._expire(task)
+                self._time_out(task)
 
     def on_peer_close(self, fd: int, call: Callable[[], None]) -> None:
         """Call once the peer has closed its side, at the start of the turn that finds it so.
 
         That is before any coroutine is stepped, however much of what the peer sent before is still to be read.
         """
-        watch = self._watches.setdefault(fd, _Watch())
-        watch.hung_up = call
-        self._set_mask(fd, watch, watch.mask | HUNG_UP)
+        registration = self._registrations.setdefault(fd, _Registration())
+        registration.on_peer_close = call
+        self._set_mask(fd, registration, registration.mask | PEER_CLOSED)
 
     def at_turn_end(self, call: Callable[[], None]) -> None:
         """Call once when this turn's work is done, after the hooks: what the turn sends goes out together."""
-        self._ends.append(call)
+        self._turn_end_calls.append(call)
 
     def stop(self) -> None:
         """Leave ``run`` after this turn."""
         self._running = False
 
     def close(self) -> None:
-        """End all coroutines and give back the epoll descriptor."""
+        """End all coroutines and close the epoll descriptor."""
         while self._tasks:
             self.cancel(self._tasks.pop())
         self._epoll.close()
@@ -184,94 +195,101 @@
     def run(self) -> None:
         """Turn until stopped."""
         self._running = True
-        again = True
+        needs_turn = True
         while self._running:
-            again = self.turn(again)
+            needs_turn = self.turn(needs_turn)
 
     def turn(self, at_once: bool = False) -> bool:
-        """One turn: wait, read the clock, wake what is due, then the hooks; true where more is to be done."""
-        sleep = 0.0 if at_once or self._ready or self._ends else self._sleep_s()
+        """Run one turn: poll, read the clock, wake what is due, run the hooks.
+
+        Returns whether another turn is due at once.
+        """
+        sleep = 0.0 if at_once or self._ready or self._turn_end_calls else self._sleep_s()
         before, polled = self.now, self.clock() // 1000
         events = self._epoll.poll(sleep)
         self.now = self.clock() // 1000
-        # What a poll finds at once came while the last turn worked; one that sleeps wakes as input comes.
-        self.earliest_arrival_us = before if self.now - polled < AT_ONCE_US else self.now
+        # What a poll finds at once arrived while the last turn ran; one that sleeps wakes as input arrives.
+        self.earliest_arrival_us = before if self.now - polled < IMMEDIATE_POLL_US else self.now
         for fd, mask in events:
             self._wake(fd, mask)
         while self._timers and self._timers[0][0] <= self.now:
             timer = heapq.heappop(self._timers)[2]
             if timer.call is not None:
                 call, timer.call = timer.call, None
-                self._guard(call)
+                self._call_guarded(call)
             else:
-                self._void -= 1
+                self._cancelled_timers -= 1
         steps = 0
         while self._ready:
             task, value, self.earliest_arrival_us = self._ready.popleft()
             self._step(task, value)
             steps += 1
-            if steps % STEPS == 0 and self.turn_elapsed_us() >= STEPS_US:
+            if steps % STEPS_PER_CLOCK_CHECK == 0 and self.turn_elapsed_us() >= TURN_BUDGET_US:
                 break
-        again = False
+        needs_turn = False
         for hook in self.on_turn:
-            again = self._guard(hook) or again
-        ends, self._ends = self._ends, []
-        for call in ends:
-            self._guard(call)
-        return again
-
-    def _guard(self, call: Callable[[], Any]) -> bool:
-        """A call whose fault, like a coroutine's, costs neither the process nor what comes after it."""
+            needs_turn = self._call_guarded(hook) or needs_turn
+        calls, self._turn_end_calls = self._turn_end_calls, []
+        for call in calls:
+            self._call_guarded(call)
+        return needs_turn
+
+    def _call_guarded(self, call: Callable[[], Any]) -> bool:
+        """Make a call whose exception, like a coroutine's, ends neither the process nor what comes after it."""
         try:
             return bool(call())
-        except Exception as fault:
+        except Exception as error:
             if self.on_fault is None:
                 raise
-            self.on_fault(fault)
+            self.on_fault(error)
             return True
 
     def _sleep_s(self) -> float:
         while self._timers and self._timers[0][2].call is None:
             heapq.heappop(self._timers)
-            self._void -= 1
-        sleep = LONGEST_SLEEP_US
+            self._cancelled_timers -= 1
+        sleep = MAX_SLEEP_US
         if self._timers:
             sleep = min(sleep, max(0, self._timers[0][0] - self.now))
         return sleep / 1e6
 
     def _wake(self, fd: int, mask: int) -> None:
-        watch = self._watches.get(fd)
-        if watch is None:
+        registration = self._registrations.get(fd)
+        if registration is None:
             return
-        if watch.hung_up is not None and mask & (HUNG_UP | _FAULT):
-            call, watch.hung_up = watch.hung_up, None
-            self._guard(call)
+        if registration.on_peer_close is not None and mask & (PEER_CLOSED | _ERROR_MASK):
+            call, registration.on_peer_close = registration.on_peer_close, None
+            self._call_guarded(call)
         woken = False
-        for task, bits in ((watch.reader, IN), (watch.writer, OUT)):
-            if task is not None and mask & (bits | _FAULT):
-                self._unwait(task)
-                self._step_soon(task, mask)
+        for task, bits in ((registration.reader, IN), (registration.writer, OUT)):
+            if task is not None and mask & (bits | _ERROR_MASK):
+                self._stop_waiting(task)
+                self._schedule(task, mask)
                 woken = True
-        if not woken:  # nobody waits for this any more: don't be told again
-            wanted = (IN if watch.reader else 0) | (OUT if watch.writer else 0)
-            wanted |= HUNG_UP if watch.hung_up else 0
-            # epoll tells of faults even where nothing is asked for
-            self._set_mask(fd, watch, 0 if mask & _FAULT else wanted)
+        if not woken:  # no coroutine waits for this any more: stop the notifications
+            wanted = (IN if registration.reader else 0) | (OUT if registration.writer else 0)
+            wanted |= PEER_CLOSED if registration.on_peer_close else 0
+            # epoll reports errors even where no event is wanted
+            self._set_mask(fd, registration, 0 if mask & _ERROR_MASK else wanted)
 
-    def _unwait(self, task: Task) -> None:
+    def _stop_waiting(self, task: Task) -> None:
         wait, task.wait = task.wait, None
         if task.timer is not None:
             task.timer.cancel()
             task.timer = None
-        if wait is not None and wait.fd >= 0 and (watch := self._watches.get(wait.fd)) is not None:
-            if watch.reader is task:
-                watch.reader = None
-            if watch.writer is task:
-                watch.writer = None
-
-    def _expire(self, task: Task) -> None:
-        self._unwait(task)
-        self._step_soon(task, 0)
+        if (
+            wait is not None
+            and wait.fd >= 0
+            and (registration := self._registrations.get(wait.fd)) is not None
+        ):
+            if registration.reader is task:
+                registration.reader = None
+            if registration.writer is task:
+                registration.writer = None
+
+    def _time_out(self, task: Task) -> None:
+        self._stop_waiting(task)
+        self._schedule(task, 0)
 
     def _step(self, task: Task, value: int) -> None:
         if task.done:
@@ -286,43 +304,43 @@
             task.done = True
             self._tasks.discard(task)
             return
-        except Exception as fault:  # one coroutine's fault must not end the others'
+        except Exception as error:  # an exception in one coroutine must not end the others
             task.done = True
             self._tasks.discard(task)
             if self.on_fault is None:
                 raise
-            self.on_fault(fault)
+            self.on_fault(error)
             return
         task.wait = wait
         if wait.fd >= 0:
             try:
-                self._watch(task, wait)
-            except OSError as fault:  # the descriptor is closed: that, too, is the one coroutine's fault
+                self._register(task, wait)
+            except OSError as error:  # the descriptor is closed: that is an error of this coroutine, too
                 self.cancel(task)
                 if self.on_fault is None:
                     raise
-                self.on_fault(fault)
+                self.on_fault(error)
                 return
         if wait.until is not None:
-            task.timer = self.at(wait.until, lambda: self._expire(task))
+            task.timer = self.at(wait.until, lambda: self._time_out(task))
 
-    def _watch(self, task: Task, wait: Wait) -> None:
-        watch = self._watches.get(wait.fd)
-        if watch is None:
-            watch = self._watches[wait.fd] = _Watch()
+    def _register(self, task: Task, wait: Wait) -> None:
+        registration = self._registrations.get(wait.fd)
+        if registration is None:
+            registration = self._registrations[wait.fd] = _Registration()
         if wait.mask & IN:
-            watch.reader = task
+            registration.reader = task
         if wait.mask & OUT:
-            watch.writer = task
-        self._set_mask(wait.fd, watch, watch.mask | wait.mask)
+            registration.writer = task
+        self._set_mask(wait.fd, registration, registration.mask | wait.mask)
 
-    def _set_mask(self, fd: int, watch: _Watch, mask: int) -> None:
-        if mask == watch.mask:
+    def _set_mask(self, fd: int, registration: _Registration, mask: int) -> None:
+        if mask == registration.mask:
             return
-        if not watch.mask:
+        if not registration.mask:
             self._epoll.register(fd, mask)
         elif mask:
             self._epoll.modify(fd, mask)
         else:
             self._epoll.unregister(fd)
-        watch.mask = mask
+        registration.mask = mask
--- a/thornshelf/loop/stream.py
+++ b/thornshelf/loop/stream.py
@@ -1,4 +1,4 @@
-"""Buffered non-blocking TCP streams: bounded in both directions, with messages that can be called back."""
+"""Buffered non-blocking TCP streams, bounded in both directions; a message can be withdrawn until a byte is sent."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from thornshelf.loop.loop import IN, OUT, Loop, Task, Wait
 
 READ_SIZE = 64 * 1024
-READ_PAUSE_BYTES = 256 * 1024  # with so much unsent, a peer that doesn't read is not read from either
-MAX_BUFFERED_BYTES = 1024 * 1024  # and with so much it is cut off
-_BUFFERS = 64  # buffers that go into one call
+READ_PAUSE_BYTES = 256 * 1024  # with so much buffered, a peer that doesn't read is not read from either
+MAX_BUFFERED_BYTES = 1024 * 1024  # with so much buffered, the connection is closed
+_MAX_BUFFERS_PER_WRITE = 64  # in one call of sendmsg
 
 
 class Chunk:
@@ -28,34 +28,39 @@
 
     @property
     def fully_sent(self) -> bool:
-        """All of it was given to the system: the peer may have it."""
+        """Whether all of it was given to the operating system, so that the peer may have it."""
         return self.sent == len(self.data)
 
 
 class Stream:
-    """A connected socket with its buffer of unsent messages."""
+    """A connected socket with its buffer of messages to be sent.
+
+    ``buffered_bytes``: what is still to be sent. ``last_send_us``: when a message was buffered last, on the loop's
+    clock. ``peer_closed``: the peer has closed its side, though what it sent before may still be unread.
+    ``on_close``: called once the stream is closed. ``admission_permit``: belongs to the admission filter.
+    """
 
     def __init__(self, loop: Loop, sock: socket.socket, peer: str) -> None:
-        self.loop, self.sock, self.peer = loop, sock, peer
+        self.loop = loop
+        self.sock = sock
+        self.peer = peer
         self.fd = sock.fileno()
         self.open = True
         self.buffered_bytes = 0
         self._out: deque[Chunk] = deque()
         self._writer: Task | None = None
-        self._queued = False
+        self._flush_scheduled = False
         self._ending = False
         self.on_close: Callable[[], None] | None = None
-        self.admission_permit: Any = None  # what the door keeps of it, where there is one
-        self.last_send_us = 0  # when it last had something to send
-        self.peer_closed = (
-            False  # the peer has closed its side, though what it sent before may still be unread
-        )
+        self.admission_permit: Any = None
+        self.last_send_us = 0
+        self.peer_closed = False
         sock.setblocking(False)
         if sock.family != socket.AF_UNIX:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> Chunk:
-        """Put a message behind the others; it goes out at the end of the turn."""
+        """Buffer a message behind the others; it is written at the end of the turn."""
         chunk = Chunk(data)
         if self.open and not self._ending:
             self._out.append(chunk)
@@ -63,13 +68,13 @@
             self.buffered_bytes += len(data)
             if self.buffered_bytes > MAX_BUFFERED_BYTES:
                 self.close()
-            elif not self._queued and self._writer is None:
-                self._queued = True
+            elif not self._flush_scheduled and self._writer is None:
+                self._flush_scheduled = True
                 self.loop.at_turn_end(self.flush)
         return chunk
 
     def retract(self, chunk: Chunk) -> bool:
-        """Call a message back; only one of which no byte has gone out."""
+        """Remove a message from the buffer; False where some byte of it was written."""
         if chunk.sent == 0 and chunk in self._out:
             self._out.remove(chunk)
             self.buffered_bytes -= len(chunk.data)
@@ -77,12 +82,12 @@
         return False
 
     def mark_peer_closed(self) -> None:
-        """The peer has closed its side."""
+        """Record that the peer has closed its side."""
         self.peer_closed = True
 
     @property
     def has_unread_input(self) -> bool:
-        """Bytes, or the end of them, wait in the system."""
+        """Whether bytes, or the end of them, wait to be read."""
         poll = select.poll()
         poll.register(self.fd, select.POLLIN)
         return self.open and bool(poll.poll(0))
@@ -109,19 +114,19 @@
         return b""
 
     def flush(self) -> None:
-        """Write what the system takes; a coroutine waits for the rest."""
-        self._queued = False
+        """Write what the operating system accepts; a coroutine waits for the rest."""
+        self._flush_scheduled = False
         if self.open and self._writer is None and not self._write() and self.open:
             self._writer = self.loop.spawn(self._drain())
 
     def end(self) -> None:
-        """Close once all that is buffered has gone out."""
+        """Close once all that is buffered has been written."""
         self._ending = True
         if not self._out:
             self.close()
 
     def close(self) -> None:
-        """Close at once; what is unsent stays unsent."""
+        """Close at once; what is still buffered is lost."""
         if self.open:
             self.open = False
             self.loop.unregister(self.fd)
@@ -130,16 +135,16 @@
                 self.on_close()
 
     def _drain(self) -> Generator[Wait, int, None]:
-        """Write on once there is room, at the end of that turn.
+        """Write on once the socket accepts more, at the end of that turn.
 
-        Guards against an offer that leaves in the very turn that calls it back: first all is read that came.
+        Guards against an attempt that is sent in the very turn that withdraws it: all input is processed first.
         """
         try:
             yield Wait(self.fd, OUT)
         finally:
             self._writer = None
-        if self.open and not self._queued:
-            self._queued = True
+        if self.open and not self._flush_scheduled:
+            self._flush_scheduled = True
             self.loop.at_turn_end(self.flush)
 
     def _write(self) -> bool:
@@ -148,7 +153,7 @@
             first = self._out[0]
             parts = [memoryview(first.data)[first.sent :]]
             for count, chunk in enumerate(self._out):
-                if 0 < count < _BUFFERS:
+                if 0 < count < _MAX_BUFFERS_PER_WRITE:
                     parts.append(memoryview(chunk.data))
                 elif count:
                     break
@@ -157,7 +162,7 @@
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError:
-                self._out.clear()  # the reader learns of the break, unless it waits for room
+                self._out.clear()  # the reader finds the broken connection, unless it waits for the buffer
                 self.buffered_bytes = 0
                 if self._ending:
                     self.close()
@@ -176,20 +181,20 @@
 
 
 def connect(loop: Loop, host: str, port: int, until: int | None) -> Generator[Wait, int, Stream | int]:
-    """A new connection, or the number of the error that kept it from coming up: nothing has been sent.
+    """A new connection, or the number of the error that prevented it: nothing has been sent then.
 
-    Only ECONNREFUSED is the peer's own word; a full table of descriptors, say, proves nothing of the peer.
+    Only ECONNREFUSED comes from the peer; a full table of descriptors, for example, shows nothing about the peer.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    except OSError as fault:
-        return fault.errno or errno.EIO
+    except OSError as error:
+        return error.errno or errno.EIO
     sock.setblocking(False)
     try:
         fd, code = sock.fileno(), sock.connect_ex((host, port))
-    except (OSError, UnicodeError) as fault:  # no such name, or no name at all
+    except (OSError, UnicodeError) as error:  # the name is unknown or malformed
         sock.close()
-        return getattr(fault, "errno", None) or errno.EIO
+        return getattr(error, "errno", None) or errno.EIO
     try:
         if code == errno.EINPROGRESS:
             code = errno.ETIMEDOUT
