--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes whose answers come spoilt, halved or never: what has run fails or goes elsewhere."""
+"""Nodes whose answers are corrupt, incomplete or missing: what may have run fails or is retried elsewhere."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 
 
-def standing_and_open(world: FakeCluster) -> Any:
-    """One node with a task that stands and an unsafe one that is open."""
+def node_with_running_and_open_task(world: FakeCluster) -> Any:
+    """A node where one task runs, and where another that must not run twice is in flight."""
     world.client.ask(5, NodeBehavior.RUN)
     world.wait_for_events(5)
     world.client.ask(6, NodeBehavior.SILENT, ONCE_ONLY)
@@ -28,15 +28,15 @@
 
 
 @WIRES
-@pytest.mark.parametrize("how", ["half", "deaf"])
-def test_a_connection_of_no_further_use_is_dropped_and_all_else_goes_on(
+@pytest.mark.parametrize("how", ["partial", "deaf"])
+def test_an_unresponsive_connection_is_closed_and_running_tasks_are_kept(
     front: str, node: str, how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It stays open, so nothing but its silence tells; news of what stands there comes on the next."""
+    """It stays open, so that only the missing bytes show it; updates of running tasks come on the next connection."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(front, node, nodes=1)
-    bad = standing_and_open(world)
-    if how == "half":
+    bad = node_with_running_and_open_task(world)
+    if how == "partial":
         bad.streams[0].send(b"\x00\x40half" if node == BINARY else b"\x00\x00\x40\x00half")
     else:
         bad.deaf = True
@@ -50,10 +50,10 @@
     world.run_until(lambda: ("release", 5) in bad.seen)
 
 
-def test_a_length_that_swallows_what_follows_is_noticed_though_bytes_keep_coming(
+def test_a_wrong_length_that_swallows_later_messages_is_detected_though_bytes_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Nothing is open on it, yet news of what stands there would be lost until the length is full."""
+    """No attempt is in flight, yet updates of running tasks would be lost until so many bytes have come."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.RUN)
@@ -69,7 +69,9 @@
 
 
 @WIRES
-def test_a_safe_task_on_it_goes_elsewhere(front: str, node: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_idempotent_task_on_it_is_retried_elsewhere(
+    front: str, node: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(front, node)
     world.run_until(lambda: all(one.streams for one in world.nodes))
@@ -86,18 +88,18 @@
 
 
 @WIRES
-def test_a_node_that_takes_its_time_keeps_its_connection(
+def test_a_slow_node_that_answers_pings_keeps_its_connection(
     front: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It answers the test: what it owes may well be on its way."""
+    """It answers the ping, so that its answer may still come."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 2_000)
     world = FakeCluster(front, node, nodes=1)
-    slow = standing_and_open(world)
+    slow = node_with_running_and_open_task(world)
     world.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
     assert len(slow.streams) == 1 and slow.streams[0].open and 6 not in world.client.heard
 
 
-SPOILT = [
+CORRUPT_ANSWERS = [
     binary.encode(binary.ANSWER, 6),
     binary.encode(binary.ANSWER, 6, {binary.DESCRIPTION: b"noise \xff\xfe"}),
     binary.encode(binary.RELEASE, 6),
@@ -106,12 +108,12 @@
 ]
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_a_spoilt_answer_is_never_passed_on(spoilt: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("answer", CORRUPT_ANSWERS)
+def test_a_corrupt_answer_is_never_passed_on(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     world = FakeCluster(nodes=1)
-    bad = standing_and_open(world)
-    bad.streams[0].send(spoilt)
+    bad = node_with_running_and_open_task(world)
+    bad.streams[0].send(answer)
     assert world.wait_for_events(6) == [FAILED] and world.offer_count(6) == 1
     assert world.client.heard[5] == [PLACED]
     world.run_until(lambda: len(bad.streams) == 2)
@@ -119,7 +121,7 @@
 
 def test_a_binding_without_a_description_is_never_passed_on() -> None:
     world = FakeCluster(JSON, GRPC, nodes=1)
-    node = standing_and_open(world)
+    node = node_with_running_and_open_task(world)
     link: Any = world.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
     with pytest.raises(WireError, match="without a description"):
         link._process_report(pb.NodeReport(uid=6, binding=pb.Binding()))
@@ -128,7 +130,7 @@
 
 @pytest.mark.parametrize("lifecycle", ["terminating", "in_service"])
 def test_a_refused_connect_proves_a_draining_node_dead_only_after_its_own_break(lifecycle: str) -> None:
-    """A draining node listens no more, and its tasks run on: a new dispatcher must not release them."""
+    """A draining node accepts no connections while its tasks run on: a new dispatcher must not release them."""
     world = FakeCluster(nodes=1)
     (node,) = world.nodes
     world.loop.cancel(node._accepting)
@@ -145,11 +147,11 @@
     assert len([one for one in world.logged if one[1] == "node-process-dead"]) == (lifecycle == "in_service")
 
 
-def test_a_connection_that_breaks_while_new_is_made_anew_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against offers that wait out a pause meant for nodes that end every connection."""
+def test_a_connection_that_breaks_while_new_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against attempts that wait for a backoff meant for nodes that close every connection."""
     monkeypatch.setattr(reconnect, "RECONNECT_BACKOFF_US", 60_000_000)
     world = FakeCluster(nodes=1)
-    standing_and_open(world)
+    node_with_running_and_open_task(world)
     world.nodes[0].break_streams()
     world.client.ask(7, NodeBehavior.RUN)
     assert world.wait_for_events(7) == [PLACED]
@@ -157,12 +159,12 @@
 
 @WIRES
 @pytest.mark.parametrize("task_class", ["lookup", ONCE_ONLY])
-def test_nothing_is_offered_on_a_connection_that_its_node_has_closed(
+def test_no_attempt_is_sent_on_a_connection_that_its_node_has_closed(
     front: str, node: str, task_class: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a task that must not be started twice and fails, as its offer went to a closed connection.
+    """Guards against a task that must not run twice and fails, as its attempt was sent on a closed connection.
 
-    The set-up is read first, and a busy turn ends before the close is.
+    The request is read first, and a busy turn ends before the close is.
     """
     world = FakeCluster(front, node, nodes=1)
     world.run_until(lambda: bool(world.nodes[0].streams))
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -1,4 +1,4 @@
-"""Rare moments of the change log: spoilt entries, odd figures, and no descriptor that seems to be left."""
+"""Edge cases of the endpoint watch: corrupt entries, odd numbers, and a lack of descriptors."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from thornshelf.service import Service
 
 ROOT = Path(__file__).parent.parent
-SPOILT: list[Any] = [
+CORRUPT_ENTRIES: list[Any] = [
     5,
     {"instanceId": "s-00000009"},
     {"instanceId": "s-00000009", "hostPort": "127.0.0.1:9", "lifecycle": "odd"},
@@ -39,72 +39,72 @@
 def follow(
     world: FakeCluster, *answers: bytes
 ) -> tuple[list[EndpointListUpdate], list[tuple[str, str]], Feed]:
-    told: list[EndpointListUpdate] = []
+    updates: list[EndpointListUpdate] = []
     logged: list[tuple[str, str]] = []
     feed = Feed(world.loop, [*answers, None])
     log = lambda *line: logged.append((line[1], line[3]))  # noqa: E731
-    EndpointWatch(world.loop, feed.sock.getsockname(), 0, lambda us: us, told.append, log)
+    EndpointWatch(world.loop, feed.sock.getsockname(), 0, lambda us: us, updates.append, log)
     world.run_until(lambda: len(feed.asked) > len(answers))
     feed.sock.close()
-    return told, logged, feed
+    return updates, logged, feed
 
 
-@pytest.mark.parametrize("spoilt", SPOILT)
-def test_a_spoilt_entry_costs_itself_and_neither_its_neighbours_nor_what_follows(spoilt: Any) -> None:
-    """Guards against a drain that is never heard: the answer was refused whole, and asked for again for ever."""
+@pytest.mark.parametrize("entry", CORRUPT_ENTRIES)
+def test_a_corrupt_entry_is_skipped_and_all_other_entries_count(entry: Any) -> None:
+    """Guards against a drain that is never applied: the whole answer was rejected, and polled again for ever."""
     drain = event(4, "s-00000001")
-    drain["fleet"]["instances"] = [spoilt, {**drain["fleet"]["instances"][0], "lifecycle": "terminating"}]  # type: ignore[index]
-    told, logged, feed = follow(
+    drain["fleet"]["instances"] = [entry, {**drain["fleet"]["instances"][0], "lifecycle": "terminating"}]  # type: ignore[index]
+    updates, logged, feed = follow(
         FakeCluster(nodes=0), http({"seq": 5, "results": [drain, event(5, "s-00000002")]})
     )
-    said = [(one.name, one.health) for change in told for one in change.endpoints]
+    said = [(one.name, one.health) for change in updates for one in change.endpoints]
     assert said == [("s-00000001", Health.DRAINING), ("s-00000002", Health.UP)]
     assert [name for name, _ in logged] == ["endpoint-invalid"] and "since=5" in feed.asked[1]
 
 
-def test_an_event_without_a_number_or_a_list_costs_itself() -> None:
+def test_an_event_without_a_number_or_a_list_is_skipped() -> None:
     events = [{"fleet": {}}, {"seq": 4, "fleet": {"instances": 5}}, 7, event(5, "a")]
-    told, logged, feed = follow(FakeCluster(nodes=0), http({"seq": 5, "results": events}))
-    assert [change.endpoints[0].name for change in told] == ["a"]
+    updates, logged, feed = follow(FakeCluster(nodes=0), http({"seq": 5, "results": events}))
+    assert [change.endpoints[0].name for change in updates] == ["a"]
     assert [name for name, _ in logged] == ["endpoint-invalid"] * 3 and "since=5" in feed.asked[1]
 
 
-def test_a_whole_list_with_a_spoilt_entry_takes_nobody_away() -> None:
-    """The one that can't be read may be any of those that are known."""
-    whole = event(4, "s-00000001")
-    whole["fleet"].update(reset=True)  # type: ignore[attr-defined]
-    spoilt = event(5, "s-00000001")
-    spoilt["fleet"].update(reset=True, instances=[SPOILT[1]])  # type: ignore[attr-defined]
-    told, _, _ = follow(FakeCluster(nodes=0), http({"seq": 5, "results": [whole, spoilt]}))
-    assert [(change.complete, len(change.endpoints)) for change in told] == [(True, 1), (False, 0)]
+def test_a_complete_list_with_a_corrupt_entry_removes_no_node() -> None:
+    """The entry that can't be read may be that of any known node."""
+    complete = event(4, "s-00000001")
+    complete["fleet"].update(reset=True)  # type: ignore[attr-defined]
+    corrupt = event(5, "s-00000001")
+    corrupt["fleet"].update(reset=True, instances=[CORRUPT_ENTRIES[1]])  # type: ignore[attr-defined]
+    updates, _, _ = follow(FakeCluster(nodes=0), http({"seq": 5, "results": [complete, corrupt]}))
+    assert [(change.complete, len(change.endpoints)) for change in updates] == [(True, 1), (False, 0)]
 
 
-def gone(seq: int, name: str) -> dict[str, Any]:
-    """An event that takes a node away."""
+def removal(seq: int, name: str) -> dict[str, Any]:
+    """An event that removes a node."""
     value: dict[str, Any] = event(seq, name)
     value["fleet"]["instances"][0]["lifecycle"] = "terminated"
     return value
 
 
-def test_a_list_that_is_read_again_is_told_as_what_its_events_come_to() -> None:
-    """Guards against nodes that came after the first event: that alone would drop them, and what stands there."""
+def test_a_relist_is_reported_as_one_merged_update() -> None:
+    """Guards against nodes that came after the first event: alone it would remove them, and the tasks there."""
     world = FakeCluster(nodes=0)
-    whole: dict[str, Any] = event(1, "s-00000001")
-    whole["fleet"].update(reset=True)
-    events = [whole, event(2, "s-00000002"), gone(3, "s-00000001")]
-    told: list[EndpointListUpdate] = []
+    complete: dict[str, Any] = event(1, "s-00000001")
+    complete["fleet"].update(reset=True)
+    events = [complete, event(2, "s-00000002"), removal(3, "s-00000001")]
+    updates: list[EndpointListUpdate] = []
     feed = Feed(
         world.loop, [http({"seq": 3, "results": []}), None, http({"seq": 3, "results": events}), None]
     )
     follower = EndpointWatch(
-        world.loop, feed.sock.getsockname(), 3, lambda us: us, told.append, lambda *_: None
+        world.loop, feed.sock.getsockname(), 3, lambda us: us, updates.append, lambda *_: None
     )
     world.run_until(lambda: len(feed.asked) == 2)
     follower.relist()
     world.run_until(lambda: len(feed.asked) == 4)
     feed.sock.close()
     assert ["since=0" in asked for asked in feed.asked] == [False, False, True, False]
-    assert [(change.complete, [one.name for one in change.endpoints]) for change in told] == [
+    assert [(change.complete, [one.name for one in change.endpoints]) for change in updates] == [
         (True, ["s-00000002"])
     ]
 
@@ -113,35 +113,35 @@
     "answer",
     [b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n"],
 )
-def test_a_list_that_cannot_be_read_again_is_followed_on_from_where_it_was(answer: bytes) -> None:
-    """Guards against asking in vain for ever: the next drain would never be heard."""
+def test_after_a_failed_relist_the_watch_goes_on_after_the_last_known_event(answer: bytes) -> None:
+    """Guards against polling in vain for ever: the next drain would never be applied."""
     world = FakeCluster(nodes=0)
-    told: list[EndpointListUpdate] = []
+    updates: list[EndpointListUpdate] = []
     drain = event(8, "s-00000001")
     feed = Feed(
         world.loop, [http({"seq": 7, "results": []}), None, answer, http({"seq": 8, "results": [drain]})]
     )
     follower = EndpointWatch(
-        world.loop, feed.sock.getsockname(), 7, lambda us: us, told.append, lambda *_: None
+        world.loop, feed.sock.getsockname(), 7, lambda us: us, updates.append, lambda *_: None
     )
     world.run_until(lambda: len(feed.asked) == 2)
     follower.relist()
     follower.relist()
-    world.run_until(lambda: bool(told))
+    world.run_until(lambda: bool(updates))
     feed.sock.close()
     assert [asked.partition("&")[0][-1] for asked in feed.asked[:4]] == ["7", "7", "0", "7"]
-    assert not told[0].complete and told[0].endpoints[0].name == "s-00000001"
+    assert not updates[0].complete and updates[0].endpoints[0].name == "s-00000001"
 
 
-def test_a_configuration_with_a_spoilt_entry_is_refused_as_a_whole() -> None:
+def test_a_configuration_with_a_corrupt_entry_is_rejected_as_a_whole() -> None:
     config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
-    events = {"seq": 1, "results": [{"seq": 1, "fleet": {"reset": True, "instances": SPOILT}}]}
+    events = {"seq": 1, "results": [{"seq": 1, "fleet": {"reset": True, "instances": CORRUPT_ENTRIES}}]}
     with pytest.raises(ConfigError, match="known: an instance is no object"):
         Service(replace(config, initial_endpoints=events, listen=(HOST, 0)))
 
 
-def test_a_part_that_fails_to_hear_a_change_keeps_back_none_of_the_rest() -> None:
-    """Guards against lost changes: the number of the last had moved on before they were told."""
+def test_a_component_that_fails_on_an_update_delays_none_of_the_others() -> None:
+    """Guards against lost updates: the last sequence number was advanced before they were reported."""
     world = FakeCluster()
 
     def fail(change: EndpointListUpdate) -> None:
@@ -158,8 +158,8 @@
 
 
 @pytest.mark.parametrize("started", [10**15, 10**400, 1e300])
-def test_a_start_far_ahead_is_a_node_like_others(started: Any) -> None:
-    """Guards against a figure that each later decision fails on."""
+def test_a_node_that_starts_far_in_the_future_is_used_like_others(started: Any) -> None:
+    """Guards against a number on which each later decision fails."""
     world = FakeCluster()
     world.update_endpoint(world.endpoint(0, started=started))
     world.client.ask(5, NodeBehavior.RUN)
@@ -167,12 +167,12 @@
     assert not [line for line in world.logged if line[1] == "placement-failed"]
 
 
-def test_a_start_ahead_of_the_clock_does_not_overflow_the_view() -> None:
+def test_a_start_in_the_future_does_not_overflow_the_placement() -> None:
     one = placer(entry(1, started_at=1e12), entry(2), using=settings(placers=3, slow_start_attempts=51.0))
     assert offers(one.handle(1.0, [ask(5)]))
 
 
-def test_an_address_that_is_none_is_a_node_that_cannot_be_reached() -> None:
+def test_a_malformed_address_is_a_failed_connect() -> None:
     loop = Loop()
     made: list[Any] = []
 
@@ -185,7 +185,7 @@
     loop.close()
 
 
-def test_a_moved_change_log_does_not_speak_until_it_has() -> None:
+def test_a_watch_at_a_new_address_is_not_responding_before_its_first_answer() -> None:
     world = FakeCluster(nodes=0)
     feed = Feed(world.loop, [http({"seq": 4, "results": [event(4, "a")]}), None])
     log = EndpointWatch(
@@ -198,8 +198,10 @@
 
 
 @pytest.mark.parametrize(("deadline_s", "left_us"), [(0.04, 6_000), (8.0, 51_000)])
-def test_deadlines_shorter_than_the_program_s_own_margins_are_served(deadline_s: float, left_us: int) -> None:
-    """Guards against a refusal of all that a class with a short deadline asks for."""
+def test_deadlines_shorter_than_the_dispatcher_s_own_margins_are_served(
+    deadline_s: float, left_us: int
+) -> None:
+    """Guards against the rejection of all requests of a class with a short deadline."""
     rig = Rig()
     short = api.TaskClass(name="safe", latency_objective_s=0.01, deadline_s=deadline_s, start_weight_s=8.0)
     core = Dispatcher(rig.loop, settings(short), 1, lambda *one: FakeNode(one[0], rig), lambda *_: None)
@@ -211,7 +213,7 @@
     assert len(rig.offered) == 1 and rig.owner.heard == [("refused", 2, None)]
 
 
-def test_idle_clients_that_hold_all_descriptors_keep_nobody_from_a_change_log_that_returns(
+def test_a_change_log_that_returns_is_reached_though_idle_clients_hold_all_descriptors(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A process of its own with 64 descriptors, discovery down, and more idle clients than that."""
@@ -225,11 +227,11 @@
         stdout=subprocess.PIPE, text=True, preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)),
     )  # fmt: skip
     assert process.stdout is not None
-    crowd: list[socket.socket] = []
+    clients: list[socket.socket] = []
     try:
         said = process.stdout.readline()
         listen_at = said.partition('listen="')[2].partition('"')[0].rpartition(":")
-        crowd = [socket.create_connection((HOST, int(listen_at[2])), timeout=TIMEOUT_S) for _ in range(150)]
+        clients = [socket.create_connection((HOST, int(listen_at[2])), timeout=TIMEOUT_S) for _ in range(150)]
         held_now = 0
         limit = time.monotonic() + TIMEOUT_S
         while held_now < 20 and time.monotonic() < limit:
@@ -247,7 +249,7 @@
         feed.sock.close()
         loop.close()
     finally:
-        for one in crowd:
+        for one in clients:
             one.close()
         process.terminate()
         process.communicate(timeout=TIMEOUT_S)
