--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -1,4 +1,4 @@
-"""One suite over both wire forms: what a client hears of each task has to be the same, task for task."""
+"""One suite over both wire forms: the events of each task at its client have to be the same."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
 ONCE_ONLY = "ledger-batch"
 
-# conduct, class, what the client hears, and how many offers the nodes saw
+# behaviour of the node, class, events at the client, and how many attempts the nodes received
 CASES: list[tuple[NodeBehavior, str, list[tuple[Any, ...]], int]] = [
     (NodeBehavior.RUN, "lookup", [PLACED], 1),
     (NodeBehavior.RUN, ONCE_ONLY, [PLACED], 1),
@@ -24,7 +24,7 @@
         "lookup",
         [PLACED],
         1,
-    ),  # a second answer, and one that nobody waits for, mean nothing
+    ),  # a second answer, and one for no attempt, are ignored
     (NodeBehavior.STRAY, "lookup", [PLACED], 1),
     (NodeBehavior.FULL_TWICE, ONCE_ONLY, [REFUSED], 2),
     (NodeBehavior.FULL, "lookup", [REFUSED], 2),
@@ -40,19 +40,28 @@
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
-def test_outcomes_task_for_task(front: str, node: str) -> None:
-    for conduct, task_class, expected, offers in CASES:
-        world = FakeCluster(front, node)
-        world.client.ask(5, conduct, task_class)
-        told = world.wait_for_events(5, len(expected))
-        world.run_for(5)
-        assert (conduct, world.client.heard[5], world.offer_count(5)) == (conduct, expected, offers)
-        assert told == expected
+@pytest.mark.parametrize(("behavior", "task_class", "expected", "offers"), CASES)
+def test_outcomes_are_the_same_on_both_wires(
+    front: str,
+    node: str,
+    behavior: NodeBehavior,
+    task_class: str,
+    expected: list[tuple[Any, ...]],
+    offers: int,
+) -> None:
+    world = FakeCluster(front, node)
+    world.client.ask(5, behavior, task_class)
+    first_events = world.wait_for_events(5, len(expected))
+    world.run_for(5)
+    assert (world.client.heard[5], world.offer_count(5)) == (expected, offers)
+    assert first_events == expected
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
 @pytest.mark.parametrize("task_class", ["lookup", ONCE_ONLY])
-def test_deadline_is_answered_in_time_and_the_offer_given_up(front: str, node: str, task_class: str) -> None:
+def test_a_deadline_is_answered_in_time_and_the_attempt_cancelled(
+    front: str, node: str, task_class: str
+) -> None:
     world = FakeCluster(front, node)
     asked = world.loop.now
     world.client.ask(5, NodeBehavior.SILENT, task_class, left="250")
@@ -63,7 +72,7 @@
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
-def test_a_client_ends_what_stands_and_what_is_open(front: str, node: str) -> None:
+def test_a_client_cancels_running_and_open_tasks(front: str, node: str) -> None:
     world = FakeCluster(front, node)
     world.client.ask(5, NodeBehavior.RUN)
     world.wait_for_events(5)
@@ -73,11 +82,11 @@
     world.client.give_up(6)
     world.run_until(lambda: all(any(("release", uid) in n.seen for n in world.nodes) for uid in (5, 6)))
     world.run_for()
-    assert world.client.heard == {5: [PLACED]}  # who ends a task is owed no release
+    assert world.client.heard == {5: [PLACED]}  # a client that ends a task gets no release
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
-def test_closing_a_connection_gives_up_what_is_open_and_leaves_what_stands(front: str, node: str) -> None:
+def test_closing_a_connection_cancels_open_tasks_and_keeps_running_ones(front: str, node: str) -> None:
     world = FakeCluster(front, node)
     world.client.ask(5, NodeBehavior.RUN)
     world.wait_for_events(5)
@@ -87,7 +96,7 @@
     world.run_until(lambda: any(("release", 6) in one.seen for one in world.nodes))
     assert not any(("release", 5) in one.seen for one in world.nodes)
     other = world.client = world.connect_client(front)
-    other.give_up(5)  # a task that stands belongs to no connection
+    other.give_up(5)  # a running task belongs to no connection
     world.run_until(lambda: any(("release", 5) in one.seen for one in world.nodes))
 
 
@@ -108,7 +117,7 @@
     lines.stream.close()
     world.run_for()
     for one in world.nodes:
-        one.die()  # the release of 7 goes to what the client still has open
+        one.die()  # the release of 7 goes to the connection that the client still has
     world.run_until(lambda: 7 in calls.heard)
     assert lines.heard == {5: [PLACED], 7: [PLACED]}
     assert calls.heard == {5: [FAILED], 6: [PLACED], 7: [("released", pb.RESET)]}
@@ -116,7 +125,7 @@
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
-def test_a_dead_node_releases_what_stood_there(front: str, node: str) -> None:
+def test_the_tasks_of_a_dead_node_are_released(front: str, node: str) -> None:
     world = FakeCluster(front, node)
     world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     world.wait_for_events(5)
@@ -132,13 +141,13 @@
     world.wait_for_events(5)
     holder = next(one for one in world.nodes if one.seen)
     holder.break_streams()
-    world.run_until(lambda: len(holder.streams) == 2)  # it is called again, to hear of the task's end
+    world.run_until(lambda: len(holder.streams) == 2)  # it is connected to again, to receive the task's end
     world.run_for()
     assert world.client.heard[5] == [PLACED]
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
-def test_nothing_new_goes_to_a_draining_node(front: str, node: str) -> None:
+def test_no_attempt_is_sent_to_a_draining_node(front: str, node: str) -> None:
     world = FakeCluster(front, node)
     for index in (0, 1):
         world.update_lifecycle(index, "terminating")
@@ -151,7 +160,7 @@
 def test_a_task_handed_over_is_not_answered_but_released(front: str, node: str) -> None:
     world = FakeCluster(front, node)
     world.client.ask(5, NodeBehavior.RUN, at="s-00000001")
-    world.run_until(lambda: bool(world.nodes[0].streams))  # to hear of its end
+    world.run_until(lambda: bool(world.nodes[0].streams))  # to receive its end
     world.run_for()
     assert world.client.heard == {} and world.offer_count(5) == 0
     world.update_lifecycle(0, "terminated")
@@ -160,7 +169,7 @@
 
 
 @pytest.mark.parametrize(("front", "node"), FORMS)
-def test_bad_input_costs_its_message_alone(front: str, node: str) -> None:
+def test_bad_input_fails_its_message_alone(front: str, node: str) -> None:
     world = FakeCluster(front, node)
     world.client.ask(5, NodeBehavior.RUN, "no-such-class")
     world.client.ask(6, NodeBehavior.RUN, left="nan")
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -57,8 +57,8 @@
     updates, logged, feed = follow(
         FakeCluster(nodes=0), http({"seq": 5, "results": [drain, event(5, "s-00000002")]})
     )
-    said = [(one.name, one.health) for change in updates for one in change.endpoints]
-    assert said == [("s-00000001", Health.DRAINING), ("s-00000002", Health.UP)]
+    reported = [(one.name, one.health) for change in updates for one in change.endpoints]
+    assert reported == [("s-00000001", Health.DRAINING), ("s-00000002", Health.UP)]
     assert [name for name, _ in logged] == ["endpoint-invalid"] and "since=5" in feed.asked[1]
 
 
@@ -217,8 +217,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A process of its own with 64 descriptors, discovery down, and more idle clients than that."""
-    with socket.create_server((HOST, 0)) as held:
-        feed_at, listen_at = held.getsockname(), None
+    with socket.create_server((HOST, 0)) as reserved:
+        feed_at, listen_at = reserved.getsockname(), None
     variables = changed(
         tmp_path, lambda v: (v["limits"].update(sockets=64), v.update(changelog="{}:{}".format(*feed_at)))
     )
@@ -229,13 +229,13 @@
     assert process.stdout is not None
     clients: list[socket.socket] = []
     try:
-        said = process.stdout.readline()
-        listen_at = said.partition('listen="')[2].partition('"')[0].rpartition(":")
+        first_line = process.stdout.readline()
+        listen_at = first_line.partition('listen="')[2].partition('"')[0].rpartition(":")
         clients = [socket.create_connection((HOST, int(listen_at[2])), timeout=TIMEOUT_S) for _ in range(150)]
-        held_now = 0
+        open_descriptors = 0
         limit = time.monotonic() + TIMEOUT_S
-        while held_now < 20 and time.monotonic() < limit:
-            held_now = len(os.listdir(f"/proc/{process.pid}/fd"))
+        while open_descriptors < 20 and time.monotonic() < limit:
+            open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
         loop = Loop()
         feed = Feed.__new__(Feed)
         feed.loop, feed.script, feed.asked = loop, [http({"seq": 2, "results": []})], []
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's front and nodes on loopback: what only they have, and what is ordinary on sockets."""
+"""The platform's frontend and nodes on loopback: what only they have, and the ordinary events of sockets."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     "line", [b"no json\n", b"[]\n", b'{"kind":"launch"}\n', b'{"uid":5}\n', b"\xff\xfe\n"]
 )
-def test_an_unreadable_line_costs_itself(line: bytes) -> None:
+def test_an_unreadable_line_is_skipped(line: bytes) -> None:
     world = FakeCluster()
     world.client.send(line)
     world.client.ask(5, NodeBehavior.RUN)
@@ -54,7 +54,7 @@
     assert [entry[1] for entry in world.logged] == ["bad-line"]
 
 
-def test_an_endless_line_costs_its_connection_alone() -> None:
+def test_an_endless_line_closes_its_connection_alone() -> None:
     world = FakeCluster()
     other = world.connect_client(JSON)
     world.client.send(b"x" * (jsonl.MAX_MESSAGE + 1))
@@ -64,7 +64,7 @@
     assert [entry[1] for entry in world.logged] == ["bad-line"]
 
 
-def test_half_closed_and_reset_connections_give_up_what_is_open() -> None:
+def test_half_closed_and_reset_connections_cancel_their_open_tasks() -> None:
     world = FakeCluster()
     for uid, end in ((5, "half"), (6, "reset")):
         sock = raw(world)
@@ -80,8 +80,8 @@
     assert world.service.core.open_count == 0
 
 
-def test_a_full_table_closes_an_idle_connection_and_keeps_busy_ones() -> None:
-    """Guards against running out of descriptors: idle clients make room, those with open set-ups don't."""
+def test_a_full_descriptor_table_closes_an_idle_connection_and_keeps_busy_ones() -> None:
+    """Guards against running out of descriptors: idle clients are evicted, those with open requests are not."""
     world = FakeCluster()
     world.client.ask(5, NodeBehavior.SILENT)
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -108,8 +108,8 @@
     assert world.wait_for_events(6) == [PLACED]
 
 
-def test_a_process_that_started_anew_holds_nothing() -> None:
-    """The list shows a later start under the same name: what stood there is over."""
+def test_the_tasks_of_a_restarted_process_are_released() -> None:
+    """The list shows a later start under the same name: the tasks there have ended."""
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     world.wait_for_events(5)
@@ -120,7 +120,7 @@
 
 
 def test_a_node_is_connected_to_before_it_has_a_task() -> None:
-    """What it tells of tasks that are handed over goes to an open connection, and else is lost."""
+    """What it reports of tasks that are handed over goes to an open connection, and else is lost."""
     world = FakeCluster(nodes=1)
     world.run_until(lambda: bool(world.nodes[0].streams))
     world.client.ask(5, NodeBehavior.RUN, at="s-00000001")
@@ -152,7 +152,7 @@
     assert world.offer_count(5) == 1
 
 
-def test_our_own_full_table_proves_nothing_of_a_node(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lack_of_own_descriptors_proves_nothing_of_a_node(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against releasing what still runs: only a refused connect proves a process dead."""
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
@@ -173,7 +173,9 @@
     world = FakeCluster(nodes=1)
     world.nodes[0].die()
     world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-    assert world.wait_for_events(5) == [REFUSED]  # an unsafe task may be refused only where nothing ran
+    assert world.wait_for_events(5) == [
+        REFUSED
+    ]  # a task that must not run twice may be rejected only where it never ran
 
 
 def test_a_late_answer_and_answers_for_unknown_tasks_change_nothing() -> None:
@@ -189,7 +191,7 @@
     assert world.client.heard == {5: [FAILED], 6: [PLACED]}
 
 
-def test_garbage_from_a_node_costs_its_connection() -> None:
+def test_garbage_from_a_node_closes_its_connection() -> None:
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -207,11 +209,11 @@
     world.update_lifecycle(0, "terminated")
     world.run_for(10)
     late = world.connect_client(JSON)
-    # a client that never heard the answer reads the release's cause as a refusal or failure
+    # a client that never got the answer reads the release's cause as a rejection or failure
     world.run_until(lambda: 5 in late.heard)
 
 
-def test_a_refusal_tells_when_to_come_again_within_the_limit() -> None:
+def test_a_rejection_carries_a_retry_after_within_the_limit() -> None:
     world = FakeCluster()
     asked = world.service.core
     for uid, wait, expected in ((5, 1.5, "1500"), (6, 99.0, "3000"), (7, None, None)):
@@ -221,7 +223,7 @@
         assert world.wait_for_events(uid) == [("refused", expected)]
 
 
-def test_move_tells_the_client_and_the_node() -> None:
+def test_a_migration_notifies_the_client_and_the_node() -> None:
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.RUN)
     world.wait_for_events(5)
@@ -229,10 +231,10 @@
     core.apply_action(api.Migrate(core.tasks_by_uid[5].number))
     world.run_until(lambda: ("release", 5) in world.nodes[0].seen and 5 not in core.tasks_by_uid)
     world.run_for(10)
-    assert world.client.heard[5] == [PLACED]  # the move itself is no answer or release
+    assert world.client.heard[5] == [PLACED]  # the migration itself is no answer or release
 
 
-def test_one_attempt_in_flight_whatever_the_module_asks() -> None:
+def test_one_attempt_is_in_flight_whatever_the_placement_module_requests() -> None:
     world = FakeCluster()
     world.client.ask(5, NodeBehavior.SILENT)
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -243,7 +245,7 @@
     assert world.offer_count(5) == 1
 
 
-def test_a_fault_in_the_module_costs_neither_the_process_nor_the_answer(
+def test_an_exception_in_the_placement_module_ends_neither_the_process_nor_the_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     world = FakeCluster()
@@ -263,8 +265,8 @@
     assert {"placement-failed", "deadline-exceeded"} <= {entry[1] for entry in world.logged}
 
 
-def test_what_starts_for_a_connection_that_has_just_closed_is_ended() -> None:
-    """Guards against a task that stands and nobody knows of: its owner would ask anew and start it twice."""
+def test_a_task_that_starts_for_a_closed_connection_is_cancelled() -> None:
+    """Guards against a running task that no client knows of: its client would request it again and start it twice."""
     world = FakeCluster(nodes=1)
     world.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -284,7 +286,7 @@
     assert world.wait_for_events(6) == [("refused", None)]
 
 
-def test_sigterm_with_open_work_answers_it_first() -> None:
+def test_sigterm_with_open_requests_answers_them_first() -> None:
     world = FakeCluster()
     world.client.ask(5, NodeBehavior.SILENT, left="1200")
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -294,7 +296,7 @@
 
 
 class SlowLink(NodeLink):
-    """A connection on which nothing has left yet."""
+    """A connection on which nothing was sent yet."""
 
     def send_attempt(self, attempt: Attempt) -> None:
         pass
@@ -306,7 +308,7 @@
         return uid % 2 == 1
 
 
-def test_what_is_buffered_for_a_draining_node_is_called_back() -> None:
+def test_attempts_buffered_for_a_draining_node_are_withdrawn() -> None:
     """Drains are measured to the first byte sent."""
     world = FakeCluster(nodes=1)
     core = world.service.core
@@ -322,7 +324,7 @@
     ours.close()
 
 
-def test_only_untouched_messages_can_be_called_back() -> None:
+def test_only_messages_of_which_no_byte_was_sent_can_be_withdrawn() -> None:
     loop = Loop()
     listener = socket.create_server(("127.0.0.1", 0))
     ours = socket.create_connection(listener.getsockname())
@@ -349,8 +351,8 @@
     loop.close()
 
 
-def test_a_broken_stream_holds_nothing_back() -> None:
-    """Guards against a reader that waits for room that never comes, as what was unsent counted on."""
+def test_a_broken_stream_does_not_block_its_reader() -> None:
+    """Guards against a reader that waits for ever, as the buffered bytes were still counted."""
     world = FakeCluster()
     sock = raw(world)
     world.run_until(lambda: len(world.service.json_frontend._connections) == 2)
@@ -362,7 +364,7 @@
     assert len(world.service.json_frontend._connections) == 1
 
 
-def test_a_listener_outlives_a_fault_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_listener_survives_an_error_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     world = FakeCluster()
     world.run_until(lambda: all(node.streams for node in world.nodes))
     usual, faults = socket.socket.accept, [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")]
@@ -378,7 +380,7 @@
     assert world.wait_for_events(5) == [PLACED] and not faults
 
 
-def test_what_is_remembered_of_releases_and_attempts_stays_bounded() -> None:
+def test_the_records_of_releases_and_attempts_stay_bounded() -> None:
     world = FakeCluster(nodes=1)
     for uid in range(1, 100):
         world.client.ask(uid, NodeBehavior.END)
@@ -395,7 +397,7 @@
     world.run_until(lambda: world.service.json_frontend.listener.budget.client_count == 1)
 
 
-def test_what_is_out_at_a_process_that_was_replaced_is_given_up_and_goes_elsewhere() -> None:
+def test_attempts_at_a_replaced_process_are_cancelled_and_retried_elsewhere() -> None:
     world = FakeCluster()
     world.run_until(lambda: all(node.streams for node in world.nodes))
     world.client.ask(5, NodeBehavior.SILENT)
@@ -411,8 +413,10 @@
     world.run_until(lambda: not old.open)
 
 
-def test_an_attempt_is_given_up_before_its_task_goes_elsewhere(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against two copies at once: two tasks whose time is over in one turn change places."""
+def test_an_attempt_is_cancelled_before_its_task_is_retried_elsewhere(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guards against two copies at once: two tasks that time out in one turn change places."""
     world = FakeCluster()
     core, written = world.service.core, list[tuple[int, int, int]]()
     world.run_until(lambda: all(node.streams for node in world.nodes))
@@ -446,5 +450,5 @@
     world.run_until(lambda: all(len(one.seen) >= 3 for one in world.nodes))
     here, there = (node.port for node in world.nodes)
     for uid, first, second in ((5, here, there), (6, there, here)):
-        given_up, again = (first, binary.RELEASE, uid), (second, binary.SET_UP, uid)
-        assert written.index(given_up) < written.index(again)
+        cancelled, retried = (first, binary.RELEASE, uid), (second, binary.SET_UP, uid)
+        assert written.index(cancelled) < written.index(retried)
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -1,4 +1,4 @@
-"""Processes that hold a part of the list, under load: stopped, cut off from the change log, without their zone."""
+"""Processes that hold a part of the list, under load: stopped, partitioned from the list, without their zone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from thornshelf.lab.scale.layout import Layout
 from thornshelf.lab.scale.testbed import Dispatcher, ScaleTestbed
 
-NODES = 84  # three a zone
+NODES = 84  # three in each zone
 ZONE = range(1, NODES, 28)  # the subset's own
 
 
@@ -36,21 +36,21 @@
         nodes.end()
 
 
-def held(one: Dispatcher, what: str) -> int:
-    """What a dispatcher said last that it holds."""
+def last_logged(one: Dispatcher, field: str) -> int:
+    """A field of the last line in which a dispatcher logged the nodes that it holds; -1 without such a line."""
     found = re.findall(
-        rf' subset-changed \[thornshelf@32473 .*?{what}="(\d+)"', one.process.log_path.read_text()
+        rf' subset-changed \[thornshelf@32473 .*?{field}="(\d+)"', one.process.log_path.read_text()
     )
     return int(found[-1]) if found else -1
 
 
-def served(world: ScaleTestbed, one: Dispatcher) -> int:
+def placed_tasks(world: ScaleTestbed, one: Dispatcher) -> int:
     assert one.county is not None
     return sum(bool(task.get("placed")) for task in one.county.tasks.values())
 
 
-def settled(world: ScaleTestbed) -> tuple[int, int, int]:
-    """Tasks lost, doubled, and sent to a drained node, by the stand-ins' own count."""
+def violations(world: ScaleTestbed) -> tuple[int, int, int]:
+    """Tasks lost, doubled, and sent to a draining node, as the fake clients and nodes count them."""
     world.rest(3.0)
     tally = world.nodes.tell(Count())
     world.truth.over = tally.over
@@ -58,30 +58,34 @@
     return len(lost), len(doubled), tally.late
 
 
-def test_a_stopped_process_of_a_lost_zone_goes_on_with_others_nodes_and_loses_nothing(
+def test_a_stopped_process_of_a_lost_zone_continues_on_other_zones_and_loses_no_task(
     world: ScaleTestbed,
 ) -> None:
-    """It is stopped as its zone is lost, and cut off from the list as that returns; another holds the whole list."""
+    """It is stopped as its zone is lost, and partitioned as that returns; another holds the complete list."""
     whole, part = world.real
-    assert held(part, "own") == 3 and held(part, "known") == NODES and held(whole, "own") == -1
+    assert (
+        last_logged(part, "own") == 3
+        and last_logged(part, "known") == NODES
+        and last_logged(whole, "own") == -1
+    )
     world.load(1.0, 20.0)
-    before = served(world, part)
+    before = placed_tasks(world, part)
     assert before > 0
     os.kill(part.pid, signal.SIGSTOP)
     world.nodes.tell(Kill(ZONE))
     world.tell(*(world.layout.entry(node, "terminated") for node in ZONE))
     world.rest(0.7)
     os.kill(part.pid, signal.SIGCONT)
-    assert world.until(lambda: held(part, "spare") >= 3, 10.0)
+    assert world.until(lambda: last_logged(part, "spare") >= 3, 10.0)
     world.load(1.0, 20.0)
-    assert world.until(lambda: served(world, part) > before + 10, 5.0)
+    assert world.until(lambda: placed_tasks(world, part) > before + 10, 5.0)
     world.keeper.silent.add(1)
     world.nodes.tell(Rise(ZONE))
     world.tell(*(world.layout.entry(node, started_ms=1) for node in ZONE))
     world.load(1.0, 20.0)
-    assert held(part, "own") == 0  # it has not heard of the return, and serves on
+    assert last_logged(part, "own") == 0  # the return is not known to it, and it continues
     world.keeper.silent.clear()
-    assert world.until(lambda: held(part, "own") == 3, 10.0)
+    assert world.until(lambda: last_logged(part, "own") == 3, 10.0)
     world.load(1.0, 20.0)
-    assert settled(world) == (0, 0, 0)
+    assert violations(world) == (0, 0, 0)
     assert whole.process.process.poll() is None and part.process.process.poll() is None
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -1,9 +1,9 @@
-"""A dispatcher that holds a part of the list, on sockets: what it connects to, and what crosses its changes."""
+"""A dispatcher that holds a part of the list, on sockets: its connections, and races with changes of the list."""
 
 from __future__ import annotations
 
 import json
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import replace
 from pathlib import Path
 from typing import Any
@@ -23,13 +23,15 @@
 from thornshelf.wire import jsonl
 
 OWN, OTHER = "zone-a", "zone-b"
-TERMS = SubsetConfig(OWN, "n0", spare_step=2, max_spares=4, review_interval_us=50_000, cooldown_us=60_000_000)
+CONFIG = SubsetConfig(
+    OWN, "n0", spare_step=2, max_spares=4, review_interval_us=50_000, cooldown_us=60_000_000
+)
 
 
 class Rig:
-    """A dispatcher of zone a, with two nodes there and some in zone b, and the change log, all on one loop."""
+    """A dispatcher of zone a, with two nodes there and others in zone b, and the change log, all on one loop."""
 
-    def __init__(self, others: int = 3, terms: SubsetConfig = TERMS, placers: int = 1) -> None:
+    def __init__(self, others: int = 3, subset: SubsetConfig = CONFIG, placers: int = 1) -> None:
         """``placers``: dispatchers in all; this zone has one of them."""
         self.loop, self.logged = Loop(), list[tuple[int, str, dict[str, object], str]]()
         self.nodes, self.own = [FakeNode(self.loop) for _ in range(2 + others)], {0, 1}
@@ -42,11 +44,11 @@
             listen=(HOST, 0),
             endpoint_source=(private(0), self.keeper.ports[0]),
             initial_endpoints={"seq": 1, "results": self.keeper.events[:1]},
-            subset=ZoneSubsetConfig(terms, 1),
+            subset=ZoneSubsetConfig(subset, 1),
         )
         self.service = Service(config, self.loop, lambda *line: self.logged.append(line))
         self.client = FakeJsonLinesClient(self.loop, self.service.json_frontend.listener.address)
-        self.until(lambda: self.client.stream is not None and self.connected(0) and self.connected(1))
+        self.run_until(lambda: self.client.stream is not None and self.connected(0) and self.connected(1))
 
     def entry(self, index: int, lifecycle: str = "in_service", started_ms: int = 0) -> dict[str, Any]:
         """A node as the change log shows it: the first two are of the own zone."""
@@ -59,20 +61,20 @@
     def connected(self, index: int) -> bool:
         return any(stream.open for stream in self.nodes[index].streams)
 
-    def until(self, done: Any) -> None:
-        """Turn until something holds; fails where it does not come about."""
+    def run_until(self, condition: Any) -> None:
+        """Turn the loop until a condition holds; fails where that takes too long."""
         end = self.loop.now + int(TIMEOUT_S * 1e6)
-        while not done():
-            assert self.loop.now < end, "it did not come about in time"
+        while not condition():
+            assert self.loop.now < end, "the condition did not hold in time"
             self.loop.after(5_000, lambda: None)
             self.loop.turn()
 
-    def settle(self, milliseconds: int) -> None:
+    def run_for(self, milliseconds: int) -> None:
         end = self.loop.now + milliseconds * 1000
-        self.until(lambda: self.loop.now >= end)
+        self.run_until(lambda: self.loop.now >= end)
 
-    def stand(self, uid: int, index: int) -> None:
-        """The client names a task that stands on a node already."""
+    def hand_over(self, uid: int, index: int) -> None:
+        """The client hands over a task that runs on a node already."""
         meta = {
             "class": "lookup",
             "left": "8000",
@@ -85,7 +87,7 @@
         self.client.send(jsonl.encode_line("launch", uid, meta, body=b"x"))
 
     def end_task(self, uid: int, index: int) -> None:
-        """The node tells of a task's end on its newest connection."""
+        """The node reports a task's end on its newest connection."""
         self.nodes[index].voices[-1].end(uid, 16, 0)
 
     def released(self, uid: int) -> bool:
@@ -104,113 +106,123 @@
             node.sock.close()
 
 
+RigFactory = Callable[..., Rig]
+
+
 @pytest.fixture
-def rigs() -> Iterator[list[Rig]]:
-    """Those of a test, closed at its end."""
+def make_rig() -> Iterator[RigFactory]:
+    """Makes rigs that are closed at the end of the test."""
     made: list[Rig] = []
-    yield made
+
+    def make(**options: Any) -> Rig:
+        rig = Rig(**options)
+        made.append(rig)
+        return rig
+
+    yield make
     for rig in made:
         rig.close()
 
 
-def test_only_nodes_of_the_own_zone_are_connected_and_offered_tasks(rigs: list[Rig]) -> None:
-    rigs.append(rig := Rig())
+def test_only_nodes_of_the_own_zone_are_connected_and_sent_tasks(make_rig: RigFactory) -> None:
+    rig = make_rig()
     for uid in range(1, 9):
         rig.client.ask(uid, NodeBehavior.RUN)
-    rig.until(lambda: len(rig.client.heard) == 8)
+    rig.run_until(lambda: len(rig.client.heard) == 8)
     assert not any(rig.connected(index) for index in (2, 3, 4))
     assert rig.offers(0) + rig.offers(1) == 8
     assert len(rig.service.core.endpoints.entries) == 2
 
 
-def test_a_lost_zone_is_served_by_others_and_its_return_loses_nothing(rigs: list[Rig]) -> None:
-    rigs.append(rig := Rig(terms=replace(TERMS, cooldown_us=100_000)))
+def test_a_lost_zone_is_served_by_others_and_its_return_loses_no_task(make_rig: RigFactory) -> None:
+    rig = make_rig(subset=replace(CONFIG, cooldown_us=100_000))
     for index in (0, 1):
         rig.nodes[index].die()
     rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
-    rig.until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
+    rig.run_until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
     rig.client.ask(21, NodeBehavior.RUN)
-    rig.until(lambda: 21 in rig.client.placed)
+    rig.run_until(lambda: 21 in rig.client.placed)
     where = next(index for index in (2, 3, 4) if rig.offers(index))
     for index in (0, 1):
         rig.nodes[index].rise()
     rig.keeper.publish([rig.entry(index, started_ms=1) for index in (0, 1)])
-    rig.until(
+    rig.run_until(
         lambda: len(rig.service.core.endpoints.nodes) == 3
-    )  # the own two, and the one where a task stands
-    rig.settle(300)
+    )  # the own two, and the one where a task runs
+    rig.run_for(300)
     assert len(rig.service.core.endpoints.nodes) == 3 and not rig.released(21)
     rig.client.ask(22, NodeBehavior.RUN)
-    rig.until(lambda: 22 in rig.client.placed)
+    rig.run_until(lambda: 22 in rig.client.placed)
     assert rig.offers(where) == 1
     rig.end_task(21, where)
-    rig.until(lambda: rig.released(21))
-    rig.until(lambda: len(rig.service.core.endpoints.nodes) == 2)
+    rig.run_until(lambda: rig.released(21))
+    rig.run_until(lambda: len(rig.service.core.endpoints.nodes) == 2)
 
 
-def test_the_drain_of_a_spare_node_holds_in_the_turn_that_reads_it(rigs: list[Rig]) -> None:
-    rigs.append(rig := Rig(others=1))
+def test_the_drain_of_a_spare_node_takes_effect_in_the_turn_that_reads_it(make_rig: RigFactory) -> None:
+    rig = make_rig(others=1)
     for index in (0, 1):
         rig.nodes[index].die()
     rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
-    rig.until(lambda: rig.connected(2))
+    rig.run_until(lambda: rig.connected(2))
     rig.client.ask(31, NodeBehavior.RUN)
-    rig.until(lambda: 31 in rig.client.placed)
+    rig.run_until(lambda: 31 in rig.client.placed)
     rig.keeper.publish([rig.entry(2, "terminating")])
     machine = rig.service.core.endpoints.machine_id("s-00000003")
-    rig.until(lambda: not rig.service.core.endpoints.is_up(machine))
+    rig.run_until(lambda: not rig.service.core.endpoints.is_up(machine))
     rig.client.ask(32, NodeBehavior.RUN)
-    rig.until(lambda: 32 in rig.client.heard)
-    rig.settle(200)
+    rig.run_until(lambda: 32 in rig.client.heard)
+    rig.run_for(200)
     assert rig.offers(2) == 1 and not rig.released(31)
 
 
-def test_a_task_of_a_predecessor_on_a_node_that_is_not_held_is_heard_to_end(rigs: list[Rig]) -> None:
-    """The node came after the first event, and no entry of it is kept: the list is read again, and drops nobody."""
-    rigs.append(rig := Rig(others=40))
+def test_the_end_of_a_predecessors_task_on_a_node_that_is_not_held_is_reported(make_rig: RigFactory) -> None:
+    """The node came after the first event, and no entry of it is kept: the relist removes no node."""
+    rig = make_rig(others=40)
     rig.nodes.append(FakeNode(rig.loop))
     own = len(rig.nodes) - 1
     rig.own.add(own)
     rig.keeper.publish([rig.entry(own)])
-    rig.until(lambda: rig.connected(own))
+    rig.run_until(lambda: rig.connected(own))
     part = next(part for part in rig.service.components if isinstance(part, SubsettingComponent))
     sampled = {entry.name for zone in part.subset.zones.values() for entry in zone.sample}
-    far = next(index for index in range(2, own) if f"s-{index + 1:08x}" not in sampled)
+    unsampled = next(index for index in range(2, own) if f"s-{index + 1:08x}" not in sampled)
     rig.client.ask(41, NodeBehavior.RUN)
-    rig.until(lambda: 41 in rig.client.placed)
-    rig.stand(51, far)
-    rig.until(lambda: bool(rig.nodes[far].voices))
-    rig.end_task(51, far)
-    rig.until(lambda: rig.released(51))
-    rig.settle(200)
+    rig.run_until(lambda: 41 in rig.client.placed)
+    rig.hand_over(51, unsampled)
+    rig.run_until(lambda: bool(rig.nodes[unsampled].voices))
+    rig.end_task(51, unsampled)
+    rig.run_until(lambda: rig.released(51))
+    rig.run_for(200)
     assert not rig.released(41) and rig.connected(own)
     assert any("read again" in text for _, name, _, text in rig.logged if name == "subset-changed")
-    rig.until(
-        lambda: far not in {int(e.name[2:], 16) - 1 for e in rig.service.core.endpoints.entries.values()}
+    rig.run_until(
+        lambda: unsampled
+        not in {int(e.name[2:], 16) - 1 for e in rig.service.core.endpoints.entries.values()}
     )
 
 
-def test_who_is_cut_off_from_the_change_log_keeps_what_it_holds_and_catches_up(rigs: list[Rig]) -> None:
-    rigs.append(rig := Rig())
+def test_a_dispatcher_partitioned_from_the_change_log_keeps_its_nodes_and_catches_up(
+    make_rig: RigFactory,
+) -> None:
+    rig = make_rig()
     rig.keeper.silent.add(0)
-    rig.settle(100)
+    rig.run_for(100)
     rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.client.ask(61, NodeBehavior.RUN)
-    rig.until(
-        lambda: 61 in rig.client.placed
-    )  # by a node that the others know to have left: told to nobody here
-    rig.settle(1_500)
+    rig.run_until(lambda: 61 in rig.client.placed)  # by a node whose removal is not known here
+    rig.run_for(1_500)
     assert len(rig.service.core.endpoints.nodes) == 2 and not rig.released(61)
     rig.keeper.silent.clear()
-    rig.until(lambda: rig.released(61))
-    rig.until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
+    rig.run_until(lambda: rig.released(61))
+    rig.run_until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
 
 
-def test_a_spoilt_entry_costs_itself(rigs: list[Rig]) -> None:
-    rigs.append(rig := Rig())
+def test_a_corrupt_entry_is_skipped(make_rig: RigFactory) -> None:
+    rig = make_rig()
     rig.keeper.publish([{"instanceId": "s-0000000a", "lifecycle": "asleep"}, rig.entry(0, "terminating")])
     machine = rig.service.core.endpoints.machine_id("s-00000001")
-    rig.until(lambda: not rig.service.core.endpoints.is_up(machine))
+    rig.run_until(lambda: not rig.service.core.endpoints.is_up(machine))
     assert len(rig.logs("endpoint-invalid")) == 1
 
 
@@ -224,7 +236,7 @@
         ("[fleet]\nname='f'\nlisten='127.0.0.1:1'\nkey_file='key'\n[subset]\n", "fleet.uses.allowances"),
     ],
 )
-def test_a_faulty_table_is_refused_by_its_key(tmp_path: Path, table: str, key: str) -> None:
+def test_a_faulty_table_is_rejected_by_its_key(tmp_path: Path, table: str, key: str) -> None:
     (tmp_path / "key").write_text("k" * 32)
     (tmp_path / "key").chmod(0o600)
     (tmp_path / "config.json").write_text(json.dumps(json.loads(EXAMPLE_CONFIG.read_text())))
@@ -233,9 +245,11 @@
         read_config({"LB_CONFIG": str(tmp_path / "config.json")}, str(tmp_path / "operator.toml"))
 
 
-def test_the_zone_shares_its_nodes_and_each_tenant_keeps_its_part_of_the_quota(rigs: list[Rig]) -> None:
-    """Allowances of a zone are divided by its own dispatchers, those of cold nodes and quotas by all."""
-    rigs.append(rig := Rig(placers=8))
+def test_the_zone_shares_its_nodes_and_each_tenant_keeps_its_fraction_of_the_quota(
+    make_rig: RigFactory,
+) -> None:
+    """Averages of a zone are divided by its own dispatchers, the slow start of nodes and quotas by all."""
+    rig = make_rig(placers=8)
     placer = rig.service.core.placer
     assert placer.settings.placers == 1 and placer.slow_start_placers == 8 and placer.settings.zone == OWN
     for one in rig.service.config.settings.tenants:
