--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,7 +17,7 @@
 from tests.test_turns import a_loop, entries
 from thornshelf.core import Dispatcher, EndpointListUpdate
 from thornshelf.loop import Wait
-from thornshelf.nodes import node_connection
+from thornshelf.nodes import reconnect
 from thornshelf.nodes.binary import BinaryNodeConnection
 from thornshelf.placement import connect_pacing, machine_index
 from thornshelf.placement import interface as api
@@ -45,7 +45,7 @@
         yield Wait(until=loop.now)
         return errno.ECONNREFUSED
 
-    monkeypatch.setattr(node_connection, "connect", connect)
+    monkeypatch.setattr(reconnect, "connect", connect)
     for me in dispatchers:
         terms = replace(settings(SAFE, placers=placers), me=me)
         core = Dispatcher(
@@ -101,7 +101,7 @@
         yield Wait(until=loop.now)
         return errno.ECONNREFUSED
 
-    monkeypatch.setattr(node_connection, "connect", connect)
+    monkeypatch.setattr(reconnect, "connect", connect)
     terms = replace(settings(SAFE, placers=MANY), me=500)
     core = Dispatcher(
         loop,
@@ -182,7 +182,7 @@
     clock.ns += 2_000_000_000
     loop.turn(True)
     assert called == [number for _, number in sorted(wanted)]
-    assert loop._void == 0 and not loop._timers
+    assert loop._cancelled_timers == 0 and not loop._timers
     loop.close()
 
 
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -17,7 +17,8 @@
 from thornshelf.configuration.descriptors import descriptor_limits
 from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
 from thornshelf.core.dispatcher import ENDPOINT_LIST_TIMEOUT_US
-from thornshelf.discovery.endpoint_watch import EndpointWatch, decode_events
+from thornshelf.discovery.endpoint_events import decode_events
+from thornshelf.discovery.endpoint_watch import EndpointWatch
 from thornshelf.errors import InternalError
 from thornshelf.frontends.json_lines import JsonLinesFrontend
 from thornshelf.frontends.listener import ConnectionBudget
