--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -92,9 +92,9 @@
     name=st.just("x"),
     address=st.sampled_from(["a:1", "b:1"]),
     incarnation=st.integers(0, 3),
-    life=st.integers(1, 2),
-    word=st.integers(0, 3),
-    up_ms=st.just(0),
+    instance_id=st.integers(1, 2),
+    status=st.integers(0, 3),
+    uptime_ms=st.just(0),
 )
 
 
@@ -436,7 +436,7 @@
 
 @pytest.mark.parametrize("parts", [2, 3])
 def test_a_partition_longer_than_the_time_to_forget_heals_by_itself(parts: int) -> None:
-    network, all_of_them = fleet(12, remember_us=10 * SECOND)
+    network, all_of_them = fleet(12, dead_retention_us=10 * SECOND)
     group = {name: index % parts for index, name in enumerate(all_of_them)}
     network.cut = lambda sender, receiver: group[sender] != group[receiver]
     network.run(network.now + 40 * SECOND)
@@ -620,7 +620,7 @@
 
 
 def test_entries_of_one_that_is_forgotten_go_with_it() -> None:
-    network, _ = fleet(4, remember_us=4 * SECOND)
+    network, _ = fleet(4, dead_retention_us=4 * SECOND)
     network.views["m03"].publish("k", 0, b"value")
     network.run(network.now + 5 * SECOND)
     assert all(network.views[name].replicated_map.get("m03", "k") is not None for name in names(4))
