--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,130 +1,168 @@
-"""What the view of the fleet costs a dispatcher: an earlier version, this one without it, and with it, side by side.
+"""What membership costs a dispatcher: an earlier version, this one without it, and with it, side by side.
 
     python -m benchmarks.membership [TREE_OF_AN_EARLIER_VERSION]
 
-Each is a process of its own under the same load; with the view there are eleven others, views without dispatchers in
-this process. Processor time for a task in microseconds, and memory; three rounds, the least counts.
+Each is a process of its own under the same load; with membership there are eleven other members, without dispatchers,
+in this process. Processor time for a task in microseconds, and memory; three rounds, the minimum counts.
 """
 
 from __future__ import annotations
 
 import random
+import socket
 import sys
 import tempfile
 import time
+from collections.abc import Generator
+from contextlib import suppress
 from pathlib import Path
+from typing import Any, NamedTuple
 
-from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
 from thornshelf.lab.fakes.cluster import BINARY, JSON
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
 from thornshelf.lab.fleet import KEY
 from thornshelf.lab.load import LOOKUP, ClientPopulation, LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.loop import Loop
-from thornshelf.membership.config import MembershipConfig
+from thornshelf.loop import Loop, Wait
+from thornshelf.loop.loop import IN
+from thornshelf.membership.config import MAX_DATAGRAM_BYTES, MembershipConfig
 from thornshelf.membership.protocol import MembershipProtocol
 
-SECONDS, TASKS_S, OTHERS = 8.0, 60, 11
-
-
-def _others(loop: Loop, relays: DatagramRelays) -> None:
-    """Members without a dispatcher, in this process."""
-    import socket
-
-    from thornshelf.loop import Wait
-    from thornshelf.loop.loop import IN
-
-    def serve(index: int):  # type: ignore[no-untyped-def]
-        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sock.setblocking(False)
-        sock.bind((private(index), relays.port))
-        address = f"{public(index)}:{relays.port}"
-        seeds = (f"{public(0)}:{relays.port}",)
-        view = MembershipProtocol(
-            MembershipConfig("lab", f"x{index}", address, seeds, KEY.encode()),
-            index + 1,
-            loop.now,
-            random.Random(index),
-        )
-        while True:
-            due = view.pass_time(loop.now)
-            for one, data in view.out:
-                host, _, port = one.rpartition(":")
-                sock.sendto(data, (host, int(port)))
-            view.out.clear()
-            yield Wait(sock.fileno(), IN, max(due, loop.now + 1_000))
-            try:
-                while True:
-                    view.take(sock.recv(2048), loop.now)
-            except BlockingIOError:
-                pass
-
-    for index in range(1, OTHERS + 1):
-        loop.spawn(serve(index))
-
-
-def round_of(name: str, tree: Path | None) -> tuple[float, int, int]:
-    """Processor time a task in microseconds, memory in kB, tasks placed."""
-    loop, truth = Loop(), Oracle()
-    relays, keeper = DatagramRelays(loop, OTHERS + 1, 1), FakeEndpointSource(loop, 1)
-    nodes = [LoadNode(loop, BINARY, truth, random.Random(n)) for n in range(10)]
-    if name == "with it":
-        _others(loop, relays)
+SECONDS = 8.0
+TASKS_PER_S = 60
+OTHER_MEMBERS = 11
+ROUNDS = 3
+SERVICES = 30
+NODES = 10
+WARM_UP_S = 2.0
+MIN_TIMER_US = 1_000
+TURN_US = 2_000
+WITHOUT = "without it"
+WITH = "with it"
+EARLIER = "an earlier version"
+
+
+class Cost(NamedTuple):
+    """The cost of one round."""
+
+    cpu_us_per_task: float
+    memory_kb: int
+    tasks_placed: int
+
+
+def _start_member(loop: Loop, relays: DatagramRelays, index: int) -> None:
+    """A member without a dispatcher, in this process."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.bind((private(index), relays.port))
+    config = MembershipConfig(
+        fleet="lab",
+        name=f"x{index}",
+        address=f"{public(index)}:{relays.port}",
+        seeds=(f"{public(0)}:{relays.port}",),
+        key=KEY.encode(),
+    )
+    membership = MembershipProtocol(config, index + 1, loop.now, random.Random(index))
+    loop.spawn(_serve_member(loop, sock, membership))
+
+
+def _serve_member(
+    loop: Loop, sock: socket.socket, membership: MembershipProtocol
+) -> Generator[Wait, int, None]:
+    while True:
+        due_us = membership.tick(loop.now)
+        for address, data in membership.take_outgoing():
+            host, _, port = address.rpartition(":")
+            sock.sendto(data, (host, int(port)))
+        yield Wait(sock.fileno(), IN, max(due_us, loop.now + MIN_TIMER_US))
+        with suppress(BlockingIOError):
+            while True:
+                membership.receive(sock.recv(2 * MAX_DATAGRAM_BYTES), loop.now)
+
+
+def _operator_file(relays: DatagramRelays, key: Path) -> str:
+    """The operator's file of the dispatcher that is measured, with membership."""
+    return (
+        f'[fleet]\nname = "lab"\nlisten = "{private(0)}:{relays.port}"\n'
+        f'advertise = "{public(0)}:{relays.port}"\nkey_file = "{key}"\n'
+    )
+
+
+def run_round(variant: str, tree: Path | None) -> Cost:
+    """The cost of one variant of the dispatcher, under the same load."""
+    loop, oracle = Loop(), Oracle()
+    relays, source = DatagramRelays(loop, OTHER_MEMBERS + 1, 1), FakeEndpointSource(loop, 1)
+    nodes = [LoadNode(loop, BINARY, oracle, random.Random(n)) for n in range(NODES)]
+    if variant == WITH:
+        for index in range(1, OTHER_MEMBERS + 1):
+            _start_member(loop, relays, index)
     with tempfile.TemporaryDirectory() as folder:
         key = Path(folder) / "fleet.key"
         key.write_text(KEY)
         key.chmod(0o600)
-        operator = (
-            f'[fleet]\nname = "lab"\nlisten = "{private(0)}:{relays.port}"\n'
-            f'advertise = "{public(0)}:{relays.port}"\nkey_file = "{key}"\n'
-            if name == "with it"
-            else ""
-        )
 
-        def changes(value):  # type: ignore[no-untyped-def]
+        def configure(value: dict[str, Any]) -> None:
             value["listen"] = f"{private(0)}:0"
-            value["changelog"] = f"{private(0)}:{keeper.ports[0]}"
+            value["changelog"] = f"{private(0)}:{source.ports[0]}"
 
         process = DispatcherProcess(
-            Path(folder), [one.port for one in nodes], operator, changes=changes, wait=False, tree=tree
+            Path(folder),
+            [node.port for node in nodes],
+            _operator_file(relays, key) if variant == WITH else "",
+            changes=configure,
+            wait=False,
+            tree=tree,
         )
-        while not process.ready():
-            loop.after(10_000, lambda: None)
-            loop.turn()
-        county = ClientPopulation(loop, process.fronts, JSON, truth, random.Random(1))
-
-        def turn(until: float) -> None:
-            while time.monotonic() < until:
-                loop.after(2_000, lambda: None)
-                loop.turn()
-
-        turn(time.monotonic() + 2.0)
-        began, cpu = time.monotonic(), process.cpu_us
-        for number in range(int(SECONDS * TASKS_S)):
-            county.ask(number + 1, LOOKUP, None, number % 30)
-            turn(began + number / TASKS_S)
-        spent = process.cpu_us - cpu
-        placed = sum(one.answers[:1] == ["placed"] for one in truth.asked.values())
-        memory = process.rss_kb
-        process.end()
+        cost = _measure(loop, process, oracle)
+        process.terminate()
     relays.close()
-    keeper.close()
+    source.close()
     loop.close()
-    return spent / (SECONDS * TASKS_S), memory, placed
+    return cost
+
+
+def _measure(loop: Loop, process: DispatcherProcess, oracle: Oracle) -> Cost:
+    """The cost of a dispatcher once it is ready."""
+    while not process.ready():
+        _turn(loop)
+    clients = ClientPopulation(loop, process.addresses, JSON, oracle, random.Random(1))
+    _run_until(loop, time.monotonic() + WARM_UP_S)
+    start = time.monotonic()
+    cpu_us = process.cpu_us
+    for number in range(int(SECONDS * TASKS_PER_S)):
+        clients.ask(number + 1, LOOKUP, None, number % SERVICES)
+        _run_until(loop, start + number / TASKS_PER_S)
+    cpu_us = process.cpu_us - cpu_us
+    placed = sum(request.answers[:1] == ["placed"] for request in oracle.asked.values())
+    return Cost(cpu_us / (SECONDS * TASKS_PER_S), process.rss_kb, placed)
+
+
+def _run_until(loop: Loop, end: float) -> None:
+    while time.monotonic() < end:
+        _turn(loop)
+
+
+def _turn(loop: Loop) -> None:
+    loop.after(TURN_US, lambda: None)
+    loop.turn()
 
 
 def main() -> None:
-    """Print a line each."""
+    """Print a line for each variant."""
     tree = Path(sys.argv[1]) if len(sys.argv) > 1 else None
-    kinds = (["an earlier version"] if tree is not None else []) + ["without it", "with it"]
-    found: dict[str, list[tuple[float, int, int]]] = {name: [] for name in kinds}
-    for _ in range(3):
-        for name in kinds:
-            found[name].append(round_of(name, tree if name == "an earlier version" else None))
-    for name, rounds in found.items():
-        costs = " ".join(f"{cost:.0f}" for cost, _, _ in rounds)
+    variants = [WITHOUT, WITH] if tree is None else [EARLIER, WITHOUT, WITH]
+    costs: dict[str, list[Cost]] = {variant: [] for variant in variants}
+    for _ in range(ROUNDS):
+        for variant in variants:
+            costs[variant].append(run_round(variant, tree if variant == EARLIER else None))
+    for variant, rounds in costs.items():
+        cpu_us = min(cost.cpu_us_per_task for cost in rounds)
+        all_rounds = " ".join(f"{cost.cpu_us_per_task:.0f}" for cost in rounds)
+        memory_kb = min(cost.memory_kb for cost in rounds)
         print(
-            f"{name}: {min(rounds)[0]:.0f} us a task ({costs}), {min(r[1] for r in rounds)} kB, {rounds[0][2]} placed"
+            f"{variant}: {cpu_us:.0f} us a task ({all_rounds}), {memory_kb} kB, "
+            f"{rounds[0].tasks_placed} placed"
         )
 
 
--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -21,12 +21,19 @@
 from thornshelf.lab.scale.quantities import IdleNode
 from thornshelf.loop import Loop
 from thornshelf.membership.anti_entropy import BucketIndex, pack_hashes
-from thornshelf.membership.datagrams import MapEntry, Message, MessageKind, ReceivedRecord, Sealer
-from thornshelf.membership.drain_gossip import DRAINING, GONE, DrainGossip
+from thornshelf.membership.datagrams import (
+    EncodedMessage,
+    MapEntry,
+    Message,
+    MessageKind,
+    ReceivedRecord,
+    Sealer,
+)
+from thornshelf.membership.drain_gossip import DrainGossip, NodeStage
 from thornshelf.membership.outlier_gossip import Observation, OutlierGossip
 from thornshelf.membership.policies import DRAINS, OBSERVATIONS, PLACER_GOSSIP, member_number
-from thornshelf.membership.protocol import EncodedMessage
-from thornshelf.membership.scatter_gather import Query, QueryGatherer, QueryResponder, ReplyChunk, decline
+from thornshelf.membership.query_gatherer import QueryGatherer
+from thornshelf.membership.scatter_gather import Query, QueryResponder, ReplyChunk, decline
 from thornshelf.membership.states import MemberRecord, RecordStatus
 from thornshelf.placement.interface import Health, Outcome, Reason
 from thornshelf.socket_handover import receive_state, send_state
@@ -374,9 +381,15 @@
 def own_sights() -> bytes:
     """One's own sights as an entry of the shared map."""
     evidence = OutlierGossip(name="n0")
-    for place, sight in enumerate((Observation.REFUSED, Observation.SILENT, Observation.BROKE)):
-        evidence.observe(node=f"s-{place}", sight=sight, now_us=SECOND)
-    evidence.observe(node="s-0", sight=Observation.WELL, now_us=SECOND)
+    for place, sight in enumerate(
+        (
+            Observation.CONNECTION_REFUSED,
+            Observation.NO_RESPONSE,
+            Observation.CONNECTION_LOST,
+        )
+    ):
+        evidence.observe(node=f"s-{place}", observation=sight, now_us=SECOND)
+    evidence.observe(node="s-0", observation=Observation.HEALTHY, now_us=SECOND)
     return evidence.encode(now_us=2 * SECOND)
 
 
@@ -389,8 +402,8 @@
 def own_news() -> bytes:
     """The list's news as an entry of the shared map."""
     news = DrainGossip()
-    news.update_own(node="s-1", started_ms=AT_US // 1000, rank=DRAINING, now_us=SECOND)
-    news.update_own(node="s-2", started_ms=0, rank=GONE, now_us=SECOND)
+    news.update_own(node="s-1", started_ms=AT_US // 1000, stage=NodeStage.DRAINING, now_us=SECOND)
+    news.update_own(node="s-2", started_ms=0, stage=NodeStage.GONE, now_us=SECOND)
     (page,) = news.encode_pages(now_us=SECOND)
     return page
 
@@ -398,28 +411,33 @@
 def read_news(data: bytes) -> object:
     news = DrainGossip()
     for node in ("s-1", "s-2", "s-3"):
-        news.update_own(node=node, started_ms=0, rank=0, now_us=SECOND)
-    assert news.receive(writer="n0", part=0, value=data, now_us=SECOND)
+        news.update_own(node=node, started_ms=0, stage=0, now_us=SECOND)
+    assert news.receive(writer="n0", part=0, value=data)
     return [news.reporters(node) for node in ("s-1", "s-2", "s-3")]
 
 
-def buckets() -> BucketIndex:
+def buckets() -> BucketIndex[tuple[object, ...]]:
     """What two members compare: a member and an entry."""
-    held = BucketIndex()
+    held = BucketIndex[tuple[object, ...]]()
     held.record(key=("m", "n1"), stamp=(4, 5, 1))
     held.record(key=("i", "n0", PLACER_GOSSIP, 0), stamp=ITEMS[0].stamp)
     return held
 
 
 def summary() -> bytes:
-    differing = buckets().differing_buckets(BucketIndex().digest(), 0)
+    differing = buckets().differing_buckets(BucketIndex[tuple[object, ...]]().digest(), 0)
     return b"".join(buckets().summaries(differing, 1_000))
 
 
 def question() -> bytes:
     """What a member is asked, as the asker encodes it."""
     asker = QueryGatherer(
-        number=9, table="tasks", columns=["uid", "node"], only={"node": "s-1"}, members=["n1"], now_us=0
+        query_id=9,
+        table="tasks",
+        columns=["uid", "node"],
+        filters={"node": "s-1"},
+        members=["n1"],
+        now_us=0,
     )
     ((_, data),) = asker.outgoing
     return data
@@ -439,7 +457,7 @@
         lambda uid: (uid, "s-1"),
     )
     answerer = QueryResponder(lambda name, wanted, only: TableReader(table, wanted, only))
-    answerer.receive(asker="n0", data=question(), now_us=0)
+    answerer.receive(querier="n0", data=question(), now_us=0)
     answerer.serve(now_us=0, unix_ms=AT_US // 1000, spent=lambda: 0, until=1)
     ((_, data),) = answerer.outgoing
     piece: ReplyChunk = msgspec.msgpack.decode(data, type=ReplyChunk)
@@ -449,7 +467,12 @@
 def read_stream(data: bytes) -> object:
     """What an asker finds in an answer."""
     asker = QueryGatherer(
-        number=9, table="tasks", columns=["uid", "node"], only={"node": "s-1"}, members=["n1"], now_us=0
+        query_id=9,
+        table="tasks",
+        columns=["uid", "node"],
+        filters={"node": "s-1"},
+        members=["n1"],
+        now_us=0,
     )
     block = zlib.compress(data)
     stream = len(block).to_bytes(4, "big") + block
@@ -475,7 +498,7 @@
         Sample("question", question, lambda data: msgspec.msgpack.decode(data, type=Query), QUESTION),
         Sample(
             "declined",
-            lambda: decline(question=question(), why="it tells nothing") or b"",
+            lambda: decline(query=question(), reason="it tells nothing") or b"",
             lambda data: msgspec.msgpack.decode(data, type=ReplyChunk),
             PIECE,
         ),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -32,7 +32,8 @@
 from thornshelf.control.tables import INTEGER, TEXT, Catalog, Table, TableReader, declare_columns
 from thornshelf.core.task import TaskPages
 from thornshelf.membership import scatter_gather
-from thornshelf.membership.scatter_gather import QueryGatherer, QueryResponder
+from thornshelf.membership.query_gatherer import QueryGatherer
+from thornshelf.membership.scatter_gather import QueryResponder
 from thornshelf.placement.interface import Outcome
 from thornshelf.shell import output, saved_queries
 from thornshelf.shell.client import ResponseSummary
--- a/tests/test_fleet_uses.py
+++ b/tests/test_fleet_uses.py
@@ -1,4 +1,4 @@
-"""What a dispatcher makes of its view: shares that never sum up to more than one, hearsay that bars nobody."""
+"""What a dispatcher does with its membership: quotas that sum up to one at most, reports that exclude no node."""
 
 from __future__ import annotations
 
@@ -13,68 +13,70 @@
 from tests.conftest import SAFE, ask, entry, listing, offers
 from tests.conftest import settings as deployment
 from thornshelf.lab.membership import SECOND, Network, run_until_settled
-from thornshelf.membership import drain_gossip
-from thornshelf.membership.drain_gossip import DrainGossip
+from thornshelf.membership.drain_gossip import GOSSIP_LIFETIME_US, MAX_PAGES, DrainGossip, NodeStage
 from thornshelf.membership.outlier_gossip import Observation, OutlierGossip, health_checkers
-from thornshelf.membership.policies import FleetPolicies, PolicyChanges
+from thornshelf.membership.policies import DRAINS, OBSERVATIONS, PLACER_GOSSIP, FleetPolicies, PolicyChanges
 from thornshelf.membership.quota_division import NO_QUOTA, Quota, QuotaConfig, QuotaDivision
 from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
-ALL = frozenset(("allowances", "news", "probes", "evidence", "messages"))
+ALL_POLICIES = frozenset(("allowances", "news", "probes", "evidence", "messages"))
 
 
 def names(count: int) -> list[str]:
     return [f"m{number:02d}" for number in range(count)]
 
 
-# allowances
+# quotas
 
 
 class Fleet:
-    """Members with allowances on one clock, and links that are cut; a view follows the truth with a lag."""
+    """Members with quotas on one clock, and links that are cut; what they see follows with a delay."""
 
     def __init__(self, count: int, configured: int) -> None:
-        self.now, self.configured = 0, configured
+        self.now = 0
+        self.configured = configured
         self.members: dict[str, QuotaDivision] = {}
         self.group: dict[str, int] = {}
         self.dead: dict[str, int] = {}
-        self.lag: dict[tuple[str, str], int] = {}  # until then a member does not know of another's coming
+        self.unseen_until: dict[tuple[str, str], int] = {}  # by observer and newcomer
         for name in names(count):
-            self.begin(name, fresh=True)
+            self.start(name, with_fleet=True)
 
-    def begin(self, name: str, fresh: bool = False) -> None:
-        back = name in self.dead or fresh
+    def start(self, name: str, with_fleet: bool = False) -> None:
+        is_returning = name in self.dead or with_fleet
         self.dead.pop(name, None)
         self.members[name] = QuotaDivision(QuotaConfig(self.configured), name, self.now)
         self.group[name] = 0
         for other in self.members:
-            self.lag[other, name] = self.now + 2 * SECOND
-        if not fresh:
+            self.unseen_until[other, name] = self.now + 2 * SECOND
+        if not with_fleet:
             self.members[name].mark_joining()
-            if back:
+            if is_returning:
                 self.members[name].mark_rejoined()
 
-    def sees(self, name: str) -> list[str]:
+    def live_for(self, name: str) -> list[str]:
         return [
             other
             for other in self.members
             if self.group[other] == self.group[name]
-            and (other == name or self.lag.get((name, other), 0) <= self.now)
+            and (other == name or self.unseen_until.get((name, other), 0) <= self.now)
         ]
 
     def step(self) -> dict[str, Quota]:
         self.now += SECOND // 4
-        return {name: one.quota(self.sees(name), self.now) for name, one in self.members.items()}
+        return {
+            name: division.quota(self.live_for(name), self.now) for name, division in self.members.items()
+        }
 
     def check(self) -> None:
-        shares = self.step()
+        quotas = self.step()
         total = sum(
-            1.0 / share.strict_divisor for share in shares.values() if share.strict_divisor < NO_QUOTA
+            1.0 / quota.strict_divisor for quota in quotas.values() if quota.strict_divisor < NO_QUOTA
         )
-        assert total <= 1.0 + 1e-9, (self.now, shares)
-        dealt = Counter((share.index, share.strict_divisor) for share in shares.values() if share.round_robin)
-        assert not dealt or max(dealt.values()) == 1 or len({self.group[name] for name in shares}) > 1
+        assert total <= 1.0 + 1e-9, (self.now, quotas)
+        dealt = Counter((quota.index, quota.strict_divisor) for quota in quotas.values() if quota.round_robin)
+        assert not dealt or max(dealt.values()) == 1 or len({self.group[name] for name in quotas}) > 1
 
 
 @given(
@@ -86,12 +88,12 @@
     )
 )
 @settings(derandomize=True, max_examples=40, deadline=None)
-def test_the_shares_of_offers_to_cold_nodes_never_sum_up_to_more_than_one(
+def test_the_quotas_of_offers_to_nodes_in_slow_start_never_sum_up_to_more_than_one(
     steps: list[tuple[str, int]],
 ) -> None:
-    """Whatever dies, returns, joins and parts: the rule on cold nodes is one for all."""
+    """Whatever members crash, return, join and are cut off: the limit of a node in slow start is one for all."""
     fleet = Fleet(8, 8)
-    for _ in range(120):  # it has long begun
+    for _ in range(120):  # longer than a fleet takes to start
         fleet.check()
     for what, number in steps:
         name = f"m{number % 12:02d}"
@@ -105,7 +107,7 @@
             and name not in fleet.members
             and name not in fleet.dead
         ):
-            fleet.begin(name)
+            fleet.start(name)
         elif what == "part":
             for index, one in enumerate(sorted(fleet.members)):
                 fleet.group[one] = int(index * 16 >= number * len(fleet.members))
@@ -115,47 +117,47 @@
             fleet.check()
 
 
-def test_the_long_dead_do_not_count_and_what_is_dealt_is_dealt_to_each_once() -> None:
+def test_members_that_are_long_dead_do_not_count_and_each_has_an_index_of_its_own() -> None:
     fleet = Fleet(12, 16)
     for _ in range(200):
-        shares = fleet.step()
-    assert {share.strict_divisor for share in shares.values()} == {12} and {
-        share.index for share in shares.values()
+        quotas = fleet.step()
+    assert {quota.strict_divisor for quota in quotas.values()} == {12} and {
+        quota.index for quota in quotas.values()
     } == set(range(12))
     for name in names(12)[9:]:
         del fleet.members[name]
-    shares = fleet.step()
-    assert {share.strict_divisor for share in shares.values()} == {12} and {
-        share.soft_divisor for share in shares.values()
+    quotas = fleet.step()
+    assert {quota.strict_divisor for quota in quotas.values()} == {12} and {
+        quota.soft_divisor for quota in quotas.values()
     } == {9}
     for _ in range(280):
-        shares = fleet.step()
-    assert {share.strict_divisor for share in shares.values()} == {9}
-    assert all(share.round_robin for share in shares.values()) and {
-        share.index for share in shares.values()
+        quotas = fleet.step()
+    assert {quota.strict_divisor for quota in quotas.values()} == {9}
+    assert all(quota.round_robin for quota in quotas.values()) and {
+        quota.index for quota in quotas.values()
     } == set(range(9))
 
 
-def test_the_smaller_part_gives_way_before_the_larger_takes_its_share() -> None:
+def test_the_minority_gives_way_before_the_majority_takes_its_quota() -> None:
     fleet = Fleet(8, 8)
     for _ in range(120):
         fleet.check()
     for name in names(8)[:3]:
         fleet.group[name] = 1
     for _ in range(400):
-        shares = fleet.step()
-    assert [shares[name].strict_divisor for name in names(8)] == [NO_QUOTA] * 3 + [5] * 5
+        quotas = fleet.step()
+    assert [quotas[name].strict_divisor for name in names(8)] == [NO_QUOTA] * 3 + [5] * 5
 
 
-def test_hearsay_moves_a_share_to_half_at_most() -> None:
-    allowances = QuotaDivision(QuotaConfig(12), "m00", 0)
+def test_invented_members_reduce_a_quota_to_half_at_most() -> None:
+    division = QuotaDivision(QuotaConfig(12), "m00", 0)
     for _ in range(100):
-        share = allowances.quota(names(12), 20 * SECOND)
-    share = allowances.quota([*names(12), *(f"invented{n}" for n in range(4000))], 21 * SECOND)
-    assert share.strict_divisor == 24
+        quota = division.quota(names(12), 20 * SECOND)
+    quota = division.quota([*names(12), *(f"invented{n}" for n in range(4000))], 21 * SECOND)
+    assert quota.strict_divisor == 24
 
 
-def test_the_module_takes_a_share_and_deals_no_turns_while_views_differ() -> None:
+def test_the_placer_takes_a_quota_and_partitions_nothing_while_members_disagree() -> None:
     rules = {"slow_start_attempts": 51.0, "slow_start_window_s": 3.0, "slow_start_s": 14.0}
     one = Placer(deployment(SAFE, placers=16, **rules), 1)
     one.handle(0.0, [listing(entry(1, started_at=0.5, kind="large"))])
@@ -174,33 +176,33 @@
     assert counts == [3, 6, 0]
 
 
-# evidence
+# outliers
 
 
-def test_others_word_is_second_choice_for_a_fifth_at_most_and_fades() -> None:
+def test_reports_make_a_fifth_of_the_nodes_outliers_at_most_and_decay() -> None:
     nodes, live = [f"s-{n}" for n in range(20)], names(5)
-    mine, liars = OutlierGossip("m00"), [OutlierGossip(name) for name in names(5)[1:3]]
+    own, liars = OutlierGossip("m00"), [OutlierGossip(name) for name in names(5)[1:3]]
     for liar in liars:
         for _ in range(3):
             for node in nodes:
-                liar.observe(node, Observation.SILENT, 0)
-        assert mine.receive(liar._name, liar.encode(0), 0)
-    assert 0 < len(mine.outliers(nodes, live, 0)) <= 4
-    assert mine.outliers(nodes, live, 30 * SECOND) == set()
+                liar.observe(node, Observation.NO_RESPONSE, 0)
+        assert own.receive(liar._name, liar.encode(0), 0)
+    assert 0 < len(own.outliers(nodes, live, 0)) <= 4
+    assert own.outliers(nodes, live, 30 * SECOND) == set()
 
 
-def test_one_witness_is_none_where_there_are_two_others() -> None:
-    mine, other = OutlierGossip("m00"), OutlierGossip("m01")
-    other.observe("s-1", Observation.REFUSED, 0)
-    mine.receive("m01", other.encode(0), 0)
+def test_one_reporter_is_not_enough_where_there_are_two_others() -> None:
+    own, other = OutlierGossip("m00"), OutlierGossip("m01")
+    other.observe("s-1", Observation.CONNECTION_REFUSED, 0)
+    own.receive("m01", other.encode(0), 0)
     nodes = [f"s-{n}" for n in range(10)]
-    assert mine.outliers(nodes, names(3), 0) == set()
-    assert mine.outliers(nodes, names(2), 0) == {"s-1"}
-    mine.discard_member("m01")
-    assert mine.outliers(nodes, names(2), 0) == set()
+    assert own.outliers(nodes, names(3), 0) == set()
+    assert own.outliers(nodes, names(2), 0) == {"s-1"}
+    own.discard_member("m01")
+    assert own.outliers(nodes, names(2), 0) == set()
 
 
-def test_second_choice_is_dearer_and_never_barred() -> None:
+def test_an_outlier_is_dearer_and_never_excluded() -> None:
     one = Placer(deployment(SAFE), 1)
     one.handle(0.0, [listing(entry(1, kind="large"), entry(2, kind="large"))])
     one.machines[1].gossip_penalty = 1.0
@@ -212,164 +214,163 @@
     assert [offer.machine for offer in offers(one.handle(0.3, [ask(90)]))] == [1]
 
 
-def test_two_probe_a_suspect_for_all_and_when_one_goes_the_others_keep_theirs() -> None:
+def test_two_members_check_a_suspect_for_all_and_when_one_goes_the_others_keep_theirs() -> None:
     live, nodes = names(12), [f"s-{n:04d}" for n in range(300)]
     before = {node: health_checkers(node, live) for node in nodes}
-    shares = Counter(name for chosen in before.values() for name in chosen)
-    assert set(shares) == set(live) and max(shares.values()) < 2 * min(shares.values())
+    counts = Counter(name for chosen in before.values() for name in chosen)
+    assert set(counts) == set(live) and max(counts.values()) < 2 * min(counts.values())
     after = {node: health_checkers(node, live[:-1]) for node in nodes}
     moved = [node for node in nodes if live[-1] not in before[node] and before[node] != after[node]]
     assert not moved
 
 
-def test_bad_evidence_is_no_evidence() -> None:
-    mine = OutlierGossip("m00")
+def test_malformed_observations_are_ignored() -> None:
+    own = OutlierGossip("m00")
     for value in (b"\xc1", b"\x91\x93\xa0\x09\x00", b"\x00" * 50):
-        assert not mine.receive("m01", value, 0)
+        assert not own.receive("m01", value, 0)
 
 
-# news
+# drains
 
 
-def told(*rows: tuple[str, int, int]) -> DrainGossip:
-    found = DrainGossip()
-    for node, started, rank in rows:
-        found.update_own(node, started, rank, 0)
-    return found
+def drain_gossip(*rows: tuple[str, int, int]) -> DrainGossip:
+    gossip = DrainGossip()
+    for node, started, stage in rows:
+        gossip.update_own(node, started, stage, 0)
+    return gossip
 
 
-def spread(mine: DrainGossip, **writers: DrainGossip) -> None:
-    for name, one in writers.items():
-        for part, value in enumerate(one.encode_pages(1)):
-            assert mine.receive(name, part, value, 1)
+def exchange(receiver: DrainGossip, **writers: DrainGossip) -> None:
+    for name, writer in writers.items():
+        for part, value in enumerate(writer.encode_pages(1)):
+            assert receiver.receive(name, part, value)
 
 
-def test_a_drain_known_to_two_reaches_one_whose_change_log_is_silent() -> None:
-    mine, live = told(("s-1", 0, drain_gossip.UP), ("s-2", 0, drain_gossip.UP)), names(4)
-    spread(mine, m01=told(("s-1", 0, drain_gossip.DRAINING)))
-    assert mine.nodes_to_avoid(True, live) == set()  # one says so: it may lie
-    spread(mine, m02=told(("s-1", 0, drain_gossip.GONE)))
-    assert mine.nodes_to_avoid(True, live) == {"s-1"}
-    assert mine.nodes_to_avoid(False, live) == set()  # the own list speaks, and its word alone holds
+def test_a_drain_that_two_report_reaches_one_whose_endpoint_watch_is_silent() -> None:
+    own, live = drain_gossip(("s-1", 0, NodeStage.UP), ("s-2", 0, NodeStage.UP)), names(4)
+    exchange(own, m01=drain_gossip(("s-1", 0, NodeStage.DRAINING)))
+    assert own.nodes_to_avoid(True, live) == set()  # a single report may be false
+    exchange(own, m02=drain_gossip(("s-1", 0, NodeStage.GONE)))
+    assert own.nodes_to_avoid(True, live) == {"s-1"}
+    assert own.nodes_to_avoid(False, live) == set()  # the own watch responds, and its list alone counts
 
 
-def test_news_of_a_former_process_is_no_news() -> None:
-    """Numbers of events can't be compared between dispatchers; starts and places in life can."""
-    mine = told(("s-1", 500, drain_gossip.UP))
-    other = told(("s-1", 400, drain_gossip.GONE))
-    spread(mine, m01=other, m02=other)
-    assert mine.nodes_to_avoid(True, names(4)) == set()
-    later = told(("s-1", 600, drain_gossip.DRAINING))
-    spread(mine, m01=later, m02=later)
-    assert mine.nodes_to_avoid(True, names(4)) == {"s-1"}
-    mine.update_own("s-1", 600, drain_gossip.UP, 2)  # the own list has moved on
-    assert mine.nodes_to_avoid(True, names(4)) == {"s-1"}  # and the others say that this one drains, too
-    mine.update_own("s-1", 700, drain_gossip.UP, 3)
-    assert mine.nodes_to_avoid(True, names(4)) == set()
+def test_reports_of_a_former_process_are_ignored() -> None:
+    """Numbers of events cannot be compared between dispatchers; starts and stages can."""
+    own = drain_gossip(("s-1", 500, NodeStage.UP))
+    other = drain_gossip(("s-1", 400, NodeStage.GONE))
+    exchange(own, m01=other, m02=other)
+    assert own.nodes_to_avoid(True, names(4)) == set()
+    later = drain_gossip(("s-1", 600, NodeStage.DRAINING))
+    exchange(own, m01=later, m02=later)
+    assert own.nodes_to_avoid(True, names(4)) == {"s-1"}
+    own.update_own("s-1", 600, NodeStage.UP, 2)  # the own list has moved on
+    assert own.nodes_to_avoid(True, names(4)) == {
+        "s-1"
+    }  # and the others report that this process drains, too
+    own.update_own("s-1", 700, NodeStage.UP, 3)
+    assert own.nodes_to_avoid(True, names(4)) == set()
 
 
-def test_a_whole_fleet_of_drains_is_told_by_a_few_in_bounded_pages() -> None:
-    one = told(*((f"s-{n:04d}", 0, drain_gossip.DRAINING) for n in range(400)))
+def test_drains_of_a_complete_fleet_are_reported_by_a_few_in_bounded_pages() -> None:
+    one = drain_gossip(*((f"s-{n:04d}", 0, NodeStage.DRAINING) for n in range(400)))
     values = one.encode_pages(1)
-    assert len(values) <= drain_gossip.MAX_PAGES and max(map(len, values)) <= 800
+    assert len(values) <= MAX_PAGES and max(map(len, values)) <= 800
     again = one.encode_pages(2)
     assert again == values
-    late = told(*((f"s-{n:04d}", 0, drain_gossip.DRAINING) for n in range(20)))
+    late = drain_gossip(*((f"s-{n:04d}", 0, NodeStage.DRAINING) for n in range(20)))
     for name in ("m01", "m02", "m03"):
-        spread(late, **{name: one})
+        exchange(late, **{name: one})
     assert sum(map(len, late.encode_pages(2))) < sum(map(len, values))
-    assert one.encode_pages(drain_gossip.GOSSIP_LIFETIME_US + 2) == [b""] * len(values)
+    assert one.encode_pages(GOSSIP_LIFETIME_US + 2) == [b""] * len(values)
 
 
-# together, over real views
+# together, over real members
 
 
-def settled(count: int) -> tuple[Network, dict[str, FleetPolicies]]:
+def start_policies(count: int) -> tuple[Network, dict[str, FleetPolicies]]:
     network = Network(3)
     assert run_until_settled(network, names(count), 30 * SECOND) is not None
-    uses = {
-        name: FleetPolicies(view, ALL, count, 60 * SECOND, network.now)
-        for name, view in network.views.items()
+    policies = {
+        name: FleetPolicies(member, ALL_POLICIES, count, 60 * SECOND, network.now)
+        for name, member in network.views.items()
     }
-    return network, uses
+    return network, policies
 
 
-def pump(
-    network: Network, uses: dict[str, FleetPolicies], seconds: float, silent: frozenset[str] = frozenset()
+def run_reviews(
+    network: Network, policies: dict[str, FleetPolicies], seconds: float, silent: frozenset[str] = frozenset()
 ) -> dict[str, list[PolicyChanges]]:
-    """Reviews of all, a quarter of a second apart; what each was told to do."""
-    found: dict[str, list[PolicyChanges]] = {name: [] for name in uses}
+    """Reviews of all members, a quarter of a second apart; the changes of each."""
+    found: dict[str, list[PolicyChanges]] = {name: [] for name in policies}
     nodes = [f"s-{n}" for n in range(10)]
     for _ in range(int(seconds * 4)):
         network.run(network.now + SECOND // 4)
-        for name, one in uses.items():
-            view = network.views[name]
-            view.now_us = network.now
-            for held in [
-                *view.replicated_map.entries_of_kind("seen"),
-                *view.replicated_map.entries_of_kind("list"),
-            ]:
-                if held.entry.writer != name:
-                    age_ms = (network.now - held.written_us) // 1000
-                    one.entry_received(msgspec.structs.replace(held.entry, age_ms=age_ms), network.now)
+        for name, one in policies.items():
+            member = network.views[name]
+            member.now_us = network.now
+            entries = member.replicated_map
+            for stored in [*entries.entries_of_kind(OBSERVATIONS), *entries.entries_of_kind(DRAINS)]:
+                if stored.entry.writer != name:
+                    age_ms = (network.now - stored.written_us) // 1000
+                    one.entry_received(msgspec.structs.replace(stored.entry, age_ms=age_ms), network.now)
             found[name].append(one.review(nodes, name in silent, network.now))
-            network._flush(name, view)
+            network._flush(name, member)
     return found
 
 
-def test_a_suspect_is_probed_by_two_and_the_others_hear_what_they_found() -> None:
-    network, uses = settled(6)
+def test_a_suspect_is_checked_by_two_and_the_others_receive_the_result() -> None:
+    network, policies = start_policies(6)
     live = names(6)
     chosen = health_checkers("s-3", live)
-    asked = [name for name in live if uses[name].delegate_health_check("s-3", network.now)]
-    assert sorted(asked) == sorted(set(live) - set(chosen))
-    uses[asked[0]].observe("s-3", Observation.SILENT, network.now)
-    found = pump(network, uses, 2.0)
-    probing = {name for name in live if any("s-3" in review.nodes_to_check for review in found[name])}
-    assert probing == set(chosen)
-    answers = [one for name in asked for review in found[name] for one in review.check_results]
-    assert answers and not any(
-        well for _, well in answers
-    )  # nobody said that it answers: as if it was silent
+    delegating = [name for name in live if policies[name].delegate_health_check("s-3", network.now)]
+    assert sorted(delegating) == sorted(set(live) - set(chosen))
+    policies[delegating[0]].observe("s-3", Observation.NO_RESPONSE, network.now)
+    found = run_reviews(network, policies, 2.0)
+    checking = {name for name in live if any("s-3" in one.nodes_to_check for one in found[name])}
+    assert checking == set(chosen)
+    results = [result for name in delegating for changes in found[name] for result in changes.check_results]
+    # Nobody reported it as healthy, so the check counts as failed.
+    assert results and not any(result.is_healthy for result in results)
     for name in chosen:
-        uses[name].observe("s-3", Observation.SILENT, network.now)
-        uses[name].observe("s-3", Observation.WELL, network.now)
-    assert uses[asked[1]].delegate_health_check("s-3", network.now)
-    found = pump(network, uses, 2.0)
-    assert ("s-3", True) in [one for review in found[asked[1]] for one in review.check_results]
+        policies[name].observe("s-3", Observation.NO_RESPONSE, network.now)
+        policies[name].observe("s-3", Observation.HEALTHY, network.now)
+    assert policies[delegating[1]].delegate_health_check("s-3", network.now)
+    found = run_reviews(network, policies, 2.0)
+    assert ("s-3", True) in [one for review in found[delegating[1]] for one in review.check_results]
 
 
-def test_a_drain_reaches_the_one_with_a_silent_change_log_through_the_fleet() -> None:
-    network, uses = settled(6)
-    for name, one in uses.items():
-        one.drain_gossip.update_own("s-4", 0, drain_gossip.UP, network.now)
+def test_a_drain_reaches_the_one_with_a_silent_endpoint_watch_through_the_fleet() -> None:
+    network, policies = start_policies(6)
+    for name, one in policies.items():
+        one.drain_gossip.update_own("s-4", 0, NodeStage.UP, network.now)
         if name != "m05":
-            one.drain_gossip.update_own("s-4", 0, drain_gossip.DRAINING, network.now)
-    found = pump(network, uses, 2.0, frozenset(("m05",)))
+            one.drain_gossip.update_own("s-4", 0, NodeStage.DRAINING, network.now)
+    found = run_reviews(network, policies, 2.0, frozenset(("m05",)))
     away = [review.avoided_nodes for review in found["m05"] if review.avoided_nodes is not None]
     assert away == [{"s-4"}]
     assert not any(review.avoided_nodes for name in names(5) for review in found[name])
 
 
-def test_a_part_that_is_switched_off_does_nothing() -> None:
+def test_policies_that_are_disabled_do_nothing() -> None:
     network = Network(3)
     assert run_until_settled(network, names(4), 30 * SECOND) is not None
-    one = FleetPolicies(network.views["m00"], frozenset(), 4, 60 * SECOND, network.now)
-    one.observe("s-1", Observation.SILENT, network.now)
-    one.publish_placer_gossip(b"words")
-    assert not one.delegate_health_check("s-1", network.now)
-    review = one.review(["s-1"], True, network.now)
-    assert (review.quota, review.outliers, review.avoided_nodes, review.nodes_to_check) == (
+    policies = FleetPolicies(network.views["m00"], frozenset(), 4, 60 * SECOND, network.now)
+    policies.observe("s-1", Observation.NO_RESPONSE, network.now)
+    policies.publish_placer_gossip(b"gossip")
+    assert not policies.delegate_health_check("s-1", network.now)
+    changes = policies.review(["s-1"], True, network.now)
+    assert (changes.quota, changes.outliers, changes.avoided_nodes, changes.nodes_to_check) == (
         None,
         None,
         None,
         [],
     )
-    assert not network.views["m00"]._pending_writes
+    assert not network.views["m00"].publisher.pending
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_peers_words_reach_all_within_the_traffic_that_is_allowed(seed: int) -> None:
+def test_gossip_of_placers_reaches_all_within_the_traffic_budget(seed: int) -> None:
     network = Network(seed)
     assert run_until_settled(network, names(12), 30 * SECOND) is not None
     network.run(network.now + 3 * SECOND)
@@ -377,9 +378,10 @@
     for _ in range(120):
         for name in names(12):
             network.views[name].now_us = network.now
-            network.views[name].publish("peers", 0, chance.randbytes(240))
+            network.views[name].publish(PLACER_GOSSIP, 0, chance.randbytes(240))
         network.run(network.now + SECOND // 4)
     assert all(
-        len(list(view.replicated_map.entries_of_kind("peers"))) == 12 for view in network.views.values()
+        len(list(member.replicated_map.entries_of_kind(PLACER_GOSSIP))) == 12
+        for member in network.views.values()
     )
     assert (network.bytes - before) / 12 / 30 < 12_000
--- a/thornshelf/components/control.py
+++ b/thornshelf/components/control.py
@@ -44,7 +44,8 @@
 from thornshelf.loop import Stream, Timer, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.membership.datagrams import MessageKind
-from thornshelf.membership.scatter_gather import QueryGatherer, QueryResponder
+from thornshelf.membership.query_gatherer import QueryGatherer
+from thornshelf.membership.scatter_gather import QueryResponder
 from thornshelf.membership.states import LIVE_STATES, MemberState
 from thornshelf.syslog import Syslog
 
--- a/thornshelf/control/fleet_tables.py
+++ b/thornshelf/control/fleet_tables.py
@@ -7,14 +7,12 @@
 
 from thornshelf.control.tables import INTEGER, REAL, TEXT, Table, Value, declare_columns
 from thornshelf.membership.drain_gossip import STAGE_NAMES
-from thornshelf.membership.outlier_gossip import Observation
+from thornshelf.membership.outlier_gossip import OBSERVATION_NAMES
 from thornshelf.membership.policies import FleetPolicies
 from thornshelf.membership.protocol import MembershipProtocol
 from thornshelf.membership.quota_division import NO_QUOTA
 from thornshelf.membership.states import Member, MemberState, RecordStatus
 
-OBSERVATION_NAMES = {sight: sight.name.lower() for sight in Observation}
-
 
 def members_table(view: MembershipProtocol) -> Table:
     """Who is in the fleet, as this member sees it."""
--- a/thornshelf/control/query_sessions.py
+++ b/thornshelf/control/query_sessions.py
@@ -13,7 +13,7 @@
 from thornshelf.control.framing import MAX_ROWS_PER_PAGE, ErrorReply, QueryEnd, QueryRequest, Reply, RowPage
 from thornshelf.control.tables import Catalog, TableReader
 from thornshelf.errors import ControlProtocolError, ThornshelfError, TooManySessionsError, UnknownTableError
-from thornshelf.membership.scatter_gather import QueryGatherer
+from thornshelf.membership.query_gatherer import QueryGatherer
 
 TURN_TIME_BUDGET_US = 1_500  # of one turn of the loop, all questions together
 TURN_BYTE_BUDGET = 256 * 1024  # and so much is sent, and the page that goes beyond it
--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -22,8 +22,10 @@
 from thornshelf.frontends.grpc import DispatchCall
 from thornshelf.frontends.json_lines import JsonLinesConnection
 from thornshelf.membership import datagrams
+from thornshelf.membership.datagram_sender import OutgoingDatagram
 from thornshelf.membership.datagrams import MessageKind, ReplayWindows
-from thornshelf.membership.member_table import LocalMember, MemberTable
+from thornshelf.membership.local_member import LocalMember
+from thornshelf.membership.member_table import MemberTable
 from thornshelf.membership.outlier_gossip import ObservationRow as Sight
 from thornshelf.membership.protocol import MembershipProtocol
 from thornshelf.membership.states import (
@@ -83,7 +85,7 @@
 
 def no_refute() -> None:
     """A member does not answer what is said of it."""
-    LocalMember.refute = lambda self, claim, now_us: False  # type: ignore[method-assign]
+    LocalMember.refute = lambda self, record, now_us: False  # type: ignore[method-assign]
 
 
 def no_heal() -> None:
@@ -163,18 +165,18 @@
             self.publish("seen", 0, msgspec.msgpack.encode(sights), 300_000)
             for member in list(self.table.members.values()):
                 for first in range(0, len(claims), 10):
-                    self._datagram_counter += 1
+                    self.sender.counter += 1
                     rows = claims[first : first + 10]
                     head = [
                         int(MessageKind.GOSSIP),
                         self.local.record,
                         member.record.instance_id,
-                        self._datagram_counter,
+                        self.sender.counter,
                         0,
                         "",
                     ]
-                    data = self._sealer.seal(self._sealer.encode([*head, rows, [], b""]))
-                    self.outgoing.append((member.record.address, data))
+                    data = self.sender.sealer.seal(self.sender.sealer.encode([*head, rows, [], b""]))
+                    self.sender.outgoing.append(OutgoingDatagram(member.record.address, data))
         return due
 
     MembershipProtocol.tick = lie  # type: ignore[method-assign]
--- a/thornshelf/lab/fleet.py
+++ b/thornshelf/lab/fleet.py
@@ -26,7 +26,7 @@
 from thornshelf.loop import Loop
 
 KEY = "only for this experiment, 32 byte"
-LINE = re.compile(r' member \[thornshelf@32473 name="([^"]+)" before="(\w+)" after="(\w+)"\]')
+LINE = re.compile(r' member-state-changed \[thornshelf@32473 name="([^"]+)" before="(\w+)" after="(\w+)"\]')
 LIVE = ("alive", "suspect", "doomed")
 SETTLED_MS = 5_000  # a crash is settled, and a partition healed, within so long
 LATE_US = (
--- a/thornshelf/lab/membership.py
+++ b/thornshelf/lab/membership.py
@@ -19,7 +19,7 @@
 
 from thornshelf.membership.anti_entropy import BucketIndex
 from thornshelf.membership.config import MembershipConfig
-from thornshelf.membership.dissemination import DisseminationBuffer
+from thornshelf.membership.keys import RecordKey, RumorKey
 from thornshelf.membership.protocol import MembershipProtocol
 from thornshelf.membership.states import LIVE_STATES
 
@@ -115,8 +115,7 @@
         heapq.heappush(self._events, (due, self._next(), name, None))
 
     def _flush(self, name: str, view: MembershipProtocol) -> None:
-        out, view.outgoing = view.outgoing, []
-        for address, data in out:
+        for address, data in view.take_outgoing():
             receiver = address.rpartition(":")[0]
             self.bytes += len(data) + 28  # the datagram's own heads, UDP and IP
             self.sent += 1
@@ -129,7 +128,7 @@
                     heapq.heappush(self._events, (due, self._next(), receiver, data))
         for change in view.take_changes():
             self.on_change(name, change)
-        view.received_entries.clear()
+        view.take_received_entries()
         view.rejected_datagrams.clear()
         # What came in may have made something due earlier than was planned.
         due = view.next_due_us()
@@ -169,9 +168,9 @@
     """Members that know each other already: each trying each, once, is too much for one processor at a thousand."""
     views = [network.start(name, names[:2]) for name in names]
     network._events.clear()
-    known = BucketIndex()
+    known: BucketIndex[RumorKey] = BucketIndex()
     for view in views:
-        known.record(("m", view.name), view.local.record.precedence)
+        known.record(RecordKey(view.name), view.local.record.precedence)
     for view in views:
         news, view.table._on_record_change = (
             view.table._on_record_change,
@@ -180,11 +179,9 @@
         for other in views:
             if other is not view:
                 view.table.add(other.local.record, network.now)
-        view.table._on_record_change, view._bucket_index, view._dissemination_buffer = (
-            news,
-            known.copy(),
-            DisseminationBuffer(),
-        )
+        view.table._on_record_change = news
+        view.knowledge.index.replace_with(known)
+        view.knowledge.buffer.clear()
         view.table.changes.clear()
         network._turn(view.name, view)
 
--- a/thornshelf/membership/anti_entropy.py
+++ b/thornshelf/membership/anti_entropy.py
@@ -1,99 +1,130 @@
-"""What two members know, compared by hashes of buckets, and then by those of what is in the buckets that differ."""
+"""Finds what two members know differently, by hashes of buckets, and then by hashes of the keys in those that differ.
+
+Keys and stamps are hashed by their ``repr``, which all members have to agree on.
+"""
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Hashable, Iterable
+from typing import Generic, NamedTuple, TypeVar
 
 import xxhash
 
 BUCKET_COUNT = 64
-SUMMARY_ROW = struct.Struct(">QI")  # a thing's name and its stamp, as hashes
-MAX_BUCKETS_PER_ROUND = 6  # are gone into at a time; the rest the next time
+MAX_BUCKETS_PER_ROUND = 6  # the other buckets that differ are left to the next rounds
+STAMP_MASK = 0xFFFFFFFF
+DIGEST = struct.Struct(f">{BUCKET_COUNT}I")
+SUMMARY_HEADER_BYTES = 2  # the bucket, and whether the page holds all of it
+SUMMARY_ROW = struct.Struct(">QI")  # hashes of a key and of its stamp
+KEY_HASH = struct.Struct(">Q")
+
+Key = TypeVar("Key", bound=Hashable)
 
 
 def key_hash(key: Hashable) -> int:
-    """A thing's name."""
+    """The hash by which members name a key to each other."""
     return xxhash.xxh3_64_intdigest(repr(key).encode())
 
 
-class BucketIndex:
-    """Hashes over all that is known, kept as it changes."""
+class IndexedKey(NamedTuple, Generic[Key]):
+    """A key, and the hash of the stamp under which it is known."""
+
+    key: Key
+    stamp_hash: int
+
+
+class Differences(NamedTuple, Generic[Key]):
+    """What follows from a summary: keys to send, and hashes of keys to request. Either side may have the newer."""
+
+    to_send: list[Key]
+    to_request: list[int]
+
+
+class BucketIndex(Generic[Key]):
+    """Hashes over all that a member knows, updated as it changes."""
 
     def __init__(self) -> None:
-        self._sums = [0] * BUCKET_COUNT
-        self._held: list[dict[int, tuple[Hashable, int]]] = [{} for _ in range(BUCKET_COUNT)]
-
-    def record(self, key: Hashable, stamp: Hashable) -> None:
-        """It is known under this stamp now."""
-        name = key_hash(key)
-        bucket = name % BUCKET_COUNT
-        stamped = xxhash.xxh3_64_intdigest(repr(stamp).encode(), seed=name) & 0xFFFFFFFF
-        old = self._held[bucket].get(name)
+        self._bucket_hashes = [0] * BUCKET_COUNT
+        self._buckets: list[dict[int, IndexedKey[Key]]] = [{} for _ in range(BUCKET_COUNT)]
+
+    def record(self, key: Key, stamp: Hashable) -> None:
+        """A key is known under this stamp now."""
+        hashed = key_hash(key)
+        bucket = hashed % BUCKET_COUNT
+        stamp_hash = xxhash.xxh3_64_intdigest(repr(stamp).encode(), seed=hashed) & STAMP_MASK
+        old = self._buckets[bucket].get(hashed)
         if old is not None:
-            self._sums[bucket] ^= old[1]
-        self._held[bucket][name] = key, stamped
-        self._sums[bucket] ^= stamped
-
-    def discard(self, key: Hashable) -> None:
-        """It is not compared any more."""
-        name = key_hash(key)
-        if (old := self._held[name % BUCKET_COUNT].pop(name, None)) is not None:
-            self._sums[name % BUCKET_COUNT] ^= old[1]
-
-    def copy(self) -> BucketIndex:
-        """Another that knows the same."""
-        other = BucketIndex()
-        other._sums, other._held = list(self._sums), [dict(held) for held in self._held]
-        return other
+            self._bucket_hashes[bucket] ^= old.stamp_hash
+        self._buckets[bucket][hashed] = IndexedKey(key, stamp_hash)
+        self._bucket_hashes[bucket] ^= stamp_hash
+
+    def discard(self, key: Key) -> None:
+        """Compare a key no more."""
+        hashed = key_hash(key)
+        bucket = hashed % BUCKET_COUNT
+        if (old := self._buckets[bucket].pop(hashed, None)) is not None:
+            self._bucket_hashes[bucket] ^= old.stamp_hash
+
+    def replace_with(self, other: BucketIndex[Key]) -> None:
+        """Take over all that another index holds."""
+        self._bucket_hashes = list(other._bucket_hashes)
+        self._buckets = [dict(bucket) for bucket in other._buckets]
 
     def digest(self) -> bytes:
         """A hash for each bucket."""
-        return struct.pack(f">{BUCKET_COUNT}I", *self._sums)
+        return DIGEST.pack(*self._bucket_hashes)
 
     def differing_buckets(self, digest: bytes, start: int) -> list[int]:
-        """Buckets in which another member knows other things, some of them, from a place that goes round."""
-        if len(digest) != BUCKET_COUNT * 4:
+        """The first buckets from ``start`` on that differ from another member's digest; none of a malformed one."""
+        if len(digest) != DIGEST.size:
             return []
-        theirs = struct.unpack(f">{BUCKET_COUNT}I", digest)
+        remote = DIGEST.unpack(digest)
         order = [(start + step) % BUCKET_COUNT for step in range(BUCKET_COUNT)]
-        return [bucket for bucket in order if theirs[bucket] != self._sums[bucket]][:MAX_BUCKETS_PER_ROUND]
+        differing = [bucket for bucket in order if remote[bucket] != self._bucket_hashes[bucket]]
+        return differing[:MAX_BUCKETS_PER_ROUND]
 
-    def summaries(self, buckets: Iterable[int], room: int) -> list[bytes]:
-        """Pages of what is in some buckets: each begins with its bucket, and says whether that is all of it."""
+    def summaries(self, buckets: Iterable[int], max_bytes: int) -> list[bytes]:
+        """Pages of what is in some buckets: each starts with its bucket, and whether the page holds all of it."""
         pages = []
-        most = max(1, (room - 2) // SUMMARY_ROW.size)
+        rows_per_page = max(1, (max_bytes - SUMMARY_HEADER_BYTES) // SUMMARY_ROW.size)
         for bucket in buckets:
-            rows = [
-                SUMMARY_ROW.pack(name, stamped) for name, (_, stamped) in sorted(self._held[bucket].items())
-            ]
-            whole = len(rows) <= most
-            for first in range(0, max(1, len(rows)), most):
-                pages.append(bytes((bucket, whole)) + b"".join(rows[first : first + most]))
+            indexed = sorted(self._buckets[bucket].items())
+            rows = [SUMMARY_ROW.pack(hashed, one.stamp_hash) for hashed, one in indexed]
+            is_complete = len(rows) <= rows_per_page
+            for first in range(0, max(1, len(rows)), rows_per_page):
+                pages.append(bytes((bucket, is_complete)) + b"".join(rows[first : first + rows_per_page]))
         return pages
 
-    def compare_summary(self, page: bytes) -> tuple[list[Hashable], list[int]]:
-        """What to send for a page, and the names of what to ask for: both may hold the newer of what differs."""
-        if len(page) < 2 or (len(page) - 2) % SUMMARY_ROW.size or page[0] >= BUCKET_COUNT:
-            return [], []
-        bucket, whole = page[0], page[1]
-        theirs = dict(SUMMARY_ROW.iter_unpack(page[2:]))
-        mine = self._held[bucket]
-        send = [key for name, (key, stamped) in mine.items() if theirs.get(name, stamped) != stamped]
-        if whole:
-            send += [key for name, (key, _) in mine.items() if name not in theirs]
-        want = [name for name, stamped in theirs.items() if name not in mine or mine[name][1] != stamped]
-        return send, want
-
-    def keys_of_hashes(self, names: bytes) -> list[Hashable]:
-        """The things of some names."""
+    def compare_summary(self, page: bytes) -> Differences[Key]:
+        """Compare with a page of another member's summaries; a malformed page has no differences."""
+        rows_bytes = len(page) - SUMMARY_HEADER_BYTES
+        if rows_bytes < 0 or rows_bytes % SUMMARY_ROW.size or page[0] >= BUCKET_COUNT:
+            return Differences([], [])
+        bucket, is_complete = page[0], page[1]
+        remote = dict(SUMMARY_ROW.iter_unpack(page[SUMMARY_HEADER_BYTES:]))
+        local = self._buckets[bucket]
+        to_send = [
+            one.key for hashed, one in local.items() if remote.get(hashed, one.stamp_hash) != one.stamp_hash
+        ]
+        if is_complete:
+            to_send += [one.key for hashed, one in local.items() if hashed not in remote]
+        to_request = [
+            hashed
+            for hashed, stamp_hash in remote.items()
+            if hashed not in local or local[hashed].stamp_hash != stamp_hash
+        ]
+        return Differences(to_send, to_request)
+
+    def keys_of_hashes(self, hashes: bytes) -> list[Key]:
+        """The known ones among the keys that another member requests by their hashes."""
         found = []
-        for (name,) in struct.iter_unpack(">Q", names[: len(names) // 8 * 8]):
-            if (held := self._held[name % BUCKET_COUNT].get(name)) is not None:
-                found.append(held[0])
+        for (hashed,) in KEY_HASH.iter_unpack(hashes[: len(hashes) // KEY_HASH.size * KEY_HASH.size]):
+            if (indexed := self._buckets[hashed % BUCKET_COUNT].get(hashed)) is not None:
+                found.append(indexed.key)
         return found
 
 
-def pack_hashes(names: list[int]) -> bytes:
-    """Names as they are asked for."""
-    return struct.pack(f">{len(names)}Q", *names)
+def pack_hashes(hashes: list[int]) -> bytes:
+    """Hashes of keys, as they are requested."""
+    return struct.pack(f">{len(hashes)}Q", *hashes)
--- /dev/null
+++ b/thornshelf/membership/datagram_sender.py
@@ -0,0 +1,171 @@
+"""Builds the datagrams that this member sends, and fills the space that is left in each with rumors (piggyback)."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from dataclasses import dataclass
+from typing import NamedTuple
+
+import msgspec
+
+from thornshelf.membership.config import MAX_DATAGRAM_BYTES, MembershipConfig
+from thornshelf.membership.datagrams import HEADER_BYTES, EncodedMessage, MessageKind, Sealer
+from thornshelf.membership.dissemination import DisseminationBuffer
+from thornshelf.membership.keys import RecordKey, RumorKey
+from thornshelf.membership.local_member import LocalMember
+from thornshelf.membership.member_table import MemberTable
+from thornshelf.membership.replicated_map import ReplicatedMap
+from thornshelf.membership.states import Member, MemberRecord, MemberState, RecordStatus
+
+MESSAGE_OVERHEAD_BYTES = 48  # of the numbers and lengths in a message, at most
+MAX_GOSSIP_DATAGRAMS = 4  # that answer one push-pull request
+GOSSIP_FANOUT = 3  # random members that rumors are sent to which cannot wait for a probe
+
+
+@dataclass(frozen=True, slots=True)
+class OutgoingMessage:
+    """What a datagram is to hold besides this member's own record and the rumors.
+
+    ``keys``: records and entries to send, as many as fit. ``sequence``: of a ping, repeated in its acknowledgement.
+    """
+
+    kind: MessageKind
+    sequence: int = 0
+    target: str = ""
+    keys: Sequence[RumorKey] = ()
+    payload: bytes = b""
+
+
+class OutgoingDatagram(NamedTuple):
+    """A datagram, and the host:port that it goes to."""
+
+    address: str
+    data: bytes
+
+
+class DatagramSender:
+    """The datagrams that wait to be sent."""
+
+    def __init__(
+        self,
+        config: MembershipConfig,
+        local: LocalMember,
+        table: MemberTable,
+        replicated_map: ReplicatedMap,
+        buffer: DisseminationBuffer[RumorKey],
+    ) -> None:
+        self.sealer = Sealer(config.fleet, config.key)
+        self.outgoing: list[OutgoingDatagram] = []
+        self.counter = 0
+        self._config = config
+        self._local = local
+        self._table = table
+        self._replicated_map = replicated_map
+        self._buffer = buffer
+        self._now_us = 0  # the time of the datagram that is being built
+        self._encoded_local: tuple[MemberRecord, bytes] | None = None
+
+    def take_outgoing(self) -> list[OutgoingDatagram]:
+        """The datagrams that were built since the last call."""
+        outgoing = self.outgoing
+        self.outgoing = []
+        return outgoing
+
+    def send_to_member(self, member: Member, message: OutgoingMessage, now_us: int) -> list[RumorKey]:
+        """Send to a known member; returns the keys for which there was no space.
+
+        Where its record or state is not alive, that record goes first, so that the member can refute it.
+        """
+        record = member.record
+        is_alive = record.status == RecordStatus.ALIVE and member.state is MemberState.ALIVE
+        first = None if is_alive else RecordKey(record.name)
+        return self.send(record.address, record.instance_id, message, now_us, first)
+
+    def send(
+        self,
+        address: str,
+        instance_id: int,
+        message: OutgoingMessage,
+        now_us: int,
+        first: RecordKey | None = None,
+    ) -> list[RumorKey]:
+        """Send to an address; returns the keys for which there was no space.
+
+        ``instance_id``: of the process that it is meant for, 0 for any. ``first``: the rumor that goes before all
+        others, behind the message's own keys.
+        """
+        self._now_us = now_us
+        local_record = self._encode_local_record()
+        capacity = MAX_DATAGRAM_BYTES - HEADER_BYTES - len(local_record) - MESSAGE_OVERHEAD_BYTES
+        capacity -= len(message.target) + len(message.payload)
+        remaining = list(message.keys)
+        selected: list[tuple[RumorKey, bytes]] = []
+        while remaining and (data := self._encode(remaining[0])) is not None and len(data) <= capacity:
+            capacity -= len(data)
+            selected.append((remaining.pop(0), data))
+        while remaining and self._encode(remaining[0]) is None:
+            remaining.pop(0)
+        if message.kind is not MessageKind.JOIN:
+            requested = {key for key, _ in selected}
+            limit = self._config.retransmit_limit(len(self._table.live_names) + 1)
+            rumors = self._buffer.select(capacity, limit, self._encode, first)
+            selected += [(key, data) for key, data in rumors if key not in requested]
+        self._append(address, instance_id, message, local_record, selected)
+        return remaining
+
+    def _append(
+        self,
+        address: str,
+        instance_id: int,
+        message: OutgoingMessage,
+        local_record: bytes,
+        rumors: Sequence[tuple[RumorKey, bytes]],
+    ) -> None:
+        self.counter += 1
+        body = EncodedMessage(
+            kind=int(message.kind),
+            sender=msgspec.Raw(local_record),
+            recipient_instance_id=instance_id,
+            counter=self.counter,
+            sequence=message.sequence,
+            target=message.target,
+            records=[msgspec.Raw(data) for key, data in rumors if isinstance(key, RecordKey)],
+            entries=[msgspec.Raw(data) for key, data in rumors if not isinstance(key, RecordKey)],
+            payload=message.payload,
+        )
+        self.outgoing.append(OutgoingDatagram(address, self.sealer.seal(self.sealer.encode(body))))
+
+    def send_keys(self, member: Member, keys: Sequence[RumorKey], now_us: int) -> None:
+        """Send records and entries to a member, in a bounded number of datagrams."""
+        remaining = list(keys)
+        for _ in range(MAX_GOSSIP_DATAGRAMS):
+            if not remaining:
+                return
+            remaining = self.send_to_member(
+                member, OutgoingMessage(MessageKind.GOSSIP, keys=remaining), now_us
+            )
+
+    def gossip(self, key: RumorKey, now_us: int) -> None:
+        """Send a record or an entry to a few random members at once."""
+        message = OutgoingMessage(MessageKind.GOSSIP, keys=[key])
+        for name in self._table.sample(GOSSIP_FANOUT):
+            self.send_to_member(self._table.members[name], message, now_us)
+
+    def _encode(self, key: RumorKey) -> bytes | None:
+        """The bytes of a record or an entry; None where it is not known any more."""
+        if isinstance(key, RecordKey):
+            if key.name == self._local.record.name:
+                return self._encode_local_record()
+            member = self._table.members.get(key.name)
+            return None if member is None else self.sealer.encode(member.record)
+        stored = self._replicated_map.get(key.writer, key.kind, key.part)
+        if stored is None:
+            return None
+        age_ms = max(0, (self._now_us - stored.written_us) // 1000)
+        return self.sealer.encode(msgspec.structs.replace(stored.entry, age_ms=age_ms))
+
+    def _encode_local_record(self) -> bytes:
+        record = self._local.record
+        if self._encoded_local is None or self._encoded_local[0] is not record:
+            self._encoded_local = (record, self.sealer.encode(record))
+        return self._encoded_local[1]
--- a/thornshelf/membership/datagrams.py
+++ b/thornshelf/membership/datagrams.py
@@ -1,9 +1,9 @@
-"""The datagrams between members: MessagePack under a keyed hash, at most 1,200 bytes, each taken once.
+"""The datagrams between members: MessagePack under a keyed hash (MAC), at most 1,200 bytes, each accepted once.
 
-    "TS" version:1 fleet:4 hash:16 body        the hash covers all the others
+    "TS" version:1 fleet:4 mac:16 body        the MAC covers everything else
 
-A key that is right says that a member sent it, not which: members trust each other that far. What a lying member can
-do with that is bounded elsewhere.
+A valid MAC proves that some member sent a datagram, not which one: members trust each other that far. What a
+malicious member can do with that is bounded by the rules for states, incarnations and join candidates.
 """
 
 from __future__ import annotations
@@ -30,10 +30,15 @@
 from thornshelf.membership.config import MAX_DATAGRAM_BYTES
 from thornshelf.membership.states import MemberRecord
 
-MAGIC, VERSION, MAC_BYTES = b"TS", 1, 16
-HEADER_BYTES = len(MAGIC) + 1 + 4 + MAC_BYTES
-MAX_INCARNATION = 1 << 62  # no claim goes beyond; far from where honest members ever come
-REPLAY_WINDOW = 256  # datagrams may overtake each other by so many
+MAGIC = b"TS"
+VERSION = 1
+MAC_BYTES = 16
+FLEET_OFFSET = len(MAGIC) + 1
+MAC_OFFSET = FLEET_OFFSET + 4
+HEADER_BYTES = MAC_OFFSET + MAC_BYTES
+MAX_INCARNATION = 1 << 62  # no record goes beyond; far above what honest members ever reach
+REPLAY_WINDOW = 256  # datagrams by which one may overtake another
+MAX_ERROR_TEXT = 200
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Address = Annotated[str, Meta(min_length=3, max_length=64)]
@@ -44,23 +49,23 @@
 class MessageKind(enum.IntEnum):
     """What a datagram is for."""
 
-    JOIN = 0  # I am here; who are you, and who else is there?
-    JOIN_REPLY = 1  # I, and some others
+    JOIN = 0  # announces the sender, and asks who else is there
+    JOIN_REPLY = 1  # the sender's record and some others; also corrects a sender that is out of date
     PING = 2
     ACK = 3
-    INDIRECT_PING = 4  # ping that one for me
-    NACK = 5  # it did not answer me either
-    PUSH_PULL_DIGEST = 6  # what I know, as a hash for each bucket
-    PUSH_PULL_SUMMARY = 7  # of some buckets, a hash for each thing known
-    PUSH_PULL_REQUEST = 8  # send me these
-    GOSSIP = 9  # claims and entries, asked for or not
+    INDIRECT_PING = 4  # asks the receiver to ping the target for the sender
+    NACK = 5  # the target did not acknowledge an indirect ping in time either
+    PUSH_PULL_DIGEST = 6  # one hash for each bucket of what the sender knows
+    PUSH_PULL_SUMMARY = 7  # one hash for each key in some buckets
+    PUSH_PULL_REQUEST = 8  # hashes of keys that the sender wants to receive
+    GOSSIP = 9  # records and entries, requested or not
     LEAVE = 10
-    QUERY = 11  # a question of a shell, or the wish for more of its answer
-    QUERY_REPLY = 12  # a piece of such an answer
+    QUERY = 11  # a query of a shell, or a request for more of its reply
+    QUERY_REPLY = 12  # a chunk of such a reply
 
 
 class ReceivedRecord(MemberRecord, frozen=True, array_like=True):
-    """A claim as it comes in, with its bounds."""
+    """A record as it arrives, with the bounds that decoding enforces."""
 
     name: Name
     address: Address
@@ -72,7 +77,7 @@
 
 
 class MapEntry(msgspec.Struct, frozen=True, array_like=True):
-    """An entry of the shared map: one writer, a kind, a part of it, and the writer's stamp, which only grows."""
+    """One entry of the replicated map, under its writer's stamp, which only grows."""
 
     writer: Name
     kind: Annotated[str, Meta(min_length=1, max_length=16)]
@@ -84,94 +89,112 @@
 
     @property
     def stamp(self) -> tuple[int, int, bytes]:
-        """The greater one holds; two of one stamp are somebody's forgery, and one of them holds for all."""
+        """The greater stamp prevails. The value is part of it, so that of two forged ones all prefer the same."""
         return self.incarnation, self.version, self.value
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """A datagram's content."""
+    """The content of a datagram."""
 
     kind: MessageKind
     sender: ReceivedRecord
     recipient_instance_id: InstanceId  # of the process that it is meant for, 0 where that is not known
-    counter: UnsignedNumber  # of this sender's datagrams
-    sequence: UnsignedNumber = 0
-    target: Annotated[str, Meta(max_length=64)] = (
-        ""  # the member that it is meant for, or that is to be tried
-    )
+    counter: UnsignedNumber  # of the sender's datagrams
+    sequence: UnsignedNumber = 0  # of a ping, repeated in its acknowledgement
+    target: Annotated[str, Meta(max_length=64)] = ""  # the member that is pinged, directly or indirectly
     records: Annotated[list[ReceivedRecord], Meta(max_length=64)] = []
     entries: Annotated[list[MapEntry], Meta(max_length=64)] = []
     payload: Annotated[bytes, Meta(max_length=MAX_DATAGRAM_BYTES)] = b""
 
 
+class EncodedMessage(msgspec.Struct, array_like=True):
+    """A ``Message`` whose parts are encoded already; both have the same form on the wire."""
+
+    kind: int
+    sender: msgspec.Raw
+    recipient_instance_id: int
+    counter: int
+    sequence: int
+    target: str
+    records: list[msgspec.Raw]
+    entries: list[msgspec.Raw]
+    payload: bytes
+
+
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 class Sealer:
-    """Seals and opens datagrams of one fleet."""
+    """Seals and opens the datagrams of one fleet."""
 
     def __init__(self, fleet: str, key: bytes) -> None:
         self._key = hashlib.blake2b(key).digest()
         self._fleet = xxhash.xxh32_digest(fleet.encode())
 
     def encode(self, part: object) -> bytes:
-        """One part of a body, so that its size is known before it is chosen."""
+        """Encode one part of a body, so that its size is known before it is chosen."""
         return _encoder.encode(part)
 
     def seal(self, body: bytes) -> bytes:
-        """A body as it is sent."""
-        head = MAGIC + bytes((VERSION,)) + self._fleet
-        return head + self._hash(head, body) + body
+        """The datagram with this body."""
+        header = MAGIC + bytes((VERSION,)) + self._fleet
+        return header + self._mac(header, body) + body
 
-    def _hash(self, head: bytes, body: bytes) -> bytes:
-        return hashlib.blake2b(head + body, digest_size=MAC_BYTES, key=self._key).digest()
+    def _mac(self, header: bytes, body: bytes) -> bytes:
+        return hashlib.blake2b(header + body, digest_size=MAC_BYTES, key=self._key).digest()
 
     def open(self, data: bytes) -> Message:
-        """A datagram's content; an error of its own type for each way in which it can be no good."""
+        """Verify and decode a datagram. Raises the ``RejectedDatagramError`` of each way in which it is invalid."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise OversizedDatagramError(f"{len(data)} bytes")
-        if len(data) <= HEADER_BYTES or data[:2] != MAGIC:
+        if len(data) <= HEADER_BYTES or data[: len(MAGIC)] != MAGIC:
             raise TruncatedDatagramError(f"{len(data)} bytes")
-        head, found, body = data[:7], data[7:HEADER_BYTES], data[HEADER_BYTES:]
-        if data[2] > VERSION:
-            raise UnsupportedDatagramVersionError(f"version {data[2]}; this program knows up to {VERSION}")
-        if head[3:7] != self._fleet:
+        header = data[:MAC_OFFSET]
+        mac = data[MAC_OFFSET:HEADER_BYTES]
+        body = data[HEADER_BYTES:]
+        version = data[len(MAGIC)]
+        if version > VERSION:
+            raise UnsupportedDatagramVersionError(f"version {version}; this program knows up to {VERSION}")
+        if header[FLEET_OFFSET:] != self._fleet:
             raise ForeignDatagramError("another fleet's name")
-        if data[2] < VERSION or not hmac.compare_digest(found, self._hash(head, body)):
+        if version < VERSION or not hmac.compare_digest(mac, self._mac(header, body)):
             raise ForgedDatagramError("the hash does not fit")
         try:
             return _decoder.decode(body)
         except (msgspec.DecodeError, msgspec.ValidationError, UnicodeDecodeError) as fault:
-            raise UnreadableDatagramError(str(fault)[:200]) from None
+            raise UnreadableDatagramError(str(fault)[:MAX_ERROR_TEXT]) from None
 
 
 class ReplayWindows:
-    """Which datagrams of each sender have come: each is taken once, in any order within a window."""
+    """Which datagrams of each sender have arrived: each is accepted once, in any order within a window."""
 
     def __init__(self, max_senders: int) -> None:
-        self._most = max_senders
-        self._seen: OrderedDict[tuple[str, int], tuple[int, int]] = (
-            OrderedDict()
-        )  # highest counter, bits below
+        self._max_senders = max_senders
+        # By sender: its highest counter, and a bit for each of the counters below.
+        self._received: OrderedDict[tuple[str, int], tuple[int, int]] = OrderedDict()
 
     def accept(self, sender: str, instance_id: int, counter: int) -> None:
-        """Take a datagram's number; an error where it came before, or is too old to tell."""
-        top, bits = self._seen.pop((sender, instance_id), (0, 0))
-        if counter > top:
-            bits = (
-                (bits << (counter - top) | 1) & ((1 << REPLAY_WINDOW) - 1)
-                if counter - top < REPLAY_WINDOW
-                else 1
-            )
-            self._seen[sender, instance_id] = counter, bits
-            if len(self._seen) > self._most:
-                self._seen.popitem(last=False)
+        """Mark a counter as received. Raises ``ReplayedDatagramError`` where it was before, or is too old to know."""
+        key = (sender, instance_id)
+        highest, bits = self._received.pop(key, (0, 0))
+        if counter > highest:
+            self._received[key] = (counter, _shift(bits, counter - highest))
+            if len(self._received) > self._max_senders:
+                self._received.popitem(last=False)
             return
-        self._seen[sender, instance_id] = top, bits
-        if top - counter >= REPLAY_WINDOW or bits >> (top - counter) & 1:
+        self._received[key] = (highest, bits)
+        offset = highest - counter
+        if offset >= REPLAY_WINDOW or bits >> offset & 1:
             raise ReplayedDatagramError(f"number {counter} of {sender:.64}")
-        self._seen[sender, instance_id] = top, bits | 1 << (top - counter)
+        self._received[key] = (highest, bits | 1 << offset)
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._received)
+
+
+def _shift(bits: int, distance: int) -> int:
+    """Bits of received counters, moved on to a new highest one."""
+    if distance >= REPLAY_WINDOW:
+        return 1
+    return (bits << distance | 1) & ((1 << REPLAY_WINDOW) - 1)
--- a/thornshelf/membership/dissemination.py
+++ b/thornshelf/membership/dissemination.py
@@ -1,65 +1,89 @@
-"""What is passed on beside other datagrams: each rumour a bounded number of times, the least told first."""
+"""The dissemination buffer: rumors that are piggybacked on other datagrams, each a bounded number of times."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Hashable
 from heapq import nsmallest
+from typing import Generic, TypeVar
 
-MAX_RUMORS = 8_192  # rumours that wait; beyond, those told most often are let go: comparing finds them
+MAX_RUMORS = 8_192  # beyond, those sent most often are dropped: push-pull rounds repair that
+DROPPED_AT_ONCE = MAX_RUMORS // 8
+MAX_RUMORS_TRIED = 24  # for one datagram
 
+Key = TypeVar("Key", bound=Hashable)
 
-class DisseminationBuffer:
-    """Keys of claims and entries that others may not know yet."""
+
+class DisseminationBuffer(Generic[Key]):
+    """Keys of records and entries that other members may not know yet, by how often they were sent."""
 
     def __init__(self) -> None:
-        self._told: dict[Hashable, int] = {}
-        self._order: dict[Hashable, int] = {}  # the newest least: a flood of old ones doesn't hold it up
-        self._count = 0
+        self._transmissions: dict[Key, int] = {}
+        # The newest rumor has the lowest rank, so that a flood of old ones does not delay it.
+        self._ranks: dict[Key, int] = {}
+        self._next_rank = 0
 
     def __len__(self) -> int:
-        return len(self._told)
+        return len(self._transmissions)
+
+    def add(self, key: Key) -> None:
+        """Something new is known under this key: its transmissions count from zero."""
+        self._transmissions.pop(key, None)
+        if len(self._transmissions) >= MAX_RUMORS:
+            self._drop_most_sent()
+        self._next_rank -= 1
+        self._transmissions[key] = 0
+        self._ranks[key] = self._next_rank
+
+    def clear(self) -> None:
+        """Drop all rumors."""
+        self._transmissions.clear()
+        self._ranks.clear()
+
+    def _drop_most_sent(self) -> None:
+        def rank(key: Key) -> tuple[int, int]:
+            return -self._transmissions[key], -self._ranks[key]
 
-    def add(self, key: Hashable) -> None:
-        """Something new of this key: it is told from the beginning."""
-        self._told.pop(key, None)
-        if len(self._told) >= MAX_RUMORS:
-            for old in nsmallest(
-                MAX_RUMORS // 8, self._told, key=lambda one: (-self._told[one], -self._order[one])
-            ):
-                self._drop(old)
-        self._count -= 1
-        self._told[key], self._order[key] = 0, self._count
+        for key in nsmallest(DROPPED_AT_ONCE, self._transmissions, key=rank):
+            self._drop(key)
 
-    def _drop(self, key: Hashable) -> None:
-        del self._told[key], self._order[key]
+    def _drop(self, key: Key) -> None:
+        del self._transmissions[key]
+        del self._ranks[key]
 
     def select(
-        self, room: int, most: int, encoded: Callable[[Hashable], bytes | None], first: Hashable = None
-    ) -> list[tuple[Hashable, bytes]]:
-        """Rumours that fit into ``room`` bytes, each counted as told; gone once it was told ``most`` times.
+        self,
+        max_bytes: int,
+        retransmit_limit: int,
+        encode: Callable[[Key], bytes | None],
+        first: Key | None = None,
+    ) -> list[tuple[Key, bytes]]:
+        """Select rumors that fit into ``max_bytes``, the least sent first, and count their transmission.
 
-        ``encoded``: a rumour's bytes, None where there is nothing to tell any more; ``first``: goes before all
-        others, whether it is a rumour or not.
+        Returns pairs of a key and its bytes. A rumor is dropped once it was sent ``retransmit_limit`` times.
+        ``encode`` gives its bytes, None where there is nothing to send any more. ``first`` goes before all others,
+        whether it is a rumor or not.
         """
-        found: list[tuple[Hashable, bytes]] = []
-        if first is not None and (data := encoded(first)) is not None and len(data) <= room:
-            found.append((first, data))
-            room -= len(data)
-        if not self._told:
-            return found
-        ranks = self._order
-        order = nsmallest(24, self._told.items(), key=lambda one: (one[1], ranks[one[0]]))
-        for key, told in order:
+        selected: list[tuple[Key, bytes]] = []
+        if first is not None and (data := encode(first)) is not None and len(data) <= max_bytes:
+            selected.append((first, data))
+            max_bytes -= len(data)
+        if not self._transmissions:
+            return selected
+        ranks = self._ranks
+        order = nsmallest(
+            MAX_RUMORS_TRIED, self._transmissions.items(), key=lambda one: (one[1], ranks[one[0]])
+        )
+        for key, transmissions in order:
             if key == first:
                 continue
-            data = encoded(key)
+            data = encode(key)
             if data is None:
                 self._drop(key)
-            elif len(data) <= room:
-                room -= len(data)
-                found.append((key, data))
-                if told + 1 >= most:
+            elif len(data) <= max_bytes:
+                max_bytes -= len(data)
+                selected.append((key, data))
+                if transmissions + 1 >= retransmit_limit:
                     self._drop(key)
                 else:
-                    self._told[key] = told + 1
-        return found
+                    self._transmissions[key] = transmissions + 1
+        return selected
--- /dev/null
+++ b/thornshelf/membership/entry_publisher.py
@@ -0,0 +1,90 @@
+"""Writes this member's entries of the replicated map, as often as the fleet's traffic budget allows."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from thornshelf.membership.config import MembershipConfig
+from thornshelf.membership.datagram_sender import DatagramSender
+from thornshelf.membership.keys import EntryKey
+from thornshelf.membership.knowledge import Knowledge
+from thornshelf.membership.local_member import LocalMember
+from thornshelf.membership.member_table import MemberTable
+from thornshelf.membership.replicated_map import ReplicatedMap
+
+ENTRY_OVERHEAD_BYTES = 40  # of an entry beside its value
+
+
+@dataclass(slots=True)
+class PendingWrite:
+    """An own entry that waits for its next version."""
+
+    value: bytes
+    due_us: int
+    is_urgent: bool
+
+
+class EntryPublisher:
+    """The own entries that are to be written; only the last value of each counts."""
+
+    def __init__(
+        self,
+        config: MembershipConfig,
+        local: LocalMember,
+        table: MemberTable,
+        replicated_map: ReplicatedMap,
+        knowledge: Knowledge,
+        sender: DatagramSender,
+    ) -> None:
+        self._config = config
+        self._local = local
+        self._table = table
+        self._replicated_map = replicated_map
+        self._knowledge = knowledge
+        self._sender = sender
+        self.pending: dict[tuple[str, int], PendingWrite] = {}  # by kind and part
+        self._written_us: dict[tuple[str, int], int] = {}
+
+    def publish(self, kind: str, part: int, value: bytes, min_interval_us: int | None, now_us: int) -> None:
+        """Write a value as soon as its interval has passed: the given one, or else that of the traffic budget.
+
+        With an interval of its own it is urgent, and is gossiped at once.
+        """
+        stored = self._replicated_map.get(self._local.record.name, kind, part)
+        current = stored.entry.value if stored is not None else b""
+        if (kind, part) not in self.pending and current == value:
+            return
+        if min_interval_us is None:
+            live_count = len(self._table.live_names) + 1
+            interval_us = self._config.write_interval_us(live_count, len(value) + ENTRY_OVERHEAD_BYTES)
+        else:
+            interval_us = min_interval_us
+        due_us = max(now_us, self._written_us.get((kind, part), -interval_us) + interval_us)
+        self.pending[kind, part] = PendingWrite(value, due_us, min_interval_us is not None)
+
+    def next_due_us(self) -> int | None:
+        """When the next write is due; None without pending ones."""
+        if not self.pending:
+            return None
+        return min(write.due_us for write in self.pending.values())
+
+    def tick(self, now_us: int) -> None:
+        """Write the entries that are due."""
+        for (kind, part), write in list(self.pending.items()):
+            if write.due_us <= now_us:
+                del self.pending[kind, part]
+                self._written_us[kind, part] = now_us
+                key = self._write(kind, part, write.value, now_us)
+                if write.is_urgent:
+                    self._sender.gossip(key, now_us)
+
+    def rewrite(self, kind: str, part: int, now_us: int) -> None:
+        """Write the current value again, above a version of this entry that others hold."""
+        stored = self._replicated_map.get(self._local.record.name, kind, part)
+        self._write(kind, part, stored.entry.value if stored is not None else b"", now_us)
+
+    def _write(self, kind: str, part: int, value: bytes, now_us: int) -> EntryKey:
+        entry = self._replicated_map.write(kind, part, value, self._local.record.incarnation, now_us)
+        key = EntryKey(entry.writer, kind, part)
+        self._knowledge.update(key, entry.stamp)
+        return key
--- a/thornshelf/membership/join_candidates.py
+++ b/thornshelf/membership/join_candidates.py
@@ -1,7 +1,8 @@
-"""Names that are not known yet: each has to answer a ping of this very member before it counts as one.
+"""Names that are not known yet: each has to acknowledge a ping of this very member before it becomes a member here.
 
-Guards against a member that invents others by the thousand, or speaks in their names: nobody is taken at another's
-word, nor passed on. One that speaks itself is tried before hearsay.
+Guards against a member that invents others by the thousand, or speaks in their names: nobody is accepted, nor
+gossiped on, on another member's report. Candidates that sent a datagram themselves are pinged before those that were
+only reported.
 """
 
 from __future__ import annotations
@@ -12,27 +13,35 @@
 
 from thornshelf.membership.states import MemberRecord, prevailing_record
 
-MAX_CANDIDATES = 512  # that wait for their answer
-MAX_CANDIDATES_PER_SOURCE = 64  # named by one member
+MAX_CANDIDATES = 512
+MAX_CANDIDATES_PER_SOURCE = 64  # reported by one member
 PINGS_PER_S = 100
-MAX_ATTEMPTS = 4  # the last through others, where its link to this member works one way
-RETRY_INTERVAL_US = 300_000  # between two tries
+PINGS_PER_BATCH = PINGS_PER_S // 10  # the pings of a tenth of a second may go together
+MAX_ATTEMPTS = 4  # the last one indirectly, in case the link to this member works one way only
+RETRY_INTERVAL_US = 300_000
+MIN_SEQUENCE = 1 << 31  # above the sequence numbers of the prober
+MAX_SEQUENCE = 1 << 62
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A name, and how it is being tried."""
+    """A candidate, and the state of its pings."""
 
     record: MemberRecord
-    source: str  # who named it; itself, where it has spoken
+    source: str  # the member that reported it first; its own name, where it has sent a datagram itself
     attempts: int = 0
     due_us: int = 0
     sequence: int = 0
 
+    @property
+    def is_reported(self) -> bool:
+        """Whether it is known by another member's report only."""
+        return self.source != self.record.name
+
 
 @dataclass(frozen=True, slots=True)
 class CandidatePing:
-    """Ping this one; through others where ``relayed``."""
+    """Ping this candidate, through other members where ``indirect``."""
 
     record: MemberRecord
     sequence: int
@@ -40,81 +49,87 @@
 
 
 class JoinCandidates:
-    """Those that wait for their answer."""
+    """The candidates that have not acknowledged a ping yet."""
 
-    def __init__(self, chance: random.Random) -> None:
-        self._chance = chance
-        self._waiting: dict[str, Candidate] = {}
-        self._by_teller: Counter[str] = Counter()
-        self._by_seq: dict[int, str] = {}
-        self._next_us = 0  # the next ping, whoever's
+    def __init__(self, random_source: random.Random) -> None:
+        self._random = random_source
+        self._candidates: dict[str, Candidate] = {}
+        self._count_by_source: Counter[str] = Counter()
+        self._name_by_sequence: dict[int, str] = {}
+        self._next_ping_us = 0  # the rate limit of all pings together
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._candidates)
 
-    def add(self, claim: MemberRecord, teller: str, now_us: int) -> bool:
-        """A name; false where there is no room for it now. It will be heard again."""
-        known = self._waiting.get(claim.name)
+    def add(self, record: MemberRecord, source: str, now_us: int) -> bool:
+        """Add a candidate; returns False where the limits leave no space for it now."""
+        known = self._candidates.get(record.name)
         if known is not None:
-            known.record = prevailing_record(known.record, claim)
-            if teller == claim.name and known.source != teller:
-                self._by_teller[known.source] -= 1
-                self._by_teller[teller] += 1
-                known.source, known.attempts, known.due_us = teller, 0, now_us
+            self._update(known, record, source, now_us)
             return True
-        if self._by_teller[teller] >= MAX_CANDIDATES_PER_SOURCE:
+        if self._count_by_source[source] >= MAX_CANDIDATES_PER_SOURCE:
             return False
-        if len(self._waiting) >= MAX_CANDIDATES:
-            hearsay = next((one for one in self._waiting.values() if one.source != one.record.name), None)
-            if teller != claim.name or hearsay is None:
+        if len(self._candidates) >= MAX_CANDIDATES:
+            reported = next((one for one in self._candidates.values() if one.is_reported), None)
+            if source != record.name or reported is None:
                 return False
-            self._drop(hearsay)
-        self._waiting[claim.name] = Candidate(claim, teller, due_us=now_us)
-        self._by_teller[teller] += 1
+            self._drop(reported)
+        self._candidates[record.name] = Candidate(record, source, due_us=now_us)
+        self._count_by_source[source] += 1
         return True
 
+    def _update(self, candidate: Candidate, record: MemberRecord, source: str, now_us: int) -> None:
+        candidate.record = prevailing_record(candidate.record, record)
+        if source == record.name and candidate.source != source:
+            self._count_by_source[candidate.source] -= 1
+            self._count_by_source[source] += 1
+            candidate.source = source
+            candidate.attempts = 0
+            candidate.due_us = now_us
+
     def next_due_us(self) -> int | None:
-        """When the next one is to be tried."""
-        if not self._waiting:
+        """When the next ping is due; None without candidates."""
+        if not self._candidates:
             return None
-        return max(self._next_us, min(one.due_us for one in self._waiting.values()))
+        return max(self._next_ping_us, min(one.due_us for one in self._candidates.values()))
 
     def due_pings(self, now_us: int) -> list[CandidatePing]:
-        """Those that are to be tried now, as many as the pace allows; one that was tried often enough is dropped."""
-        found: list[CandidatePing] = []
-        if now_us < self._next_us:
-            return found
-        waiting = [one for one in self._waiting.values() if one.due_us <= now_us]
-        waiting.sort(key=lambda one: (one.source != one.record.name, one.due_us))
-        # A tenth of a second's pings may go together.
-        for one in waiting[: PINGS_PER_S // 10]:
-            self._by_seq.pop(one.sequence, None)
-            if one.attempts >= MAX_ATTEMPTS:
-                self._drop(one)
-                continue
-            one.attempts += 1
-            one.due_us = now_us + RETRY_INTERVAL_US
-            one.sequence = self._chance.randrange(
-                1 << 31, 1 << 62
-            )  # nobody can guess it, and no probe has it
-            self._by_seq[one.sequence] = one.record.name
-            found.append(CandidatePing(one.record, one.sequence, one.attempts == MAX_ATTEMPTS))
-        if found:
-            self._next_us = now_us + len(found) * 1_000_000 // PINGS_PER_S
-        return found
-
-    def ack_received(self, seq: int) -> MemberRecord | None:
-        """Whose answer this is; it is a stranger no more."""
-        name = self._by_seq.get(seq)
+        """The pings that are due, as many as the rate limit allows. Drops candidates that used up their attempts."""
+        pings: list[CandidatePing] = []
+        if now_us < self._next_ping_us:
+            return pings
+        due = [one for one in self._candidates.values() if one.due_us <= now_us]
+        due.sort(key=lambda one: (one.is_reported, one.due_us))
+        for candidate in due[:PINGS_PER_BATCH]:
+            self._name_by_sequence.pop(candidate.sequence, None)
+            if candidate.attempts >= MAX_ATTEMPTS:
+                self._drop(candidate)
+            else:
+                pings.append(self._ping(candidate, now_us))
+        if pings:
+            self._next_ping_us = now_us + len(pings) * 1_000_000 // PINGS_PER_S
+        return pings
+
+    def _ping(self, candidate: Candidate, now_us: int) -> CandidatePing:
+        candidate.attempts += 1
+        candidate.due_us = now_us + RETRY_INTERVAL_US
+        # Random, so that nobody can forge the acknowledgement without having seen the ping.
+        candidate.sequence = self._random.randrange(MIN_SEQUENCE, MAX_SEQUENCE)
+        self._name_by_sequence[candidate.sequence] = candidate.record.name
+        return CandidatePing(candidate.record, candidate.sequence, candidate.attempts == MAX_ATTEMPTS)
+
+    def ack_received(self, sequence: int) -> MemberRecord | None:
+        """The record of the candidate whose ping has this sequence number, which is a candidate no more."""
+        name = self._name_by_sequence.get(sequence)
         if name is None:
             return None
-        one = self._waiting[name]
-        self._drop(one)
-        return one.record
-
-    def _drop(self, one: Candidate) -> None:
-        self._by_seq.pop(one.sequence, None)
-        del self._waiting[one.record.name]
-        self._by_teller[one.source] -= 1
-        if self._by_teller[one.source] <= 0:
-            del self._by_teller[one.source]
+        candidate = self._candidates[name]
+        self._drop(candidate)
+        return candidate.record
+
+    def _drop(self, candidate: Candidate) -> None:
+        self._name_by_sequence.pop(candidate.sequence, None)
+        del self._candidates[candidate.record.name]
+        self._count_by_source[candidate.source] -= 1
+        if self._count_by_source[candidate.source] <= 0:
+            del self._count_by_source[candidate.source]
--- a/thornshelf/membership/policies.py
+++ b/thornshelf/membership/policies.py
@@ -1,12 +1,14 @@
-"""What a dispatcher makes of its view: its share, the nodes that stand back, those it probes, what it tells.
+"""What a dispatcher does with its membership: its quota, outliers, nodes to avoid, health checks, and its gossip.
 
-Decides only; ``review`` says what is to be done, and the part carries it out. Names of nodes are those of the list.
+Decides only; ``review`` returns what has changed, and the component carries it out. Names of nodes are those of the
+endpoint list.
 """
 
 from __future__ import annotations
 
 from collections.abc import Collection
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 import xxhash
 
@@ -16,135 +18,185 @@
 from thornshelf.membership.outlier_gossip import Observation, OutlierGossip, health_checkers
 from thornshelf.membership.protocol import MembershipProtocol
 from thornshelf.membership.quota_division import Quota, QuotaConfig, QuotaDivision
-from thornshelf.membership.states import MemberState
+from thornshelf.membership.states import LIVE_STATES, MemberState
 
-PLACER_GOSSIP, OBSERVATIONS, DRAINS = "peers", "seen", "list"  # kinds of shared entries
-OBSERVATIONS_INTERVAL_US = 1_000_000  # sights are told no more often; between, what was told fades by itself
+# Kinds of entries of the replicated map, as they are on the wire.
+PLACER_GOSSIP = "peers"
+OBSERVATIONS = "seen"
+DRAINS = "list"
+
+# Policies that can be enabled, as the operator's keys under ``fleet.uses`` name them.
+DIVIDE_QUOTAS = "allowances"
+SHARE_OBSERVATIONS = "evidence"
+SHARE_DRAINS = "news"
+SHARE_HEALTH_CHECKS = "probes"
+SHARE_PLACER_GOSSIP = "messages"
+
+OBSERVATIONS_INTERVAL_US = 1_000_000  # between two versions; published weights decay by themselves
 DRAINS_INTERVAL_US = 200_000
-HEALTH_CHECK_TIMEOUT_US = 700_000  # for a probe that another does
+HEALTH_CHECK_TIMEOUT_US = 700_000  # of a health check that another member does
+MIN_MEMBERS_FOR_HEALTH_CHECKS = 3  # below, each member checks all suspects itself
+
+
+class HealthCheckReport(NamedTuple):
+    """The result of a health check that other members did; no report in time counts as unhealthy."""
+
+    node: str
+    is_healthy: bool
 
 
 @dataclass(slots=True)
 class PolicyChanges:
-    """What is to be done now."""
+    """What is to be carried out now. None: as before."""
 
-    quota: Quota | None = None  # where it is another one
-    outliers: set[str] | None = None  # nodes that are second choice, where these are others
-    avoided_nodes: set[str] | None = None  # nodes that nothing new goes to by others' word, likewise
+    quota: Quota | None = None
+    outliers: set[str] | None = None
+    avoided_nodes: set[str] | None = None  # nothing new goes to these, by the reports of other members
     nodes_to_check: list[str] = field(default_factory=list)
-    check_results: list[tuple[str, bool]] = field(
-        default_factory=list
-    )  # probes that others did: a node, whether it answers
+    check_results: list[HealthCheckReport] = field(default_factory=list)
 
 
 class FleetPolicies:
-    """One dispatcher's."""
+    """The policies of one dispatcher.
+
+    ``enabled``: names of policies. ``configured``: the number of dispatchers by the settings. ``quota_hold_us``: how
+    long a member that is away still counts in quotas.
+    """
 
     def __init__(
-        self, view: MembershipProtocol, uses: frozenset[str], configured: int, hold_us: int, now_us: int
+        self,
+        membership: MembershipProtocol,
+        enabled: frozenset[str],
+        configured: int,
+        quota_hold_us: int,
+        now_us: int,
     ) -> None:
-        self.membership, self._uses = view, uses
-        self.quota_division = QuotaDivision(QuotaConfig(max(1, configured), hold_us), view.name, now_us)
-        self.outlier_gossip, self.drain_gossip = OutlierGossip(view.name), DrainGossip()
-        self._share: Quota | None = None
-        self._second: set[str] = set()
-        self._kept_away: set[str] = set()
-        self._waiting: dict[str, int] = {}  # suspects that another probes: since when
-        self._fresh = False  # something was seen that has not been told
+        self.membership = membership
+        self._enabled = enabled
+        quota_config = QuotaConfig(max(1, configured), quota_hold_us)
+        self.quota_division = QuotaDivision(quota_config, membership.name, now_us)
+        self.outlier_gossip = OutlierGossip(membership.name)
+        self.drain_gossip = DrainGossip()
+        self._quota: Quota | None = None
+        self._outliers: set[str] = set()
+        self._avoided_nodes: set[str] = set()
+        self._delegated_since_us: dict[str, int] = {}  # suspects that other members check
+        self._has_new_observations = False  # that were not published yet
 
     @property
     def quota(self) -> Quota | None:
-        """This member's share by the live members; none where the configured number holds."""
-        return self._share if self.membership.superseded is None else None
+        """This member's quota by the live members; None where the configured number of dispatchers is in force."""
+        return None if self._is_superseded else self._quota
 
-    # what happens
+    @property
+    def _is_superseded(self) -> bool:
+        return self.membership.superseded is not None
 
     def member_changed(self, change: MemberChange) -> None:
-        """A member's state is another one."""
+        """Take the change of a member's state."""
         if change.after is MemberState.LEFT:
             self.quota_division.member_left(change.name)
-        if change.after not in (MemberState.ALIVE, MemberState.SUSPECT, MemberState.UNCONFIRMED_DEAD):
+        if change.after not in LIVE_STATES:
             self.outlier_gossip.discard_member(change.name)
             self.drain_gossip.discard_member(change.name)
 
-    def entry_received(self, item: MapEntry, now_us: int) -> None:
-        """Another member's entry. Others' words to the module are the part's own matter."""
-        if item.kind == OBSERVATIONS:
-            self.outlier_gossip.receive(item.writer, item.value, now_us - item.age_ms * 1000)
-        elif item.kind == DRAINS:
-            self.drain_gossip.receive(item.writer, item.part, item.value, now_us)
+    def entry_received(self, entry: MapEntry, now_us: int) -> None:
+        """Take another member's entry. Those of the kind ``PLACER_GOSSIP`` are the component's own matter."""
+        if entry.kind == OBSERVATIONS:
+            self.outlier_gossip.receive(entry.writer, entry.value, now_us - entry.age_ms * 1000)
+        elif entry.kind == DRAINS:
+            self.drain_gossip.receive(entry.writer, entry.part, entry.value)
 
-    def observe(self, node: str, sight: Observation, now_us: int) -> None:
-        """An attempt or a probe at a node has ended so."""
-        self.outlier_gossip.observe(node, sight, now_us)
-        self._fresh = True
+    def observe(self, node: str, observation: Observation, now_us: int) -> None:
+        """Note how an attempt or a health check at a node has ended."""
+        self.outlier_gossip.observe(node, observation, now_us)
+        self._has_new_observations = True
 
     def publish_placer_gossip(self, data: bytes) -> None:
-        """The module's words to its peers."""
-        if "messages" in self._uses:
+        """Publish what the decision module sends to its peers."""
+        if SHARE_PLACER_GOSSIP in self._enabled:
             self.membership.publish(PLACER_GOSSIP, 0, data)
 
     def delegate_health_check(self, node: str, now_us: int) -> bool:
-        """Whether others probe this suspect for all: then the answer comes by ``review``."""
-        if (
-            "probes" not in self._uses
-            or self.membership.live_count < 3
-            or self.membership.superseded is not None
-        ):
+        """Whether other members check this suspect for all: then ``review`` returns the result."""
+        is_shared = SHARE_HEALTH_CHECKS in self._enabled and not self._is_superseded
+        if not is_shared or self.membership.live_count < MIN_MEMBERS_FOR_HEALTH_CHECKS:
             return False
         if self.membership.name in health_checkers(node, self.membership.live_names()):
             return False
-        self._waiting.setdefault(node, now_us)
+        self._delegated_since_us.setdefault(node, now_us)
         return True
 
-    # now and then
-
-    def review(self, nodes: Collection[str], silent: bool, now_us: int) -> PolicyChanges:
-        """What follows; ``nodes``: those in service, ``silent``: the own change log says nothing."""
-        found, view, live = PolicyChanges(), self.membership, self.membership.live_names()
-        if view.superseded is not None:
-            live = [view.name]  # it is alone: all that it knew of others is void
-        if view.local.record.incarnation > 1:
-            self.quota_division.mark_rejoined()  # its name was known
-        if view.uptime_lag_us > self.quota_division.config.startup_us:
-            self.quota_division.mark_joining()  # and the others have been here for longer than a fleet takes to begin
-        if "allowances" in self._uses and view.superseded is None:
-            share = self.quota_division.quota(live, now_us)
-            if share != self._share:
-                self._share = found.quota = share
-        second = self.outlier_gossip.outliers(nodes, live, now_us) if "evidence" in self._uses else set()
-        if second != self._second:
-            self._second = found.outliers = second
-        away = (
-            self.drain_gossip.nodes_to_avoid(silent and view.superseded is None, live)
-            if "news" in self._uses
-            else set()
-        )
-        if away != self._kept_away:
-            self._kept_away = found.avoided_nodes = set(away)
-        if "probes" in self._uses and len(live) >= 3:
-            found.nodes_to_check = self.outlier_gossip.nodes_to_check(nodes, live, now_us)
-        for node, since in list(self._waiting.items()):
-            well = self.outlier_gossip.reported_healthy(node, live, now_us, since)
-            if well or now_us - since >= HEALTH_CHECK_TIMEOUT_US:
-                del self._waiting[node]
-                found.check_results.append((node, well))
-        self._tell(now_us)
-        return found
-
-    def _tell(self, now_us: int) -> None:
-        value = (
-            self.outlier_gossip.encode(now_us) if "evidence" in self._uses or "probes" in self._uses else b""
-        )
-        if self._fresh or not value:
-            self._fresh = False
+    def review(self, nodes: Collection[str], watch_is_silent: bool, now_us: int) -> PolicyChanges:
+        """What has changed since the last call, and which health checks are due.
+
+        ``nodes``: those in service. ``watch_is_silent``: this dispatcher's own endpoint watch does not answer.
+        """
+        changes = PolicyChanges()
+        live = [self.membership.name] if self._is_superseded else self.membership.live_names()
+        self._review_quota(changes, live, now_us)
+        self._review_outliers(changes, nodes, live, now_us)
+        self._review_avoided_nodes(changes, watch_is_silent, live)
+        if SHARE_HEALTH_CHECKS in self._enabled and len(live) >= MIN_MEMBERS_FOR_HEALTH_CHECKS:
+            changes.nodes_to_check = self.outlier_gossip.nodes_to_check(nodes, live, now_us)
+        self._review_delegated(changes, live, now_us)
+        self._publish(now_us)
+        return changes
+
+    def _review_quota(self, changes: PolicyChanges, live: Collection[str], now_us: int) -> None:
+        division = self.quota_division
+        if self.membership.local.record.incarnation > 1:
+            division.mark_rejoined()  # it had to outbid the record of a former process
+        if self.membership.uptime_lag_us > division.config.startup_us:
+            division.mark_joining()
+        if DIVIDE_QUOTAS in self._enabled and not self._is_superseded:
+            quota = division.quota(live, now_us)
+            if quota != self._quota:
+                self._quota = quota
+                changes.quota = quota
+
+    def _review_outliers(
+        self, changes: PolicyChanges, nodes: Collection[str], live: Collection[str], now_us: int
+    ) -> None:
+        outliers: set[str] = set()
+        if SHARE_OBSERVATIONS in self._enabled:
+            outliers = self.outlier_gossip.outliers(nodes, live, now_us)
+        if outliers != self._outliers:
+            self._outliers = outliers
+            changes.outliers = outliers
+
+    def _review_avoided_nodes(
+        self, changes: PolicyChanges, watch_is_silent: bool, live: Collection[str]
+    ) -> None:
+        avoided: set[str] = set()
+        if SHARE_DRAINS in self._enabled:
+            uses_reports = watch_is_silent and not self._is_superseded
+            avoided = self.drain_gossip.nodes_to_avoid(uses_reports, live)
+        if avoided != self._avoided_nodes:
+            self._avoided_nodes = avoided
+            changes.avoided_nodes = set(avoided)
+
+    def _review_delegated(self, changes: PolicyChanges, live: Collection[str], now_us: int) -> None:
+        """Take the results of health checks that other members do."""
+        for node, since_us in list(self._delegated_since_us.items()):
+            is_healthy = self.outlier_gossip.reported_healthy(node, live, now_us, since_us)
+            if is_healthy or now_us - since_us >= HEALTH_CHECK_TIMEOUT_US:
+                del self._delegated_since_us[node]
+                changes.check_results.append(HealthCheckReport(node, is_healthy))
+
+    def _publish(self, now_us: int) -> None:
+        value = b""
+        if SHARE_OBSERVATIONS in self._enabled or SHARE_HEALTH_CHECKS in self._enabled:
+            value = self.outlier_gossip.encode(now_us)
+        if self._has_new_observations or not value:
+            self._has_new_observations = False
             self.membership.publish(OBSERVATIONS, 0, value, OBSERVATIONS_INTERVAL_US)
-        if "news" in self._uses:
+        if SHARE_DRAINS in self._enabled:
             self.drain_gossip.expire(now_us)
             for part, page in enumerate(self.drain_gossip.encode_pages(now_us)):
                 self.membership.publish(DRAINS, part, page, DRAINS_INTERVAL_US)
 
 
 def member_number(name: str) -> int:
-    """A member's number for the module: the same at all, and no rank that moves as members come and go."""
+    """A member's number for the decision module: the same at all members, and stable as others come and go."""
     return xxhash.xxh32_intdigest(name.encode())
--- /dev/null
+++ b/thornshelf/membership/probe_messages.py
@@ -0,0 +1,100 @@
+"""Carries out the decisions of the prober and of the join candidates in datagrams, and gives them the answers."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Sequence
+
+from thornshelf.membership.config import MembershipConfig
+from thornshelf.membership.datagram_sender import DatagramSender, OutgoingMessage
+from thornshelf.membership.datagrams import Message, MessageKind
+from thornshelf.membership.join_candidates import JoinCandidates
+from thornshelf.membership.member_table import MemberTable
+from thornshelf.membership.prober import IndirectPing, IndirectPingResult, Ping, ProbeAction, Prober
+from thornshelf.membership.states import Member, RecordStatus
+
+
+class ProbeMessages:
+    """Pings, indirect pings and their answers."""
+
+    def __init__(
+        self,
+        config: MembershipConfig,
+        table: MemberTable,
+        sender: DatagramSender,
+        random_source: random.Random,
+        now_us: int,
+    ) -> None:
+        self._indirect_probes = config.indirect_probes
+        self._table = table
+        self._sender = sender
+        self.prober = Prober(config, table, random_source, now_us)
+        self.candidates = JoinCandidates(random_source)
+
+    def next_due_us(self) -> int:
+        """When ``tick`` has something to do next."""
+        due = self.prober.next_due_us()
+        candidate_due = self.candidates.next_due_us()
+        return due if candidate_due is None else min(due, candidate_due)
+
+    def tick(self, now_us: int) -> None:
+        """Probe members and ping candidates that are due."""
+        self._perform(self.prober.tick(now_us), now_us)
+        for ping in self.candidates.due_pings(now_us):
+            record = ping.record
+            if ping.indirect:
+                message = OutgoingMessage(MessageKind.INDIRECT_PING, ping.sequence, target=record.name)
+                for name in self._table.sample(self._indirect_probes):
+                    self._sender.send_to_member(self._table.members[name], message, now_us)
+            else:
+                message = OutgoingMessage(MessageKind.PING, ping.sequence, target=record.name)
+                self._sender.send(record.address, record.instance_id, message, now_us)
+
+    def _perform(self, actions: Sequence[ProbeAction], now_us: int) -> None:
+        members = self._table.members
+        for action in actions:
+            match action:
+                case Ping(target, sequence) if target in members:
+                    # A record that is not alive goes with the ping, so that the member can refute it at once.
+                    self._send(members[target], MessageKind.PING, sequence, target, now_us)
+                case IndirectPing(relay, target, sequence) if relay in members:
+                    self._send(members[relay], MessageKind.INDIRECT_PING, sequence, target, now_us)
+                case IndirectPingResult(requester, sequence, acknowledged) if requester in members:
+                    kind = MessageKind.ACK if acknowledged else MessageKind.NACK
+                    self._send(members[requester], kind, sequence, "", now_us)
+
+    def _send(self, member: Member, kind: MessageKind, sequence: int, target: str, now_us: int) -> None:
+        self._sender.send_to_member(member, OutgoingMessage(kind, sequence, target), now_us)
+
+    def ping(self, member: Member, now_us: int) -> None:
+        """Ping a member without waiting for its answer, so that it receives what is gossiped about it."""
+        self._send(member, MessageKind.PING, 0, member.record.name, now_us)
+
+    def ping_received(self, member: Member, sequence: int, now_us: int) -> None:
+        """Acknowledge a member's ping."""
+        self._send(member, MessageKind.ACK, sequence, "", now_us)
+
+    def ack_received(self, member: Member, message: Message, now_us: int) -> None:
+        """Take a member's acknowledgement, also that of a candidate which it pinged for this member."""
+        candidate = self.candidates.ack_received(message.sequence)
+        if candidate is not None and candidate.name not in self._table.members:
+            self._table.add(candidate, now_us)
+        name = message.target or member.record.name
+        self._perform(self.prober.ack_received(name, message.sequence), now_us)
+
+    def indirect_ping_received(self, member: Member, message: Message, now_us: int) -> None:
+        """Ping the target on behalf of a member."""
+        actions = self.prober.probe_for(member.record.name, message.target, message.sequence, now_us)
+        self._perform(actions, now_us)
+
+    def admit(self, message: Message, now_us: int) -> bool:
+        """Take a datagram of an unknown sender; returns whether it acknowledges a ping, which makes it a member."""
+        sender = message.sender
+        is_alive = sender.status == RecordStatus.ALIVE
+        if message.kind is MessageKind.ACK:
+            candidate = self.candidates.ack_received(message.sequence)
+            if candidate is not None:
+                return candidate.name == sender.name and is_alive and self._table.add(sender, now_us)
+        if is_alive:
+            self.candidates.add(sender, sender.name, now_us)
+        return False
--- a/thornshelf/membership/prober.py
+++ b/thornshelf/membership/prober.py
@@ -1,8 +1,8 @@
-"""Whom this member probes, whom it asks to try for it, and what it tries for others.
+"""Whom this member probes, whom it asks for indirect probes, and what it probes on behalf of others.
 
-SWIM's cycle: one member a period, in an order that comes to each in turn; where it is silent, some others are asked
-to try; where they get no answer either, it is suspected. Lifeguard's refinement: a member that misses what it should
-have heard looks to itself first, and takes more time.
+SWIM's failure detector: one member an interval, in a shuffled order that reaches each in turn. Where it does not
+acknowledge, some others are asked for an indirect probe; where that fails as well, it is suspected. Lifeguard's
+refinement: a member that misses what it should have received raises its own local health multiplier first.
 """
 
 from __future__ import annotations
@@ -13,30 +13,29 @@
 from thornshelf.membership.config import MembershipConfig
 from thornshelf.membership.member_table import MemberTable
 
-NACK_TIMEOUT_FRACTION = (
-    0.8  # of the time for an answer: then one who was asked to try says that it has none either
-)
-MAX_INDIRECT_PROBES = 256
+NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout: after it, an indirect probe is answered with a NACK
+MAX_INDIRECT_PROBES = 256  # on behalf of others at a time
+MAX_INITIAL_SEQUENCE = 1 << 30
 
 
 @dataclass(slots=True)
 class Probe:
-    """The probe that is out."""
+    """The probe in flight. Times are microseconds of the loop's clock."""
 
     target: str
     sequence: int
-    indirect_us: int  # others, then
+    indirect_us: int  # when indirect probes are requested
     end_us: int
-    indirect_pings: int = 0
+    indirect_pings: int = 0  # requested
     nacks: int = 0
 
 
 @dataclass(slots=True)
 class IndirectProbe:
-    """A probe on another's behalf."""
+    """A probe on behalf of another member."""
 
     requester: str
-    sequence: int  # the asker's
+    sequence: int  # the requester's
     target: str
     nack_us: int
 
@@ -51,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectPing:
-    """Ask a member to ping another."""
+    """Ask a member, the relay, to ping another."""
 
     relay: str
     target: str
@@ -60,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectPingResult:
-    """Tell an asker of its errand's end."""
+    """Send the requester of an indirect probe its result, an ACK or a NACK."""
 
     requester: str
     sequence: int
@@ -71,108 +70,129 @@
 
 
 class Prober:
-    """The cycle; its calls say what is to be sent."""
+    """The failure detector; its calls return what is to be sent."""
 
     def __init__(
-        self, terms: MembershipConfig, table: MemberTable, chance: random.Random, now_us: int
+        self, config: MembershipConfig, table: MemberTable, random_source: random.Random, now_us: int
     ) -> None:
-        self._terms, self._table, self._chance = terms, table, chance
-        self._next_us = now_us + chance.randrange(
-            terms.probe_interval_us
-        )  # members that start together keep apart
-        self._ring: list[str] = []
-        self._seq = chance.randrange(1 << 30)
+        self._config = config
+        self._table = table
+        self._random = random_source
+        # Members that start together do not probe together.
+        self._next_probe_us = now_us + random_source.randrange(config.probe_interval_us)
+        self._probe_order: list[str] = []  # the next one last
+        self._sequence = random_source.randrange(MAX_INITIAL_SEQUENCE)
         self._probe: Probe | None = None
-        self._errands: dict[int, IndirectProbe] = {}
+        self._indirect_probes: dict[int, IndirectProbe] = {}  # by this member's own sequence number
 
     def next_due_us(self) -> int:
-        """When ``pass_time`` has something to do next."""
-        due = self._next_us
+        """When ``tick`` has something to do next."""
+        due = self._next_probe_us
         if self._probe is not None:
             due = min(due, self._probe.end_us if self._probe.indirect_pings else self._probe.indirect_us)
-        for errand in self._errands.values():
-            due = min(due, errand.nack_us)
+        for indirect in self._indirect_probes.values():
+            due = min(due, indirect.nack_us)
         return due
 
     def tick(self, now_us: int) -> list[ProbeAction]:
-        """What is to be sent now."""
-        orders: list[ProbeAction] = []
-        probe, health = self._probe, self._table.local_health_multiplier
-        if probe is not None and not probe.indirect_pings and now_us >= probe.indirect_us:
-            relays = self._table.sample(self._terms.indirect_probes, probe.target)
-            probe.indirect_pings = max(1, len(relays))
-            probe.nacks = 0 if relays else 1
-            orders += [IndirectPing(relay, probe.target, probe.sequence) for relay in relays]
-        if probe is not None and now_us >= probe.end_us:
-            self._probe = None
-            if probe.nacks < probe.indirect_pings:
-                self._table.raise_health_multiplier()  # those that were asked are silent, too: the fault may be here
-            self._table.probe_failed(probe.target, now_us)
-        for seq in [seq for seq, errand in self._errands.items() if now_us >= errand.nack_us]:
-            errand = self._errands.pop(seq)
-            orders.append(IndirectPingResult(errand.requester, errand.sequence, False))
-        if now_us >= self._next_us:
-            period = self._terms.probe_interval_us * (1 + health)
-            self._next_us = max(self._next_us + period, now_us + period // 2)
-            if (name := self._next_name()) is not None and self._probe is None:
-                self._seq += 1
-                # What is asked of others has to come back before the next period begins.
-                self._probe = Probe(
-                    name, self._seq, now_us + self._terms.probe_timeout_us * (1 + health), self._next_us - 1
-                )
-                orders.append(Ping(name, self._seq))
-        return orders
-
-    def compensate_stall(self, gap_us: int) -> None:
-        """This member was away: the probe that was out proves nothing."""
-        self._probe = None
-        self._errands.clear()
-        self._next_us += gap_us
-
-    def ack_received(self, name: str, seq: int) -> list[ProbeAction]:
-        """An answer to a ping."""
-        if (errand := self._errands.pop(seq, None)) is not None:
-            return (
-                [IndirectPingResult(errand.requester, errand.sequence, True)] if errand.target == name else []
-            )
+        """Do what is due; returns what is to be sent."""
+        multiplier = self._table.local_health_multiplier
+        actions = self._request_indirect_probes(now_us)
+        self._end_probe(now_us)
+        actions += self._expire_indirect_probes(now_us)
+        if now_us >= self._next_probe_us:
+            actions += self._start_interval(now_us, multiplier)
+        return actions
+
+    def _request_indirect_probes(self, now_us: int) -> list[ProbeAction]:
+        probe = self._probe
+        if probe is None or probe.indirect_pings or now_us < probe.indirect_us:
+            return []
+        relays = self._table.sample(self._config.indirect_probes, probe.target)
+        probe.indirect_pings = max(1, len(relays))
+        probe.nacks = 0 if relays else 1
+        return [IndirectPing(relay, probe.target, probe.sequence) for relay in relays]
+
+    def _end_probe(self, now_us: int) -> None:
         probe = self._probe
-        if (
-            probe is not None and probe.sequence == seq
-        ):  # by the member itself, or by one that was asked to try
+        if probe is None or now_us < probe.end_us:
+            return
+        self._probe = None
+        if probe.nacks < probe.indirect_pings:
+            # The relays did not answer either, so the fault may be this member's own.
+            self._table.raise_health_multiplier()
+        self._table.probe_failed(probe.target, now_us)
+
+    def _expire_indirect_probes(self, now_us: int) -> list[ProbeAction]:
+        actions: list[ProbeAction] = []
+        expired = [
+            sequence for sequence, indirect in self._indirect_probes.items() if now_us >= indirect.nack_us
+        ]
+        for sequence in expired:
+            indirect = self._indirect_probes.pop(sequence)
+            actions.append(IndirectPingResult(indirect.requester, indirect.sequence, False))
+        return actions
+
+    def _start_interval(self, now_us: int, local_health_multiplier: int) -> list[ProbeAction]:
+        """Begin a probe interval; the local health multiplier stretches it and the probe timeout."""
+        interval_us = self._config.probe_interval_us * (1 + local_health_multiplier)
+        self._next_probe_us = max(self._next_probe_us + interval_us, now_us + interval_us // 2)
+        target = self._next_target()
+        if target is None or self._probe is not None:
+            return []
+        self._sequence += 1
+        timeout_us = self._config.probe_timeout_us * (1 + local_health_multiplier)
+        # The answers to indirect probes have to arrive before the next interval begins.
+        self._probe = Probe(target, self._sequence, now_us + timeout_us, self._next_probe_us - 1)
+        return [Ping(target, self._sequence)]
+
+    def compensate_stall(self, stall_us: int) -> None:
+        """This member itself was stalled for so long: the probes in flight prove nothing."""
+        self._probe = None
+        self._indirect_probes.clear()
+        self._next_probe_us += stall_us
+
+    def ack_received(self, name: str, sequence: int) -> list[ProbeAction]:
+        """Take an acknowledgement of a ping, by the member itself or through a relay."""
+        if (indirect := self._indirect_probes.pop(sequence, None)) is not None:
+            if indirect.target != name:
+                return []
+            return [IndirectPingResult(indirect.requester, indirect.sequence, True)]
+        if self._probe is not None and self._probe.sequence == sequence:
             self._probe = None
             self._table.lower_health_multiplier()
         return []
 
-    def nack_received(self, seq: int) -> None:
-        """One that was asked to try has no answer either."""
-        if self._probe is not None and self._probe.sequence == seq:
+    def nack_received(self, sequence: int) -> None:
+        """Take a relay's answer that the target has not acknowledged its ping either."""
+        if self._probe is not None and self._probe.sequence == sequence:
             self._probe.nacks += 1
 
-    def probe_for(self, asker: str, name: str, seq: int, now_us: int) -> list[ProbeAction]:
-        """Another asks to try a member."""
-        if len(self._errands) >= MAX_INDIRECT_PROBES or name not in self._table.members:
+    def probe_for(self, requester: str, target: str, sequence: int, now_us: int) -> list[ProbeAction]:
+        """Probe a member on behalf of another."""
+        if len(self._indirect_probes) >= MAX_INDIRECT_PROBES or target not in self._table.members:
             return []
-        self._seq += 1
-        nack_us = now_us + int(self._terms.probe_timeout_us * NACK_TIMEOUT_FRACTION)
-        self._errands[self._seq] = IndirectProbe(asker, seq, name, nack_us)
-        return [Ping(name, self._seq)]
+        self._sequence += 1
+        nack_us = now_us + int(self._config.probe_timeout_us * NACK_TIMEOUT_FRACTION)
+        self._indirect_probes[self._sequence] = IndirectProbe(requester, sequence, target, nack_us)
+        return [Ping(target, self._sequence)]
 
-    def _next_name(self) -> str | None:
-        """Each live member in turn."""
+    def _next_target(self) -> str | None:
+        """The next live member in the order, which is shuffled anew at its end."""
         for _ in range(2):
-            while self._ring:
-                name = self._ring.pop()
+            while self._probe_order:
+                name = self._probe_order.pop()
                 if (member := self._table.members.get(name)) is not None and member.is_live:
                     return name
-            self._ring = list(self._table.live_names)
-            self._chance.shuffle(self._ring)
+            self._probe_order = list(self._table.live_names)
+            self._random.shuffle(self._probe_order)
         return None
 
     def probe_soon(self, name: str) -> None:
-        """Somebody suspects it: this member looks for itself."""
+        """Probe a member next, as others suspect it."""
         if self._probe is None or self._probe.target != name:
-            self._ring.append(name)
+            self._probe_order.append(name)
 
     def add_member(self, name: str) -> None:
-        """A new member takes a place in the order."""
-        self._ring.insert(self._chance.randrange(len(self._ring) + 1), name)
+        """Put a new member into the order, at a random place."""
+        self._probe_order.insert(self._random.randrange(len(self._probe_order) + 1), name)
--- /dev/null
+++ b/thornshelf/membership/query_gatherer.py
@@ -0,0 +1,209 @@
+"""The querier's half of a scatter-gather query: requests the chunks of all members' replies, and collects their rows.
+
+A member that does not reply, or not completely, is named with the reason, so that no rows are missing unnoticed.
+"""
+
+from __future__ import annotations
+
+import zlib
+from collections.abc import Collection, Iterator, Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+import msgspec
+
+from thornshelf.membership.scatter_gather import (
+    BLOCK_LENGTH_BYTES,
+    MAX_REPLY_BYTES,
+    SEND_WINDOW,
+    Block,
+    Cell,
+    MemberMessage,
+    Query,
+    ReplyChunk,
+    Rows,
+)
+
+MAX_BLOCK_BYTES = 1024 * 1024  # of one block, decompressed: guards against a malicious member
+INITIAL_BACKOFF_US = 100_000
+MAX_BACKOFF_US = 400_000
+MAX_ATTEMPTS = 6  # without anything new, which takes some 1.8 s; then the member counts as silent
+
+_encoder = msgspec.msgpack.Encoder()
+_chunk_decoder: msgspec.msgpack.Decoder[ReplyChunk] = msgspec.msgpack.Decoder(ReplyChunk)
+_block_decoder: msgspec.msgpack.Decoder[Block] = msgspec.msgpack.Decoder(Block)
+
+
+class RowBatch(NamedTuple):
+    """Rows of one moment that a member has replied with."""
+
+    member: str
+    unix_ms: int
+    rows: Rows
+
+
+@dataclass(slots=True)
+class MemberReply:
+    """One member's reply, as far as it has arrived."""
+
+    next_chunk: int = 0
+    out_of_order: dict[int, ReplyChunk] = field(default_factory=dict)  # chunks after the next one
+    buffer: bytearray = field(default_factory=bytearray)  # of the stream, what is no complete block yet
+    row_count: int = 0
+    attempts: int = 0
+    retry_us: int = 0
+    last_requested: int = -1
+    is_finished: bool = False
+
+    def take_blocks(self, column_count: int) -> Iterator[Block]:
+        """The complete blocks in the buffer. Raises ``ValueError`` where one is malformed or too large."""
+        while len(self.buffer) >= BLOCK_LENGTH_BYTES:
+            end = BLOCK_LENGTH_BYTES + int.from_bytes(self.buffer[:BLOCK_LENGTH_BYTES], "big")
+            if end - BLOCK_LENGTH_BYTES > MAX_REPLY_BYTES:
+                raise ValueError("a block is longer than a reply")
+            if len(self.buffer) < end:
+                break
+            block = _decode_block(bytes(self.buffer[BLOCK_LENGTH_BYTES:end]), column_count)
+            del self.buffer[:end]
+            yield block
+
+
+def _decode_block(data: bytes, column_count: int) -> Block:
+    decompressor = zlib.decompressobj()
+    try:
+        encoded = decompressor.decompress(data, MAX_BLOCK_BYTES)
+        if not decompressor.eof:
+            raise ValueError("a block is cut off, or too large")
+        block = _block_decoder.decode(encoded)
+    except (zlib.error, msgspec.MsgspecError, UnicodeDecodeError) as fault:
+        raise ValueError("a block cannot be decoded") from fault
+    if any(len(row) != column_count for row in block.rows):
+        raise ValueError("a row has another number of columns")
+    return block
+
+
+class QueryGatherer:
+    """One query to some members.
+
+    ``outgoing`` collects what is to be sent, ``batches`` the rows that have arrived; the caller takes both away.
+    ``incomplete`` gives the reason for each member that has not replied, or not with all rows. ``paused``: the reader
+    takes no more for now, so nothing is requested, and no member counts as silent.
+    """
+
+    def __init__(
+        self,
+        query_id: int,
+        table: str,
+        columns: list[str],
+        filters: Mapping[str, Cell],
+        members: Collection[str],
+        now_us: int,
+    ) -> None:
+        self._query = Query(query_id, table, columns, dict(filters), 0)
+        self._replies = {name: MemberReply() for name in members}
+        self.outgoing: list[MemberMessage] = []
+        self.batches: list[RowBatch] = []
+        self.incomplete: dict[str, str] = {}
+        self.paused = False
+        for name, reply in self._replies.items():
+            self._request(name, reply, now_us)
+
+    @property
+    def query_id(self) -> int:
+        """The number that tells this query from others of this member."""
+        return self._query.query_id
+
+    @property
+    def finished(self) -> bool:
+        """Whether all members have replied completely, or were given up."""
+        return all(reply.is_finished for reply in self._replies.values())
+
+    @property
+    def complete_members(self) -> list[str]:
+        """The members that have replied completely."""
+        return [
+            name for name, reply in self._replies.items() if reply.is_finished and name not in self.incomplete
+        ]
+
+    def _request(self, name: str, reply: MemberReply, now_us: int) -> None:
+        """Request a member's next chunk, with exponential backoff until something new arrives."""
+        reply.last_requested = reply.next_chunk
+        reply.retry_us = now_us + min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << reply.attempts)
+        query = msgspec.structs.replace(self._query, next_chunk=reply.next_chunk)
+        self.outgoing.append((name, _encoder.encode(query)))
+
+    def _send_cancel(self, name: str) -> None:
+        query = msgspec.structs.replace(self._query, cancel=True)
+        self.outgoing.append((name, _encoder.encode(query)))
+
+    def cancel(self) -> None:
+        """Cancel the query at all members that have not finished."""
+        for name, reply in self._replies.items():
+            if not reply.is_finished:
+                self._send_cancel(name)
+
+    def _give_up(self, name: str, reason: str) -> None:
+        self._replies[name].is_finished = True
+        self.incomplete[name] = reason
+
+    def member_lost(self, name: str, reason: str) -> None:
+        """Give up a member that is taken for dead now."""
+        reply = self._replies.get(name)
+        if reply is not None and not reply.is_finished:
+            self._give_up(name, f"{reason}, after {reply.row_count} rows" if reply.row_count else reason)
+
+    def receive(self, sender: str, data: bytes, now_us: int) -> None:
+        """Take a chunk. A malformed one is ignored; malformed blocks cost no more than that member's reply."""
+        reply = self._replies.get(sender)
+        if reply is None or reply.is_finished:
+            return
+        try:
+            chunk = _chunk_decoder.decode(data)
+        except (msgspec.MsgspecError, UnicodeDecodeError):
+            return
+        is_in_window = reply.next_chunk <= chunk.index < reply.next_chunk + SEND_WINDOW
+        if chunk.query_id != self.query_id or not is_in_window:
+            return
+        reply.out_of_order[chunk.index] = chunk
+        while (next_chunk := reply.out_of_order.pop(reply.next_chunk, None)) is not None:
+            self._take_in_order(sender, reply, next_chunk)
+            if reply.is_finished:
+                return
+        if reply.next_chunk - reply.last_requested >= SEND_WINDOW // 2 and not self.paused:
+            self._request(sender, reply, now_us)
+
+    def _take_in_order(self, sender: str, reply: MemberReply, chunk: ReplyChunk) -> None:
+        reply.next_chunk += 1
+        reply.attempts = 0
+        reply.buffer += chunk.data
+        try:
+            for block in reply.take_blocks(len(self._query.columns)):
+                reply.row_count += len(block.rows)
+                self.batches.append(RowBatch(sender, block.unix_ms, block.rows))
+        except ValueError:
+            self._give_up(sender, "its answer can't be read")
+            return
+        if chunk.is_last:
+            reply.is_finished = True
+            if chunk.incomplete_reason:
+                self.incomplete[sender] = chunk.incomplete_reason
+            self._send_cancel(sender)
+
+    def tick(self, now_us: int) -> int | None:
+        """Repeat requests that were not answered; returns when the next is due, None where none is."""
+        due_us: int | None = None
+        for name, reply in self._replies.items():
+            if reply.is_finished:
+                continue
+            if self.paused:
+                reply.retry_us = now_us + INITIAL_BACKOFF_US
+                reply.attempts = 0
+            elif now_us >= reply.retry_us:
+                reply.attempts += 1
+                if reply.attempts >= MAX_ATTEMPTS:
+                    rows = f"it fell silent after {reply.row_count} rows"
+                    self._give_up(name, rows if reply.next_chunk else "it does not answer")
+                    continue
+                self._request(name, reply, now_us)
+            due_us = reply.retry_us if due_us is None else min(due_us, reply.retry_us)
+        return due_us
--- a/thornshelf/membership/quota_division.py
+++ b/thornshelf/membership/quota_division.py
@@ -1,20 +1,20 @@
-"""Whose share of what all dispatchers together may do is how large, by the live members instead of a fixed number.
+"""Divides what all dispatchers together may do by the live members, instead of by a configured number.
 
-Two figures. ``placers`` divides what may be exceeded for a moment (tenants' quotas, averages): the live members.
-``cold`` divides what must never be exceeded (offers to cold nodes), so that the shares of all members, whatever each
-sees, sum up to one at most:
+There are two divisors. ``soft_divisor`` divides what may be exceeded for a moment (quotas of tenants, averages): it
+is the number of live members. ``strict_divisor`` divides what must never be exceeded (offers to nodes in slow start),
+so that the quotas of all members, whatever each of them sees, sum up to one at most:
 
-- A member counts from the moment that it is seen, and until it has left in order, or has been gone for ``hold_us``
-  while those that are there are more than half of all.
-- Those that are half or fewer drop nobody, and those that are fewer than half take no share from half of that time
-  on: before the others, should they live, drop them.
-- Those that were fewer than half, and are no longer, wait as long again: one that is now cut off in their stead may
+- A member counts from the moment that it is seen, and until it has left gracefully, or has been away for
+  ``departed_hold_us`` while the live members are more than half of all.
+- A half or less of the members drops nobody, and less than half takes no quota from half of that time on: before the
+  other members, should they be alive, drop them.
+- Members that were less than half, and are no longer, wait as long again: one that is now cut off in their place may
   not know that they are back.
-- A newcomer takes none until all others have long seen it, and one that comes back under its name none for a few
-  seconds. In a fleet that has just begun all count as configured.
+- A joining member takes no quota until all others have long seen it, and one that rejoins under its name none for a
+  few seconds. In a fleet that has just started all configured dispatchers count.
 
-What hearsay can do is bounded: members are counted up to twice the larger of the configured number and of those that
-have been there for a while.
+What false reports can do is bounded: members are counted up to twice the larger of the configured number and the
+number of established members.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 from collections.abc import Collection
 from dataclasses import dataclass
 
-NO_QUOTA = 1 << 30  # a share of nothing
+NO_QUOTA = 1 << 30  # a divisor that leaves nothing
+MAX_COUNT_FACTOR = 2  # members are counted up to so many times the configured or the established ones
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaConfig:
-    """``configured``: dispatchers by the settings; times in microseconds."""
+    """``configured``: the number of dispatchers by the settings. Times are microseconds."""
 
     configured: int
     departed_hold_us: int = 60_000_000
-    established_after_us: int = (
-        15_000_000  # a member that was there for so long is one; an invented one is not by then
-    )
-    startup_us: int = 5_000_000  # a fleet in which nobody has run longer has just begun
-    stable_after_us: int = (
-        5_000_000  # what is dealt in turns is dealt only where nothing has changed for so long
-    )
+    established_after_us: int = 15_000_000  # an invented member does not stay live for so long
+    startup_us: int = 5_000_000  # a fleet in which no member has run for longer has just started
+    stable_after_us: int = 5_000_000  # indices hold only where the members have not changed for so long
 
 
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """This member's place among so many, for what may and for what must not be exceeded; ``deal``: turns hold."""
+    """This member's index among all, and the two divisors.
+
+    ``round_robin``: what cannot be divided may be dealt in turns, as all members see the same indices.
+    """
 
     index: int
     soft_divisor: int
@@ -51,79 +51,96 @@
 
 
 class QuotaDivision:
-    """Works out this member's share."""
+    """Determines the quota of this member."""
 
-    def __init__(self, terms: QuotaConfig, name: str, now_us: int) -> None:
-        self.config, self._name = terms, name
+    def __init__(self, config: QuotaConfig, name: str, now_us: int) -> None:
+        self.config = config
+        self._name = name
         self._start_us = now_us
-        self._since: dict[str, int] = {}  # live without a break since then, or gone since then, below 0
-        self._proven: dict[str, None] = {}  # those that have been there for a while
-        self._last: tuple[str, ...] = ()
+        self._live_since_us: dict[str, int] = {}
+        self._away_since_us: dict[str, int] = {}
+        self._established: set[str] = set()
+        self._last_known: tuple[str, ...] = ()
         self._changed_us = now_us
-        self._returns = self._joins = False
-        self._alone_us = -terms.departed_hold_us  # when it last was among the fewer
+        self._is_rejoining = False
+        self._is_joining = False
+        self._minority_us = -config.departed_hold_us  # when the live members last were a minority
 
     def mark_rejoined(self) -> None:
-        """This member's name was known: a former process of it still counts at the others."""
-        self._returns = True
+        """This member's name was known: a former process of it still counts at the other members."""
+        self._is_rejoining = True
 
     def mark_joining(self) -> None:
-        """Others have been there for longer than a fleet takes to begin: this member is new among them."""
-        self._joins = True
+        """Other members have run for longer than a fleet takes to start: this member is new among them."""
+        self._is_joining = True
 
     def member_left(self, name: str) -> None:
-        """A member ended in order: it takes its share with it at once."""
-        self._since.pop(name, None)
-        self._proven.pop(name, None)
+        """A member has left gracefully: it counts no more at once."""
+        self._live_since_us.pop(name, None)
+        self._away_since_us.pop(name, None)
+        self._established.discard(name)
 
     def quota(self, live: Collection[str], now_us: int) -> Quota:
-        """This member's share; ``live``: all that are there, this one among them."""
-        terms, there = self.config, set(live) | {self._name}
-        for name in there:
-            if self._since.get(name, -1) < 0:
-                self._since[name] = now_us
-        for name, since in list(self._since.items()):
-            if name in there:
-                if now_us - since >= terms.established_after_us or name == self._name:
-                    self._proven[name] = None
-            elif since >= 0:
-                self._since[name] = -now_us - 1
-        self._drop(there, now_us)
-        known = tuple(sorted(self._since))
-        if known != self._last:
-            self._last, self._changed_us = known, now_us
-        count = self._capped(len(there))
-        placers = max(count, terms.configured if now_us - self._start_us < terms.startup_us else 1)
-        cold = max(placers, self._capped(len(known)))
-        if self._alone(there, now_us):
-            self._alone_us = now_us
-        if now_us - self._alone_us < terms.departed_hold_us // 2 + terms.startup_us or self._is_new(now_us):
-            cold = NO_QUOTA
-        deal = now_us - self._changed_us >= terms.stable_after_us and cold == len(known)
-        return Quota(known.index(self._name), placers, cold, deal)
-
-    def _capped(self, count: int) -> int:
-        return min(count, 2 * max(self.config.configured, len(self._proven)))
-
-    def _drop(self, there: set[str], now_us: int) -> None:
-        """Those that are gone for good, where those that are there are the majority."""
-        if 2 * len(there) <= len(self._since):
+        """This member's quota. ``live``: the names of all live members, this one among them."""
+        config = self.config
+        live_names = set(live) | {self._name}
+        self._update(live_names, now_us)
+        self._drop_departed(live_names, now_us)
+        known = tuple(sorted([*self._live_since_us, *self._away_since_us]))
+        if known != self._last_known:
+            self._last_known = known
+            self._changed_us = now_us
+        is_starting = now_us - self._start_us < config.startup_us
+        soft_divisor = max(self._bounded(len(live_names)), config.configured if is_starting else 1)
+        strict_divisor = max(soft_divisor, self._bounded(len(known)))
+        if self._is_minority(live_names, now_us):
+            self._minority_us = now_us
+        minority_hold_us = config.departed_hold_us // 2 + config.startup_us
+        if now_us - self._minority_us < minority_hold_us or self._is_new(now_us):
+            strict_divisor = NO_QUOTA
+        is_stable = now_us - self._changed_us >= config.stable_after_us
+        round_robin = is_stable and strict_divisor == len(known)
+        return Quota(known.index(self._name), soft_divisor, strict_divisor, round_robin)
+
+    def _update(self, live_names: set[str], now_us: int) -> None:
+        """Note since when each member is live or away, and which ones are established."""
+        for name in live_names:
+            if name not in self._live_since_us:
+                self._away_since_us.pop(name, None)
+                self._live_since_us[name] = now_us
+        for name, since_us in list(self._live_since_us.items()):
+            if name not in live_names:
+                del self._live_since_us[name]
+                self._away_since_us[name] = now_us
+            elif now_us - since_us >= self.config.established_after_us or name == self._name:
+                self._established.add(name)
+
+    def _bounded(self, count: int) -> int:
+        return min(count, MAX_COUNT_FACTOR * max(self.config.configured, len(self._established)))
+
+    def _known_count(self) -> int:
+        return len(self._live_since_us) + len(self._away_since_us)
+
+    def _drop_departed(self, live_names: set[str], now_us: int) -> None:
+        """Drop members that are away for good, where the live ones are the majority."""
+        if 2 * len(live_names) <= self._known_count():
             return
-        for name, since in list(self._since.items()):
-            if since < 0 and now_us + since + 1 >= self.config.departed_hold_us:
+        for name, since_us in list(self._away_since_us.items()):
+            if now_us - since_us >= self.config.departed_hold_us:
                 self.member_left(name)
 
-    def _alone(self, there: set[str], now_us: int) -> bool:
-        """Fewer than half are there, and for so long that the others may soon drop them."""
-        gone = [-since - 1 for since in self._since.values() if since < 0]
-        few = 2 * len(there) < len(self._since)
-        return few and any(now_us - since >= self.config.departed_hold_us // 2 for since in gone)
+    def _is_minority(self, live_names: set[str], now_us: int) -> bool:
+        """Whether less than half are live, and for so long that the other members may soon drop them."""
+        if 2 * len(live_names) >= self._known_count():
+            return False
+        limit_us = self.config.departed_hold_us // 2
+        return any(now_us - since_us >= limit_us for since_us in self._away_since_us.values())
 
     def _is_new(self, now_us: int) -> bool:
-        # One that was cut off before it had seen the newcomer takes no share any more by then.
-        time = (
-            self.config.startup_us
-            if self._returns
-            else self.config.departed_hold_us // 2 + 2 * self.config.startup_us
-        )
-        return self._joins and now_us - self._start_us < time
+        """Whether this member has joined so recently that others may not count it yet."""
+        if self._is_rejoining:
+            hold_us = self.config.startup_us
+        else:
+            # A member that was cut off before it had seen this one takes no quota any more by then.
+            hold_us = self.config.departed_hold_us // 2 + 2 * self.config.startup_us
+        return self._is_joining and now_us - self._start_us < hold_us
--- a/thornshelf/membership/replicated_map.py
+++ b/thornshelf/membership/replicated_map.py
@@ -1,7 +1,7 @@
-"""The map that all members hold: one writer an entry, the greatest stamp holds, bounded in memory.
+"""The map that all members replicate: one writer an entry, the greatest stamp prevails, bounded in memory.
 
-Entries merge in any order and however often they come. A writer that finds an entry of its own under a greater stamp
-than its last (its former process wrote it, or somebody else did) writes it again above that.
+Entries merge in any order and however often they arrive. A writer that receives an entry of its own under a greater
+stamp than its last one (its former process wrote it, or somebody else did) writes it again above that.
 """
 
 from __future__ import annotations
@@ -9,92 +9,95 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+import msgspec
+
 from thornshelf.membership.datagrams import MAX_INCARNATION, MapEntry
+from thornshelf.membership.keys import EntryKey
 
-MAX_ENTRIES_PER_WRITER = 24  # entries of one writer
+MAX_ENTRIES_PER_WRITER = 24
 MAX_VALUE_BYTES = 16 * 1024 * 1024  # of all values together
-EntryId = tuple[str, str, int]  # writer, kind, part
 
 
 @dataclass(frozen=True, slots=True)
 class StoredEntry:
-    """An item, and when it was written by this member's clock."""
+    """An entry, and when it was written by this member's clock."""
 
     entry: MapEntry
     written_us: int
 
 
 class ReplicatedMap:
-    """All members' entries; ``me`` writes its own."""
+    """The entries of all members; ``local_name`` is the writer of this member's own."""
 
-    def __init__(self, me: str, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
-        self._me, self._most_bytes = me, max_value_bytes
-        self._entries: dict[str, dict[tuple[str, int], StoredEntry]] = {}  # by writer
+    def __init__(self, local_name: str, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
+        self._local_name = local_name
+        self._max_value_bytes = max_value_bytes
+        self._by_writer: dict[str, dict[tuple[str, int], StoredEntry]] = {}
         self.value_bytes = 0
 
     def get(self, writer: str, kind: str, part: int = 0) -> StoredEntry | None:
-        """One entry; an empty value stands for none."""
-        return self._entries.get(writer, {}).get((kind, part))
-
-    def find(self, key: EntryId) -> StoredEntry | None:
-        """One entry by its key."""
-        return self.get(*key)
+        """One entry. An empty value stands for a deleted one."""
+        return self._by_writer.get(writer, {}).get((kind, part))
 
     def entries_of_kind(self, kind: str) -> Iterator[StoredEntry]:
-        """All writers' entries of a kind."""
-        for mine in self._entries.values():
-            for (name, _), entry in mine.items():
-                if name == kind and entry.entry.value:
-                    yield entry
+        """The entries of a kind that are not deleted, of all writers."""
+        for entries in self._by_writer.values():
+            for (name, _), stored in entries.items():
+                if name == kind and stored.entry.value:
+                    yield stored
 
     def all_entries(self) -> Iterator[StoredEntry]:
         """Every entry."""
-        for mine in self._entries.values():
-            yield from mine.values()
+        for entries in self._by_writer.values():
+            yield from entries.values()
 
     def write(self, kind: str, part: int, value: bytes, incarnation: int, now_us: int) -> MapEntry:
-        """A new version of an entry of one's own."""
-        old = self.get(self._me, kind, part)
-        before = (0, 0) if old is None else (old.entry.incarnation, old.entry.version)
-        version = before[1] + 1 if before[0] >= incarnation else 1
-        item = MapEntry(self._me, kind, part, max(before[0], incarnation), version, 0, value)
-        self._put(item, now_us)
-        return item
-
-    def merge(self, item: MapEntry, now_us: int) -> bool:
-        """Another member's word; true where it is news. Of what is one's own, true where it has to be outbid."""
-        old = self.get(item.writer, item.kind, item.part)
-        if old is not None and item.stamp <= old.entry.stamp:
+        """Write a new version of an own entry."""
+        old = self.get(self._local_name, kind, part)
+        old_incarnation = 0 if old is None else old.entry.incarnation
+        old_version = 0 if old is None else old.entry.version
+        version = old_version + 1 if old_incarnation >= incarnation else 1
+        entry = MapEntry(self._local_name, kind, part, max(old_incarnation, incarnation), version, 0, value)
+        self._put(entry, now_us)
+        return entry
+
+    def merge(self, entry: MapEntry, now_us: int) -> bool:
+        """Merge a received entry; returns whether it is newer. A newer one of one's own has to be overwritten."""
+        old = self.get(entry.writer, entry.kind, entry.part)
+        if old is not None and entry.stamp <= old.entry.stamp:
+            return False
+        if entry.writer == self._local_name:
+            return self._merge_own(entry, old, now_us)
+        if old is None and not self._has_space_for(entry):
             return False
-        if item.writer == self._me:
-            if item.version >= MAX_INCARNATION - 1:
-                return False  # no honest process comes there: nothing to outbid it with
-            # What it holds is not ours: kept only so that the next version of our own goes above it.
-            value = old.entry.value if old is not None else b""
-            self._put(
-                MapEntry(self._me, item.kind, item.part, item.incarnation, item.version, 0, value), now_us
-            )
-            return True
-        mine = self._entries.get(item.writer, {})
-        if old is None and (
-            len(mine) >= MAX_ENTRIES_PER_WRITER or self.value_bytes + len(item.value) > self._most_bytes
-        ):
+        self._put(entry, now_us - entry.age_ms * 1000)
+        return True
+
+    def _has_space_for(self, entry: MapEntry) -> bool:
+        if len(self._by_writer.get(entry.writer, {})) >= MAX_ENTRIES_PER_WRITER:
             return False
-        self._put(item, now_us - item.age_ms * 1000)
+        return self.value_bytes + len(entry.value) <= self._max_value_bytes
+
+    def _merge_own(self, entry: MapEntry, old: StoredEntry | None, now_us: int) -> bool:
+        if entry.version >= MAX_INCARNATION - 1:
+            return False  # no honest process reaches it, and no version is left to overwrite it with
+        # The received value is not this process's: only its stamp is kept, so that the next version goes above it.
+        value = old.entry.value if old is not None else b""
+        self._put(msgspec.structs.replace(entry, age_ms=0, value=value), now_us)
         return True
 
-    def _put(self, item: MapEntry, written_us: int) -> None:
-        mine = self._entries.setdefault(item.writer, {})
-        old = mine.get((item.kind, item.part))
-        self.value_bytes += len(item.value) - (len(old.entry.value) if old is not None else 0)
-        mine[item.kind, item.part] = StoredEntry(item, written_us)
-
-    def ids_of(self, writer: str) -> list[EntryId]:
-        """What a writer has written."""
-        return [(writer, *name) for name in self._entries.get(writer, {})]
-
-    def remove_writer(self, writer: str) -> list[EntryId]:
-        """Nothing is kept of a member that is forgotten; gives the keys."""
-        gone = self._entries.pop(writer, {})
-        self.value_bytes -= sum(len(entry.entry.value) for entry in gone.values())
-        return [(writer, *name) for name in gone]
+    def _put(self, entry: MapEntry, written_us: int) -> None:
+        entries = self._by_writer.setdefault(entry.writer, {})
+        old = entries.get((entry.kind, entry.part))
+        self.value_bytes += len(entry.value) - (len(old.entry.value) if old is not None else 0)
+        entries[entry.kind, entry.part] = StoredEntry(entry, written_us)
+
+    def ids_of(self, writer: str) -> list[EntryKey]:
+        """The keys of what a writer has written."""
+        return [EntryKey(writer, kind, part) for kind, part in self._by_writer.get(writer, {})]
+
+    def remove_writer(self, writer: str) -> list[EntryKey]:
+        """Remove all entries of an evicted member; returns their keys."""
+        removed = self._by_writer.pop(writer, {})
+        self.value_bytes -= sum(len(stored.entry.value) for stored in removed.values())
+        return [EntryKey(writer, kind, part) for kind, part in removed]
--- a/thornshelf/membership/states.py
+++ b/thornshelf/membership/states.py
@@ -1,9 +1,10 @@
-"""What a member may be in another's view, and every transition; and claims about members, merged without order.
+"""The records that members gossip about each other, the states that they draw from them, and every transition.
 
-A *claim* is what members tell each other: so much of it travels. Claims about one member are ordered by incarnation,
-then by the process's life, then by state, and the greatest holds, whoever hears them in whatever order.
-A *state* is what one member itself holds true. It follows claims, but never at once where they say that somebody is
-gone: the one who is spoken of is given the time to answer first. So a lie costs a refutation, and no member.
+A *record* is what travels. Records of one member are ordered by incarnation, then by instance id, then by status, and
+the greatest prevails, in whatever order and however often they arrive.
+A *state* is what one member itself takes for true. It follows records, but never at once where somebody else reports
+that a member is dead or has left: the member concerned first gets time to refute that. So a false report costs a
+refutation, and never a member.
 """
 
 from __future__ import annotations
@@ -13,9 +14,11 @@
 
 import msgspec
 
+NEVER_US = -1_000_000_000  # long before any time of the loop's clock
+
 
 class RecordStatus(enum.IntEnum):
-    """What a claim says; of one incarnation the greater word holds."""
+    """The status in a record; at one incarnation the greater value prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -24,13 +27,13 @@
 
 
 class MemberState(enum.Enum):
-    """What a member is to this one."""
+    """The state of a member as this one sees it. The values are shown to operators and logged."""
 
     ALIVE = "alive"
-    SUSPECT = "suspect"  # it did not answer, or somebody says so: its time to refute that runs
-    UNCONFIRMED_DEAD = "doomed"  # somebody holds it for dead or gone: a short time to refute that runs
-    DEAD = "dead"  # remembered, and called again now and then
-    LEFT = "left"  # it ended in order: remembered, and not called
+    SUSPECT = "suspect"  # a probe failed here or elsewhere; the suspicion timeout runs
+    UNCONFIRMED_DEAD = "doomed"  # others report it as dead or departed; a short time to refute that runs
+    DEAD = "dead"  # retained, and contacted again now and then
+    LEFT = "left"  # shut down gracefully: retained, and not contacted
 
 
 LIVE_STATES = frozenset((MemberState.ALIVE, MemberState.SUSPECT, MemberState.UNCONFIRMED_DEAD))
@@ -39,16 +42,16 @@
 class MemberEvent(enum.Enum):
     """What may happen to a member in this one's view."""
 
-    PROBE_FAILED = "it did not answer this member's probe"
-    REPORTED_SUSPECT = "another says that it does not answer"
-    REPORTED_DEAD = "another says that it is dead"
-    REPORTED_LEFT = "another says that it has left"
-    LEAVE_ANNOUNCED = "it says itself that it leaves"
-    REFUTED = "it is alive, by a newer incarnation"
+    PROBE_FAILED = "neither the direct nor the indirect probes of this member were acknowledged"
+    REPORTED_SUSPECT = "another member suspects it"
+    REPORTED_DEAD = "another member reports that it is dead"
+    REPORTED_LEFT = "another member reports that it has left"
+    LEAVE_ANNOUNCED = "it announces that it leaves"
+    REFUTED = "it is alive, with a newer incarnation"
     REFUTATION_TIMEOUT = "the time to refute is over"
 
 
-# Every state under every event. None: forgotten. What is not a change is written down all the same.
+# Every state under every event, also where the state stays as it is, so that a test can check for completeness.
 TRANSITIONS: dict[tuple[MemberState, MemberEvent], MemberState] = {
     (MemberState.ALIVE, MemberEvent.PROBE_FAILED): MemberState.SUSPECT,
     (MemberState.ALIVE, MemberEvent.REPORTED_SUSPECT): MemberState.SUSPECT,
@@ -56,12 +59,9 @@
     (MemberState.ALIVE, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
     (MemberState.ALIVE, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
     (MemberState.ALIVE, MemberEvent.REFUTED): MemberState.ALIVE,
-    (MemberState.ALIVE, MemberEvent.REFUTATION_TIMEOUT): MemberState.ALIVE,  # of a suspicion that was refuted
+    (MemberState.ALIVE, MemberEvent.REFUTATION_TIMEOUT): MemberState.ALIVE,  # of a refuted suspicion
     (MemberState.SUSPECT, MemberEvent.PROBE_FAILED): MemberState.SUSPECT,
-    (
-        MemberState.SUSPECT,
-        MemberEvent.REPORTED_SUSPECT,
-    ): MemberState.SUSPECT,  # a confirmation: its time shrinks
+    (MemberState.SUSPECT, MemberEvent.REPORTED_SUSPECT): MemberState.SUSPECT,  # a confirmation
     (MemberState.SUSPECT, MemberEvent.REPORTED_DEAD): MemberState.UNCONFIRMED_DEAD,
     (MemberState.SUSPECT, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
     (MemberState.SUSPECT, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
@@ -73,10 +73,7 @@
     (MemberState.UNCONFIRMED_DEAD, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
     (MemberState.UNCONFIRMED_DEAD, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
     (MemberState.UNCONFIRMED_DEAD, MemberEvent.REFUTED): MemberState.ALIVE,
-    (
-        MemberState.UNCONFIRMED_DEAD,
-        MemberEvent.REFUTATION_TIMEOUT,
-    ): MemberState.DEAD,  # or LEFT, where that is what was said
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REFUTATION_TIMEOUT): MemberState.DEAD,  # LEFT, if reported so
     (MemberState.DEAD, MemberEvent.PROBE_FAILED): MemberState.DEAD,
     (MemberState.DEAD, MemberEvent.REPORTED_SUSPECT): MemberState.DEAD,
     (MemberState.DEAD, MemberEvent.REPORTED_DEAD): MemberState.DEAD,
@@ -101,52 +98,53 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is told of one member."""
+    """What members gossip about one member."""
 
     name: str
-    address: str  # where it is to be reached, host:port
+    address: str  # host:port at which it is reached
     incarnation: int
-    instance_id: int  # a random number of its process
-    status: int
-    uptime_ms: int  # how long its process had run when it took this incarnation, by a clock that is never set
-    reported_by: str = ""  # who says so first, of a suspicion: independent ones are counted
+    instance_id: int  # a random number of its process, which tells its restarts apart
+    status: int  # a value of RecordStatus; kept as an integer, as push-pull rounds hash its form
+    uptime_ms: int  # how long its process had run when it took this incarnation, by a monotonic clock
+    reported_by: str = ""  # who suspects it first; independent suspicions confirm each other
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """The greater one holds."""
+        """The record with the greater precedence prevails."""
         return self.incarnation, self.instance_id, self.status
 
 
-def prevailing_record(one: MemberRecord | None, other: MemberRecord) -> MemberRecord:
-    """The claim that holds; of equals the first."""
-    return other if one is None or other.precedence > one.precedence else one
+def prevailing_record(first: MemberRecord | None, second: MemberRecord) -> MemberRecord:
+    """The record with the greater precedence; of equal ones the first."""
+    return second if first is None or second.precedence > first.precedence else first
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """Another member, as this one sees it; times in microseconds."""
+    """Another member, as this one sees it. Times are microseconds of the loop's clock."""
 
     record: MemberRecord
     state: MemberState = MemberState.ALIVE
-    state_since_us: int = 0  # in this state
-    refutation_deadline_us: int = 0  # when the time to refute is over
-    last_seen_us: int = -1  # when it last spoke itself, -1 for never
-    live_since_us: int = 0  # since when it has been live without a break
-    suspected_by: frozenset[str] = frozenset()  # who suspect it of their own
-    last_corrected_us: int = -1_000_000_000  # when it was last told what is said of it
+    state_since_us: int = 0
+    refutation_deadline_us: int = 0
+    last_seen_us: int = -1  # when its last datagram arrived, -1 for never
+    live_since_us: int = 0  # since when it has been live without interruption
+    suspected_by: frozenset[str] = frozenset()  # members that suspect it independently of each other
+    last_corrected_us: int = NEVER_US  # when it last was sent the record that is gossiped about it
 
     @property
     def is_live(self) -> bool:
-        """It counts among those that are there."""
+        """Whether it counts as a member that is up."""
         return self.state in LIVE_STATES
 
     def apply(self, event: MemberEvent, now_us: int) -> bool:
-        """Take a transition; true where the state is another one."""
+        """Take the transition for an event; returns whether the state has changed."""
         state = TRANSITIONS[self.state, event]
+        reported_left = self.record.status == RecordStatus.LEFT
         if (
             event is MemberEvent.REFUTATION_TIMEOUT
             and self.state is MemberState.UNCONFIRMED_DEAD
-            and self.record.status == RecordStatus.LEFT
+            and reported_left
         ):
             state = MemberState.LEFT
         if state is self.state:
@@ -155,5 +153,6 @@
             self.suspected_by = frozenset()
             if not self.is_live:
                 self.live_since_us = now_us
-        self.state, self.state_since_us = state, now_us
+        self.state = state
+        self.state_since_us = now_us
         return True
