--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -403,7 +403,7 @@
     """The list's news as an entry of the shared map."""
     news = DrainGossip()
     news.update_own(node="s-1", started_ms=AT_US // 1000, stage=NodeStage.DRAINING, now_us=SECOND)
-    news.update_own(node="s-2", started_ms=0, stage=NodeStage.GONE, now_us=SECOND)
+    news.update_own(node="s-2", started_ms=0, stage=NodeStage.REMOVED, now_us=SECOND)
     (page,) = news.encode_pages(now_us=SECOND)
     return page
 
--- a/tests/test_fleet_uses.py
+++ b/tests/test_fleet_uses.py
@@ -250,7 +250,7 @@
     own, live = drain_gossip(("s-1", 0, NodeStage.UP), ("s-2", 0, NodeStage.UP)), names(4)
     exchange(own, m01=drain_gossip(("s-1", 0, NodeStage.DRAINING)))
     assert own.nodes_to_avoid(True, live) == set()  # a single report may be false
-    exchange(own, m02=drain_gossip(("s-1", 0, NodeStage.GONE)))
+    exchange(own, m02=drain_gossip(("s-1", 0, NodeStage.REMOVED)))
     assert own.nodes_to_avoid(True, live) == {"s-1"}
     assert own.nodes_to_avoid(False, live) == set()  # the own watch responds, and its list alone counts
 
@@ -258,7 +258,7 @@
 def test_reports_of_a_former_process_are_ignored() -> None:
     """Numbers of events cannot be compared between dispatchers; starts and stages can."""
     own = drain_gossip(("s-1", 500, NodeStage.UP))
-    other = drain_gossip(("s-1", 400, NodeStage.GONE))
+    other = drain_gossip(("s-1", 400, NodeStage.REMOVED))
     exchange(own, m01=other, m02=other)
     assert own.nodes_to_avoid(True, names(4)) == set()
     later = drain_gossip(("s-1", 600, NodeStage.DRAINING))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -662,7 +662,7 @@
     network.run(network.now + 20 * SECOND)
     assert all("m03" not in network.views[name].states() for name in names(3))
     assert all(network.views[name].replicated_map.get("m03", "k") is None for name in names(3))
-    digests = {network.views[name].knowledge.index.digest() for name in names(3)}
+    digests = {network.views[name].state.index.digest() for name in names(3)}
     assert len(digests) == 1
 
 
--- a/thornshelf/components/fleet.py
+++ b/thornshelf/components/fleet.py
@@ -38,7 +38,7 @@
 MAX_LOGGED_NODES = 16
 MAX_LOGGED_REPORTERS = 4
 OUTLIER_PENALTY = 1.0  # powers of the price's base
-STAGES = {Health.UP: NodeStage.UP, Health.DRAINING: NodeStage.DRAINING, Health.REMOVED: NodeStage.GONE}
+STAGES = {Health.UP: NodeStage.UP, Health.DRAINING: NodeStage.DRAINING, Health.REMOVED: NodeStage.REMOVED}
 FAULTS = {
     Outcome.NOT_CONNECTED: Observation.CONNECTION_REFUSED,
     Outcome.TIMED_OUT: Observation.NO_RESPONSE,
@@ -228,7 +228,7 @@
 
     def _review(self) -> None:
         loop, core, watch = self.host.loop, self.host.core, self.host.endpoint_watch
-        watch_is_silent = watch is not None and (
+        watch_unresponsive = watch is not None and (
             not watch.is_responding or loop.now - watch.last_response_us > WATCH_TIMEOUT_US
         )
         machines = {endpoint.name: machine for machine, endpoint in core.endpoints.entries.items()}
@@ -237,7 +237,7 @@
             for name, machine in machines.items()
             if core.endpoints.is_up(machine) or name in self._own_endpoints
         }
-        changes = self.policies.review(nodes_up, watch_is_silent, loop.now)
+        changes = self.policies.review(nodes_up, watch_unresponsive, loop.now)
         if changes.quota is not None:
             self._apply_quota(changes.quota)
         if changes.outliers is not None:
--- a/thornshelf/lab/membership.py
+++ b/thornshelf/lab/membership.py
@@ -180,8 +180,8 @@
             if other is not view:
                 view.table.add(other.local.record, network.now)
         view.table._on_record_change = news
-        view.knowledge.index.replace_with(known)
-        view.knowledge.buffer.clear()
+        view.state.index.replace_with(known)
+        view.state.buffer.clear()
         view.table.changes.clear()
         network._turn(view.name, view)
 
--- a/thornshelf/membership/datagram_sender.py
+++ b/thornshelf/membership/datagram_sender.py
@@ -10,11 +10,8 @@
 
 from thornshelf.membership.config import MAX_DATAGRAM_BYTES, MembershipConfig
 from thornshelf.membership.datagrams import HEADER_BYTES, EncodedMessage, MessageKind, Sealer
-from thornshelf.membership.dissemination import DisseminationBuffer
+from thornshelf.membership.fleet_state import FleetState
 from thornshelf.membership.keys import RecordKey, RumorKey
-from thornshelf.membership.local_member import LocalMember
-from thornshelf.membership.member_table import MemberTable
-from thornshelf.membership.replicated_map import ReplicatedMap
 from thornshelf.membership.states import Member, MemberRecord, MemberState, RecordStatus
 
 MESSAGE_OVERHEAD_BYTES = 48  # of the numbers and lengths in a message, at most
@@ -46,22 +43,12 @@
 class DatagramSender:
     """The datagrams that wait to be sent."""
 
-    def __init__(
-        self,
-        config: MembershipConfig,
-        local: LocalMember,
-        table: MemberTable,
-        replicated_map: ReplicatedMap,
-        buffer: DisseminationBuffer[RumorKey],
-    ) -> None:
+    def __init__(self, config: MembershipConfig, state: FleetState) -> None:
         self.sealer = Sealer(config.fleet, config.key)
         self.outgoing: list[OutgoingDatagram] = []
         self.counter = 0
         self._config = config
-        self._local = local
-        self._table = table
-        self._replicated_map = replicated_map
-        self._buffer = buffer
+        self._state = state
         self._now_us = 0  # the time of the datagram that is being built
         self._encoded_local: tuple[MemberRecord, bytes] | None = None
 
@@ -107,8 +94,8 @@
             remaining.pop(0)
         if message.kind is not MessageKind.JOIN:
             requested = {key for key, _ in selected}
-            limit = self._config.retransmit_limit(len(self._table.live_names) + 1)
-            rumors = self._buffer.select(capacity, limit, self._encode, first)
+            limit = self._config.retransmit_limit(self._state.live_count)
+            rumors = self._state.buffer.select(capacity, limit, self._encode, first)
             selected += [(key, data) for key, data in rumors if key not in requested]
         self._append(address, instance_id, message, local_record, selected)
         return remaining
@@ -148,24 +135,24 @@
     def gossip(self, key: RumorKey, now_us: int) -> None:
         """Send a record or an entry to a few random members at once."""
         message = OutgoingMessage(MessageKind.GOSSIP, keys=[key])
-        for name in self._table.sample(GOSSIP_FANOUT):
-            self.send_to_member(self._table.members[name], message, now_us)
+        for name in self._state.table.sample(GOSSIP_FANOUT):
+            self.send_to_member(self._state.table.members[name], message, now_us)
 
     def _encode(self, key: RumorKey) -> bytes | None:
         """The bytes of a record or an entry; None where it is not known any more."""
         if isinstance(key, RecordKey):
-            if key.name == self._local.record.name:
+            if key.name == self._state.local.record.name:
                 return self._encode_local_record()
-            member = self._table.members.get(key.name)
+            member = self._state.table.members.get(key.name)
             return None if member is None else self.sealer.encode(member.record)
-        stored = self._replicated_map.get(key.writer, key.kind, key.part)
+        stored = self._state.replicated_map.get(key.writer, key.kind, key.part)
         if stored is None:
             return None
         age_ms = max(0, (self._now_us - stored.written_us) // 1000)
         return self.sealer.encode(msgspec.structs.replace(stored.entry, age_ms=age_ms))
 
     def _encode_local_record(self) -> bytes:
-        record = self._local.record
+        record = self._state.local.record
         if self._encoded_local is None or self._encoded_local[0] is not record:
             self._encoded_local = (record, self.sealer.encode(record))
         return self._encoded_local[1]
--- a/thornshelf/membership/dissemination.py
+++ b/thornshelf/membership/dissemination.py
@@ -29,7 +29,7 @@
         """Something new is known under this key: its transmissions count from zero."""
         self._transmissions.pop(key, None)
         if len(self._transmissions) >= MAX_RUMORS:
-            self._drop_most_sent()
+            self._drop_excess()
         self._next_rank -= 1
         self._transmissions[key] = 0
         self._ranks[key] = self._next_rank
@@ -39,7 +39,7 @@
         self._transmissions.clear()
         self._ranks.clear()
 
-    def _drop_most_sent(self) -> None:
+    def _drop_excess(self) -> None:
         def rank(key: Key) -> tuple[int, int]:
             return -self._transmissions[key], -self._ranks[key]
 
--- a/thornshelf/membership/drain_gossip.py
+++ b/thornshelf/membership/drain_gossip.py
@@ -27,7 +27,7 @@
 
     UP = 0
     DRAINING = 1
-    GONE = 2
+    REMOVED = 2
 
 
 STAGE_NAMES = ("up", "draining", "gone")  # by value, as the shell shows them
@@ -90,13 +90,13 @@
         progress = NodeProgress(started_ms, stage)
         old = self._own.get(node)
         is_changed = old is None or old.progress != progress
-        if is_changed or (stage == NodeStage.GONE and node not in self._others):
+        if is_changed or (stage == NodeStage.REMOVED and node not in self._others):
             self._own[node] = DatedProgress(progress, now_us)
 
     def expire(self, now_us: int) -> None:
         """Discard nodes that are long gone."""
         for node, own in list(self._own.items()):
-            if own.progress.stage == NodeStage.GONE and now_us - own.learned_us > 2 * GOSSIP_LIFETIME_US:
+            if own.progress.stage == NodeStage.REMOVED and now_us - own.learned_us > 2 * GOSSIP_LIFETIME_US:
                 del self._own[node]
 
     def encode_pages(self, now_us: int) -> list[bytes]:
@@ -173,12 +173,12 @@
         reports = self._others.get(node, {})
         return sorted({page.writer for page, progress in reports.items() if progress > own.progress})
 
-    def nodes_to_avoid(self, watch_is_silent: bool, live: Collection[str]) -> set[str]:
+    def nodes_to_avoid(self, watch_unresponsive: bool, live: Collection[str]) -> set[str]:
         """The nodes that nothing new may be offered to, as enough live members report that they drain.
 
         None while the own endpoint watch works: then its list alone counts.
         """
-        if not watch_is_silent:
+        if not watch_unresponsive:
             self._avoided.clear()
             return set()
         min_reporters = min(MIN_REPORTERS, max(1, len(live) - 1))
--- a/thornshelf/membership/entry_publisher.py
+++ b/thornshelf/membership/entry_publisher.py
@@ -6,11 +6,8 @@
 
 from thornshelf.membership.config import MembershipConfig
 from thornshelf.membership.datagram_sender import DatagramSender
+from thornshelf.membership.fleet_state import FleetState
 from thornshelf.membership.keys import EntryKey
-from thornshelf.membership.knowledge import Knowledge
-from thornshelf.membership.local_member import LocalMember
-from thornshelf.membership.member_table import MemberTable
-from thornshelf.membership.replicated_map import ReplicatedMap
 
 ENTRY_OVERHEAD_BYTES = 40  # of an entry beside its value
 
@@ -27,20 +24,9 @@
 class EntryPublisher:
     """The own entries that are to be written; only the last value of each counts."""
 
-    def __init__(
-        self,
-        config: MembershipConfig,
-        local: LocalMember,
-        table: MemberTable,
-        replicated_map: ReplicatedMap,
-        knowledge: Knowledge,
-        sender: DatagramSender,
-    ) -> None:
+    def __init__(self, config: MembershipConfig, state: FleetState, sender: DatagramSender) -> None:
         self._config = config
-        self._local = local
-        self._table = table
-        self._replicated_map = replicated_map
-        self._knowledge = knowledge
+        self._state = state
         self._sender = sender
         self.pending: dict[tuple[str, int], PendingWrite] = {}  # by kind and part
         self._written_us: dict[tuple[str, int], int] = {}
@@ -50,13 +36,13 @@
 
         With an interval of its own it is urgent, and is gossiped at once.
         """
-        stored = self._replicated_map.get(self._local.record.name, kind, part)
+        stored = self._state.replicated_map.get(self._state.local.record.name, kind, part)
         current = stored.entry.value if stored is not None else b""
         if (kind, part) not in self.pending and current == value:
             return
         if min_interval_us is None:
-            live_count = len(self._table.live_names) + 1
-            interval_us = self._config.write_interval_us(live_count, len(value) + ENTRY_OVERHEAD_BYTES)
+            entry_bytes = len(value) + ENTRY_OVERHEAD_BYTES
+            interval_us = self._config.write_interval_us(self._state.live_count, entry_bytes)
         else:
             interval_us = min_interval_us
         due_us = max(now_us, self._written_us.get((kind, part), -interval_us) + interval_us)
@@ -80,11 +66,13 @@
 
     def rewrite(self, kind: str, part: int, now_us: int) -> None:
         """Write the current value again, above a version of this entry that others hold."""
-        stored = self._replicated_map.get(self._local.record.name, kind, part)
+        stored = self._state.replicated_map.get(self._state.local.record.name, kind, part)
         self._write(kind, part, stored.entry.value if stored is not None else b"", now_us)
 
     def _write(self, kind: str, part: int, value: bytes, now_us: int) -> EntryKey:
-        entry = self._replicated_map.write(kind, part, value, self._local.record.incarnation, now_us)
+        entry = self._state.replicated_map.write(
+            kind, part, value, self._state.local.record.incarnation, now_us
+        )
         key = EntryKey(entry.writer, kind, part)
-        self._knowledge.update(key, entry.stamp)
+        self._state.update(key, entry.stamp)
         return key
--- a/thornshelf/membership/message_handler.py
+++ b/thornshelf/membership/message_handler.py
@@ -9,13 +9,10 @@
 from thornshelf.membership.datagram_sender import DatagramSender, OutgoingMessage
 from thornshelf.membership.datagrams import MapEntry, Message, MessageKind, ReplayWindows
 from thornshelf.membership.entry_publisher import EntryPublisher
+from thornshelf.membership.fleet_state import FleetState
 from thornshelf.membership.keys import EntryKey, RecordKey
-from thornshelf.membership.knowledge import Knowledge
-from thornshelf.membership.local_member import LocalMember
-from thornshelf.membership.member_table import MemberTable
 from thornshelf.membership.probe_messages import ProbeMessages
 from thornshelf.membership.push_pull import PushPull
-from thornshelf.membership.replicated_map import ReplicatedMap
 from thornshelf.membership.states import LIVE_STATES, Member, MemberRecord, MemberState, RecordStatus
 
 CORRECTION_INTERVAL_US = 200_000  # a member that is out of date is corrected no more often
@@ -43,10 +40,7 @@
     def __init__(
         self,
         config: MembershipConfig,
-        local: LocalMember,
-        table: MemberTable,
-        replicated_map: ReplicatedMap,
-        knowledge: Knowledge,
+        state: FleetState,
         sender: DatagramSender,
         probes: ProbeMessages,
         push_pull: PushPull,
@@ -54,10 +48,9 @@
         now_us: int,
     ) -> None:
         self._name = config.name
-        self._local = local
-        self._table = table
-        self._replicated_map = replicated_map
-        self._knowledge = knowledge
+        self._state = state
+        self._local = state.local
+        self._table = state.table
         self._sender = sender
         self._probes = probes
         self._push_pull = push_pull
@@ -122,7 +115,7 @@
 
     def _merge(self, message: Message) -> None:
         """Take over the records and entries of a message."""
-        before = len(self._knowledge.buffer) + len(self._probes.candidates)
+        before = len(self._state.buffer) + len(self._probes.candidates)
         for record in message.records:
             if record.name == self._name:
                 self._handle_local_record(record)
@@ -134,18 +127,18 @@
                 self._table.counters[UNKNOWN_MEMBERS] += 1
         for entry in message.entries:
             self._merge_entry(entry)
-        after = len(self._knowledge.buffer) + len(self._probes.candidates)
+        after = len(self._state.buffer) + len(self._probes.candidates)
         self._push_pull.rumors_learned(max(0, after - before))
 
     def _merge_entry(self, entry: MapEntry) -> None:
         if entry.writer != self._name and entry.writer not in self._table.members:
             return
-        if not self._replicated_map.merge(entry, self._now_us):
+        if not self._state.replicated_map.merge(entry, self._now_us):
             return
         if entry.writer == self._name:
             self._publisher.rewrite(entry.kind, entry.part, self._now_us)
             return
-        self._knowledge.update(EntryKey(entry.writer, entry.kind, entry.part), entry.stamp)
+        self._state.update(EntryKey(entry.writer, entry.kind, entry.part), entry.stamp)
         self._received_entries.append(entry)
 
     def _handle_local_record(self, record: MemberRecord) -> None:
@@ -153,7 +146,7 @@
         if self._local.refute(record, self._now_us):
             if record.status in (RecordStatus.SUSPECT, RecordStatus.DEAD):
                 self._table.raise_health_multiplier()  # others missed its answers, so it may be unhealthy
-            self._knowledge.update_record(self._local.record)
+            self._state.update_record(self._local.record)
             self._sender.gossip(RecordKey(self._name), self._now_us)
         elif self._local.superseded and self.superseded is None:
             self.superseded = DuplicateNameError(
--- a/thornshelf/membership/policies.py
+++ b/thornshelf/membership/policies.py
@@ -6,6 +6,7 @@
 
 from __future__ import annotations
 
+import enum
 from collections.abc import Collection
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -25,19 +26,22 @@
 OBSERVATIONS = "seen"
 DRAINS = "list"
 
-# Policies that can be enabled, as the operator's keys under ``fleet.uses`` name them.
-DIVIDE_QUOTAS = "allowances"
-SHARE_OBSERVATIONS = "evidence"
-SHARE_DRAINS = "news"
-SHARE_HEALTH_CHECKS = "probes"
-SHARE_PLACER_GOSSIP = "messages"
-
 OBSERVATIONS_INTERVAL_US = 1_000_000  # between two versions; published weights decay by themselves
 DRAINS_INTERVAL_US = 200_000
 HEALTH_CHECK_TIMEOUT_US = 700_000  # of a health check that another member does
 MIN_MEMBERS_FOR_HEALTH_CHECKS = 3  # below, each member checks all suspects itself
 
 
+class Policy(enum.StrEnum):
+    """What can be enabled, by the operator's keys under ``fleet.uses``."""
+
+    QUOTAS = "allowances"
+    OUTLIERS = "evidence"
+    DRAINS = "news"
+    HEALTH_CHECKS = "probes"
+    PLACER_GOSSIP = "messages"
+
+
 class HealthCheckReport(NamedTuple):
     """The result of a health check that other members did; no report in time counts as unhealthy."""
 
@@ -59,8 +63,8 @@
 class FleetPolicies:
     """The policies of one dispatcher.
 
-    ``enabled``: names of policies. ``configured``: the number of dispatchers by the settings. ``quota_hold_us``: how
-    long a member that is away still counts in quotas.
+    ``enabled``: values of ``Policy``. ``configured``: the number of dispatchers by the settings. ``quota_hold_us``:
+    how long a member that is away still counts in quotas.
     """
 
     def __init__(
@@ -114,12 +118,12 @@
 
     def publish_placer_gossip(self, data: bytes) -> None:
         """Publish what the decision module sends to its peers."""
-        if SHARE_PLACER_GOSSIP in self._enabled:
+        if Policy.PLACER_GOSSIP in self._enabled:
             self.membership.publish(PLACER_GOSSIP, 0, data)
 
     def delegate_health_check(self, node: str, now_us: int) -> bool:
         """Whether other members check this suspect for all: then ``review`` returns the result."""
-        is_shared = SHARE_HEALTH_CHECKS in self._enabled and not self._is_superseded
+        is_shared = Policy.HEALTH_CHECKS in self._enabled and not self._is_superseded
         if not is_shared or self.membership.live_count < MIN_MEMBERS_FOR_HEALTH_CHECKS:
             return False
         if self.membership.name in health_checkers(node, self.membership.live_names()):
@@ -127,17 +131,17 @@
         self._delegated_since_us.setdefault(node, now_us)
         return True
 
-    def review(self, nodes: Collection[str], watch_is_silent: bool, now_us: int) -> PolicyChanges:
+    def review(self, nodes: Collection[str], watch_unresponsive: bool, now_us: int) -> PolicyChanges:
         """What has changed since the last call, and which health checks are due.
 
-        ``nodes``: those in service. ``watch_is_silent``: this dispatcher's own endpoint watch does not answer.
+        ``nodes``: those in service. ``watch_unresponsive``: this dispatcher's own endpoint watch does not answer.
         """
         changes = PolicyChanges()
         live = [self.membership.name] if self._is_superseded else self.membership.live_names()
         self._review_quota(changes, live, now_us)
         self._review_outliers(changes, nodes, live, now_us)
-        self._review_avoided_nodes(changes, watch_is_silent, live)
-        if SHARE_HEALTH_CHECKS in self._enabled and len(live) >= MIN_MEMBERS_FOR_HEALTH_CHECKS:
+        self._review_avoided_nodes(changes, watch_unresponsive, live)
+        if Policy.HEALTH_CHECKS in self._enabled and len(live) >= MIN_MEMBERS_FOR_HEALTH_CHECKS:
             changes.nodes_to_check = self.outlier_gossip.nodes_to_check(nodes, live, now_us)
         self._review_delegated(changes, live, now_us)
         self._publish(now_us)
@@ -149,7 +153,7 @@
             division.mark_rejoined()  # it had to outbid the record of a former process
         if self.membership.uptime_lag_us > division.config.startup_us:
             division.mark_joining()
-        if DIVIDE_QUOTAS in self._enabled and not self._is_superseded:
+        if Policy.QUOTAS in self._enabled and not self._is_superseded:
             quota = division.quota(live, now_us)
             if quota != self._quota:
                 self._quota = quota
@@ -159,18 +163,18 @@
         self, changes: PolicyChanges, nodes: Collection[str], live: Collection[str], now_us: int
     ) -> None:
         outliers: set[str] = set()
-        if SHARE_OBSERVATIONS in self._enabled:
+        if Policy.OUTLIERS in self._enabled:
             outliers = self.outlier_gossip.outliers(nodes, live, now_us)
         if outliers != self._outliers:
             self._outliers = outliers
             changes.outliers = outliers
 
     def _review_avoided_nodes(
-        self, changes: PolicyChanges, watch_is_silent: bool, live: Collection[str]
+        self, changes: PolicyChanges, watch_unresponsive: bool, live: Collection[str]
     ) -> None:
         avoided: set[str] = set()
-        if SHARE_DRAINS in self._enabled:
-            uses_reports = watch_is_silent and not self._is_superseded
+        if Policy.DRAINS in self._enabled:
+            uses_reports = watch_unresponsive and not self._is_superseded
             avoided = self.drain_gossip.nodes_to_avoid(uses_reports, live)
         if avoided != self._avoided_nodes:
             self._avoided_nodes = avoided
@@ -186,12 +190,12 @@
 
     def _publish(self, now_us: int) -> None:
         value = b""
-        if SHARE_OBSERVATIONS in self._enabled or SHARE_HEALTH_CHECKS in self._enabled:
+        if Policy.OUTLIERS in self._enabled or Policy.HEALTH_CHECKS in self._enabled:
             value = self.outlier_gossip.encode(now_us)
         if self._has_new_observations or not value:
             self._has_new_observations = False
             self.membership.publish(OBSERVATIONS, 0, value, OBSERVATIONS_INTERVAL_US)
-        if SHARE_DRAINS in self._enabled:
+        if Policy.DRAINS in self._enabled:
             self.drain_gossip.expire(now_us)
             for part, page in enumerate(self.drain_gossip.encode_pages(now_us)):
                 self.membership.publish(DRAINS, part, page, DRAINS_INTERVAL_US)
--- a/thornshelf/membership/protocol.py
+++ b/thornshelf/membership/protocol.py
@@ -20,15 +20,13 @@
 )
 from thornshelf.membership.datagrams import MapEntry, MessageKind
 from thornshelf.membership.entry_publisher import EntryPublisher
-from thornshelf.membership.keys import EntryKey, RecordKey
-from thornshelf.membership.knowledge import Knowledge
-from thornshelf.membership.local_member import LocalMember
-from thornshelf.membership.member_table import MemberChange, MemberTable
+from thornshelf.membership.fleet_state import FleetState
+from thornshelf.membership.keys import RecordKey
+from thornshelf.membership.member_table import MemberChange
 from thornshelf.membership.message_handler import MessageHandler, UserMessage
 from thornshelf.membership.probe_messages import ProbeMessages
 from thornshelf.membership.push_pull import PushPull
 from thornshelf.membership.reconnect import reconnect_addresses
-from thornshelf.membership.replicated_map import ReplicatedMap
 from thornshelf.membership.states import MemberState
 
 GOSSIP_BATCH_US = 50_000  # refutations of so long are gossiped together
@@ -57,42 +55,26 @@
     ) -> None:
         self.config = config
         self.now_us = now_us
-        self.local = LocalMember(config, instance_id, incarnation, now_us)
-        self.table = MemberTable(config, random_source, self._record_changed)
-        self.replicated_map = ReplicatedMap(config.name)
-        self.rejected_datagrams: list[RejectedDatagramError] = []
+        self.state = FleetState(config, instance_id, incarnation, random_source, now_us)
+        self.local = self.state.local
+        self.table = self.state.table
+        self.replicated_map = self.state.replicated_map
         self.counters: Counter[str] = self.table.counters
-        self.knowledge = Knowledge()
-        self.sender = DatagramSender(
-            config, self.local, self.table, self.replicated_map, self.knowledge.buffer
-        )
+        self.rejected_datagrams: list[RejectedDatagramError] = []
+        self.sender = DatagramSender(config, self.state)
+        self.publisher = EntryPublisher(config, self.state, self.sender)
         self._random = random_source
-        self._last_tick_us = now_us
         self._probes = ProbeMessages(config, self.table, self.sender, random_source, now_us)
-        self._next_reconnect_us = now_us
-        self._push_pull = PushPull(
-            config, self.table, self.sender, self.knowledge.index, random_source, now_us
-        )
-        self.publisher = EntryPublisher(
-            config, self.local, self.table, self.replicated_map, self.knowledge, self.sender
-        )
+        self._push_pull = PushPull(config, self.table, self.sender, self.state.index, random_source, now_us)
         self._handler = MessageHandler(
-            config,
-            self.local,
-            self.table,
-            self.replicated_map,
-            self.knowledge,
-            self.sender,
-            self._probes,
-            self._push_pull,
-            self.publisher,
-            now_us,
+            config, self.state, self.sender, self._probes, self._push_pull, self.publisher, now_us
         )
         self._changes: list[MemberChange] = []
         self._urgent_keys: dict[RecordKey, None] = {}  # what cannot wait for a probe to ride on
+        self._last_tick_us = now_us
         self._next_gossip_us = now_us
+        self._next_reconnect_us = now_us
         self._next_expiry_us = now_us
-        self.knowledge.update_record(self.local.record)
 
     # what the caller does
 
@@ -114,7 +96,7 @@
     @property
     def live_count(self) -> int:
         """The number of live members, this one among them."""
-        return len(self.table.live_names) + 1
+        return self.state.live_count
 
     def live_names(self) -> list[str]:
         """The sorted names of all live members, this one among them."""
@@ -175,7 +157,7 @@
         self._push_pull.tick(now_us)
         if now_us >= self._next_expiry_us:
             self._next_expiry_us = now_us + EXPIRY_INTERVAL_US
-            self._discard_expiring()
+            self.state.discard_departed(now_us)
         self._apply_changes()
         return self._earliest_due_us()
 
@@ -194,7 +176,7 @@
     def leave(self) -> None:
         """Announce a graceful shutdown to some members, so that the others need not detect it."""
         self.local.leave()
-        self.knowledge.update_record(self.local.record)
+        self.state.update_record(self.local.record)
         message = OutgoingMessage(MessageKind.LEAVE)
         for name in self.table.sample(LEAVE_FANOUT):
             self.sender.send_to_member(self.table.members[name], message, self.now_us)
@@ -237,23 +219,8 @@
         for address in reconnect_addresses(self.config, self.table, self._random):
             self.sender.send(address, 0, message, self.now_us)
 
-    def _discard_expiring(self) -> None:
-        """Compare departed members no more that the others may have evicted already."""
-        for member in self.table.departed():
-            if self.table.is_expiring(member, self.now_us):
-                self._discard(member.record.name, self.replicated_map.ids_of(member.record.name))
-
-    def _discard(self, name: str, entries: list[EntryKey]) -> None:
-        self.knowledge.index.discard(RecordKey(name))
-        for key in entries:
-            self.knowledge.index.discard(key)
-
     # changes
 
-    def _record_changed(self, name: str) -> None:
-        """The record of another member has changed."""
-        self.knowledge.update_record(self.table.members[name].record)
-
     def _apply_changes(self) -> None:
         """Follow up on changes of members' states."""
         changes = self.table.changes
@@ -271,7 +238,7 @@
                 # It may not know the report yet.
                 self._probes.ping(self.table.members[change.name], self.now_us)
             if change.after is None:
-                self._discard(change.name, self.replicated_map.remove_writer(change.name))
+                self.state.discard_evicted(change.name)
 
     def _member_added(self, name: str) -> None:
         self._probes.prober.add_member(name)
--- a/thornshelf/membership/quota_division.py
+++ b/thornshelf/membership/quota_division.py
@@ -58,7 +58,7 @@
         self._name = name
         self._start_us = now_us
         self._live_since_us: dict[str, int] = {}
-        self._away_since_us: dict[str, int] = {}
+        self._departed_since_us: dict[str, int] = {}
         self._established: set[str] = set()
         self._last_known: tuple[str, ...] = ()
         self._changed_us = now_us
@@ -77,7 +77,7 @@
     def member_left(self, name: str) -> None:
         """A member has left gracefully: it counts no more at once."""
         self._live_since_us.pop(name, None)
-        self._away_since_us.pop(name, None)
+        self._departed_since_us.pop(name, None)
         self._established.discard(name)
 
     def quota(self, live: Collection[str], now_us: int) -> Quota:
@@ -86,7 +86,7 @@
         live_names = set(live) | {self._name}
         self._update(live_names, now_us)
         self._drop_departed(live_names, now_us)
-        known = tuple(sorted([*self._live_since_us, *self._away_since_us]))
+        known = tuple(sorted([*self._live_since_us, *self._departed_since_us]))
         if known != self._last_known:
             self._last_known = known
             self._changed_us = now_us
@@ -106,12 +106,12 @@
         """Note since when each member is live or away, and which ones are established."""
         for name in live_names:
             if name not in self._live_since_us:
-                self._away_since_us.pop(name, None)
+                self._departed_since_us.pop(name, None)
                 self._live_since_us[name] = now_us
         for name, since_us in list(self._live_since_us.items()):
             if name not in live_names:
                 del self._live_since_us[name]
-                self._away_since_us[name] = now_us
+                self._departed_since_us[name] = now_us
             elif now_us - since_us >= self.config.established_after_us or name == self._name:
                 self._established.add(name)
 
@@ -119,13 +119,13 @@
         return min(count, MAX_COUNT_FACTOR * max(self.config.configured, len(self._established)))
 
     def _known_count(self) -> int:
-        return len(self._live_since_us) + len(self._away_since_us)
+        return len(self._live_since_us) + len(self._departed_since_us)
 
     def _drop_departed(self, live_names: set[str], now_us: int) -> None:
         """Drop members that are away for good, where the live ones are the majority."""
         if 2 * len(live_names) <= self._known_count():
             return
-        for name, since_us in list(self._away_since_us.items()):
+        for name, since_us in list(self._departed_since_us.items()):
             if now_us - since_us >= self.config.departed_hold_us:
                 self.member_left(name)
 
@@ -134,7 +134,7 @@
         if 2 * len(live_names) >= self._known_count():
             return False
         limit_us = self.config.departed_hold_us // 2
-        return any(now_us - since_us >= limit_us for since_us in self._away_since_us.values())
+        return any(now_us - since_us >= limit_us for since_us in self._departed_since_us.values())
 
     def _is_new(self, now_us: int) -> bool:
         """Whether this member has joined so recently that others may not count it yet."""
