--- a/thornshelf/components/fleet_queries.py
+++ b/thornshelf/components/fleet_queries.py
@@ -11,7 +11,8 @@
 from thornshelf.errors import UnknownTableError
 from thornshelf.loop import Loop
 from thornshelf.membership.datagrams import MessageKind
-from thornshelf.membership.scatter_gather import QueryGatherer, QueryResponder
+from thornshelf.membership.query_gatherer import QueryGatherer
+from thornshelf.membership.scatter_gather import QueryResponder
 from thornshelf.membership.states import LIVE_STATES, MemberState
 
 MAX_ROWS_PER_ANSWER = 1_000_000
