--- a/tests/golden/operator.py
+++ b/tests/golden/operator.py
@@ -17,8 +17,9 @@
 from thornshelf.cli import cli
 from thornshelf.configuration import read_config
 from thornshelf.control import fleet_tables, framing
-from thornshelf.control.core_tables import CoreTables, flatten_settings
+from thornshelf.control.core_tables import CoreTables
 from thornshelf.control.history import ErrorCounters, History
+from thornshelf.control.settings_table import flatten_settings
 from thornshelf.control.tables import Table
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
 from thornshelf.shell import saved_queries
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,7 +20,6 @@
 from thornshelf import errors
 from thornshelf.components.control import make_socket
 from thornshelf.control import framing
-from thornshelf.control.core_tables import flatten_settings
 from thornshelf.control.history import ErrorCounters, History
 from thornshelf.control.query_sessions import (
     MAX_QUERIES_PER_CLIENT,
@@ -29,6 +28,7 @@
     TURN_TIME_BUDGET_US,
     QuerySessions,
 )
+from thornshelf.control.settings_table import flatten_settings
 from thornshelf.control.tables import INTEGER, TEXT, Catalog, Table, TableReader, declare_columns
 from thornshelf.core.task import TaskPages
 from thornshelf.membership import scatter_gather
--- a/thornshelf/control/__init__.py
+++ b/thornshelf/control/__init__.py
@@ -1,1 +1,1 @@
-"""A dispatcher's state as tables, read in slices by those who run it: decisions and state, no I/O."""
+"""A dispatcher's state as tables, and the queries on them, served in slices. No I/O."""
--- a/thornshelf/control/fleet_tables.py
+++ b/thornshelf/control/fleet_tables.py
@@ -1,11 +1,11 @@
-"""The tables of the fleet's view: members, evidence on nodes, news of the list, allowances in force."""
+"""The tables of the fleet: its members, observations of nodes, gossip about draining nodes, and quotas."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import Any
 
-from thornshelf.control.tables import INTEGER, REAL, TEXT, Table, Value, declare_columns
+from thornshelf.control.tables import INTEGER, REAL, TEXT, Table, Value, declare_columns, to_milliseconds
 from thornshelf.membership.drain_gossip import STAGE_NAMES
 from thornshelf.membership.outlier_gossip import Observation
 from thornshelf.membership.policies import FleetPolicies
@@ -13,112 +13,130 @@
 from thornshelf.membership.quota_division import NO_QUOTA
 from thornshelf.membership.states import Member, MemberState, RecordStatus
 
-OBSERVATION_NAMES = {sight: sight.name.lower() for sight in Observation}
+OBSERVATION_NAMES = {
+    Observation.REFUSED: "refused",
+    Observation.SILENT: "silent",
+    Observation.BROKE: "broke",
+    Observation.WELL: "well",
+}
 
 
-def members_table(view: MembershipProtocol) -> Table:
-    """Who is in the fleet, as this member sees it."""
+def members_table(membership: MembershipProtocol) -> Table:
+    """The members of the fleet, as this one sees them."""
 
     def row(name: str) -> Sequence[Value] | None:
-        now = view.now_us
-        if name == view.name:
-            me = view.local.record
-            return name, MemberState.ALIVE.value, me.address, me.incarnation, 1, None, None, "", ""
-        member: Member | None = view.table.members.get(name)
+        if name == membership.name:
+            record = membership.local.record
+            return name, MemberState.ALIVE.value, record.address, record.incarnation, 1, None, None, "", ""
+        member: Member | None = membership.table.members.get(name)
         if member is None:
             return None
-        claim = member.record
-        since, heard = ((now - at) // 1000 for at in (member.state_since_us, member.last_seen_us))
-        by = claim.reported_by if claim.status != RecordStatus.ALIVE else ""
-        doubters = ",".join(sorted(member.suspected_by))
-        return name, member.state.value, claim.address, claim.incarnation, 0, since, heard, by, doubters
+        record = member.record
+        return (
+            name,
+            member.state.value,
+            record.address,
+            record.incarnation,
+            0,
+            to_milliseconds(membership.now_us - member.state_since_us),
+            to_milliseconds(membership.now_us - member.last_seen_us),
+            record.reported_by if record.status != RecordStatus.ALIVE else "",
+            ",".join(sorted(member.suspected_by)),
+        )
 
     return Table(
         "members",
         "The dispatchers of the fleet, as this one sees them.",
         declare_columns(
-            ("name", TEXT, "of the member that is seen; `member` is the one that sees it"),
-            ("state", TEXT, "alive, suspect, doomed, dead or left"),
+            ("name", TEXT, "name of the member described; `member` is the one that describes it"),
+            ("state", TEXT, "alive, suspect, doomed (reported dead, may still refute), dead or left"),
             ("address", TEXT, "host:port of its datagrams"),
-            ("incarnation", INTEGER, "grows as it refutes, and with each start"),
-            ("me", INTEGER, "1: the one that tells this"),
-            ("since_ms", INTEGER, "it has been in this state for so long"),
-            ("heard_ms", INTEGER, "its last word came so long ago"),
-            ("by", TEXT, "who says that it is suspect or dead"),
-            ("doubters", TEXT, "who has confirmed a suspicion"),
+            ("incarnation", INTEGER, "grows with each refutation and each start"),
+            ("me", INTEGER, "1: the member that sends this row"),
+            ("since_ms", INTEGER, "time in this state"),
+            ("heard_ms", INTEGER, "since its last message"),
+            ("by", TEXT, "who reports it suspect or dead"),
+            ("doubters", TEXT, "who has confirmed the suspicion"),
         ),
-        lambda: sorted([view.name, *view.table.members]),
+        lambda: sorted([membership.name, *membership.table.members]),
         row,
     )
 
 
-def outlier_evidence_table(view: MembershipProtocol, uses: FleetPolicies) -> Table:
-    """What was seen of nodes, by whom."""
+def outlier_evidence_table(membership: MembershipProtocol, policies: FleetPolicies) -> Table:
+    """Observations of nodes by all members."""
 
     def row(item: tuple[str, str, Any]) -> Sequence[Value]:
-        node, by, seen = item
+        node, observer, evidence = item
         return (
             node,
-            by,
-            OBSERVATION_NAMES[seen.observation],
-            round(seen.weight_at(view.now_us), 3),
-            max(0, view.now_us - seen.observed_us) // 1000,
+            observer,
+            OBSERVATION_NAMES[evidence.observation],
+            round(evidence.weight_at(membership.now_us), 3),
+            to_milliseconds(max(0, membership.now_us - evidence.observed_us)),
         )
 
     return Table(
         "evidence",
-        "What members saw of nodes; it fades, and makes a node second choice at most.",
+        "Observations of nodes by members; they decay, and at most make a node a second choice.",
         declare_columns(
-            ("node", TEXT, "of the list"),
-            ("by", TEXT, "the member that saw it"),
+            ("node", TEXT, "name in the endpoint list"),
+            ("by", TEXT, "the member that observed it"),
             ("sight", TEXT, "refused, silent, broke or well"),
-            ("weight", REAL, "what is left of it"),
-            ("age_ms", INTEGER, "seen so long ago"),
+            ("weight", REAL, "current weight of the observation"),
+            ("age_ms", INTEGER, "age of the observation"),
         ),
-        lambda: list(uses.outlier_gossip.rows()),
+        lambda: list(policies.outlier_gossip.rows()),
         row,
     )
 
 
-def drain_gossip_table(uses: FleetPolicies) -> Table:
-    """Places of nodes in their lives, by whose word."""
+def drain_gossip_table(policies: FleetPolicies) -> Table:
+    """Which nodes drain or are gone, by the endpoint lists of all members."""
+
+    def row(item: tuple[str, str, int, int, bool]) -> Sequence[Value]:
+        node, member, started_ms, stage, is_avoided = item
+        return node, member or policies.membership.name, STAGE_NAMES[stage], started_ms, int(is_avoided)
+
     return Table(
         "news",
-        "Which nodes drain or are gone, by whose word; the own list's word is among them.",
+        "Which nodes drain or are gone, by the endpoint lists of members, this one's included.",
         declare_columns(
-            ("node", TEXT, "of the list"),
-            ("by", TEXT, "a member; its own name for the own list"),
+            ("node", TEXT, "name in the endpoint list"),
+            ("by", TEXT, "the member whose list says so"),
             ("place", TEXT, "up, draining or gone"),
-            ("started_ms", INTEGER, "of the process that is meant, Unix ms, 0 for long ago"),
-            ("kept_away", INTEGER, "1: nothing new goes there by others' word"),
+            ("started_ms", INTEGER, "start of the process concerned, Unix ms, 0 where it is not recent"),
+            ("kept_away", INTEGER, "1: no new tasks are placed there because of other members' lists"),
         ),
-        lambda: list(uses.drain_gossip.rows()),
-        lambda item: (item[0], item[1] or uses.membership.name, STAGE_NAMES[item[3]], item[2], int(item[4])),
+        lambda: list(policies.drain_gossip.rows()),
+        row,
     )
 
 
-def quota_table(uses: FleetPolicies) -> Table:
-    """This member's share."""
+def quota_table(policies: FleetPolicies) -> Table:
+    """This member's quota of the limits that all dispatchers have in common."""
 
     def items() -> list[tuple[str, Value, str]]:
-        share = uses.quota
-        if share is None:
-            return [
-                ("by", "settings", "no share by the live members is in force: the configured number holds")
-            ]
-        cold: Value = "none" if share.strict_divisor >= NO_QUOTA else share.strict_divisor
+        quota = policies.quota
+        if quota is None:
+            return [("by", "settings", "no quota by live members is in force: the configured number holds")]
+        strict_divisor: Value = "none" if quota.strict_divisor >= NO_QUOTA else quota.strict_divisor
         return [
-            ("by", "live members", "what divides what all may do together"),
-            ("place", share.index, "of this member among them"),
-            ("placers", share.soft_divisor, "what may be exceeded for a moment is divided by so many"),
-            ("cold", cold, "offers to cold nodes are divided by so many; none: it takes no share now"),
-            ("turns", int(share.round_robin), "1: what can't be divided is dealt in turns"),
+            ("by", "live members", "what divides the common limits"),
+            ("place", quota.index, "index of this member among them"),
+            ("placers", quota.soft_divisor, "divisor of limits that may be exceeded for a moment"),
+            ("cold", strict_divisor, "divisor of attempts to nodes in slow start; none: it has no quota now"),
+            ("turns", int(quota.round_robin), "1: what cannot be divided is assigned in turns"),
         ]
 
     return Table(
         "allowances",
-        "This member's share of what all may do together.",
-        declare_columns(("name", TEXT, "what"), ("value", TEXT, "how much"), ("meaning", TEXT, "of what")),
+        "This member's quota of the limits that all dispatchers have in common.",
+        declare_columns(
+            ("name", TEXT, "part of the quota"),
+            ("value", TEXT, "its value"),
+            ("meaning", TEXT, "what it means"),
+        ),
         items,
         lambda item: (item[0], str(item[1]), item[2]),
     )
--- a/thornshelf/control/framing.py
+++ b/thornshelf/control/framing.py
@@ -1,10 +1,12 @@
-"""Words between a shell and a dispatcher on its control socket: a length of four bytes, then MessagePack.
+"""Messages between a shell and a dispatcher on its control socket.
 
-shell:       Asked        one table, some columns, of this dispatcher or of all
-dispatcher:  Known        which tables there are (the answer to an Asked without a table)
-             Page         rows of one member, all of one moment
-             End          what is missing: nobody is left out in silence
-             Declined     an error of this program, by its code
+A frame is a length of four bytes, then the message in MessagePack: an array of its tag and its fields by position.
+
+shell:       QueryRequest  columns of one table, of this dispatcher or of the fleet; without a table: the catalog
+dispatcher:  CatalogReply  the tables that there are
+             RowPage       rows of one member, all read at one time
+             QueryEnd      the end of the rows, with the members whose rows are incomplete
+             ErrorReply    an error, by its stable code
 """
 
 from __future__ import annotations
@@ -19,13 +21,13 @@
 HEADER_BYTES = 4
 MAX_REQUEST_BYTES = 16 * 1024
 MAX_REPLY_BYTES = 4 * 1024 * 1024
-MAX_ROWS_PER_PAGE = 500  # of one page
+MAX_ROWS_PER_PAGE = 500
 Cell = str | int | float | None
 Label = Annotated[str, Meta(max_length=64)]
 
 
 class QueryRequest(Struct, frozen=True, array_like=True, tag="ask"):
-    """A question; ``number`` comes back with each answer."""
+    """A query; ``number`` is repeated in each reply, and ``filters`` are values that the rows must have."""
 
     number: Annotated[int, Meta(ge=0, lt=1 << 62)]
     table: Label = ""
@@ -35,7 +37,7 @@
 
 
 class RowPage(Struct, frozen=True, array_like=True, tag="page"):
-    """Rows as they were at ``at_ms``, Unix milliseconds by the member's own clock."""
+    """Rows as they were at ``at_ms``, in Unix milliseconds of the member's own clock."""
 
     number: int
     member: str
@@ -44,7 +46,7 @@
 
 
 class QueryEnd(Struct, frozen=True, array_like=True, tag="end"):
-    """All that there will be. ``told``: who told all; ``missing``: (member, why) of those that did not."""
+    """The end of the rows: the members that sent all of theirs, and (member, cause) for those that did not."""
 
     number: int
     answered: list[str]
@@ -52,7 +54,7 @@
 
 
 class ErrorReply(Struct, frozen=True, array_like=True, tag="no"):
-    """An error."""
+    """An error of the dispatcher; ``code`` is its stable code."""
 
     number: int
     code: str
@@ -60,7 +62,7 @@
 
 
 class TableSchema(Struct, frozen=True, array_like=True):
-    """A table as it is declared: (name, kind, meaning) a column."""
+    """A table as it is declared; its columns are (name, SQLite type, meaning)."""
 
     name: str
     meaning: str
@@ -68,7 +70,7 @@
 
 
 class CatalogReply(Struct, frozen=True, array_like=True, tag="known"):
-    """Who answers, and its tables."""
+    """The tables of the dispatcher ``member``, and whether it is in a fleet."""
 
     number: int
     member: str
@@ -85,25 +87,28 @@
 
 
 def encode_frame(message: QueryRequest | Reply) -> bytes:
-    """A word with its length."""
+    """A message with its length before it."""
     body = _encoder.encode(message)
     return len(body).to_bytes(HEADER_BYTES, "big") + body
 
 
 class FrameDecoder:
-    """Cuts what comes into words."""
+    """Splits a stream of bytes into messages."""
 
     def __init__(self, max_bytes: int) -> None:
-        self._max_bytes, self._buffer = max_bytes, bytearray()
+        self._max_bytes = max_bytes
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The words that are whole now; an error where one is longer than any may be."""
+        """The messages that are complete now; raises ``ControlProtocolError`` where one is longer than allowed."""
         self._buffer += data
         found = []
         while len(self._buffer) >= HEADER_BYTES:
             length = int.from_bytes(self._buffer[:HEADER_BYTES], "big")
             if length > self._max_bytes:
-                raise ControlProtocolError(f"a word of {length} bytes, where {self._max_bytes} are allowed")
+                raise ControlProtocolError(
+                    f"a message of {length} bytes, where {self._max_bytes} are allowed"
+                )
             if len(self._buffer) < HEADER_BYTES + length:
                 break
             found.append(bytes(self._buffer[HEADER_BYTES : HEADER_BYTES + length]))
@@ -112,16 +117,16 @@
 
 
 def decode_request(body: bytes) -> QueryRequest:
-    """A question."""
+    """A query; raises ``ControlProtocolError`` where it is malformed."""
     try:
         return _request_decoder.decode(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        raise ControlProtocolError(f"no question: {fault!s:.200}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+        raise ControlProtocolError(f"not a valid query: {error!s:.200}") from None
 
 
 def decode_reply(body: bytes) -> Reply:
-    """An answer."""
+    """A reply; raises ``ControlProtocolError`` where it is malformed."""
     try:
         return _reply_decoder.decode(body)
-    except (msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        raise ControlProtocolError(f"no answer: {fault!s:.200}") from None
+    except (msgspec.MsgspecError, UnicodeDecodeError) as error:
+        raise ControlProtocolError(f"not a valid reply: {error!s:.200}") from None
--- a/thornshelf/control/history.py
+++ b/thornshelf/control/history.py
@@ -1,4 +1,4 @@
-"""What became of tasks and which errors came, kept for those who ask why: bounded, the oldest go first."""
+"""A bounded history of task events, and counts of errors by code."""
 
 from __future__ import annotations
 
@@ -7,45 +7,48 @@
 from dataclasses import dataclass
 from enum import Enum
 
+from thornshelf.control.shown_names import state_name
 from thornshelf.errors import ERRORS_BY_CODE
 
 MAX_DETAIL_CHARS = 200
-UNSPECIFIED_REASON = "untold"  # a reason that no node gave
+UNSPECIFIED_REASON = "untold"  # the shown name of the reason where a node gave none
 
-
-# When (loop's clock), the task's id and name, the event, the decision module's number of a node (0: none), a detail.
-# Plain tuples of plain values: the collector of garbage forgets them, whose passes would else grow with the history.
+# Time (loop's clock, microseconds), uid, idempotency key, event, placement's number of a node (0: none), detail.
+# Plain tuples of plain values are not tracked by the garbage collector, whose passes would otherwise take longer the
+# longer the history is.
 TaskEvent = tuple[int, int, int, str, int, str]
 
 
 def format_detail(detail: Iterable[object]) -> str:
-    """A step's detail; words of an enumeration are told by their names."""
-    found = [one._name_.lower() if isinstance(one, Enum) else str(one) for one in detail]
-    return " ".join(word for word in found if word and word != UNSPECIFIED_REASON)[:MAX_DETAIL_CHARS]
+    """The details of an event in one text; members of enums are given by their shown names."""
+    texts = [state_name(item) if isinstance(item, Enum) else str(item) for item in detail]
+    return " ".join(text for text in texts if text and text != UNSPECIFIED_REASON)[:MAX_DETAIL_CHARS]
 
 
 class History:
-    """The last steps of all tasks, in runs: those who read them take one run at a time."""
+    """The latest events of all tasks, in pages that readers take one at a time."""
 
     PAGE_SIZE = 512
 
     def __init__(self, max_events: int) -> None:
-        self._max_pages = max(1, -(-max_events // self.PAGE_SIZE))  # runs
+        self._max_pages = max(1, -(-max_events // self.PAGE_SIZE))
         self.pages: deque[list[TaskEvent]] = deque([[]])
-        self.dropped = 0  # steps that are not held any more
+        self.dropped = 0  # events that are not retained any more
 
     def record(self, at_us: int, uid: int, key: int, event: str, machine: int = 0, *detail: object) -> None:
-        """A step."""
-        if len(run := self.pages[-1]) >= self.PAGE_SIZE:
-            self.pages.append(run := [])
+        """Add an event; beyond the bound the oldest page is dropped."""
+        page = self.pages[-1]
+        if len(page) >= self.PAGE_SIZE:
+            page = []
+            self.pages.append(page)
             if len(self.pages) > self._max_pages + 1:
                 self.dropped += len(self.pages.popleft())
-        run.append((at_us, uid, key, event, machine, format_detail(detail) if detail else ""))
+        page.append((at_us, uid, key, event, machine, format_detail(detail) if detail else ""))
 
 
 @dataclass(slots=True)
 class ErrorCount:
-    """One kind of error."""
+    """How often an error occurred, and the last occurrence."""
 
     count: int = 0
     last_us: int = 0
@@ -53,19 +56,20 @@
 
 
 class ErrorCounters:
-    """Errors by code, as the log was told of them, also where a flood of lines was left out."""
+    """Counts errors by code from the log lines, including those that the log's rate limit suppresses."""
 
     def __init__(self) -> None:
         self.by_code: dict[str, ErrorCount] = {}
 
     def count_line(self, at_us: int, values: Mapping[str, object], text: str) -> None:
-        """A log line; those without a code are no errors."""
+        """Count a log line with the code of an error; ignore others."""
         code = values.get("code")
         if isinstance(code, str) and code in ERRORS_BY_CODE:
             self.add(code, at_us, text)
 
     def add(self, code: str, at_us: int, text: str) -> None:
-        """One error."""
-        tally = self.by_code.setdefault(code, ErrorCount())
-        tally.count += 1
-        tally.last_us, tally.text = at_us, text[:MAX_DETAIL_CHARS]
+        """Count one error."""
+        counted = self.by_code.setdefault(code, ErrorCount())
+        counted.count += 1
+        counted.last_us = at_us
+        counted.text = text[:MAX_DETAIL_CHARS]
--- a/thornshelf/control/query_sessions.py
+++ b/thornshelf/control/query_sessions.py
@@ -1,6 +1,6 @@
-"""The questions that are open on control sockets, served in turn within bounds: so long and so much a turn.
+"""Open queries of the control socket, served in turn within a budget of time and bytes for each turn of the loop.
 
-No I/O: what is to be sent is handed to the reader, which says whether it takes more.
+No I/O: replies are handed to a ``QueryClient``, which says whether it can take more.
 """
 
 from __future__ import annotations
@@ -10,61 +10,84 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from thornshelf.control.framing import MAX_ROWS_PER_PAGE, ErrorReply, QueryEnd, QueryRequest, Reply, RowPage
+from thornshelf.control.framing import (
+    MAX_ROWS_PER_PAGE,
+    Cell,
+    ErrorReply,
+    QueryEnd,
+    QueryRequest,
+    Reply,
+    RowPage,
+)
 from thornshelf.control.tables import Catalog, TableReader
 from thornshelf.errors import ControlProtocolError, ThornshelfError, TooManySessionsError, UnknownTableError
 from thornshelf.membership.scatter_gather import QueryGatherer
 
-TURN_TIME_BUDGET_US = 1_500  # of one turn of the loop, all questions together
-TURN_BYTE_BUDGET = 256 * 1024  # and so much is sent, and the page that goes beyond it
-BACKLOG_TIME_BUDGET_US = 400  # where other work waits already
-STALLED_CLIENT_TIMEOUT_US = 5_000_000  # a reader that takes nothing for so long loses its connection
-QUERY_TIMEOUT_US = 30_000_000  # and so does a question that is never over
-MAX_QUERIES_PER_CLIENT = 4  # questions of one reader at once
+TURN_TIME_BUDGET_US = 1_500  # for all queries in one turn of the loop
+TURN_BYTE_BUDGET = 256 * 1024  # for all pages in one turn; the page that exceeds it is still sent
+BACKLOG_TIME_BUDGET_US = 400  # in place of TURN_TIME_BUDGET_US where other work of the loop waits
+STALLED_CLIENT_TIMEOUT_US = 5_000_000  # a client that reads nothing for this long is disconnected
+QUERY_TIMEOUT_US = 30_000_000
+MAX_QUERIES_PER_CLIENT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class FleetAccess:
-    """The others, where dispatchers talk: ``live`` are asked, ``gone`` are named with the reason; ``ask`` sends."""
+    """How queries reach the other dispatchers of the fleet.
+
+    ``live_members`` names those to query, ``failed_members`` those that cannot be queried, with the cause.
+    ``start_query`` begins to send a query, ``stop_query`` ends it before or after its answers.
+    """
 
     live_members: Callable[[], Collection[str]]
     failed_members: Callable[[], dict[str, str]]
     start_query: Callable[[QueryGatherer], None]
-    stop_query: Callable[[QueryGatherer], None]  # it is over: nothing of it is passed on any more
+    stop_query: Callable[[QueryGatherer], None]
 
 
 class QueryClient(Protocol):
-    """One connection."""
+    """One connection of a shell."""
 
     @property
     def can_accept(self) -> bool:
-        """It is open, and has read enough of what it was sent to be sent more."""
+        """Whether it is open and has read enough of what it was sent to be sent more."""
 
     @property
     def is_open(self) -> bool:
-        """Its connection stands."""
+        """Whether the connection is open."""
 
     def send(self, reply: Reply) -> int:
-        """Send a word; its bytes."""
+        """Send a reply; returns its length in bytes."""
 
     def close_with_error(self, error: ThornshelfError) -> None:
-        """Close it, with a log line."""
+        """Close the connection, and log the error."""
 
 
 class OpenQuery:
-    """One question: this dispatcher's rows, and the others'."""
+    """A query whose rows, of this dispatcher and of others, have not all been sent."""
 
     def __init__(
         self, client: QueryClient, request: QueryRequest, table_reader: TableReader, now_us: int
     ) -> None:
-        self.client, self.request, self.table_reader = client, request, table_reader
-        self.scatter_gather: QueryGatherer | None = None
-        self.missing: dict[str, str] = {}
-        self.started_us = self.last_progress_us = now_us
+        self.client = client
+        self.request = request
+        self.table_reader = table_reader
+        self.scatter_gather: QueryGatherer | None = None  # where the fleet is queried
+        self.missing: dict[str, str] = {}  # members that could not be queried from the start, with the cause
+        self.started_us = now_us
+        self.last_progress_us = now_us
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether all rows have been sent."""
+        if not self.table_reader.exhausted:
+            return False
+        gatherer = self.scatter_gather
+        return gatherer is None or (gatherer.finished and not gatherer.batches)
 
 
 class QuerySessions:
-    """All of them. ``numbers`` gives questions to others a number of their own."""
+    """All open queries of all clients."""
 
     def __init__(
         self,
@@ -74,10 +97,15 @@
         next_query_id: Callable[[], int],
         max_clients: int,
     ) -> None:
-        self._name, self._catalog, self._fleet = name, catalog, fleet
-        self._next_query_id, self._max_clients = next_query_id, max_clients
+        """``name``: of this dispatcher; ``next_query_id``: ids for queries to other members."""
+        self._name = name
+        self._catalog = catalog
+        self._fleet = fleet
+        self._next_query_id = next_query_id
+        self._max_queries = max_clients * MAX_QUERIES_PER_CLIENT
         self._queries: deque[OpenQuery] = deque()
-        self._bytes_this_turn = 0  # sent in this turn
+        self._bytes_this_turn = 0
+        # The keys are those of the table of counters.
         self.counters = {
             "questions": 0,
             "rows": 0,
@@ -90,100 +118,129 @@
         return len(self._queries)
 
     def start(self, client: QueryClient, request: QueryRequest, now_us: int) -> None:
-        """A question; an error answers one that can't be served."""
+        """Begin a query, or answer with an error where it cannot be served."""
         self.counters["questions"] += 1
         try:
-            mine = sum(query.client is client for query in self._queries)
-            if (
-                mine >= MAX_QUERIES_PER_CLIENT
-                or len(self._queries) >= self._max_clients * MAX_QUERIES_PER_CLIENT
-            ):
-                raise TooManySessionsError(f"{len(self._queries)} questions are open")
-            table = self._catalog.table(request.table)
-            query = OpenQuery(client, request, TableReader(table, request.columns, request.filters), now_us)
-        except (TooManySessionsError, UnknownTableError) as fault:
+            query = self._open(client, request, now_us)
+        except (TooManySessionsError, UnknownTableError) as error:
             self.counters["declined"] += 1
-            client.send(ErrorReply(request.number, fault.code, str(fault)))
+            client.send(ErrorReply(request.number, error.code, str(error)))
             return
         if request.fleet and self._fleet is not None:
-            query.missing = self._fleet.failed_members()
-            others = [name for name in self._fleet.live_members() if name != self._name]
-            query.scatter_gather = QueryGatherer(
-                self._next_query_id(), request.table, request.columns, request.filters, others, now_us
-            )
-            self._fleet.start_query(query.scatter_gather)
+            self._start_in_fleet(query, self._fleet, now_us)
         self._queries.append(query)
 
+    def _open(self, client: QueryClient, request: QueryRequest, now_us: int) -> OpenQuery:
+        """A new query; raises ``TooManySessionsError`` or ``UnknownTableError``."""
+        of_client = sum(query.client is client for query in self._queries)
+        if of_client >= MAX_QUERIES_PER_CLIENT or len(self._queries) >= self._max_queries:
+            raise TooManySessionsError(f"{len(self._queries)} questions are open")
+        table = self._catalog.table(request.table)
+        reader = TableReader(table, request.columns, request.filters)
+        return OpenQuery(client, request, reader, now_us)
+
+    def _start_in_fleet(self, query: OpenQuery, fleet: FleetAccess, now_us: int) -> None:
+        """Send the query to the other members."""
+        request = query.request
+        query.missing = fleet.failed_members()
+        others = [name for name in fleet.live_members() if name != self._name]
+        query.scatter_gather = QueryGatherer(
+            self._next_query_id(), request.table, request.columns, request.filters, others, now_us
+        )
+        fleet.start_query(query.scatter_gather)
+
     def remove_client(self, client: QueryClient) -> None:
-        """Its connection is closed."""
-        for query in [one for one in self._queries if one.client is client]:
+        """End the queries of a client that has disconnected."""
+        for query in [query for query in self._queries if query.client is client]:
             self._end(query)
 
     def _end(self, query: OpenQuery) -> None:
+        """Forget a query."""
         self._queries.remove(query)
         if query.scatter_gather is not None and self._fleet is not None:
             self._fleet.stop_query(query.scatter_gather)
 
     def run_turn(self, now_us: int, unix_ms: int, elapsed_us: Callable[[], int], has_backlog: bool) -> bool:
-        """Serve each in turn for as long as a turn may last; whether one could go on at once."""
-        until = elapsed_us() + (BACKLOG_TIME_BUDGET_US if has_backlog else TURN_TIME_BUDGET_US)
-        again, self._bytes_this_turn = False, 0
+        """Serve each query in turn within the budget; returns whether one could go on at once.
+
+        ``unix_ms``: the time of this dispatcher's rows; ``elapsed_us``: returns the time since the turn began;
+        ``has_backlog``: other work of the loop waits.
+        """
+        until_us = elapsed_us() + (BACKLOG_TIME_BUDGET_US if has_backlog else TURN_TIME_BUDGET_US)
+        can_continue = False
+        self._bytes_this_turn = 0
         for _ in range(len(self._queries)):
-            if elapsed_us() >= until or self._bytes_this_turn >= TURN_BYTE_BUDGET:
-                again = True
-                break
+            if elapsed_us() >= until_us or self._bytes_this_turn >= TURN_BYTE_BUDGET:
+                return True
             query = self._queries[0]
             self._queries.rotate(-1)
-            again = self._serve(query, now_us, unix_ms, elapsed_us, until) or again
-        return again
+            if self._serve(query, now_us, unix_ms, elapsed_us, until_us):
+                can_continue = True
+        return can_continue
 
     def _serve(
-        self, query: OpenQuery, now_us: int, unix_ms: int, spent: Callable[[], int], until: int
+        self, query: OpenQuery, now_us: int, unix_ms: int, elapsed_us: Callable[[], int], until_us: int
     ) -> bool:
-        """Whether it could go on at once."""
-        reader, asker, number = query.client, query.scatter_gather, query.request.number
-        if not reader.can_accept:
-            if asker is not None:
-                asker.paused = True
-            if not reader.is_open:
-                self._end(query)
-            elif now_us - query.last_progress_us > STALLED_CLIENT_TIMEOUT_US:
-                self._abort(query, "it has read nothing for too long")
+        """Send the next rows of a query; returns whether it could go on at once."""
+        if not query.client.can_accept:
+            self._wait_for_client(query, now_us)
             return False
         if now_us - query.started_us > QUERY_TIMEOUT_US:
             self._abort(query, "its question is never over")
             return False
         query.last_progress_us = now_us
-        if asker is not None:
-            asker.paused = False
-            for name, why in self._fleet.failed_members().items() if self._fleet is not None else ():
-                asker.member_lost(name, why)
-            while asker.batches and reader.can_accept and self._bytes_this_turn < TURN_BYTE_BUDGET:
-                member, at_ms, rows = asker.batches.pop(0)
-                self._send_page(query, member, at_ms, rows)
+        if query.scatter_gather is not None:
+            self._send_rows_of_others(query, query.scatter_gather)
         if not query.table_reader.exhausted:
-            rows = query.table_reader.read_rows(spent, until, MAX_ROWS_PER_PAGE)
+            rows = query.table_reader.read_rows(elapsed_us, until_us, MAX_ROWS_PER_PAGE)
             if rows:
                 self._send_page(query, self._name, unix_ms, rows)
             return True
-        if asker is None or (asker.finished and not asker.batches):
-            missing = query.missing | (asker.incomplete if asker is not None else {})
-            if query.table_reader.truncated:
-                missing[self._name] = "it told only its first rows"
-            told = [] if query.table_reader.truncated else [self._name]
-            told += asker.complete_members if asker is not None else []
-            reader.send(QueryEnd(number, sorted(told), sorted(missing.items())))
+        if query.is_finished:
+            self._send_end(query)
             self._end(query)
         return False
 
-    def _send_page(
-        self, query: OpenQuery, member: str, at_ms: int, rows: list[list[str | int | float | None]]
-    ) -> None:
+    def _wait_for_client(self, query: OpenQuery, now_us: int) -> None:
+        """Pause a query whose client does not read; give it up where the client has stalled or disconnected."""
+        if query.scatter_gather is not None:
+            query.scatter_gather.paused = True
+        if not query.client.is_open:
+            self._end(query)
+        elif now_us - query.last_progress_us > STALLED_CLIENT_TIMEOUT_US:
+            self._abort(query, "it has read nothing for too long")
+
+    def _send_rows_of_others(self, query: OpenQuery, gatherer: QueryGatherer) -> None:
+        """Pass on what other members have sent, as far as the client and the turn allow."""
+        gatherer.paused = False
+        failed = self._fleet.failed_members() if self._fleet is not None else {}
+        for name, cause in failed.items():
+            gatherer.member_lost(name, cause)
+        while gatherer.batches and query.client.can_accept and self._bytes_this_turn < TURN_BYTE_BUDGET:
+            member, at_ms, rows = gatherer.batches.pop(0)
+            self._send_page(query, member, at_ms, rows)
+
+    def _send_page(self, query: OpenQuery, member: str, at_ms: int, rows: list[list[Cell]]) -> None:
+        """Send rows of one member."""
         self.counters["slices"] += 1
         self.counters["rows"] += len(rows)
         self._bytes_this_turn += query.client.send(RowPage(query.request.number, member, at_ms, rows))
 
-    def _abort(self, query: OpenQuery, why: str) -> None:
+    def _send_end(self, query: OpenQuery) -> None:
+        """Say which members' rows are complete, and which are not."""
+        missing = dict(query.missing)
+        complete: list[str] = []
+        if query.scatter_gather is not None:
+            missing |= query.scatter_gather.incomplete
+            complete += query.scatter_gather.complete_members
+        if query.table_reader.truncated:
+            missing[self._name] = "it told only its first rows"
+        else:
+            complete.append(self._name)
+        query.client.send(QueryEnd(query.request.number, sorted(complete), sorted(missing.items())))
+
+    def _abort(self, query: OpenQuery, cause: str) -> None:
+        """Disconnect the client of a query that cannot be finished."""
         self.counters["dropped"] += 1
         self._end(query)
-        query.client.close_with_error(ControlProtocolError(why))
+        query.client.close_with_error(ControlProtocolError(cause))
--- a/thornshelf/shell/saved_queries.py
+++ b/thornshelf/shell/saved_queries.py
@@ -1,4 +1,4 @@
-"""Ready queries for an operator's common questions; ``.queries`` lists them, ``.run NAME`` runs one."""
+"""Saved queries for operators' common questions; ``.queries`` lists them, ``.run NAME`` runs one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedQuery:
-    """One question; ``fleet``: it makes sense of all members' tables only."""
+    """A query and the question that it answers; ``fleet``: it makes sense for the tables of all members only."""
 
     name: str
     question: str
@@ -83,37 +83,35 @@
 )
 QUERIES_BY_NAME = {one.name: one for one in SAVED_QUERIES}
 
-# What ``.diff`` compares: what makes a row the same one, and what members should hold alike of it.
+# What ``.diff`` compares, by table: the columns that identify a row, and those that members should agree on.
 COMPARED_COLUMNS = {
     "nodes": (("node",), ("address", "health", "started_ms", "zone", "kind")),
     "members": (("name",), ("state", "address", "incarnation")),
     "settings": (("key",), ("value",)),
     "allowances": (("name",), ("value",)),
 }
+# Rows that differ between members by their nature, by table.
 MEMBER_SPECIFIC_KEYS = {
     "settings": (
         "name", "listen", "seed", "settings.me", "changelog", "control.socket",
-        "fleet.listen", "fleet.membership.name", "fleet.membership.address",
+        "fleet.listen", "fleet.terms.name", "fleet.terms.address",
     )
 }  # fmt: skip
 
 
 def difference_query(table: str) -> str | None:
-    """SQL for what members hold differently; none for a table of which each has its own."""
+    """SQL for the rows in which members differ; None for a table that members do not have in common."""
     if table not in COMPARED_COLUMNS:
         return None
-    names, held = COMPARED_COLUMNS[table]
-    key, values = ", ".join(names), ", ".join(held)
-    unlike = " OR ".join(f"count(DISTINCT coalesce({one}, '')) > 1" for one in held)
-    # What is each member's own is no difference.
-    own = (
-        f" WHERE key NOT IN ({', '.join(repr(one) for one in MEMBER_SPECIFIC_KEYS[table])})"
-        if table in MEMBER_SPECIFIC_KEYS
-        else ""
-    )
-    few = f"count(DISTINCT member) < (SELECT count(DISTINCT member) FROM {table})"
+    key_columns, value_columns = COMPARED_COLUMNS[table]
+    key = ", ".join(key_columns)
+    values = ", ".join(value_columns)
+    differs = " OR ".join(f"count(DISTINCT coalesce({column}, '')) > 1" for column in value_columns)
+    own_keys = ", ".join(map(repr, MEMBER_SPECIFIC_KEYS.get(table, ())))
+    where = f" WHERE key NOT IN ({own_keys})" if own_keys else ""
+    is_incomplete = f"count(DISTINCT member) < (SELECT count(DISTINCT member) FROM {table})"
     return (
         f"SELECT {key}, {values}, count(*) AS members, group_concat(member) AS held_by FROM {table}"
-        f" WHERE {key} IN (SELECT {key} FROM {table}{own} GROUP BY {key} HAVING {unlike} OR {few})"
+        f" WHERE {key} IN (SELECT {key} FROM {table}{where} GROUP BY {key} HAVING {differs} OR {is_incomplete})"
         f" GROUP BY {key}, {values} ORDER BY {key}, members DESC"
     )
