--- a/tests/golden/wires.py
+++ b/tests/golden/wires.py
@@ -24,8 +24,9 @@
     TaskStarted,
     TaskStatusReply,
 )
-from thornshelf.frontends.grpc import DispatchCall, GrpcConnection
+from thornshelf.frontends.grpc_connection import GrpcConnection
 from thornshelf.frontends.grpc_messages import GrpcCodecV1, GrpcCodecV2
+from thornshelf.frontends.grpc_streams import DispatchCall
 from thornshelf.frontends.json_lines import JsonLinesConnection, JsonLinesFrontend
 from thornshelf.loop import Chunk, Loop, Stream
 from thornshelf.nodes.binary import BinaryLink, BinaryNodeConnection
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -20,8 +20,8 @@
     HOST,
     JSON,
     TIMEOUT_S,
-    NodeBehavior,
     FakeCluster,
+    NodeBehavior,
 )
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.wire import grpc, jsonl
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -6,8 +6,8 @@
 
 from tests.test_platform import PLACED
 from thornshelf.configuration import read_config
-from thornshelf.frontends.listener import ConnectionBudget
-from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, NodeBehavior, FakeCluster
+from thornshelf.frontends.connection_budget import ConnectionBudget
+from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, FakeCluster, NodeBehavior
 from thornshelf.nodes.connection_pool import MIN_REST_US, ConnectionPool
 from thornshelf.service import SPARE_NODES, descriptor_limits
 
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -11,7 +11,7 @@
 import pytest
 from h2.settings import SettingCodes
 
-from thornshelf.lab.fakes.cluster import DESCRIPTION, GRPC, JSON, NodeBehavior, ReceivedOrder, FakeCluster
+from thornshelf.lab.fakes.cluster import DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior, ReceivedOrder
 from thornshelf.loop import Chunk
 from thornshelf.wire import grpc, http2
 from thornshelf.wire import placement_pb2 as pb
--- a/thornshelf/components/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -16,9 +16,9 @@
     from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
     from thornshelf.discovery.endpoint_watch import EndpointWatch
     from thornshelf.frontends.admission_filter import AdmissionFilter
+    from thornshelf.frontends.connection_budget import ConnectionBudget
     from thornshelf.frontends.grpc import GrpcFrontend
     from thornshelf.frontends.json_lines import JsonLinesFrontend
-    from thornshelf.frontends.listener import ConnectionBudget
     from thornshelf.loop import Loop
     from thornshelf.placement import interface as api
     from thornshelf.socket_handover import InheritedSockets
--- a/thornshelf/frontends/__init__.py
+++ b/thornshelf/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts: the platform's JSON lines and gRPC, both on the same core."""
+"""Frontends: the sides of the dispatcher that clients connect to, in JSON lines and gRPC."""
--- /dev/null
+++ b/thornshelf/frontends/grpc_calls.py
@@ -0,0 +1,322 @@
+"""Calls of gRPC clients: one HTTP/2 stream each, in either generation of the protocol.
+
+``Check`` and ``Place`` are here, with what they share with the streaming call of ``grpc_streams``.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from google.protobuf.message import Message
+
+from thornshelf.core import AnswerMetadata, ClientDisconnected, TaskRequest
+from thornshelf.frontends.grpc_messages import GrpcCodecV1
+from thornshelf.frontends.request_times import DEADLINE_MARGIN_US, lifetime_hint_us, wait_us
+from thornshelf.loop import Timer
+from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.translation.failures import FailureCause, WireFormat
+from thornshelf.wire import grpc, http2
+from thornshelf.wire.errors import WireError
+from thornshelf.wire.jsonl import MAX_NUMBER
+
+if TYPE_CHECKING:
+    from thornshelf.frontends.grpc_connection import GrpcConnection
+
+DEADLINE_PROXIMITY_US = 20_000  # a task that fails within this time of its deadline failed for lack of time
+RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
+
+
+def status_trailers(code: int, text: str = "", pushback_ms: int | None = None) -> list[tuple[str, str]]:
+    """The trailers that end a call; ``pushback_ms`` asks the client to retry no sooner than that."""
+    trailers = [("grpc-status", str(code))]
+    if text:
+        trailers.append(("grpc-message", grpc.encode_text(text)))
+    if pushback_ms is not None:
+        trailers.append(("grpc-retry-pushback-ms", str(pushback_ms)))
+    return trailers
+
+
+def _checked_number(value: float, name: str) -> float:
+    """The value, or ``WireError`` where it is negative, too large or not a number."""
+    if not 0.0 <= value <= MAX_NUMBER:  # a NaN fails the comparison
+        raise WireError(f"{name} is not between 0 and {MAX_NUMBER:g}: {value}")
+    return value
+
+
+class _RequestNumbers(NamedTuple):
+    """The numbers of a task request, each within its bounds."""
+
+    wait_ms: float  # 0: the default of the task's class
+    hint_ms: float | None
+    cores: float
+    memory: float
+
+
+class Call:
+    """One call of a client. Calls other than ``Place`` and ``Dispatch`` are answered at once."""
+
+    def __init__(
+        self, connection: GrpcConnection, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+    ) -> None:
+        """``timeout_us``: from grpc-timeout, None where the client set none."""
+        self.connection = connection
+        self.stream_id = stream_id
+        self.codec = codec
+        self.loop = connection.frontend.loop
+        self.deadline_us = None if timeout_us is None else self.loop.earliest_arrival_us + timeout_us
+        self.timer: Timer | None = None
+        if self.deadline_us is not None:
+            self.timer = self.loop.at(self.deadline_us, self.on_deadline)
+        self.closed = False
+        self.request_received = False
+
+    def on_message(self, data: bytes) -> None:
+        """Handle one message of the client; raises ``WireError`` where it is malformed."""
+        raise NotImplementedError
+
+    def on_half_close(self) -> None:
+        """Handle the end of the client's messages."""
+
+    def on_deadline(self) -> None:
+        """End the call, as the time of grpc-timeout has passed."""
+        self.finish(grpc.DEADLINE_EXCEEDED, "the call's time is up")
+
+    def send(self, message: Message) -> http2.OutgoingMessage:
+        """Send one message to the client."""
+        return self.connection.http.send(self.stream_id, grpc.frame(message))
+
+    def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
+        """End the call with a status; does nothing where it has ended already."""
+        if not self.closed:
+            self.connection.http.finish(self.stream_id, status_trailers(code, text, pushback_ms))
+            self.on_close()
+
+    def on_close(self) -> None:
+        """Forget the call, which either side has ended."""
+        self.closed = True
+        if self.timer is not None:
+            self.timer.cancel()
+        self.connection.calls.pop(self.stream_id, None)
+
+
+class CheckCall(Call):
+    """Tells a client whether the dispatcher accepts tasks."""
+
+    def __init__(
+        self, connection: GrpcConnection, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+    ) -> None:
+        super().__init__(connection, stream_id, timeout_us, codec)
+        connection.http.respond(stream_id, RESPONSE_HEADERS)
+
+    def on_message(self, data: bytes) -> None:
+        """Answer at once."""
+        grpc.parse(self.codec.check_request_type, data)
+        reply = self.codec.check_reply_type(passed=not self.connection.frontend.shutting_down)
+        self.send(reply)
+        self.finish(grpc.OK)
+
+
+class TaskCall(Call):
+    """A call that requests tasks; to the core it is a ``ClientConnection``."""
+
+    accepts_any_release = True
+
+    @property
+    def wire_form(self) -> WireFormat:
+        """The generation of the protocol that the client speaks."""
+        return self.codec.wire_form
+
+    def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
+        """Tell the client that its task runs."""
+        raise NotImplementedError
+
+    def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
+        """Tell the client that its task did not run, so that a retry is safe."""
+        raise NotImplementedError
+
+    def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
+        """Tell the client that its task failed and may have run."""
+        raise NotImplementedError
+
+    def reject_duplicate(self, uid: int) -> None:
+        """End the call: the answers to two requests under one id could not be distinguished."""
+        self.finish(grpc.INVALID_ARGUMENT, f"two set-ups under the id {uid:016x}")
+
+    def send_release(
+        self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
+    ) -> None:
+        """Tell the client that a running task has ended."""
+        raise NotImplementedError
+
+    def send_migrate(self, uid: int) -> None:
+        """Tell the client that a running task was stopped and should be requested again."""
+        raise NotImplementedError
+
+    def task_cancelled(self, uid: int) -> None:
+        """Note that the client ended a running task, on this stream or on another."""
+
+    @property
+    def is_connected(self) -> bool:
+        """Whether the call and its connection are open, as far as is known here."""
+        return not self.closed and self.connection.stream.open and not self.connection.stream.peer_closed
+
+    @property
+    def peer(self) -> str:
+        """The client's host."""
+        return self.connection.stream.peer
+
+    def awaits_answer(self, uid: int) -> bool:
+        """Whether the client has neither cancelled the request nor disconnected, as far as has been read."""
+        return self.is_connected
+
+    def _record_placement(self) -> None:
+        """Count a placed task for the client's source, which admission knows by that."""
+        admission_filter = self.connection.frontend.admission_filter
+        if admission_filter is not None:
+            admission_filter.record_placement(self.connection.stream)
+
+    def submit(self, request: Any) -> bool:
+        """Hand a task request to the core; false where admission has rejected it.
+
+        Raises ``WireError`` with the request's id where a field of it cannot be used.
+        """
+        numbers = self._check_request(request)
+        if not request.at and self._reject_by_admission(request.uid):
+            return False
+        if self.connection.read_backoff is not None:
+            self.connection.read_backoff.record_admission()
+        self.connection.frontend.core.inbox.append(
+            TaskRequest(
+                client=self,
+                uid=request.uid,
+                task_class=request.task_class,
+                tenant=request.tenant or None,
+                idempotency_key=request.key,
+                deadline_us=self._request_deadline_us(request.task_class, numbers.wait_ms),
+                lifetime_hint_us=lifetime_hint_us(numbers.hint_ms),
+                service=request.service,
+                cores=numbers.cores,
+                memory=numbers.memory,
+                description=request.description,
+                running_on=request.at or None,
+            )
+        )
+        return True
+
+    def _check_request(self, request: Any) -> _RequestNumbers:
+        """The request's numbers; raises ``WireError`` with its id where a field cannot be used."""
+        error = self.connection.frontend.core.validation_error(request.task_class, request.tenant or None)
+        if error is not None:
+            raise WireError(error, uid=request.uid)
+        try:
+            wait_ms = _checked_number(request.left_ms, "left_ms")
+            hint_ms = self.codec.lifetime_hint_ms(request)
+            if hint_ms is not None:
+                hint_ms = _checked_number(hint_ms, "hint_ms")
+            cores = _checked_number(request.cores, "cores")
+            memory = _checked_number(request.memory, "memory")
+        except WireError as error_of_field:
+            raise WireError(str(error_of_field), uid=request.uid) from None
+        return _RequestNumbers(wait_ms, hint_ms, cores, memory)
+
+    def _reject_by_admission(self, uid: int) -> bool:
+        """Whether admission rejects one more request of this client; it is answered then."""
+        admission_filter = self.connection.frontend.admission_filter
+        if admission_filter is None:
+            return False
+        rejection = admission_filter.admit_request(self.connection.stream)
+        if rejection is None:
+            return False
+        self.send_rejected(uid, *rejection)
+        if self.connection.read_backoff is not None:
+            self.connection.read_backoff.rejected_count += 1
+        return True
+
+    def _request_deadline_us(self, task_class: str, wait_ms: float) -> int:
+        """The time on the loop's clock by which the request has to be answered."""
+        if not wait_ms:
+            wait_ms = self.connection.frontend.core.task_classes[task_class].deadline_s * 1000.0
+        deadline_us = self.loop.earliest_arrival_us + wait_us(wait_ms)
+        if self.deadline_us is not None:
+            deadline_us = min(deadline_us, self.deadline_us)
+        return deadline_us - DEADLINE_MARGIN_US
+
+
+class PlaceCall(TaskCall):
+    """A call for one task, answered once; the release goes to the client's newest ``Dispatch`` stream."""
+
+    accepts_any_release = False
+
+    def on_message(self, data: bytes) -> None:
+        """Submit the request, which is the call's only message."""
+        if self.request_received:
+            self.finish(grpc.INVALID_ARGUMENT, "one message is taken")
+            return
+        self.request_received = True
+        try:
+            self.submit(grpc.parse(self.codec.task_request_type, data))
+        except WireError as error:
+            if error.uid is None:
+                raise
+            self.connection.frontend.log_invalid_message(self.peer, error)
+            self.finish(grpc.INVALID_ARGUMENT, str(error))
+
+    def on_half_close(self) -> None:
+        """End a call that has brought no request."""
+        if not self.request_received:
+            self.finish(grpc.INVALID_ARGUMENT, "no message came")
+
+    def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
+        """Tell the client that its task runs."""
+        self._record_placement()
+        self._respond(self.codec.encode_running(uid, description, metadata))
+
+    def _respond(self, message: Message) -> None:
+        """Send the call's one message, and end it."""
+        self.connection.http.respond(self.stream_id, RESPONSE_HEADERS)
+        self.send(message)
+        self.finish(grpc.OK)
+
+    def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
+        """Tell the client that its task did not run; the first generation gets a status with a pushback."""
+        if self.codec.outcomes_in_messages:
+            self._respond(self.codec.encode_rejected(uid, retry_after_us, detail))
+            return
+        pushback_ms = max(1, retry_after_us // 1000) if retry_after_us else None
+        text = f"refused: {detail.message}" if detail is not None else "refused"
+        self.connection.end_early(self, grpc.RESOURCE_EXHAUSTED, text, pushback_ms)
+
+    def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
+        """Tell the client that its task failed, which close to its deadline is DEADLINE_EXCEEDED."""
+        if self.deadline_us is not None and self.loop.now >= self.deadline_us - DEADLINE_PROXIMITY_US:
+            self.on_deadline()
+        elif self.codec.outcomes_in_messages:
+            self._respond(self.codec.encode_failed(uid, detail))
+        else:
+            text = f"failed: {detail.message}" if detail is not None else "failed: it may have run"
+            self.connection.end_early(self, grpc.ABORTED, text)
+
+    def send_release(
+        self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
+    ) -> None:
+        """Do nothing: the core sends no release to a call, which ends with its answer."""
+
+    def send_migrate(self, uid: int) -> None:
+        """Do nothing, for the same reason."""
+
+    def on_deadline(self) -> None:
+        """End the call, and with it the request."""
+        self.connection.end_early(self, grpc.DEADLINE_EXCEEDED, "the call's time is up")
+
+    def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
+        """End the call; an error is a response of trailers alone, as no headers have been sent."""
+        if code == grpc.OK:
+            super().finish(code, text, pushback_ms)
+        else:
+            self.connection.end_early(self, code, text, pushback_ms)
+
+    def on_close(self) -> None:
+        """Cancel the request where it is still open."""
+        if not self.closed:
+            super().on_close()
+            self.connection.frontend.core.inbox.append(ClientDisconnected(self))
--- /dev/null
+++ b/thornshelf/frontends/grpc_connection.py
@@ -0,0 +1,135 @@
+"""One HTTP/2 connection of a gRPC client, and the calls on it."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from thornshelf.frontends.grpc_calls import RESPONSE_HEADERS, Call, CheckCall, PlaceCall, status_trailers
+from thornshelf.frontends.grpc_messages import GrpcCodecV1, GrpcCodecV2
+from thornshelf.frontends.grpc_streams import DispatchCall
+from thornshelf.frontends.idle_evictor import is_quiescent
+from thornshelf.loop import Stream
+from thornshelf.wire import grpc, http2
+from thornshelf.wire.errors import WireError
+
+if TYPE_CHECKING:
+    from thornshelf.frontends.admission_filter import ReadBackoff
+    from thornshelf.frontends.grpc import GrpcFrontend
+
+MAX_FRAMES_PER_TURN = 32  # of one connection
+
+
+@dataclass(frozen=True, slots=True)
+class _Method:
+    """What serves one method of one generation."""
+
+    call_type: type[Call]
+    codec: GrpcCodecV1
+
+
+_CALL_TYPES: dict[str, type[Call]] = {"Dispatch": DispatchCall, "Place": PlaceCall, "Check": CheckCall}
+_METHODS = {
+    codec.service_path + name: _Method(call_type, codec)
+    for codec in (GrpcCodecV1(), GrpcCodecV2())
+    for name, call_type in _CALL_TYPES.items()
+}
+
+
+class GrpcConnection:
+    """One client connection."""
+
+    def __init__(self, frontend: GrpcFrontend, stream: Stream) -> None:
+        self.frontend = frontend
+        self.stream = stream
+        self.http = http2.Http2(False, stream.send)
+        self.calls: dict[int, Call] = {}  # by stream id
+        self.max_frames = MAX_FRAMES_PER_TURN  # that are handled in one turn
+        self.read_backoff: ReadBackoff | None = (
+            frontend.admission_filter.new_read_backoff() if frontend.admission_filter is not None else None
+        )
+        self.has_served_call = False  # a call of a known method has been opened
+        self.goaway_sent = False
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether it can be closed without costing the client an answer."""
+        return self.stream.open and not self.calls and (not self.has_served_call or is_quiescent(self.stream))
+
+    @property
+    def retention_rank(self) -> int:
+        """Of idle connections the lowest is evicted first: those that have opened no call."""
+        return int(self.has_served_call)
+
+    def handle_event(self, event: http2.Event) -> None:
+        """Pass an event of the connection on to its call."""
+        if isinstance(event, http2.Opened):
+            self._open_call(event)
+            return
+        if isinstance(event, http2.GoAway):
+            return  # the client will open no more streams
+        call = self.calls.get(event.stream)
+        if call is None:
+            return
+        match event:
+            case http2.Received(data=data):
+                try:
+                    call.on_message(data)
+                except WireError as error:
+                    self.frontend.log_invalid_message(self.stream.peer, error)
+                    call.finish(grpc.INTERNAL, str(error))
+            case http2.Ended():
+                call.on_half_close()
+            case http2.Broken():
+                call.on_close()
+
+    def end_early(self, call: Call, code: int, text: str, pushback_ms: int | None = None) -> None:
+        """End a call on which no message was sent, with a response of trailers alone."""
+        if not call.closed:
+            self._send_status(call.stream_id, code, text, pushback_ms)
+            call.on_close()
+
+    def close(self) -> None:
+        """Release what the connection holds, and end its calls."""
+        self.http.close()
+        for call in list(self.calls.values()):
+            call.on_close()
+
+    def _send_status(self, stream_id: int, code: int, text: str, pushback_ms: int | None = None) -> None:
+        """Answer a call with a status alone."""
+        headers = RESPONSE_HEADERS + status_trailers(code, text, pushback_ms)
+        self.http.respond(stream_id, headers, end=True)
+
+    def _open_call(self, event: http2.Opened) -> None:
+        """Open a call, or answer at once where it cannot be served."""
+        if not _is_grpc_request(event.headers):
+            self.http.respond(event.stream, [(":status", "415")], end=True)
+            return
+        path = event.headers.get(":path", "")
+        method = _METHODS.get(path)
+        if method is None:
+            self._send_status(event.stream, grpc.UNIMPLEMENTED, f"no such method: {path}")
+        elif event.headers.get("grpc-encoding", "identity") != "identity":
+            self._send_status(event.stream, grpc.UNIMPLEMENTED, "messages are taken uncompressed only")
+        elif self.frontend.shutting_down:
+            self._send_status(event.stream, grpc.UNAVAILABLE, "the dispatcher is ending")
+        else:
+            self._start_call(event, method)
+
+    def _start_call(self, event: http2.Opened, method: _Method) -> None:
+        """Start a call of a known method, unless its timeout is malformed."""
+        text = event.headers.get("grpc-timeout")
+        try:
+            timeout_us = None if text is None else grpc.read_timeout(text)
+        except WireError as error:
+            self._send_status(event.stream, grpc.INVALID_ARGUMENT, str(error))
+            return
+        self.calls[event.stream] = method.call_type(self, event.stream, timeout_us, method.codec)
+        self.has_served_call = True
+
+
+def _is_grpc_request(headers: Mapping[str, str]) -> bool:
+    """Whether the headers are those of a gRPC call at all."""
+    is_grpc = headers.get("content-type", "").startswith("application/grpc")
+    return headers.get(":method") == "POST" and is_grpc
--- a/thornshelf/frontends/grpc_messages.py
+++ b/thornshelf/frontends/grpc_messages.py
@@ -1,4 +1,7 @@
-"""The two generations of the clients' gRPC, message by message: what each says, with what it has words for."""
+"""Encodes and decodes the messages of both generations of the clients' gRPC.
+
+Each codec expresses what its generation has fields for, and leaves out the rest.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +12,22 @@
 from thornshelf.translation.failures import FailureCause, FailureReason, WireFormat
 from thornshelf.wire import placement_pb2, placement_v2_pb2
 
-pb: Any = placement_pb2  # enum values go in by their numbers, which the made types don't allow for
+pb: Any = placement_pb2  # enum values are passed as numbers, which the generated types do not allow
 pb2: Any = placement_v2_pb2
 MAY_HAVE_RUN_TEXT = "it may have run"
-_OUTCOMES = {Outcome.OK: pb.ENDED, Outcome.CANCELLED: pb.CANCELLED}  # any other end: RESET
+_OUTCOMES = {Outcome.OK: pb.ENDED, Outcome.CANCELLED: pb.CANCELLED}  # any other outcome: RESET
 
 
-def _wait_ms(wait_us: int | None) -> int | None:
-    return max(1, wait_us // 1000) if wait_us else None
+def _retry_after_ms(retry_after_us: int | None) -> int | None:
+    """At least one millisecond; None where the client may retry at once."""
+    return max(1, retry_after_us // 1000) if retry_after_us else None
 
 
 class GrpcCodecV1:
-    """thornshelf.v1. The numbers of its outcomes and reasons are the same in v2."""
+    """thornshelf.v1. The numbers of its outcomes and reasons are the same in v2.
+
+    The encoding methods return a protobuf message.
+    """
 
     wire_form: ClassVar[WireFormat] = WireFormat.GRPC_V1
     service_path: ClassVar[str] = "/thornshelf.v1.Placement/"
@@ -28,35 +35,37 @@
     task_request_type: ClassVar[Any] = pb.Ask
     check_request_type: ClassVar[Any] = pb.CheckRequest
     check_reply_type: ClassVar[Any] = pb.CheckReply
-    outcomes_in_messages = False  # a call's refusal is its status
+    outcomes_in_messages = (
+        False  # a rejected or failed ``Place`` call ends with a status in place of a message
+    )
 
     def lifetime_hint_ms(self, request: Any) -> float | None:
-        """The lifetime hint of a set-up; none where it has none."""
+        """The lifetime hint of a request in milliseconds; None where it has none."""
         return request.hint_ms if request.HasField("hint_ms") else None
 
     def encode_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None) -> Any:
-        """The task stands; there is no room for what was assumed."""
+        """The task runs; the metadata cannot be expressed."""
         return pb.Verdict(uid=uid, binding=pb.Binding(description=description))
 
     def encode_rejected(self, uid: int, retry_after_us: int | None, cause: FailureCause | None) -> Any:
-        """Refused; there is no room for a reason."""
-        return pb.Verdict(uid=uid, refusal=pb.Refusal(wait_ms=_wait_ms(retry_after_us)))
+        """The task did not run; the cause cannot be expressed."""
+        return pb.Verdict(uid=uid, refusal=pb.Refusal(wait_ms=_retry_after_ms(retry_after_us)))
 
     def encode_failed(self, uid: int, cause: FailureCause | None) -> Any:
-        """Failed, with the reason in words."""
+        """The task failed, with the cause as a text."""
         return pb.Verdict(uid=uid, failure=pb.Failure(why=cause.message if cause else MAY_HAVE_RUN_TEXT))
 
     def encode_invalid_request(self, uid: int, text: str) -> Any:
-        """A set-up that could not be read: failed."""
+        """The request was malformed."""
         return pb.Verdict(uid=uid, failure=pb.Failure(why=text))
 
     def encode_release(self, uid: int, outcome: Outcome, reason: Reason, cause: FailureCause | None) -> Any:
-        """The task is over."""
+        """The task has ended; the cause cannot be expressed."""
         release = pb.Release(outcome=_OUTCOMES.get(outcome, pb.RESET), reason=reason.value)
         return pb.Verdict(uid=uid, release=release)
 
     def encode_migrate(self, uid: int) -> Any:
-        """The task is stopped, to be asked for again."""
+        """The task was stopped, and should be requested again."""
         return pb.Verdict(uid=uid, move=pb.Move())
 
 
@@ -72,41 +81,40 @@
     outcomes_in_messages = True
 
     def lifetime_hint_ms(self, request: Any) -> float | None:
-        """The owner's own; one that another dispatcher assumed is no owner's word, and is not passed off as one."""
+        """The client's own hint in milliseconds; one that another dispatcher assumed is not the client's."""
         return request.hint.ms if request.HasField("hint") and not request.hint.assumed else None
 
     def encode_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None) -> Any:
-        """The task stands; with the hint that was assumed for it, and whether it was asked for before."""
+        """The task runs, with the hint that was assumed for it, and whether it was running before."""
         binding = pb2.Binding(description=description)
         if metadata is not None:
             binding.joined = metadata.joined_running_task
             if metadata.assumed_hint is not None:
-                binding.hint.ms, binding.hint.assumed = (
-                    metadata.assumed_hint.duration_us / 1000.0,
-                    metadata.assumed_hint.assumed,
-                )
+                binding.hint.ms = metadata.assumed_hint.duration_us / 1000.0
+                binding.hint.assumed = metadata.assumed_hint.assumed
         return pb2.Verdict(uid=uid, binding=binding)
 
     def encode_rejected(self, uid: int, retry_after_us: int | None, cause: FailureCause | None) -> Any:
-        """Refused, and why, and what to make of it."""
-        refusal = pb2.Refusal(wait_ms=_wait_ms(retry_after_us))
+        """The task did not run, with the cause and the advice on retries."""
+        refusal = pb2.Refusal(wait_ms=_retry_after_ms(retry_after_us))
         if cause is not None:
             refusal.reason = int(cause.reason)
-            refusal.text, refusal.advice = cause.text, int(cause.advice)
+            refusal.text = cause.text
+            refusal.advice = int(cause.advice)
         return pb2.Verdict(uid=uid, refusal=refusal)
 
     def encode_failed(self, uid: int, cause: FailureCause | None) -> Any:
-        """Failed, and why."""
-        trouble = cause.reason if cause is not None else FailureReason.UNTOLD
+        """The task failed, with the cause."""
+        reason = cause.reason if cause is not None else FailureReason.UNTOLD
         text = cause.text if cause is not None else MAY_HAVE_RUN_TEXT
-        return pb2.Verdict(uid=uid, failure=pb2.Failure(reason=int(trouble), text=text))
+        return pb2.Verdict(uid=uid, failure=pb2.Failure(reason=int(reason), text=text))
 
     def encode_invalid_request(self, uid: int, text: str) -> Any:
-        """A set-up that could not be read: failed."""
+        """The request was malformed."""
         return pb2.Verdict(uid=uid, failure=pb2.Failure(text=text))
 
     def encode_release(self, uid: int, outcome: Outcome, reason: Reason, cause: FailureCause | None) -> Any:
-        """The task is over, and why."""
+        """The task has ended, with the cause."""
         number = int(cause.reason) if cause is not None else reason.value
         release = pb2.Release(
             outcome=int(_OUTCOMES.get(outcome, pb.RESET)),
@@ -116,5 +124,5 @@
         return pb2.Verdict(uid=uid, release=release)
 
     def encode_migrate(self, uid: int) -> Any:
-        """The task is stopped, to be asked for again."""
+        """The task was stopped, and should be requested again."""
         return pb2.Verdict(uid=uid, move=pb2.Move())
--- /dev/null
+++ b/thornshelf/frontends/grpc_streams.py
@@ -0,0 +1,145 @@
+"""The streaming call of gRPC clients: many tasks on one HTTP/2 stream, with their releases."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from google.protobuf.message import Message
+
+from thornshelf.core import AnswerMetadata, CancelTask, ClientConnected, ClientDisconnected
+from thornshelf.frontends.grpc_calls import RESPONSE_HEADERS, TaskCall
+from thornshelf.frontends.grpc_messages import GrpcCodecV1
+from thornshelf.frontends.sent_releases import (
+    MAX_UNACKNOWLEDGED_RELEASES,
+    SentRelease,
+    discard_oldest,
+    not_fully_sent,
+    pending_releases,
+)
+from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.translation.failures import FailureCause, WireFormat
+from thornshelf.wire import grpc, http2
+from thornshelf.wire.errors import WireError
+
+if TYPE_CHECKING:
+    from thornshelf.frontends.grpc_connection import GrpcConnection
+
+
+class DispatchCall(TaskCall):
+    """A stream on which a client requests tasks and hears of their ends."""
+
+    def __init__(
+        self, connection: GrpcConnection, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+    ) -> None:
+        super().__init__(connection, stream_id, timeout_us, codec)
+        self.open_requests: set[int] = set()
+        self.running: set[int] = set()
+        self.sent_releases: dict[int, SentRelease] = {}
+        self.acknowledges_releases = False  # the client says which releases have arrived
+        self.client_half_closed = False  # the client will send no more messages
+        self.closing_cleanly = False  # a status has been queued behind all messages
+        connection.frontend.core.inbox.append(ClientConnected(self))
+        connection.http.respond(stream_id, RESPONSE_HEADERS)
+
+    def awaits_answer(self, uid: int) -> bool:
+        """Whether this request is open: each may be cancelled by itself."""
+        return uid in self.open_requests and self.is_connected
+
+    def on_message(self, data: bytes) -> None:
+        """Handle a task request, a cancellation or an acknowledgement of a release."""
+        message: Any = grpc.parse(self.codec.client_message_type, data)
+        if message.HasField("ask"):
+            self._handle_request(message.ask)
+        elif message.HasField("give_up"):
+            self._handle_cancellation(message.give_up)
+        elif self.codec.wire_form is WireFormat.GRPC_V2 and message.HasField("heard"):
+            self.acknowledges_releases = True
+            self.sent_releases.pop(message.heard, None)
+
+    def _handle_request(self, request: Any) -> None:
+        """Submit a request; one that cannot be used fails without ending the stream."""
+        try:
+            admitted = self.submit(request)
+        except WireError as error:
+            self.connection.frontend.log_invalid_message(self.peer, error)
+            self.send(self.codec.encode_invalid_request(request.uid, str(error)))
+            return
+        if admitted:
+            uids = self.running if request.at else self.open_requests
+            uids.add(request.uid)
+
+    def _handle_cancellation(self, uid: int) -> None:
+        """Cancel an open request, or end a running task."""
+        self.open_requests.discard(uid)
+        self.running.discard(uid)
+        self.connection.frontend.core.inbox.append(CancelTask(uid))
+        self._finish_if_idle()
+
+    def on_half_close(self) -> None:
+        """Keep the stream until all its tasks have ended."""
+        self.client_half_closed = True
+        self._finish_if_idle()
+
+    def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
+        """Tell the client that its task runs."""
+        self.open_requests.discard(uid)
+        self.running.add(uid)
+        self.send(self.codec.encode_running(uid, description, metadata))
+        self._record_placement()
+
+    def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
+        """Tell the client that its task did not run, so that a retry is safe."""
+        self._send_final(uid, self.codec.encode_rejected(uid, retry_after_us, detail))
+
+    def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
+        """Tell the client that its task failed and may have run."""
+        self._send_final(uid, self.codec.encode_failed(uid, detail))
+
+    def send_release(
+        self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
+    ) -> None:
+        """Tell the client that a running task has ended."""
+        if not self.acknowledges_releases:
+            self.sent_releases = not_fully_sent(self.sent_releases)
+        elif len(self.sent_releases) >= MAX_UNACKNOWLEDGED_RELEASES:
+            discard_oldest(self.sent_releases)
+        write = self._send_final(uid, self.codec.encode_release(uid, outcome, reason, detail))
+        self.sent_releases[uid] = SentRelease(write, outcome, reason, detail)
+
+    def send_migrate(self, uid: int) -> None:
+        """Tell the client that a running task was stopped and should be requested again."""
+        self._send_final(uid, self.codec.encode_migrate(uid))
+
+    def task_cancelled(self, uid: int) -> None:
+        """Note that the client ended a running task, on this stream or on another."""
+        self.running.discard(uid)
+        self._finish_if_idle()
+
+    def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
+        """End the call; the status follows what is queued."""
+        self.closing_cleanly = True
+        super().finish(code, text, pushback_ms)
+
+    def on_close(self) -> None:
+        """Cancel open requests; running tasks go on, and their releases go to another stream."""
+        if self.closed:
+            return
+        super().on_close()
+        # After a clean end the buffered releases are still sent: reporting them as pending would send them twice.
+        still_delivered = self.closing_cleanly and self.connection.stream.open
+        releases = {} if still_delivered else self.sent_releases
+        pending = pending_releases(releases, self.acknowledges_releases)
+        self.connection.frontend.core.inbox.append(ClientDisconnected(self, pending))
+
+    def _send_final(self, uid: int, message: Message) -> http2.OutgoingMessage:
+        """Send the last message about a task."""
+        self.open_requests.discard(uid)
+        self.running.discard(uid)
+        write = self.send(message)
+        self._finish_if_idle()
+        return write
+
+    def _finish_if_idle(self) -> None:
+        """End the call once the client has half-closed it and all its tasks have ended."""
+        if self.client_half_closed and not self.open_requests and not self.running:
+            self.finish(grpc.OK)
--- a/thornshelf/frontends/json_lines.py
+++ b/thornshelf/frontends/json_lines.py
@@ -1,4 +1,4 @@
-"""The platform's front: owners' JSON lines."""
+"""The JSON lines frontend: accepts connections of the platform's clients, and reads their lines."""
 
 from __future__ import annotations
 
@@ -14,76 +14,81 @@
     Dispatcher,
     TaskRequest,
 )
-from thornshelf.frontends.listener import (
-    FIRST_MESSAGE_TIMEOUT_US,
-    MESSAGE_TIMEOUT_US,
-    ConnectionBudget,
-    IdleEvictor,
-    Listener,
-    is_quiescent,
+from thornshelf.frontends.connection_budget import ConnectionBudget
+from thornshelf.frontends.idle_evictor import IdleEvictor, is_quiescent
+from thornshelf.frontends.listener import FIRST_MESSAGE_TIMEOUT_US, MESSAGE_TIMEOUT_US, Listener
+from thornshelf.frontends.request_times import DEADLINE_MARGIN_US, lifetime_hint_us, wait_us
+from thornshelf.frontends.sent_releases import (
+    MAX_UNACKNOWLEDGED_RELEASES,
+    SentRelease,
+    discard_oldest,
+    not_fully_sent,
+    pending_releases,
 )
-from thornshelf.loop import Chunk, Loop, Stream, Wait
+from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.wire import jsonl
 from thornshelf.wire.errors import WireError
 from thornshelf.wire.jsonl import CANCELLED, ENDED, FAILED, REFUSED, UNREADABLE
 
-_RELEASED = {Outcome.OK: ENDED, Outcome.CANCELLED: CANCELLED}  # any other end: 41
 if TYPE_CHECKING:
     from thornshelf.admission.controller import Decision
     from thornshelf.frontends.admission_filter import AdmissionFilter, ReadBackoff
 
-MAX_REMEMBERED_RELEASES = 32  # releases, before those that have left are forgotten
-MAX_UNACKNOWLEDGED_RELEASES = 4096  # of a client that says what it has heard
-DEADLINE_MARGIN_US = 3_000  # of an owner's wait: its line was under way, and the answer will be
-MAX_REJECTED_BEFORE_BACKOFF = (
-    4  # set-ups that the door turns away before the connection is left alone for a while
+MAX_REMEMBERED_RELEASES = (
+    32  # of a client that acknowledges none; beyond it those that were sent are discarded
 )
-MAX_LINES_PER_TURN = 32  # of one connection, so that a flood leaves time for the others, nodes and timers
+MAX_REJECTED_BEFORE_BACKOFF = 4  # requests that admission rejects before the connection is paused
+MAX_LINES_PER_TURN = (
+    32  # of one connection, so that a flood leaves time for other connections, nodes and timers
+)
+CONNECTION_BROKEN = -1  # in place of a number of handled lines: the connection cannot be read further
+_RELEASE_CODES = {Outcome.OK: ENDED, Outcome.CANCELLED: CANCELLED}  # any other outcome: FAILED
 
 
-def _cause_fields(why: FailureCause | None) -> dict[str, str]:
-    """The old form's answer has no word for most troubles; this is its room for their text."""
-    return {} if why is None else {"why": why.message}
+def _cause_fields(cause: FailureCause | None) -> dict[str, str]:
+    """The field that carries a cause's text: the line has no other place for most causes."""
+    return {} if cause is None else {"why": cause.message}
 
 
 class JsonLinesConnection:
-    """One owner connection; the core knows it as an ``Owner``."""
+    """One client connection; to the core it is a ``ClientConnection``."""
 
     accepts_any_release = True
     wire_form = WireFormat.JSON_LINES
 
     def __init__(self, frontend: JsonLinesFrontend, stream: Stream) -> None:
-        self.frontend, self.stream = frontend, stream
+        self.frontend = frontend
+        self.stream = stream
         self.open_requests: set[int] = set()
         self.running: set[int] = set()
-        self.has_sent_message = False  # it has sent a whole message that could be used
+        self.has_sent_message = False  # a complete and valid line has come
         self.read_backoff: ReadBackoff | None = (
             frontend.admission_filter.new_read_backoff() if frontend.admission_filter is not None else None
         )
-        self.acknowledges_releases = False  # it says which releases it has heard
-        self.sent_releases: dict[int, tuple[Chunk, Outcome, Reason, FailureCause | None]] = {}
+        self.acknowledges_releases = False  # the client says which releases have arrived
+        self.sent_releases: dict[int, SentRelease] = {}
         self.reader = jsonl.LineReader()
 
     @property
     def is_connected(self) -> bool:
-        """Its connection is open, at both sides."""
+        """Whether the connection is open, as far as is known here."""
         return self.stream.open and not self.stream.peer_closed
 
     def awaits_answer(self, uid: int) -> bool:
-        """It has neither given the set-up up nor gone, as far as that has been read."""
+        """Whether the client has neither cancelled the request nor disconnected, as far as has been read."""
         return uid in self.open_requests and self.is_connected
 
     @property
     def is_idle(self) -> bool:
-        """Closing it costs its client no answer."""
+        """Whether it can be closed without costing the client an answer."""
         at_rest = not self.has_sent_message or (is_quiescent(self.stream) and not self.reader.mid_message)
         return self.stream.open and not self.open_requests and at_rest
 
     @property
     def retention_rank(self) -> int:
-        """Least where nothing of use has come, more where a task stands."""
+        """Of idle connections the lowest is evicted first: without a valid line, then without running tasks."""
         return 2 * self.has_sent_message + bool(self.running)
 
     @property
@@ -92,7 +97,7 @@
         return self.stream.peer
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """The task stands; what was assumed for it is told beside the description."""
+        """Tell the client that its task runs, and the lifetime hint that was assumed for it."""
         self.open_requests.discard(uid)
         self.running.add(uid)
         meta: dict[str, str] | None = None
@@ -103,46 +108,44 @@
             self.frontend.admission_filter.record_placement(self.stream)
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Refused; with the time to stay away, where the module gives one."""
+        """Tell the client that its task did not run, and when to retry at the earliest."""
         self.open_requests.discard(uid)
         meta = {"wait": str(max(1, retry_after_us // 1000))} if retry_after_us else {}
         self.stream.send(jsonl.encode_line("stop", uid, meta | _cause_fields(detail), REFUSED))
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Failed."""
+        """Tell the client that its task failed and may have run."""
         self.open_requests.discard(uid)
         self.stream.send(jsonl.encode_line("stop", uid, _cause_fields(detail), FAILED))
 
     def reject_duplicate(self, uid: int) -> None:
-        """Two set-ups under one id: their answers could not be told apart, so the connection ends."""
+        """Close the connection: the answers to two requests under one id could not be distinguished."""
         self.stream.close()
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """The task is over."""
+        """Tell the client that a running task has ended."""
         self.running.discard(uid)
-        line = jsonl.encode_line("stop", uid, _cause_fields(detail), _RELEASED.get(outcome, FAILED))
+        line = jsonl.encode_line("stop", uid, _cause_fields(detail), _RELEASE_CODES.get(outcome, FAILED))
         if len(self.sent_releases) >= MAX_UNACKNOWLEDGED_RELEASES:
-            del self.sent_releases[next(iter(self.sent_releases))]
+            discard_oldest(self.sent_releases)
         elif len(self.sent_releases) >= MAX_REMEMBERED_RELEASES and not self.acknowledges_releases:
-            self.sent_releases = {
-                key: one for key, one in self.sent_releases.items() if not one[0].fully_sent
-            }
-        self.sent_releases[uid] = (self.stream.send(line), outcome, reason, detail)
+            self.sent_releases = not_fully_sent(self.sent_releases)
+        self.sent_releases[uid] = SentRelease(self.stream.send(line), outcome, reason, detail)
 
     def send_migrate(self, uid: int) -> None:
-        """The task is stopped, to be asked for again."""
+        """Tell the client that a running task was stopped and should be requested again."""
         self.running.discard(uid)
         self.stream.send(jsonl.encode_line("migrate", uid))
 
     def task_cancelled(self, uid: int) -> None:
-        """The client ended it, here or on another connection."""
+        """Note that the client ended a running task, on this connection or on another."""
         self.running.discard(uid)
 
 
 class JsonLinesFrontend:
-    """Listens for owners."""
+    """Listens for clients that speak JSON lines."""
 
     def __init__(
         self,
@@ -153,9 +156,12 @@
         admission_filter: AdmissionFilter | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        self.loop, self.core, self.admission_filter = loop, core, admission_filter
+        """``inherited``: a listening socket that a predecessor has handed over; raises OSError without it."""
+        self.loop = loop
+        self.core = core
+        self.admission_filter = admission_filter
         self.shutting_down = False
-        self._connections: dict[JsonLinesConnection, None] = {}
+        self._connections: dict[JsonLinesConnection, None] = {}  # the longest without a new request first
         self._idle_evictor = IdleEvictor(self._connections)
         if admission_filter is not None:
             admission_filter.connection_lists.append(lambda: self._connections)
@@ -170,21 +176,22 @@
             inherited,
         )
 
-    def _rejection_message(self, verdict: Decision) -> bytes:
-        """What one hears that is turned away at the door: a refusal under no task's name."""
-        meta = {"wait": str(max(1, verdict.retry_after_us // 1000)), "why": f"overloaded: {verdict.reason}"}
+    def _rejection_message(self, decision: Decision) -> bytes:
+        """What a client receives whose connection admission rejects: a rejection without a task's id."""
+        meta = {"wait": str(max(1, decision.retry_after_us // 1000)), "why": f"overloaded: {decision.reason}"}
         return jsonl.encode_line("stop", jsonl.UNKNOWN_UID, meta, REFUSED)
 
     def evict_idle(self) -> bool:
-        """Close one without an open set-up: what has said nothing yet, then what holds no task, then others.
+        """Close one connection without an open request; false where there is none.
 
-        Guards against clients that open many connections and say nothing: they must not cost the usual ones
-        theirs. Of equals the one goes that has been without an open set-up for the longest time.
+        Those that never sent a valid line go first, then those without running tasks, so that clients which only
+        open connections cannot displace the others. Among equals the one goes that has been without a request for
+        the longest time.
         """
         return self._idle_evictor.evict_one()
 
     def close_idle(self) -> None:
-        """The end is near: close what has no open set-up, and of which all is read."""
+        """Shut down gracefully: close the connections without an open request and without unread input."""
         for connection in list(self._connections):
             if not (
                 connection.open_requests
@@ -194,79 +201,85 @@
                 connection.stream.end()
 
     def _serve(self, stream: Stream) -> Generator[Wait, int, None]:
+        """Read a connection until it closes."""
         connection = JsonLinesConnection(self, stream)
         self._connections[connection] = None
         self.core.inbox.append(ClientConnected(connection))
-        reader = connection.reader
-        until: int | None = self.loop.now + FIRST_MESSAGE_TIMEOUT_US
-        busy_since: int | None = self.loop.earliest_arrival_us  # it may have spoken before it was accepted
         try:
-            while data := (yield from stream.read(until)):
-                # Guards against those that say nothing, or begin a message and never end it: they hold one of
-                # few descriptors. Where nothing has begun, a connection that was of use may be idle for good.
-                began = reader.mid_message
-                reader.feed(data)
-                # Guards against lines that seem younger than they are: those beyond one turn's wait here, and
-                # what comes meanwhile waits in the system.
-                arrived = (
-                    self.loop.earliest_arrival_us
-                    if busy_since is None
-                    else min(busy_since, self.loop.earliest_arrival_us)
-                )
-                read_us, busy_since = self.loop.now, None
-                while (count := self._handle_lines(connection, reader, arrived)) == MAX_LINES_PER_TURN:
-                    busy_since = read_us
-                    yield Wait(
-                        until=self.loop.now
-                        + (connection.read_backoff.next_pause_us() if connection.read_backoff else 0)
-                    )
-                if count < 0:
-                    stream.flush()
-                    return
-                if connection.has_sent_message and not reader.mid_message:
-                    until = None
-                elif connection.has_sent_message and (count or not began):
-                    until = self.loop.now + MESSAGE_TIMEOUT_US
+            yield from self._read(connection)
         finally:
             del self._connections[connection]
-            unsent = [
-                (uid, outcome, reason, why)
-                for uid, (chunk, outcome, reason, why) in connection.sent_releases.items()
-                if connection.acknowledges_releases or not chunk.fully_sent
-            ]
-            self.core.inbox.append(ClientDisconnected(connection, unsent))
-
-    def _handle_lines(self, connection: JsonLinesConnection, reader: jsonl.LineReader, arrived: int) -> int:
-        """The next whole lines, and their number; below 0 where the connection can't go on.
-
-        Guards against a flood that closes each connection after hundreds of set-ups: what is left of them is owed
-        nothing, and parsing it would cost the turns of all others.
+            pending = pending_releases(connection.sent_releases, connection.acknowledges_releases)
+            self.core.inbox.append(ClientDisconnected(connection, pending))
+
+    def _read(self, connection: JsonLinesConnection) -> Generator[Wait, int, None]:
+        """Handle the client's lines as they come; returns where the connection has closed or cannot be read further.
+
+        A client that sends nothing, or begins a line and never ends it, is timed out, as it occupies a descriptor.
+        After a valid line a connection may be idle for any time.
+        """
+        stream = connection.stream
+        reader = connection.reader
+        timeout_us: int | None = self.loop.now + FIRST_MESSAGE_TIMEOUT_US
+        # The time since which unhandled input may have waited: at first, since before the connection was accepted.
+        waiting_since_us: int | None = self.loop.earliest_arrival_us
+        while data := (yield from stream.read(timeout_us)):
+            was_mid_message = reader.mid_message
+            reader.feed(data)
+            # Lines beyond one turn's limit wait here, and newer input waits in the system meanwhile. They count as
+            # having come when the wait began: a client's remaining time must not be overestimated.
+            arrived_us = self.loop.earliest_arrival_us
+            if waiting_since_us is not None:
+                arrived_us = min(waiting_since_us, arrived_us)
+            read_us = self.loop.now
+            waiting_since_us = None
+            while (count := self._handle_lines(connection, reader, arrived_us)) == MAX_LINES_PER_TURN:
+                waiting_since_us = read_us
+                pause_us = connection.read_backoff.next_pause_us() if connection.read_backoff else 0
+                yield Wait(until=self.loop.now + pause_us)
+            if count == CONNECTION_BROKEN:
+                stream.flush()
+                return
+            if connection.has_sent_message and not reader.mid_message:
+                timeout_us = None
+            elif connection.has_sent_message and (count or not was_mid_message):
+                timeout_us = self.loop.now + MESSAGE_TIMEOUT_US
+
+    def _handle_lines(
+        self, connection: JsonLinesConnection, reader: jsonl.LineReader, arrived_us: int
+    ) -> int:
+        """Handle the next complete lines, and return their number, or ``CONNECTION_BROKEN``.
+
+        Requests of a client that has disconnected are owed no answer: they are skipped unparsed, so that a flood of
+        short connections with hundreds of requests each does not use up the turns of all others.
         """
         reader.abandoned = connection.stream.peer_closed
+        backoff = connection.read_backoff
         for count in range(MAX_LINES_PER_TURN):
             try:
                 line = reader.next()
                 if line is None:
                     return count
-                self._handle_line(connection, line, arrived)
+                self._handle_line(connection, line, arrived_us)
                 connection.has_sent_message = True
-            except WireError as fault:
-                # Bad input costs its message, or where the framing is lost its connection, and nothing else.
-                self.core.log(4, "bad-line", {"peer": connection.peer, "code": fault.code}, str(fault))
-                uid = jsonl.UNKNOWN_UID if fault.uid is None else fault.uid
-                connection.stream.send(jsonl.encode_line("stop", uid, reason=UNREADABLE))
-                if fault.fatal:
-                    return -1
+            except WireError as error:
+                self._reject_line(connection, error)
+                if error.fatal:
+                    return CONNECTION_BROKEN
             if not connection.stream.open:
-                return -1
-            if (
-                connection.read_backoff is not None
-                and connection.read_backoff.rejected_count >= MAX_REJECTED_BEFORE_BACKOFF
-            ):
+                return CONNECTION_BROKEN
+            if backoff is not None and backoff.rejected_count >= MAX_REJECTED_BEFORE_BACKOFF:
                 return MAX_LINES_PER_TURN
         return MAX_LINES_PER_TURN
 
+    def _reject_line(self, connection: JsonLinesConnection, error: WireError) -> None:
+        """Answer a malformed line; the lines after it are handled unless the framing is lost."""
+        self.core.log(4, "bad-line", {"peer": connection.peer, "code": error.code}, str(error))
+        uid = jsonl.UNKNOWN_UID if error.uid is None else error.uid
+        connection.stream.send(jsonl.encode_line("stop", uid, reason=UNREADABLE))
+
     def _handle_line(self, connection: JsonLinesConnection, line: jsonl.Line, arrived: int) -> None:
+        """Handle one line; raises ``WireError`` where a field of it cannot be used."""
         match line.kind:
             case "launch":
                 self._handle_launch(connection, line, arrived)
@@ -275,38 +288,31 @@
                 connection.running.discard(line.uid)
                 self.core.inbox.append(CancelTask(line.uid))
             case "stopped" if self.core.translator is not None:
-                # Guards against a release that the system took for a connection which then broke: a client that
-                # says what it has heard is told the rest on another.
+                # The system may have accepted a release for a connection that broke before it arrived. A client
+                # that acknowledges releases gets the unacknowledged ones on another connection.
                 connection.acknowledges_releases = True
                 connection.sent_releases.pop(line.uid, None)
             case "check":
-                connection.stream.send(
-                    jsonl.encode_line("checked", line.uid, reason=int(not self.shutting_down))
-                )
+                is_serving = int(not self.shutting_down)
+                connection.stream.send(jsonl.encode_line("checked", line.uid, reason=is_serving))
             case _:
-                pass  # 'stopped' and the like mean nothing; later kinds are skipped
+                pass  # 'stopped' without translation has no meaning, and later kinds are skipped
 
-    def _handle_launch(self, connection: JsonLinesConnection, line: jsonl.Line, arrived: int) -> None:
+    def _handle_launch(self, connection: JsonLinesConnection, line: jsonl.Line, arrived_us: int) -> None:
+        """Hand a task request to the core, or reject it where admission says so."""
         fields = jsonl.launch_fields(line)
-        if fields.at is None and not connection.is_connected:
-            return  # it went while its line waited to be read, and no answer is owed
-        if (why := self.core.validation_error(fields.task_class, fields.tenant)) is not None:
-            raise WireError(why, uid=line.uid)
-        if fields.at is None:
-            if (
-                self.admission_filter is not None
-                and (turned := self.admission_filter.admit_request(connection.stream)) is not None
-            ):
-                connection.send_rejected(line.uid, *turned)
-                if connection.read_backoff is not None:
-                    connection.read_backoff.rejected_count += 1
+        is_new_task = fields.at is None
+        if is_new_task and not connection.is_connected:
+            return  # the client disconnected while its line waited, and is owed no answer
+        error = self.core.validation_error(fields.task_class, fields.tenant)
+        if error is not None:
+            raise WireError(error, uid=line.uid)
+        if is_new_task:
+            if self._reject_by_admission(connection, line.uid):
                 return
-            if connection.read_backoff is not None:
-                connection.read_backoff.record_admission()
             connection.open_requests.add(line.uid)
-            # Keep the order of connections by their last set-up: the first is the one to close.
+            # Moves the connection behind all others, as the one with the latest request: evicted last.
             self._connections[connection] = self._connections.pop(connection, None)
-        # 'left' runs from the client's sending: the line may have come while earlier turns were at work.
         self.core.inbox.append(
             TaskRequest(
                 client=connection,
@@ -314,8 +320,9 @@
                 task_class=fields.task_class,
                 tenant=fields.tenant,
                 idempotency_key=fields.key,
-                deadline_us=arrived + int(min(fields.left_ms, 1e9) * 1000) - DEADLINE_MARGIN_US,
-                lifetime_hint_us=None if fields.hint_ms is None else int(min(fields.hint_ms, 1e12) * 1000),
+                # The wait counts from when the client sent the line, which may have come during earlier turns.
+                deadline_us=arrived_us + wait_us(fields.left_ms) - DEADLINE_MARGIN_US,
+                lifetime_hint_us=lifetime_hint_us(fields.hint_ms),
                 service=fields.service,
                 cores=fields.cores,
                 memory=fields.memory,
@@ -323,3 +330,17 @@
                 running_on=fields.at,
             )
         )
+
+    def _reject_by_admission(self, connection: JsonLinesConnection, uid: int) -> bool:
+        """Whether admission rejects one more request of this client; it is answered then."""
+        rejection = None
+        if self.admission_filter is not None:
+            rejection = self.admission_filter.admit_request(connection.stream)
+        if rejection is not None:
+            connection.send_rejected(uid, *rejection)
+            if connection.read_backoff is not None:
+                connection.read_backoff.rejected_count += 1
+            return True
+        if connection.read_backoff is not None:
+            connection.read_backoff.record_admission()
+        return False
--- a/thornshelf/frontends/listener.py
+++ b/thornshelf/frontends/listener.py
@@ -1,13 +1,13 @@
-"""A listening socket within a budget of descriptors."""
+"""A listening socket that accepts clients within a budget of file descriptors."""
 
 from __future__ import annotations
 
 import errno
 import socket
-from collections import deque
-from collections.abc import Callable, Generator, Iterable
-from typing import TYPE_CHECKING, Protocol
+from collections.abc import Callable, Generator
+from typing import TYPE_CHECKING
 
+from thornshelf.frontends.connection_budget import ConnectionBudget
 from thornshelf.loop import Loop, Stream, Task, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.loop.stream import READ_SIZE
@@ -17,108 +17,29 @@
     from thornshelf.frontends.admission_filter import AdmissionFilter
 
 BACKLOG = 1024
-MAX_ACCEPTS_PER_TURN = 64  # accepted in one turn, so that a flood of connections leaves time for tasks
-MIN_QUIET_US = 100_000  # a connection is not closed so soon after something was sent on it
-EVICTION_BATCH_SIZE = 32  # idle connections that are looked for at once
-ACCEPT_BACKOFF_US = 20_000  # after the table of descriptors was full
-FIRST_MESSAGE_TIMEOUT_US = 2_000_000  # a connection is given so long for its first whole message
-MESSAGE_TIMEOUT_US = 2_000_000  # and a message that has begun so long for its end
-
-
-class ConnectionBudget:
-    """How the connections of clients, over all fronts, and of nodes share the descriptors.
-
-    ``total`` of them, ``floor`` of these for clients whatever the nodes need. ``nodes`` tells what these need, not
-    what they hold just now: clients that came while a node was away would keep it away.
-    """
-
-    def __init__(self, total: int, client_floor: int, nodes_needed: Callable[[], int] = lambda: 0) -> None:
-        self.total, self.client_floor, self._nodes_needed = total, client_floor, nodes_needed
-        self.client_count = 0
-
-    @property
-    def max_clients(self) -> int:
-        """Client connections that may be open now."""
-        return max(self.client_floor, self.total - self._nodes_needed())
-
-    @property
-    def max_nodes(self) -> int:
-        """Node connections that may be open now: clients beyond their floor hold only what nodes don't need."""
-        return self.total - max(self.client_floor, min(self.client_count, self.total - self._nodes_needed()))
-
-
-class EvictableClient(Protocol):
-    """A client's connection, as far as it may have to make room."""
-
-    @property
-    def stream(self) -> Stream:
-        """Its bytes."""
-
-    @property
-    def is_idle(self) -> bool:
-        """It is open, has no open set-up and nothing on its way: closing it costs its client no answer."""
-
-    @property
-    def retention_rank(self) -> int:
-        """Of idle ones that of least worth goes first."""
-
-
-def is_quiescent(stream: Stream) -> bool:
-    """Nothing is on its way to the client.
-
-    Guards against a release that is lost: a connection closed with unread input is reset, and what was sent
-    just before may never be read.
-    """
-    return not stream.buffered_bytes and stream.loop.now - stream.last_send_us >= MIN_QUIET_US
-
-
-class IdleEvictor:
-    """Idle connections, in the order in which they are closed to make room.
-
-    Guards against looking through all of them for each connection of a flood: a few are found at once.
-    """
-
-    def __init__(self, clients: Iterable[EvictableClient]) -> None:
-        self._clients = clients  # in the order of their last set-ups
-        self._candidates: deque[EvictableClient] = deque()
-
-    def evict_one(self) -> bool:
-        """Close one; false where none is idle."""
-        for again in (True, False):
-            while self._candidates:
-                one = self._candidates.popleft()
-                # Still open: one that was closed this turn makes no second room. And nothing of it is unread: what
-                # came before the close must not be reset.
-                if one.is_idle and not one.stream.has_unread_input:
-                    one.stream.close()
-                    return True
-            if again:
-                idle = [one for one in self._clients if one.is_idle]
-                self._candidates.extend(
-                    sorted(idle, key=lambda one: one.retention_rank)[:EVICTION_BATCH_SIZE]
-                )
-        return False
-
-
+MAX_ACCEPTS_PER_TURN = 64  # so that a flood of connections leaves time for tasks
+ACCEPT_BACKOFF_US = 20_000  # after the process ran out of descriptors
+FIRST_MESSAGE_TIMEOUT_US = 2_000_000  # from the accepting of a connection to its first complete message
+MESSAGE_TIMEOUT_US = 2_000_000  # from the beginning of a message to its end
 FULL_RETRY_AFTER_US = 1_000_000
+_DESCRIPTORS_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
-class _Full:
-    """The verdict on those that come when the process can open nothing more."""
+class _NoDescriptorLeft:
+    """The decision on connections that come when the process can open no more descriptors."""
 
-    admitted, reason, retry_after_us, replaces_idle = (
-        False,
-        "no descriptor is left",
-        FULL_RETRY_AFTER_US,
-        False,
-    )
+    admitted = False
+    reason = "no descriptor is left"
+    retry_after_us = FULL_RETRY_AFTER_US
+    replaces_idle = False
 
 
-FULL: Decision = _Full()  # type: ignore[assignment]  # the door's modules are not loaded without a door
+# Not a Decision by type: the modules of admission are not loaded where admission is not configured.
+NO_DESCRIPTOR_LEFT: Decision = _NoDescriptorLeft()  # type: ignore[assignment]
 
 
 class Listener:
-    """Accepts while the budget lasts; where it is used up, ``make_room`` may close an idle connection."""
+    """Accepts connections while the budget lasts; beyond it, idle connections are evicted."""
 
     def __init__(
         self,
@@ -131,21 +52,18 @@
         rejection_message: Callable[[Decision], bytes] | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        """``gate``: the door, where one is set up; ``farewell``: the front's words to one that is turned away;
-        ``inherited``: a socket that listens already, handed over by a predecessor."""
-        self.loop, self.budget, self.admission_filter = loop, budget, admission_filter
-        self._serve, self._evict_idle, self._rejection_message = serve, evict_idle, rejection_message
-        if inherited is not None:
-            self.sock = inherited
-        else:
-            self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-            self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            try:
-                self.sock.bind(address)
-            except OSError:
-                self.sock.close()
-                raise
-            self.sock.listen(BACKLOG)
+        """Listen on ``address``, or on the socket ``inherited`` from a predecessor; raises OSError.
+
+        ``serve``: the coroutine of one connection; ``evict_idle``: closes an idle connection, false where there is
+        none; ``rejection_message``: what is sent on a connection that admission rejects.
+        """
+        self.loop = loop
+        self.budget = budget
+        self.admission_filter = admission_filter
+        self._serve = serve
+        self._evict_idle = evict_idle
+        self._rejection_message = rejection_message
+        self.sock = _listen(address) if inherited is None else inherited
         if admission_filter is not None:
             admission_filter.descriptor_ledger.acquire("listeners")
         self.sock.setblocking(False)
@@ -153,13 +71,14 @@
         self._task: Task = loop.spawn(self._accept())
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop listening; does nothing where that was done already."""
         if self.sock.fileno() >= 0:
             self.loop.unregister(self.sock.fileno())
             self.loop.cancel(self._task)
             self.sock.close()
 
     def _accept(self) -> Generator[Wait, int, None]:
+        """Accept connections until the listener is closed."""
         fd = self.sock.fileno()
         while True:
             yield Wait(fd, IN)
@@ -168,31 +87,36 @@
                     sock, peer = self.sock.accept()
                 except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                     break
-                except OSError as fault:
-                    # Guards against a listener that ends for good on a fault that passes.
-                    if fault.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                        if self.admission_filter is not None and self._reject_next_when_full(
-                            self.admission_filter
-                        ):
-                            continue
-                        self._evict_idle()
+                except OSError as error:
+                    if self._handle_accept_error(error):
+                        continue
+                    # Such errors pass: the listener must not end with them.
                     yield Wait(until=self.loop.now + ACCEPT_BACKOFF_US)
                     break
                 self._open_connection(sock, str(peer[0]))
-                waited = False
+                has_waited = False
+                # Several connections may have to go, where nodes need more now. Without an idle one the next
+                # connections stay in the backlog, so that the process does not run out of descriptors.
                 while self.budget.client_count > self.budget.max_clients:
-                    # More than one may have to go: more nodes need connections now. And it guards against a full
-                    # descriptor table: those that wait stay in the backlog.
                     if not self._evict_idle():
-                        waited = True
+                        has_waited = True
                         yield Wait(until=self.loop.now + ACCEPT_BACKOFF_US)
-                if waited:
+                if has_waited:
                     break
 
+    def _handle_accept_error(self, error: OSError) -> bool:
+        """Whether the next connection can be accepted at once; evicts an idle one where descriptors are exhausted."""
+        if error.errno not in _DESCRIPTORS_EXHAUSTED:
+            return False
+        if self.admission_filter is not None and self._reject_next_when_full(self.admission_filter):
+            return True
+        self._evict_idle()
+        return False
+
     def drain_backlog(self) -> bool:
-        """Take those that wait to be accepted, and then no more; false while there is no room for the next.
+        """Accept the connections in the backlog, and then close; false while there is no room for the next one.
 
-        Guards against a reset of what came in time: a listener that is closed drops those that wait.
+        A listener that is closed resets the connections in its backlog, which came in time.
         """
         self.loop.cancel(self._task)
         while self.sock.fileno() >= 0:
@@ -211,63 +135,78 @@
         return True
 
     def _open_connection(self, sock: socket.socket, peer: str) -> None:
-        """Serve a connection, unless the door turns it away."""
-        given = None
+        """Serve a connection, unless admission rejects it."""
+        permit = None
         if self.admission_filter is not None:
-            verdict, given = self.admission_filter.admit_connection(peer)
-            if given is None:
-                self._reject(sock, verdict)
+            decision, permit = self.admission_filter.admit_connection(peer)
+            if permit is None:
+                self._reject(sock, decision)
                 return
         try:
             stream = Stream(self.loop, sock, peer)
-        except OSError:  # reset before it was looked at
+        except OSError:  # the client reset the connection meanwhile
             sock.close()
-            if self.admission_filter is not None and given is not None:
-                self.admission_filter.release(given)
+            if self.admission_filter is not None and permit is not None:
+                self.admission_filter.release(permit)
             return
-        stream.admission_permit = given
+        stream.admission_permit = permit
         self.loop.on_peer_close(stream.fd, stream.mark_peer_closed)
         self.budget.client_count += 1
-        stream.on_close = lambda: self._closed(stream)
+        stream.on_close = lambda: self._on_close(stream)
         self.loop.spawn(self._run(stream))
 
     def _run(self, stream: Stream) -> Generator[Wait, int, None]:
+        """Serve a connection, and close it in any case."""
         try:
             yield from self._serve(stream)
         finally:
             stream.close()
 
-    def _closed(self, stream: Stream) -> None:
+    def _on_close(self, stream: Stream) -> None:
+        """Return what a closed connection held."""
         self.budget.client_count -= 1
         if self.admission_filter is not None and stream.admission_permit is not None:
             self.admission_filter.release(stream.admission_permit)
 
-    def _reject(self, sock: socket.socket, verdict: Decision) -> None:
-        """A word where one can be said, and a close; never a wait."""
+    def _reject(self, sock: socket.socket, decision: Decision) -> None:
+        """Send the rejection as far as that is possible without waiting, and close."""
         try:
             sock.setblocking(False)
             if self._rejection_message is not None:
-                sock.send(self._rejection_message(verdict))
+                sock.send(self._rejection_message(decision))
             sock.shutdown(socket.SHUT_WR)
-            sock.recv(READ_SIZE)  # a close with unread input would reset the connection, and the word with it
+            # A close with unread input would reset the connection, and discard the rejection.
+            sock.recv(READ_SIZE)
         except OSError:
-            pass  # it is gone, or has nothing to say
+            pass  # the client has disconnected, or has sent nothing
         sock.close()
 
-    def _reject_next_when_full(self, gate: AdmissionFilter) -> bool:
-        """The process's table is full: use the spare descriptor to tell the next in line, and take it back.
+    def _reject_next_when_full(self, admission_filter: AdmissionFilter) -> bool:
+        """Reject the next connection by means of the spare descriptor; false where that is not possible.
 
-        Guards against a listener that stays readable and is looked at in vain again and again: each turn some of
-        those that wait are turned away instead.
+        A listener that cannot accept stays readable, and would use up turn after turn: this empties its backlog.
         """
-        if not gate.release_spare():
+        if not admission_filter.release_spare():
             return False
         try:
             sock, _ = self.sock.accept()
         except OSError:
             return False
         else:
-            self._reject(sock, FULL)
+            self._reject(sock, NO_DESCRIPTOR_LEFT)
             return True
         finally:
-            gate.reserve_spare()
+            admission_filter.reserve_spare()
+
+
+def _listen(address: tuple[str, int]) -> socket.socket:
+    """A new listening socket; raises OSError where the address cannot be bound."""
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    try:
+        sock.bind(address)
+    except OSError:
+        sock.close()
+        raise
+    sock.listen(BACKLOG)
+    return sock
--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -19,7 +19,7 @@
 from thornshelf.core.idempotency import IdempotencyTable
 from thornshelf.core.releases import DisconnectedClient
 from thornshelf.core.task import TaskState as TaskState
-from thornshelf.frontends.grpc import DispatchCall
+from thornshelf.frontends.grpc_streams import DispatchCall
 from thornshelf.frontends.json_lines import JsonLinesConnection
 from thornshelf.membership import datagrams
 from thornshelf.membership.datagrams import MessageKind, ReplayWindows
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -17,8 +17,8 @@
 from thornshelf.core.dispatcher import ENDPOINT_LIST_TIMEOUT_US
 from thornshelf.discovery.endpoint_watch import EndpointWatch, decode_events
 from thornshelf.errors import InternalError, StartupError
+from thornshelf.frontends.connection_budget import ConnectionBudget
 from thornshelf.frontends.json_lines import JsonLinesFrontend
-from thornshelf.frontends.listener import ConnectionBudget
 from thornshelf.loop import Loop, Wait
 from thornshelf.loop.loop import IN
 from thornshelf.nodes.binary import BinaryNodeConnection
