--- a/thornshelf/shell/__init__.py
+++ b/thornshelf/shell/__init__.py
@@ -1,1 +1,1 @@
-"""The shell: SQL over what dispatchers tell on their control sockets, in the operator's own process."""
+"""The shell: SQL over the tables of dispatchers, in the operator's own process."""
--- a/thornshelf/shell/client.py
+++ b/thornshelf/shell/client.py
@@ -1,4 +1,4 @@
-"""One connection to a dispatcher's control socket, with a bound on every wait."""
+"""A connection to a dispatcher's control socket, with a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -34,33 +34,37 @@
 
 
 def error_from_reply(reply: ErrorReply) -> ThornshelfError:
-    """A dispatcher's error as one of this process."""
-    kind = errors.ERRORS_BY_CODE.get(reply.code, ThornshelfError)
-    if kind in (errors.SchemaError, errors.UnsupportedVersionError):
-        kind = ThornshelfError  # these are made of more than a text
-    return kind(reply.text)
+    """The error that a dispatcher has sent, as an exception of this process."""
+    error_type = errors.ERRORS_BY_CODE.get(reply.code, ThornshelfError)
+    if error_type in (errors.SchemaError, errors.UnsupportedVersionError):
+        error_type = ThornshelfError  # the constructors of these need more than a text
+    return error_type(reply.text)
 
 
 @dataclass(slots=True)
 class ResponseSummary:
-    """What came beside the rows."""
+    """Which members have answered a query, when, and which have not.
+
+    ``missing``: (member, cause) of those whose rows are incomplete; the times are Unix milliseconds of the earliest
+    and the latest page.
+    """
 
     missing: list[tuple[str, str]] = field(default_factory=list)
     members: set[str] = field(default_factory=set)
-    first_ms: int = 0  # Unix ms of the earliest slice, and of the latest
+    first_ms: int = 0
     last_ms: int = 0
     rows: int = 0
 
     def add_page(self, page: RowPage) -> None:
-        """One more slice."""
+        """Count a page."""
         self.members.add(page.member)
         self.rows += len(page.rows)
         self.first_ms = min(self.first_ms or page.at_ms, page.at_ms)
         self.last_ms = max(self.last_ms, page.at_ms)
 
     def merge(self, other: ResponseSummary) -> None:
-        """Those of another table."""
-        self.missing += [one for one in other.missing if one not in self.missing]
+        """Add the summary of another table."""
+        self.missing += [item for item in other.missing if item not in self.missing]
         self.members |= other.members
         self.rows += other.rows
         self.first_ms = min(self.first_ms or other.first_ms, other.first_ms or self.first_ms)
@@ -68,27 +72,34 @@
 
 
 class ControlClient:
-    """A connection; its words are read one question after another."""
+    """A connection, on which one query is made after another."""
 
     def __init__(self, socket_path: str | Path, timeout_s: float = 10.0) -> None:
-        self.socket_path, self.timeout_s = Path(socket_path), timeout_s
-        self._frame_decoder, self._frames = FrameDecoder(MAX_REPLY_BYTES), list[bytes]()
+        """Connect; raises ``DispatcherUnavailableError``."""
+        self.socket_path = Path(socket_path)
+        self.timeout_s = timeout_s
+        self._frame_decoder = FrameDecoder(MAX_REPLY_BYTES)
+        self._frames: list[bytes] = []
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         self._number = 0
         self._deadline = time.monotonic() + timeout_s
         try:
             self._sock.settimeout(timeout_s)
-            fd = os.open(self.socket_path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
-            try:
-                self._sock.connect(f"/proc/self/fd/{fd}/{self.socket_path.name}")
-            finally:
-                os.close(fd)
-        except OSError as fault:
+            self._connect()
+        except OSError as error:
             self._sock.close()
-            raise DispatcherUnavailableError(f"{self.socket_path}: {fault.strerror or fault}") from None
+            raise DispatcherUnavailableError(f"{self.socket_path}: {error.strerror or error}") from None
+
+    def _connect(self) -> None:
+        """Connect by way of the directory's descriptor, as the path of a Unix socket is limited to 107 bytes."""
+        directory = os.open(self.socket_path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        try:
+            self._sock.connect(f"/proc/self/fd/{directory}/{self.socket_path.name}")
+        finally:
+            os.close(directory)
 
     def close(self) -> None:
-        """Go."""
+        """Close the connection."""
         self._sock.close()
 
     def __enter__(self) -> ControlClient:
@@ -98,42 +109,44 @@
         self.close()
 
     def _receive(self) -> Reply:
+        """The next reply; raises ``QueryLimitError`` after the timeout and ``DispatcherUnavailableError``."""
         while not self._frames:
-            left = self._deadline - time.monotonic()
-            if left <= 0.0:
+            remaining_s = self._deadline - time.monotonic()
+            if remaining_s <= 0.0:
                 raise QueryLimitError(f"no whole answer within {self.timeout_s:g} s")
-            self._sock.settimeout(left)
+            self._sock.settimeout(remaining_s)
             try:
                 data = self._sock.recv(READ_SIZE)
             except TimeoutError:
                 continue
-            except OSError as fault:
-                raise DispatcherUnavailableError(f"{self.socket_path}: {fault.strerror}") from None
+            except OSError as error:
+                raise DispatcherUnavailableError(f"{self.socket_path}: {error.strerror}") from None
             if not data:
                 raise DispatcherUnavailableError(f"{self.socket_path}: the dispatcher closed the connection")
             self._frames += self._frame_decoder.feed(data)
         return decode_reply(self._frames.pop(0))
 
     def _send(self, request: QueryRequest) -> None:
+        """Send a query, and start its timeout; raises ``DispatcherUnavailableError``."""
         self._deadline = time.monotonic() + self.timeout_s
         self._sock.settimeout(self.timeout_s)
         try:
             self._sock.sendall(encode_frame(request))
         except (BrokenPipeError, ConnectionResetError):
-            pass  # why it closed the connection may still be read
-        except OSError as fault:
-            raise DispatcherUnavailableError(f"{self.socket_path}: {fault.strerror or fault}") from None
+            pass  # the dispatcher's error may still be readable
+        except OSError as error:
+            raise DispatcherUnavailableError(f"{self.socket_path}: {error.strerror or error}") from None
 
     def fetch_catalog(self) -> CatalogReply:
-        """Who answers, and which tables there are."""
+        """The dispatcher's tables; raises the error that it sends, or ``ControlProtocolError``."""
         self._number += 1
         self._send(QueryRequest(self._number))
-        word = self._receive()
-        if isinstance(word, ErrorReply):
-            raise error_from_reply(word)
-        if not isinstance(word, CatalogReply):
-            raise ControlProtocolError(f"{type(word).__name__} where the tables were asked for")
-        return word
+        reply = self._receive()
+        if isinstance(reply, ErrorReply):
+            raise error_from_reply(reply)
+        if not isinstance(reply, CatalogReply):
+            raise ControlProtocolError(f"{type(reply).__name__} where the tables were asked for")
+        return reply
 
     def fetch_rows(
         self,
@@ -143,20 +156,23 @@
         filters: Mapping[str, Cell],
         summary: ResponseSummary,
     ) -> Iterator[RowPage]:
-        """A table's slices as they come; what goes beside them is in ``told``."""
+        """The pages of a table as they come; ``summary`` is filled meanwhile.
+
+        Raises the error that the dispatcher sends, or ``ControlProtocolError`` for malformed rows.
+        """
         self._number += 1
         self._send(QueryRequest(self._number, table, columns, dict(filters), fleet))
         while True:
-            word = self._receive()
-            if isinstance(word, CatalogReply) or word.number != self._number:
+            reply = self._receive()
+            if isinstance(reply, CatalogReply) or reply.number != self._number:
                 continue
-            if isinstance(word, ErrorReply):
-                raise error_from_reply(word)
-            if isinstance(word, QueryEnd):
-                summary.missing += word.missing
-                summary.members.update(word.answered)
+            if isinstance(reply, ErrorReply):
+                raise error_from_reply(reply)
+            if isinstance(reply, QueryEnd):
+                summary.missing += reply.missing
+                summary.members.update(reply.answered)
                 return
-            if any(len(row) != len(columns) for row in word.rows):
+            if any(len(row) != len(columns) for row in reply.rows):
                 raise ControlProtocolError("a row has other columns than were asked for")
-            summary.add_page(word)
-            yield word
+            summary.add_page(reply)
+            yield reply
--- a/thornshelf/shell/output.py
+++ b/thornshelf/shell/output.py
@@ -1,4 +1,7 @@
-"""Results as text: tables for people, JSON and CSV for scripts. What dispatchers tell moves no cursor."""
+"""Results as text: tables for people, JSON and CSV for scripts.
+
+Values come from dispatchers and their nodes, and are sanitized so that none can control the terminal.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +9,15 @@
 import io
 import json
 from datetime import UTC, datetime
-from typing import Any
+from typing import Any, Literal
 
 from thornshelf.shell.engine import QueryResult
 
 
 def sanitize(value: object) -> str:
-    """A value on one line: control characters, and others that print nothing, are told by their numbers.
+    """A value on one line, with control characters and others that do not print as escape sequences.
 
-    Guards against names that were chosen to move the cursor or to hide what stands beside them.
+    Names may have been chosen to move the cursor or to hide the text beside them.
     """
     if value is None:
         return ""
@@ -23,7 +26,7 @@
     text = str(value)
     if text.isprintable():
         return text
-    return "".join(one if one.isprintable() else one.encode("unicode_escape").decode() for one in text)
+    return "".join(char if char.isprintable() else char.encode("unicode_escape").decode() for char in text)
 
 
 def format_time(at_ms: int) -> str:
@@ -32,19 +35,21 @@
 
 
 def summary_lines(result: QueryResult) -> list[str]:
-    """What has to be known beside the rows."""
-    told, lines = result.summary, list[str]()
-    who = f"{len(told.members)} members" if len(told.members) > 1 else "".join(map(sanitize, told.members))
-    if told.first_ms:
-        span = format_time(told.first_ms)
-        if told.last_ms != told.first_ms:
-            span += f" to {format_time(told.last_ms)}"
-        lines.append(f"{len(result.rows)} rows, told by {who} at {span} UTC")
+    """Lines below the rows: how many there are, from which members and when, and what is missing."""
+    summary = result.summary
+    members = summary.members
+    source = f"{len(members)} members" if len(members) > 1 else "".join(map(sanitize, members))
+    lines: list[str] = []
+    if summary.first_ms:
+        span = format_time(summary.first_ms)
+        if summary.last_ms != summary.first_ms:
+            span += f" to {format_time(summary.last_ms)}"
+        lines.append(f"{len(result.rows)} rows, told by {source} at {span} UTC")
     else:
-        lines.append(f"{len(result.rows)} rows" + (f", told by {who}" if who else ""))
+        lines.append(f"{len(result.rows)} rows" + (f", told by {source}" if source else ""))
     if result.truncation:
         lines.append(f"NOT ALL ROWS: {result.truncation}")
-    lines += [f"NOT ALL MEMBERS: {sanitize(name)}: {sanitize(why)}" for name, why in told.missing]
+    lines += [f"NOT ALL MEMBERS: {sanitize(name)}: {sanitize(cause)}" for name, cause in summary.missing]
     return lines
 
 
@@ -54,38 +59,39 @@
         "columns": result.columns,
         "rows": [list(row) for row in result.rows],
         "complete": result.complete,
-        "unanswered": [{"member": name, "why": why} for name, why in result.summary.missing],
+        "unanswered": [{"member": name, "why": cause} for name, cause in result.summary.missing],
         "cut": result.truncation,
         "members": sorted(result.summary.members),
         "from_ms": result.summary.first_ms,
         "to_ms": result.summary.last_ms,
     }
-    return json.dumps(value, default=lambda one: one.hex() if isinstance(one, bytes) else str(one))
+    return json.dumps(value, default=lambda item: item.hex() if isinstance(item, bytes) else str(item))
 
 
 def as_csv(result: QueryResult) -> str:
-    """A head and rows, after RFC 4180; numbers as they are, texts as ``plain`` has them."""
+    """A header and rows after RFC 4180; numbers as they are, other values sanitized."""
     out = io.StringIO()
     writer = csv.writer(out)
     writer.writerow(map(sanitize, result.columns))
     writer.writerows(
-        [one if isinstance(one, int | float) else sanitize(one) for one in row] for row in result.rows
+        [value if isinstance(value, int | float) else sanitize(value) for value in row] for row in result.rows
     )
     return out.getvalue()
 
 
 def render_table(result: QueryResult) -> Any:
-    """A table for a terminal."""
+    """A table for a terminal, which Rich prints."""
     from rich import box
     from rich.table import Table
     from rich.text import Text
 
-    found = Table(box=box.SIMPLE_HEAD, pad_edge=False, show_edge=False)
-    for place, name in enumerate(result.columns):
-        numbers = all(row[place] is None or isinstance(row[place], int | float) for row in result.rows)
-        found.add_column(
-            Text(sanitize(name)), justify="right" if numbers and result.rows else "left", overflow="fold"
-        )
+    table = Table(box=box.SIMPLE_HEAD, pad_edge=False, show_edge=False)
+    for index, name in enumerate(result.columns):
+        is_numeric = all(row[index] is None or isinstance(row[index], int | float) for row in result.rows)
+        justify: Literal["left", "right"] = "right" if is_numeric and result.rows else "left"
+        table.add_column(Text(sanitize(name)), justify=justify, overflow="fold")
     for row in result.rows:
-        found.add_row(*(Text(sanitize(value)) for value in row))  # a text is no markup
-    return found
+        table.add_row(
+            *(Text(sanitize(value)) for value in row)
+        )  # Text, as a plain str would be read as markup
+    return table
--- a/thornshelf/shell/prompt.py
+++ b/thornshelf/shell/prompt.py
@@ -1,4 +1,4 @@
-"""The interactive shell: SQL and a few commands that begin with a dot."""
+"""The interactive shell: SQL, and commands that begin with a dot."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import shlex
 import sys
 import time
-from collections.abc import Callable, Iterable, Iterator
+from collections.abc import Callable, Iterable, Iterator, Sequence
 from contextlib import suppress
 from pathlib import Path
 
@@ -20,7 +20,9 @@
 from thornshelf.shell.explanations import explain_node, explain_task, is_task_id
 
 HISTORY_FILE = Path("~/.thornshelf_history")
-OUTPUT_WIDTH = 200
+OUTPUT_WIDTH = 200  # columns, where the output is no terminal
+MIN_WATCH_INTERVAL_S = 0.1
+MAX_WATCH_INTERVAL_S = 3600.0
 SQL_KEYWORDS = (
     "SELECT", "FROM", "WHERE", "GROUP BY", "ORDER BY", "HAVING", "LIMIT", "JOIN", "USING", "count(*)", "sum(", "max(",
     "min(", "avg(", "group_concat(", "DISTINCT", "DESC", "AND", "OR", "NOT", "NULL", "LIKE", "IN", "AS",
@@ -39,11 +41,17 @@
 
 
 class Shell:
-    """Reads lines, and writes to a console."""
+    """Carries out lines of input, and writes to a console."""
 
-    def __init__(self, place: str, limits: QueryLimits, fleet: bool | None, console: Console) -> None:
-        self.socket_path, self.limits, self.console = place, limits, console
-        self.engine = QueryEngine(ControlClient(place, limits.timeout_s), limits)
+    def __init__(self, socket_path: str, limits: QueryLimits, fleet: bool | None, console: Console) -> None:
+        """``fleet``: query all members or this dispatcher alone; None: the fleet where the dispatcher is in one.
+
+        Raises the errors of ``ControlClient``.
+        """
+        self.socket_path = socket_path
+        self.limits = limits
+        self.console = console
+        self.engine = QueryEngine(ControlClient(socket_path, limits.timeout_s), limits)
         self.fleet = self.engine.catalog.in_fleet if fleet is None else fleet
         self.failed = False
         self.commands: dict[str, Callable[[str], None]] = {
@@ -52,39 +60,35 @@
             ".diff": self._diff, ".watch": self._watch, ".help": lambda _: self.print_lines(HELP_TEXT),
         }  # fmt: skip
 
-    # what it writes
-
     def print_lines(self, *lines: str, style: str = "") -> None:
-        """Plain lines."""
+        """Print lines as they are, without markup."""
         for line in lines:
             self.console.print(Text(line, style=style), soft_wrap=True)
 
     @property
     def scope(self) -> str:
-        """Whom it asks."""
+        """The fleet, or the name of the dispatcher that is queried."""
         return "fleet" if self.fleet else output.sanitize(self.engine.catalog.member)
 
     def print_banner(self) -> None:
-        """The first lines."""
-        known = self.engine.catalog
-        version, name = output.sanitize(known.version), output.sanitize(known.member)
-        asks = "all members of its fleet" if self.fleet else "this dispatcher alone"
+        """Print the first lines."""
+        version = output.sanitize(self.engine.catalog.version)
+        name = output.sanitize(self.engine.catalog.member)
+        scope = "all members of its fleet" if self.fleet else "this dispatcher alone"
         self.print_lines(
-            f"thornshelf {version}, dispatcher {name}; asking {asks}. `.help` helps, `.queries` gives a start."
+            f"thornshelf {version}, dispatcher {name}; asking {scope}. `.help` helps, `.queries` gives a start."
         )
 
     def run_query(self, sql: str, fleet: bool | None = None) -> None:
-        """A query and its result."""
+        """Run a query, and print its result."""
         result = self.engine.query(sql, self.fleet if fleet is None else fleet)
         if result.rows:
             self.console.print(output.render_table(result))
         for line in output.summary_lines(result):
             self.print_lines(line, style="bold red" if line.startswith("NOT ALL") else "dim")
 
-    # what it reads
-
     def handle_line(self, line: str) -> bool:
-        """One line; false where it ends the shell. An error costs the line, and a lost dispatcher is called again."""
+        """Carry out one line; false where it ends the shell. After an error the shell connects anew."""
         line = line.strip()
         if line in (".quit", ".exit"):
             return False
@@ -92,28 +96,30 @@
             return True
         try:
             self._execute(line)
-        except ThornshelfError as fault:
+        except ThornshelfError as error:
             self.failed = True
-            self.print_lines(f"{fault} [{fault.code}]", style="red")
-            self.print_lines(f"What to do: {fault.remedy}", style="dim")
-            self._reconnect()
+            self.print_lines(f"{error} [{error.code}]", style="red")
+            self.print_lines(f"What to do: {error.remedy}", style="dim")
+            self.reconnect()
         return True
 
     def _execute(self, line: str) -> None:
+        """Run a query or a command."""
         if not line.startswith("."):
             self.run_query(line.rstrip(";"))
             return
-        word, _, rest = line.partition(" ")
-        if (command := self.commands.get(word)) is None:
+        name, _, argument = line.partition(" ")
+        command = self.commands.get(name)
+        if command is None:
             self.failed = True
-            self.print_lines(f"no command is called {output.sanitize(word)}; `.help` lists them", style="red")
+            self.print_lines(f"no command is called {output.sanitize(name)}; `.help` lists them", style="red")
             return
-        command(rest.strip())
+        command(argument.strip())
 
-    def _reconnect(self) -> None:
-        """A new connection: what was still to come on the old one answers nothing any more."""
+    def reconnect(self) -> None:
+        """Replace the connection: replies to the failed query may still arrive on the old one."""
         self.engine.client.close()
-        with suppress(ThornshelfError):  # the next line says so
+        with suppress(ThornshelfError):  # the next query fails with the same error
             self.engine = QueryEngine(ControlClient(self.socket_path, self.limits.timeout_s), self.limits)
 
     def _set_scope(self, fleet: bool) -> None:
@@ -126,48 +132,47 @@
         self.print_lines("asking all members" if fleet else "asking this dispatcher alone")
 
     def _tables(self, _: str) -> None:
-        for shape in self.engine.schemas.values():
-            self.print_lines(f"{output.sanitize(shape.name):<12} {output.sanitize(shape.meaning)}")
+        for schema in self.engine.schemas.values():
+            self.print_lines(f"{output.sanitize(schema.name):<12} {output.sanitize(schema.meaning)}")
         self.print_lines(
             f"{UNANSWERED_TABLE:<12} Who told nothing, or not all, and why; filled by the other tables of a query."
         )
 
     def _columns(self, name: str) -> None:
-        if (shape := self.engine.schemas.get(name)) is None:
+        schema = self.engine.schemas.get(name)
+        if schema is None:
             self.print_lines(
                 "`.columns TABLE`; the tables are: " + ", ".join(self.engine.schemas), style="red"
             )
             return
-        beside = [(one, kind, "beside every row") for one, kind in ORIGIN_COLUMNS]
-        for column, kind, meaning in [*beside, *shape.columns]:
-            self.print_lines(f"{output.sanitize(column):<14} {kind:<8} {output.sanitize(meaning)}")
+        origin = [(column, sql_type, "beside every row") for column, sql_type in ORIGIN_COLUMNS]
+        for column, sql_type, meaning in [*origin, *schema.columns]:
+            self.print_lines(f"{output.sanitize(column):<14} {sql_type:<8} {output.sanitize(meaning)}")
 
     def _queries(self, _: str) -> None:
-        for one in saved_queries.SAVED_QUERIES:
-            self.print_lines(f".run {one.name:<12} {one.question}")
+        for query in saved_queries.SAVED_QUERIES:
+            self.print_lines(f".run {query.name:<12} {query.question}")
 
     def _run_saved(self, name: str) -> None:
-        one = saved_queries.QUERIES_BY_NAME.get(name)
-        if one is None:
+        query = saved_queries.QUERIES_BY_NAME.get(name)
+        if query is None:
             self.print_lines(
                 "`.run NAME`; the names are: " + ", ".join(saved_queries.QUERIES_BY_NAME), style="red"
             )
-        elif any(table not in self.engine.schemas for table in self._fleet_tables(one.sql)):
+        elif any(table not in self.engine.schemas for table in _fleet_tables(query.sql)):
             self.print_lines("this dispatcher is in no fleet, and has no such table", style="red")
         else:
-            self.print_lines(one.question, style="bold")
-            self.run_query(one.sql)
+            self.print_lines(query.question, style="bold")
+            self.run_query(query.sql)
 
-    def _fleet_tables(self, sql: str) -> Iterable[str]:
-        return ["members"] if "FROM members" in sql else ["allowances"] if "FROM allowances" in sql else []
-
-    def _why(self, what: str) -> None:
-        if not what:
+    def _why(self, subject: str) -> None:
+        if not subject:
             self.print_lines("`.why NODE` or `.why TASK` (its id or its name, in hex digits)", style="red")
             return
-        lines = (
-            explain_task(self.engine, what) if is_task_id(what) else explain_node(self.engine, unquote(what))
-        )
+        if is_task_id(subject):
+            lines = explain_task(self.engine, subject)
+        else:
+            lines = explain_node(self.engine, unquote(subject))
         for line in lines:
             self.print_lines(line, style="bold red" if line.startswith("NOT HEARD") else "")
 
@@ -176,7 +181,8 @@
             self.print_lines("this dispatcher is in no fleet: there is nothing to compare", style="red")
             return
         for name in [table] if table else ["members", "nodes"]:
-            if (sql := saved_queries.difference_query(name)) is None:
+            sql = saved_queries.difference_query(name)
+            if sql is None:
                 self.print_lines(
                     "`.diff TABLE`; what can be compared: " + ", ".join(saved_queries.COMPARED_COLUMNS),
                     style="red",
@@ -185,28 +191,35 @@
             self.print_lines(f"{name}: what members hold differently", style="bold")
             self.run_query(sql, True)
 
-    def _watch(self, rest: str) -> None:
-        seconds, _, line = rest.partition(" ")
+    def _watch(self, argument: str) -> None:
+        seconds, _, line = argument.partition(" ")
+        line = line.strip()
         try:
-            pause = float(seconds)
+            interval_s = float(seconds)
         except ValueError:
-            pause = 0.0
-        if not 0.1 <= pause <= 3600.0 or not line.strip() or line.strip().startswith(".watch"):
+            interval_s = 0.0
+        is_valid_interval = MIN_WATCH_INTERVAL_S <= interval_s <= MAX_WATCH_INTERVAL_S
+        if not is_valid_interval or not line or line.startswith(".watch"):
             self.print_lines("`.watch SECONDS SQL`, at least 0.1", style="red")
             return
         try:
             while True:
                 if self.console.is_terminal:
                     self.console.clear()
-                self.print_lines(f"every {pause:g} s, Ctrl-C ends: {output.sanitize(line)}", style="dim")
-                self._execute(line.strip())
-                time.sleep(pause)
+                self.print_lines(f"every {interval_s:g} s, Ctrl-C ends: {output.sanitize(line)}", style="dim")
+                self._execute(line)
+                time.sleep(interval_s)
         except KeyboardInterrupt:
             self.print_lines("")
 
 
+def _fleet_tables(sql: str) -> Sequence[str]:
+    """Those tables of a saved query that only a dispatcher in a fleet has."""
+    return [table for table in ("members", "allowances") if f"FROM {table}" in sql][:1]
+
+
 def unquote(text: str) -> str:
-    """A name as it is, or in quotes, where it holds what can't be typed: 'a\\x1b' is read as Python writes it."""
+    """A name without its quotes; an escape such as ``\\x1b`` stands for a character that cannot be typed."""
     if text[:1] not in ("'", '"'):
         return text.encode().decode("unicode_escape") if "\\x" in text else text
     try:
@@ -216,17 +229,18 @@
 
 
 def completions(engine: QueryEngine, line: str = "") -> list[str]:
-    """What may come next: after some commands names of ready queries or of tables, else all words and commands."""
-    word, space, _ = line.lstrip().partition(" ")
-    named: dict[str, Iterable[str]] = {
+    """What may come next: the names that some commands take, otherwise all keywords, names and commands."""
+    command, space, _ = line.lstrip().partition(" ")
+    arguments: dict[str, Iterable[str]] = {
         ".run": saved_queries.QUERIES_BY_NAME,
         ".columns": engine.schemas,
         ".diff": saved_queries.COMPARED_COLUMNS,
     }
-    if space and word in named:
-        return list(named[word])
-    names = {column for shape in engine.schemas.values() for column, _, _ in shape.columns}
-    names |= set(engine.schemas) | {UNANSWERED_TABLE} | {name for name, _ in ORIGIN_COLUMNS}
+    if space and command in arguments:
+        return list(arguments[command])
+    names = {column for schema in engine.schemas.values() for column, _, _ in schema.columns}
+    names |= {column for column, _ in ORIGIN_COLUMNS}
+    names |= {UNANSWERED_TABLE, *engine.schemas}
     return [
         *sorted(names),
         *SQL_KEYWORDS,
@@ -235,7 +249,7 @@
 
 
 def _read_lines(shell: Shell) -> Iterator[str]:
-    """From a terminal with history and completion, else as they come."""
+    """Lines from a terminal with history and completion, or from other input as they come."""
     if not sys.stdin.isatty():
         yield from sys.stdin
         return
@@ -245,15 +259,15 @@
     from prompt_toolkit.history import FileHistory, InMemoryHistory
     from prompt_toolkit.shortcuts import CompleteStyle
 
-    place = HISTORY_FILE.expanduser()
-    kept = FileHistory(str(place)) if os.access(place.parent, os.W_OK) else InMemoryHistory()
+    file = HISTORY_FILE.expanduser()
+    history = FileHistory(str(file)) if os.access(file.parent, os.W_OK) else InMemoryHistory()
 
     def completer() -> WordCompleter:
-        words = completions(shell.engine, session.default_buffer.document.text_before_cursor)
-        return WordCompleter(words, ignore_case=True, WORD=True)
+        candidates = completions(shell.engine, session.default_buffer.document.text_before_cursor)
+        return WordCompleter(candidates, ignore_case=True, WORD=True)
 
     session: PromptSession[str] = PromptSession(
-        history=kept,
+        history=history,
         auto_suggest=AutoSuggestFromHistory(),
         completer=DynamicCompleter(completer),
         complete_while_typing=False,
@@ -268,14 +282,16 @@
             return
 
 
-def run(place: str, limits: QueryLimits, fleet: bool | None) -> int:
-    """Until its input ends; 0, or 1 where lines came from no terminal and one of them failed."""
-    typed = sys.stdin.isatty()
-    # What goes to a file or another program is not folded to some terminal's width.
-    shell = Shell(
-        place, limits, fleet, Console(highlight=False, width=None if sys.stdout.isatty() else OUTPUT_WIDTH)
-    )
-    if typed:
+def run(socket_path: str, limits: QueryLimits, fleet: bool | None) -> int:
+    """Run the shell until its input ends; returns the exit code.
+
+    It is 1 where the input is no terminal and a line failed, otherwise 0.
+    """
+    is_interactive = sys.stdin.isatty()
+    # Output to a file or another program is not wrapped to the width of a terminal.
+    console = Console(highlight=False, width=None if sys.stdout.isatty() else OUTPUT_WIDTH)
+    shell = Shell(socket_path, limits, fleet, console)
+    if is_interactive:
         shell.print_banner()
     for line in _read_lines(shell):
         try:
@@ -283,5 +299,5 @@
                 break
         except KeyboardInterrupt:
             shell.print_lines("stopped")
-            shell._reconnect()
-    return int(shell.failed and not typed)
+            shell.reconnect()
+    return int(shell.failed and not is_interactive)
