--- a/thornshelf/capacity/roles.py
+++ b/thornshelf/capacity/roles.py
@@ -18,7 +18,7 @@
         "bytes/s",
         "client_bytes_a_start",
         "starts_per_s",
-        "fronts/platform.py",
+        "frontends/json_lines.py",
     ),
     RowTerms(
         "client front",
@@ -26,7 +26,7 @@
         "messages/s",
         "client_messages_a_start",
         "starts_per_s",
-        "fronts/platform.py",
+        "frontends/json_lines.py",
     ),
     RowTerms(
         "client front",
@@ -34,10 +34,16 @@
         "us/s",
         "start_us",
         "starts_per_s",
-        "fronts, core and nodes together",
+        "frontends, core and nodes together",
     ),
     RowTerms(
-        PLACING, Aspect.PROCESSOR, "us/s", "decision_us", "starts_per_s", "glenshift/brain.py", waits_for=LIST
+        PLACING,
+        Aspect.PROCESSOR,
+        "us/s",
+        "decision_us",
+        "starts_per_s",
+        "placement/placer.py",
+        waits_for=LIST,
     ),
     RowTerms(
         PLACING,
@@ -45,21 +51,19 @@
         "bytes",
         "placement_bytes",
         "one",
-        "glenshift/brain.py, fleet.py",
+        "placement/placer.py, machine_index.py",
         waits_for=LIST,
     ),
-    RowTerms(PLACING, Aspect.MEMORY, "bytes", "standing_bytes", "one", "core/tasks.py, glenshift/brain.py"),
-    RowTerms(LINK, Aspect.TRAFFIC, "bytes/s", "node_bytes_a_start", "starts_per_s", "nodes/platform.py"),
-    RowTerms(
-        LINK, Aspect.MESSAGES, "messages/s", "node_messages_a_start", "starts_per_s", "nodes/platform.py"
-    ),
+    RowTerms(PLACING, Aspect.MEMORY, "bytes", "standing_bytes", "one", "core/task.py, placement/placer.py"),
+    RowTerms(LINK, Aspect.TRAFFIC, "bytes/s", "node_bytes_a_start", "starts_per_s", "nodes/binary.py"),
+    RowTerms(LINK, Aspect.MESSAGES, "messages/s", "node_messages_a_start", "starts_per_s", "nodes/binary.py"),
     RowTerms(
         LINK,
         Aspect.STATE,
         "descriptors",
         "descriptors",
         "one",
-        "nodes/base.py, connections.py",
+        "nodes/node_connection.py, connection_pool.py",
         waits_for=LIST,
     ),
     RowTerms(
@@ -68,10 +72,10 @@
         "KB",
         "held_kb",
         "one",
-        "core/roster.py, nodes, thornshelf.placement",
+        "core/endpoint_registry.py, nodes, placement",
         Budget.MEMORY,
     ),
-    RowTerms(LIST, Aspect.STATE, "bytes", "list_bytes", "one", "changelog.py"),
+    RowTerms(LIST, Aspect.STATE, "bytes", "list_bytes", "one", "discovery/endpoint_watch.py"),
     RowTerms(
         LIST, Aspect.PROCESSOR, "us/s", "rest_us", "one", "loop, core, nodes at rest", Budget.CORE, LIST
     ),
@@ -81,7 +85,7 @@
         "us/s",
         "list_change_us",
         "list_changes_per_s",
-        "core/roster.py, glenshift/fleet.py",
+        "core/endpoint_registry.py, placement/machine_index.py",
         Budget.CORE,
     ),
     RowTerms(
@@ -90,7 +94,7 @@
         "bytes/s",
         "list_change_bytes",
         "list_changes_per_s",
-        "changelog.py",
+        "discovery/endpoint_watch.py",
         Budget.TRAFFIC,
     ),
     RowTerms(
@@ -99,13 +103,21 @@
         "bytes/s",
         "rest_bytes",
         "one",
-        "changelog.py, nodes/base.py at rest",
+        "discovery/endpoint_watch.py, nodes/node_connection.py at rest",
         Budget.TRAFFIC,
     ),
     RowTerms(
-        VIEW, Aspect.TRAFFIC, "bytes/s", "view_bytes", "one", "membership, parts/fleet.py", Budget.TRAFFIC
+        VIEW,
+        Aspect.TRAFFIC,
+        "bytes/s",
+        "view_bytes",
+        "one",
+        "membership, components/fleet.py",
+        Budget.TRAFFIC,
+    ),
+    RowTerms(
+        VIEW, Aspect.MESSAGES, "datagrams/s", "view_datagrams", "one", "membership, components/fleet.py"
     ),
-    RowTerms(VIEW, Aspect.MESSAGES, "datagrams/s", "view_datagrams", "one", "membership, parts/fleet.py"),
     RowTerms(VIEW, Aspect.PROCESSOR, "us/s", "view_us", "one", "membership", Budget.CORE),
     RowTerms(VIEW, Aspect.MEMORY, "KB", "view_kb", "one", "membership", Budget.MEMORY),
     RowTerms(
@@ -114,13 +126,15 @@
         "us/s",
         "reload_us",
         "configuration_changes_per_s",
-        "config.py, service.py (SIGHUP)",
+        "configuration.py, service.py (SIGHUP)",
         Budget.CORE,
         LIST,
     ),
     RowTerms(START, Aspect.TIME, "ms", "start_ms", "one", "service.py", waits_for=LIST),
     RowTerms(START, Aspect.PROCESSOR, "ms", "start_cpu_ms", "one", "service.py", waits_for=LIST),
-    RowTerms(START, Aspect.STATE, "bytes", "handover_bytes", "one", "core/succession.py, handover.py"),
+    RowTerms(
+        START, Aspect.STATE, "bytes", "handover_bytes", "one", "core/state_transfer.py, socket_handover.py"
+    ),
     RowTerms("log", Aspect.TRAFFIC, "bytes/s", "log_bytes_a_start", "starts_per_s", "syslog.py"),
     RowTerms(
         "questions by the shell",
--- a/thornshelf/lab/fleet.py
+++ b/thornshelf/lab/fleet.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
 from thornshelf.lab.fakes.cluster import BINARY, HOST, JSON, ReceivedOrder
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
 from thornshelf.lab.load import LEDGER, LOOKUP, ClientPopulation, LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
--- a/thornshelf/lab/show.py
+++ b/thornshelf/lab/show.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Callable
 
-from thornshelf.lab.fakes.cluster import GRPC2, JSON, WIRE_FORMATS, NodeBehavior, FakeCluster
+from thornshelf.lab.fakes.cluster import GRPC2, JSON, WIRE_FORMATS, FakeCluster, NodeBehavior
 from thornshelf.translation.failures import WireFormat
 from thornshelf.translation.missing_fields import MissingFieldAction, MissingFieldPolicy
 from thornshelf.translation.translator import TranslationConfig
