--- a/thornshelf/lab/admission.py
+++ b/thornshelf/lab/admission.py
@@ -31,17 +31,17 @@
 from thornshelf.wire.errors import WireError
 
 SOCKETS = 256
-COUNTIES = {"hollis-county": "127.1.0.", "pruett-county": "127.2.0."}
-FLOODER, CROWD = "127.9.0.1", "127.9.1."
+KNOWN_CLIENT_PREFIXES = {"hollis-county": "127.1.0.", "pruett-county": "127.2.0."}
+FLOOD_SOURCE, CROWD_PREFIX = "127.9.0.1", "127.9.1."
 CALM_S, PHASE_S = 5.0, 3.0
 TARGET_US = 800_000
-VISIT_US = 60_000  # a county opens a connection so often
+VISIT_INTERVAL_US = 60_000  # a county opens a connection so often
 
-COMMON = """
+GRPC_CONFIG = """
 [grpc]
 listen = "127.0.0.1:0"
 """
-DOOR = """
+ADMISSION_CONFIG = """
 [admission]
 reserve = {reserve}
 reserve_floor = {floor}
@@ -66,8 +66,8 @@
 [admission.descriptors]
 nodes = 16
 """
-PLANTED = {"reserve": 0, "floor": 0, "known": "false", "crowd": 100000}
-SOUND = {"reserve": 64, "floor": 16, "known": "true", "crowd": 150}
+WITHOUT_RESERVE = {"reserve": 0, "floor": 0, "known": "false", "crowd": 100000}
+WITH_RESERVE = {"reserve": 64, "floor": 16, "known": "true", "crowd": 150}
 
 
 def connect_from(
@@ -124,25 +124,25 @@
     return whole
 
 
-class Known:
+class KnownClients:
     """The clients of the known counties: short visits, each on a connection of its own."""
 
     def __init__(self, loop: Loop, to: tuple[str, int], rng: random.Random) -> None:
         self.loop, self.to, self.rng = loop, to, rng
         self.tally = Tally()
         self.uid = 1 << 40
-        self.going = True
-        for county in COUNTIES:
+        self.running = True
+        for county in KNOWN_CLIENT_PREFIXES:
             loop.spawn(self._visits(county))
 
     def _visits(self, county: str) -> Generator[Wait, int, None]:
-        while self.going:
+        while self.running:
             self.loop.spawn(self._visit(county, self.tally))
-            yield Wait(until=self.loop.now + VISIT_US)
+            yield Wait(until=self.loop.now + VISIT_INTERVAL_US)
 
     def _visit(self, county: str, tally: Tally) -> Generator[Wait, int, None]:
         tally.visits += 1
-        source = COUNTIES[county] + str(self.rng.randrange(1, 20))
+        source = KNOWN_CLIENT_PREFIXES[county] + str(self.rng.randrange(1, 20))
         began = self.loop.now
         stream = yield from connect_from(self.loop, source, self.to, 2_000_000)
         if isinstance(stream, int):
@@ -184,38 +184,38 @@
     """One process of flooders; ``counts`` are what they saw."""
 
     def __init__(self, fronts: dict[str, tuple[str, int]], seed: int) -> None:
-        self.loop, self.fronts, self.rng = Loop(), fronts, random.Random(seed)
+        self.loop, self.addresses, self.rng = Loop(), fronts, random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.uid = 1 << 50
-        self.going = True
+        self.running = True
 
     def run(self) -> dict[str, int]:
         """All kinds, one after another."""
         kinds: list[tuple[Any, int, Any]] = [
-            (self.silent, 100, lambda: FLOODER),
-            (self.close_at_once, 20, lambda: FLOODER),
-            (self.set_ups, 20, lambda: FLOODER),
-            (self.half_lines, 60, lambda: FLOODER),
-            (self.set_ups, 60, lambda: CROWD + str(self.rng.randrange(1, 201))),
-            (self.streams, 4, lambda: FLOODER),
+            (self.send_nothing, 100, lambda: FLOOD_SOURCE),
+            (self.close_at_once, 20, lambda: FLOOD_SOURCE),
+            (self.send_requests, 20, lambda: FLOOD_SOURCE),
+            (self.send_half_lines, 60, lambda: FLOOD_SOURCE),
+            (self.send_requests, 60, lambda: CROWD_PREFIX + str(self.rng.randrange(1, 201))),
+            (self.open_streams, 4, lambda: FLOOD_SOURCE),
         ]
         for kind, flooders, source in kinds:
-            self.going = True
-            tasks = [self.loop.spawn(self._again(kind, source)) for _ in range(flooders)]
+            self.running = True
+            tasks = [self.loop.spawn(self._repeat(kind, source)) for _ in range(flooders)]
             end = time.monotonic() + PHASE_S
             while time.monotonic() < end:
                 self.loop.after(20_000, lambda: None)
                 self.loop.turn()
-            self.going = False
+            self.running = False
             for task in tasks:
                 self.loop.cancel(task)
         self.loop.close()
         return dict(self.counts)
 
-    def _again(self, kind: Any, source: Any) -> Generator[Wait, int, None]:
-        while self.going:
-            front = GRPC2 if kind == self.streams else JSON
-            stream = yield from connect_from(self.loop, source(), self.fronts[front], 1_000_000)
+    def _repeat(self, kind: Any, source: Any) -> Generator[Wait, int, None]:
+        while self.running:
+            front = GRPC2 if kind == self.open_streams else JSON
+            stream = yield from connect_from(self.loop, source(), self.addresses[front], 1_000_000)
             if isinstance(stream, int):
                 self.counts["not connected: " + errno.errorcode.get(stream, str(stream))] += 1
                 yield Wait(until=self.loop.now + 5_000)
@@ -227,7 +227,7 @@
                 stream.close()
             yield Wait(until=self.loop.now + self.rng.randrange(500, 4_000))
 
-    def _listen(self, stream: Stream, until: int) -> Generator[Wait, int, None]:
+    def _read_until_closed(self, stream: Stream, until: int) -> Generator[Wait, int, None]:
         """Until it is closed: with a word, without one, or by a reset."""
         heard = b""
         while True:
@@ -246,9 +246,9 @@
         word = b'"reason":34' in heard and b'"uid":"0000000000000000"' in heard
         self.counts["turned away with a word" if word else "reset" if reset else "closed"] += 1
 
-    def silent(self, stream: Stream) -> Generator[Wait, int, None]:
+    def send_nothing(self, stream: Stream) -> Generator[Wait, int, None]:
         """Connects, and says nothing."""
-        yield from self._listen(stream, self.loop.now + 2_500_000)
+        yield from self._read_until_closed(stream, self.loop.now + 2_500_000)
 
     def close_at_once(self, stream: Stream) -> Generator[Wait, int, None]:
         """Connects, and closes."""
@@ -256,35 +256,35 @@
         return
         yield Wait()
 
-    def half_lines(self, stream: Stream) -> Generator[Wait, int, None]:
+    def send_half_lines(self, stream: Stream) -> Generator[Wait, int, None]:
         """Begins a message, and never ends it."""
         stream.send(launch(1, "hollis-county", 1)[:40])
-        yield from self._listen(stream, self.loop.now + 2_500_000)
+        yield from self._read_until_closed(stream, self.loop.now + 2_500_000)
 
-    def set_ups(self, stream: Stream) -> Generator[Wait, int, None]:
+    def send_requests(self, stream: Stream) -> Generator[Wait, int, None]:
         """Set-ups as fast as they are taken."""
         until = self.loop.now + 1_000_000
-        while self.going and stream.open and self.loop.now < until:
+        while self.running and stream.open and self.loop.now < until:
             for _ in range(20):
                 self.uid += 1
                 stream.send(launch(self.uid, "hollis-county", 77))
                 self.counts["set-ups"] += 1
             data = yield from stream.read(self.loop.now + 20_000)
             if data == b"":
-                yield from self._listen(stream, self.loop.now)
+                yield from self._read_until_closed(stream, self.loop.now)
                 return
             if data:
                 self.counts["set-ups refused"] += data.count(b'"reason":34')
                 self.counts["set-ups placed"] += data.count(b'"running"')
 
-    def streams(self, stream: Stream) -> Generator[Wait, int, None]:
+    def open_streams(self, stream: Stream) -> Generator[Wait, int, None]:
         """Many gRPC streams and set-ups on few connections."""
         h2 = http2.Http2(True, stream.send)
         headers = [(":method", "POST"), (":scheme", "http"), (":path", "/thornshelf.v2.Placement/Dispatch")]
         headers += [(":authority", HOST), ("te", "trailers"), ("content-type", "application/grpc")]
         calls = [h2.call(headers) for _ in range(50)]
         until = self.loop.now + 1_000_000
-        while self.going and stream.open and self.loop.now < until:
+        while self.running and stream.open and self.loop.now < until:
             for call in calls:
                 self.uid += 1
                 ask = pb2.Ask(
@@ -319,17 +319,17 @@
 
 def run(seed: int, door: bool = True, plant: str | None = None) -> dict[str, Any]:
     """The whole run; the object that is printed."""
-    rng, loop, truth = random.Random(seed), Loop(), Oracle()
-    nodes = [LoadNode(loop, BINARY, truth, rng) for _ in range(4)]
+    rng, loop, oracle = random.Random(seed), Loop(), Oracle()
+    nodes = [LoadNode(loop, BINARY, oracle, rng) for _ in range(4)]
     for node in nodes:
-        node.refuses, node.life_us = 0.0, 300_000
-    operator = COMMON
+        node.rejected_fraction, node.mean_lifetime_us = 0.0, 300_000
+    operator = GRPC_CONFIG
     if door:
-        operator += DOOR.format(**(PLANTED if plant == "no-reserve" else SOUND))
+        operator += ADMISSION_CONFIG.format(**(WITHOUT_RESERVE if plant == "no-reserve" else WITH_RESERVE))
     with tempfile.TemporaryDirectory() as folder:
         ports = [node.port for node in nodes]
         dispatcher = DispatcherProcess(Path(folder), ports, operator, sockets=SOCKETS)
-        known = Known(loop, dispatcher.addresses[JSON], rng)
+        known = KnownClients(loop, dispatcher.addresses[JSON], rng)
         peak, rss = [0], dispatcher.rss_kb
 
         def turn(seconds: float) -> Tally:
@@ -353,7 +353,7 @@
         parts = [turn(PHASE_S) for _ in range(6)]
         counts = results.get(timeout=10)
         flood.join(10)
-        known.going = False
+        known.running = False
         turn(2.5)
         stormy = merged(parts)
         up = dispatcher.process.poll() is None
@@ -362,11 +362,11 @@
         log = dispatcher.log_counts()
     loop.close()
     phases = [float(round(one.answers.get_value_at_percentile(99) / 1000, 1)) for one in parts]
-    said = _said(seed, calm, stormy, counts, peak[0], grown, up and code == 0)
-    return said | {"p99_by_phase": phases, "log": log, "door": door}
+    report = _report(seed, calm, stormy, counts, peak[0], grown, up and code == 0)
+    return report | {"p99_by_phase": phases, "log": log, "door": door}
 
 
-def _said(
+def _report(
     seed: int, calm: Tally, stormy: Tally, counts: dict[str, int], peak: int, grown: float, up: bool
 ) -> dict[str, Any]:
     clean = counts.get("turned away with a word", 0) + counts.get("closed", 0)
@@ -398,12 +398,12 @@
     }
 
 
-def passed(said: dict[str, Any]) -> bool:
+def passed(report: dict[str, Any]) -> bool:
     """The known counties did not feel it, and the process kept within its limit and stayed up."""
     return bool(
-        said["known_connected_share"] == 1
-        and said["known_answer_ms"]["p99"] <= 800
-        and said["known_worth_vs_calm"] >= 0.98
-        and said["peak_descriptors"] <= said["descriptor_limit"]
-        and said["process_up"]
+        report["known_connected_share"] == 1
+        and report["known_answer_ms"]["p99"] <= 800
+        and report["known_worth_vs_calm"] >= 0.98
+        and report["peak_descriptors"] <= report["descriptor_limit"]
+        and report["process_up"]
     )
--- a/thornshelf/lab/fleet.py
+++ b/thornshelf/lab/fleet.py
@@ -26,39 +26,44 @@
 from thornshelf.loop import Loop
 
 KEY = "only for this experiment, 32 byte"
-LINE = re.compile(r' member \[thornshelf@32473 name="([^"]+)" before="(\w+)" after="(\w+)"\]')
-LIVE = ("alive", "suspect", "doomed")
-SETTLED_MS = 5_000  # a crash is settled, and a partition healed, within so long
-LATE_US = (
+MEMBER_LINE = re.compile(r' member \[thornshelf@32473 name="([^"]+)" before="(\w+)" after="(\w+)"\]')
+LIVE_STATES = ("alive", "suspect", "doomed")
+MAX_SETTLING_MS = 5_000  # a crash is settled, and a partition healed, within so long
+LATE_AFTER_US = (
     1_500_000  # after a drain is told to the others, nothing new may come from one whose change log is silent
 )
-AIM_US = 800_000
-REFUSED = 0.75  # of the replays: some go to processes that end before they have told their count
-COLD_US, COLD_OFFERS = 3_000_000, 51  # offers that a cold node always bears within a while, of all together
+LATENCY_OBJECTIVE_US = 800_000
+MIN_REJECTED_FRACTION = (
+    0.75  # of the replays: some go to processes that end before they have told their count
+)
+SLOW_START_US, SLOW_START_ATTEMPTS = (
+    3_000_000,
+    51,
+)  # offers that a cold node always bears within a while, of all together
 
 
 class FleetNode(LoadNode):
     """A node that drains, and counts what comes too late and too fast."""
 
-    drains_us = 0
-    cold_until = 0
-    late = 0
-    crowded = 0
+    draining_since_us = 0
+    slow_start_until_us = 0
+    late_attempts = 0
+    excess_attempts = 0
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.cold_offers: list[int] = []
+        self.recent_attempts: list[int] = []
 
-    def _offer(self, order: ReceivedOrder, say: Any) -> None:
+    def _handle_offer(self, order: ReceivedOrder, say: Any) -> None:
         now = self.loop.now
-        if now < self.cold_until:
-            self.cold_offers = [at for at in self.cold_offers if now - at < COLD_US] + [now]
-            self.crowded += len(self.cold_offers) > COLD_OFFERS
-        if self.drains_us:
-            self.late += now - self.drains_us > LATE_US
+        if now < self.slow_start_until_us:
+            self.recent_attempts = [at for at in self.recent_attempts if now - at < SLOW_START_US] + [now]
+            self.excess_attempts += len(self.recent_attempts) > SLOW_START_ATTEMPTS
+        if self.draining_since_us:
+            self.late_attempts += now - self.draining_since_us > LATE_AFTER_US
             say.end(order.uid, 34, 0, "unfit")
             return
-        super()._offer(order, say)
+        super()._handle_offer(order, say)
 
 
 class MemberProcess:
@@ -75,7 +80,7 @@
     @property
     def live(self) -> set[str]:
         """Whom it holds for live, itself among them."""
-        return {self.name} | {name for name, state in self.states.items() if state in LIVE}
+        return {self.name} | {name for name, state in self.states.items() if state in LIVE_STATES}
 
     def read(self) -> list[tuple[str, str, str]]:
         """What its log says since the last look."""
@@ -86,7 +91,7 @@
             data = log.read()
         whole = data[: data.rfind(b"\n") + 1]
         self._read += len(whole)
-        found = LINE.findall(whole.decode(errors="replace"))
+        found = MEMBER_LINE.findall(whole.decode(errors="replace"))
         for name, _, after in found:
             self.states[name] = after
         return found
@@ -100,10 +105,16 @@
     """The members, the nodes and the links of one run."""
 
     def __init__(
-        self, seed: int, view: bool, plant: str | None, members: int, nodes: int, folder: Path
+        self,
+        seed: int,
+        has_membership: bool,
+        injected_fault: str | None,
+        members: int,
+        nodes: int,
+        folder: Path,
     ) -> None:
         self.loop, self.chance, self.folder = Loop(), random.Random(seed), folder
-        self.view, self.plant, self.truth = view, plant, Oracle()
+        self.view, self.plant, self.truth = has_membership, injected_fault, Oracle()
         self.members = [MemberProcess(index) for index in range(members)]
         self.relays, self.keeper = (
             DatagramRelays(self.loop, members, seed),
@@ -206,7 +217,7 @@
         """All logs; whoever is held for dead though it is there is counted."""
         for member in self.members:
             for name, _, after in member.read():
-                gone = after not in LIVE and name not in self.absent and member.name not in self.absent
+                gone = after not in LIVE_STATES and name not in self.absent and member.name not in self.absent
                 self.wrong += self.watch and gone and any(one.name == name for one in self.members)
 
     def agreed(self) -> bool:
@@ -258,139 +269,146 @@
         return max(codes)
 
 
-def script(world: FleetTestbed) -> dict[str, Any]:
+def script(testbed: FleetTestbed) -> dict[str, Any]:
     """The troubles, one after another, under load; when each is settled."""
     phases: dict[str, int] = {}
-    members = world.members
-    world.start(*members)
-    phases["join"] = world.settle()
-    world.loading = True
-    world.load()
-    world.watch = True
-    world.rest(1.0)
-    before, at = world.relays.bytes, time.monotonic()
-    world.rest(3.0)
-    rate = (world.relays.bytes - before) / len(members) / (time.monotonic() - at)
-    world.relays.keep = True
-    dead = world.chance.sample(members[2:-1], 3)
-    world.kill(*dead)
-    phases["crash"] = world.settle()
-    world.start(*dead)
-    phases["return"] = world.settle()
-    phases["replay"] = _replay(world)
+    members = testbed.members
+    testbed.start(*members)
+    phases["join"] = testbed.settle()
+    testbed.loading = True
+    testbed.load()
+    testbed.watch = True
+    testbed.rest(1.0)
+    before, at = testbed.relays.bytes, time.monotonic()
+    testbed.rest(3.0)
+    rate = (testbed.relays.bytes - before) / len(members) / (time.monotonic() - at)
+    testbed.relays.keep = True
+    dead = testbed.chance.sample(members[2:-1], 3)
+    testbed.kill(*dead)
+    phases["crash"] = testbed.settle()
+    testbed.start(*dead)
+    phases["return"] = testbed.settle()
+    phases["replay"] = _replay(testbed)
     stopped = next(one for one in members[2:-1] if one not in dead)
-    world.kill(stopped, number=signal.SIGSTOP)
-    world.rest(4.0)
+    testbed.kill(stopped, number=signal.SIGSTOP)
+    testbed.rest(4.0)
     os.kill(stopped.process.process.pid, signal.SIGCONT)  # type: ignore[union-attr]
-    world.until(lambda: False, 0.3)  # it is told what was said of it
-    world.absent.discard(stopped.name)
-    phases["stall"] = world.settle()
-    phases["one-way"] = _one_way(world)
-    phases["liar"] = _liar(world)
-    late = _silent_list(world)
-    phases["partition"], phases["heal"] = _partition(world)
-    world.loading = False
-    world.rest(3.0)
-    said = _count(world)
-    return said | {"phases": phases, "bytes_per_s": round(rate), "late_sends": late}
-
-
-def _replay(world: FleetTestbed) -> int:
+    testbed.until(lambda: False, 0.3)  # it is told what was said of it
+    testbed.absent.discard(stopped.name)
+    phases["stall"] = testbed.settle()
+    phases["one-way"] = _one_way(testbed)
+    phases["liar"] = _liar(testbed)
+    late = _unresponsive_endpoint_source(testbed)
+    phases["partition"], phases["heal"] = _partition(testbed)
+    testbed.loading = False
+    testbed.rest(3.0)
+    report = _counts(testbed)
+    return report | {"phases": phases, "bytes_per_s": round(rate), "late_sends": late}
+
+
+def _replay(testbed: FleetTestbed) -> int:
     """All that was heard while some were killed comes once more, also to those that were started since."""
-    world.relays.keep = False
-    for receiver, data in world.relays.kept:
-        world.relays.deliver(receiver, data)
-    world.rest(1.0)
-    return world.settle()
+    testbed.relays.keep = False
+    for receiver, data in testbed.relays.kept:
+        testbed.relays.deliver(receiver, data)
+    testbed.rest(1.0)
+    return testbed.settle()
 
 
-def _one_way(world: FleetTestbed) -> int:
+def _one_way(testbed: FleetTestbed) -> int:
     """One member hears another and is not heard by it."""
-    pair = world.chance.sample(range(len(world.members)), 2)
-    world.relays.cut = lambda sender, receiver: [sender, receiver] == pair
-    world.rest(4.0)
-    world.relays.cut = lambda sender, receiver: False
-    return world.settle()
+    pair = testbed.chance.sample(range(len(testbed.members)), 2)
+    testbed.relays.cut = lambda sender, receiver: [sender, receiver] == pair
+    testbed.rest(4.0)
+    testbed.relays.cut = lambda sender, receiver: False
+    return testbed.settle()
 
 
-def _liar(world: FleetTestbed) -> int:
+def _liar(testbed: FleetTestbed) -> int:
     """A member says that the others and all nodes are dead, and invents more, for as long as a file is there."""
-    sign = world.folder / "lie"
+    sign = testbed.folder / "lie"
     sign.touch()
-    world.rest(4.0)
+    testbed.rest(4.0)
     sign.unlink()
-    return world.settle()
+    return testbed.settle()
 
 
-def _silent_list(world: FleetTestbed) -> int:
+def _unresponsive_endpoint_source(testbed: FleetTestbed) -> int:
     """The change log is silent for one member while a node drains; offers that come too late."""
-    world.keeper.silent.add(4)
-    world.rest(3.2)
-    node = world.nodes[3]
-    world.keeper.publish([world.entry(3, "terminating")])
-    node.drains_us = world.loop.now
-    world.rest(4.0)
-    late = node.late
-    world.keeper.silent.clear()
-    world.rest(0.5)
-    node.drains_us, node.cold_until = 0, world.loop.now + 14_000_000
-    world.keeper.publish([world.entry(3, "in_service", time.time_ns() // 1_000_000)])
+    testbed.keeper.silent.add(4)
+    testbed.rest(3.2)
+    node = testbed.nodes[3]
+    testbed.keeper.publish([testbed.entry(3, "terminating")])
+    node.draining_since_us = testbed.loop.now
+    testbed.rest(4.0)
+    late = node.late_attempts
+    testbed.keeper.silent.clear()
+    testbed.rest(0.5)
+    node.draining_since_us, node.slow_start_until_us = 0, testbed.loop.now + 14_000_000
+    testbed.keeper.publish([testbed.entry(3, "in_service", time.time_ns() // 1_000_000)])
     return late
 
 
-def _partition(world: FleetTestbed) -> tuple[int, int]:
+def _partition(testbed: FleetTestbed) -> tuple[int, int]:
     """Halves; then all links again."""
-    half = set(range(len(world.members) // 2))
-    world.watch = False
-    world.relays.cut = lambda sender, receiver: (sender in half) != (receiver in half)
+    half = set(range(len(testbed.members) // 2))
+    testbed.watch = False
+    testbed.relays.cut = lambda sender, receiver: (sender in half) != (receiver in half)
 
     def parted() -> bool:
-        sides = [{one.name for one in world.members if (one.index in half) == side} for side in (True, False)]
-        return not world.view or all(one.live == sides[one.index not in half] for one in world.members)
-
-    world.resubmit()
-    took = world.until(parted, 15.0)
-    world.rest(2.0)
-    world.relays.cut = lambda sender, receiver: False
-    healed = world.settle()
-    world.watch = True
+        sides = [
+            {one.name for one in testbed.members if (one.index in half) == side} for side in (True, False)
+        ]
+        return not testbed.view or all(one.live == sides[one.index not in half] for one in testbed.members)
+
+    testbed.resubmit()
+    took = testbed.until(parted, 15.0)
+    testbed.rest(2.0)
+    testbed.relays.cut = lambda sender, receiver: False
+    healed = testbed.settle()
+    testbed.watch = True
     return int((15.0 if took is None else took) * 1000), healed
 
 
-def _count(world: FleetTestbed) -> dict[str, Any]:
+def _counts(testbed: FleetTestbed) -> dict[str, Any]:
     """By the stand-ins' own count."""
-    truth, now = world.truth, world.loop.now
-    lookups = [one for one in truth.asked.values() if not one.ledger and not one.void]
-    served = sum(one.answers[:1] == ["placed"] and one.answered_us - one.sent_us <= AIM_US for one in lookups)
+    oracle, now = testbed.truth, testbed.loop.now
+    lookups = [one for one in oracle.asked.values() if not one.at_most_once and not one.void]
+    served = sum(
+        one.answers[:1] == ["placed"] and one.answered_us - one.sent_us <= LATENCY_OBJECTIVE_US
+        for one in lookups
+    )
     replayed = sum(
         sum(map(int, re.findall(r'replayed="(\d+)"', path.read_text(errors="replace"))[-1:]))
-        for member in world.members
+        for member in testbed.members
         for path in member.logs
     )
     return {
-        "views_equal": world.agreed(),
-        "wrongly_dead": world.wrong,
+        "views_equal": testbed.agreed(),
+        "wrongly_dead": testbed.wrong,
         "asked": len(lookups),
         "worth": round(served / max(1, len(lookups)), 4),
-        "lost": len(truth.lost(now, 2_000_000)),
-        "doubled": len(truth.doubled()),
-        "rules_broken": sum(node.crowded for node in world.nodes),
-        "ledger_batch_max_starts": max(truth.starts.values(), default=0),
-        "replays": len(world.relays.kept),
+        "lost": len(oracle.lost(now, 2_000_000)),
+        "doubled": len(oracle.doubled()),
+        "rules_broken": sum(node.excess_attempts for node in testbed.nodes),
+        "ledger_batch_max_starts": max(oracle.starts.values(), default=0),
+        "replays": len(testbed.relays.kept),
         "replays_refused": replayed,
     }
 
 
-def play(seed: int, view: bool, plant: str | None, members: int, nodes: int) -> dict[str, Any]:
+def play(
+    seed: int, has_membership: bool, injected_fault: str | None, members: int, nodes: int
+) -> dict[str, Any]:
     """One world, in a process of its own."""
     with tempfile.TemporaryDirectory() as folder:
-        world = FleetTestbed(seed, view, plant, members, nodes, Path(folder))
-        world.lies = view
+        testbed = FleetTestbed(seed, has_membership, injected_fault, members, nodes, Path(folder))
+        testbed.lies = has_membership
         try:
-            said = script(world)
+            report = script(testbed)
         finally:
-            code = world.end()
-        return said | {"exit": code}
+            code = testbed.end()
+        return report | {"exit": code}
 
 
 def run(seed: int, plant: str | None = None, members: int = 12, nodes: int = 10) -> dict[str, Any]:
@@ -399,33 +417,33 @@
     with ProcessPoolExecutor(2, mp_context=get_context("spawn")) as pool:
         on = pool.submit(play, seed, True, plant, members, nodes)
         off = pool.submit(play, seed, False, None, members, nodes)
-        said, without = on.result(), off.result()
+        report, without = on.result(), off.result()
     found = {
         "seed": seed,
         "processes": members,
-        "phases": {k: {"settled_ms": v} for k, v in said["phases"].items()},
+        "phases": {k: {"settled_ms": v} for k, v in report["phases"].items()},
     }
     for name in ("views_equal", "wrongly_dead", "lost", "doubled", "rules_broken", "ledger_batch_max_starts"):
-        found[name] = said[name]
+        found[name] = report[name]
     found |= {
-        "bytes_per_s": said["bytes_per_s"],
-        "replays": said["replays"],
-        "replays_refused": said["replays_refused"],
-        "exit": said["exit"],
+        "bytes_per_s": report["bytes_per_s"],
+        "replays": report["replays"],
+        "replays_refused": report["replays_refused"],
+        "exit": report["exit"],
     }
-    found |= {"worth_on": said["worth"], "worth_off": without["worth"], "asked": said["asked"]}
-    found |= {"late_sends_on": said["late_sends"], "late_sends_off": without["late_sends"]}
+    found |= {"worth_on": report["worth"], "worth_off": without["worth"], "asked": report["asked"]}
+    found |= {"late_sends_on": report["late_sends"], "late_sends_off": without["late_sends"]}
     return found | {"plant": plant, "seconds": round(time.monotonic() - began, 1)}
 
 
-def passed(said: dict[str, Any]) -> bool:
+def passed(report: dict[str, Any]) -> bool:
     """Whether all that is asked holds."""
-    settled = {name: phase["settled_ms"] for name, phase in said["phases"].items()}
+    settled = {name: phase["settled_ms"] for name, phase in report["phases"].items()}
     return bool(
-        said["views_equal"]
-        and not any(said[name] for name in ("wrongly_dead", "lost", "doubled", "rules_broken", "exit"))
-        and said["ledger_batch_max_starts"] <= 1
-        and all(settled[name] <= SETTLED_MS for name in ("crash", "heal", "return", "stall"))
-        and said["late_sends_on"] == 0
-        and said["replays_refused"] >= REFUSED * said["replays"] > 0
+        report["views_equal"]
+        and not any(report[name] for name in ("wrongly_dead", "lost", "doubled", "rules_broken", "exit"))
+        and report["ledger_batch_max_starts"] <= 1
+        and all(settled[name] <= MAX_SETTLING_MS for name in ("crash", "heal", "return", "stall"))
+        and report["late_sends_on"] == 0
+        and report["replays_refused"] >= MIN_REJECTED_FRACTION * report["replays"] > 0
     )
--- a/thornshelf/lab/oracle.py
+++ b/thornshelf/lab/oracle.py
@@ -1,4 +1,4 @@
-"""What really happened, by the stand-ins' own count: never by the dispatcher's."""
+"""What really happened in an experiment, as its fake clients and nodes count it; the dispatcher is not asked."""
 
 from __future__ import annotations
 
@@ -10,67 +10,83 @@
 
 @dataclass(slots=True)
 class ObservedRequest:
-    """One set-up of one task: an id, and what its client heard."""
+    """One request for a task, and what its client received; times are those of the experiment's loop.
+
+    ``answers``: the final ones; ``releases``: the connection on which each came; ``void``: the client has cancelled
+    the request or closed its connection, and is owed nothing.
+    """
 
     uid: int
     key: int
-    ledger: bool
+    at_most_once: bool
     sent_us: int
     deadline_us: int
-    answers: list[str] = field(default_factory=list)  # final ones
-    ends: list[int] = field(default_factory=list)  # releases, by the connection that each came on
-    void: bool = False  # its client gave it up, or closed its connection: nothing is owed
+    answers: list[str] = field(default_factory=list)
+    releases: list[int] = field(default_factory=list)
+    void: bool = False
     answered_us: int = 0
 
 
 @dataclass(slots=True)
 class Oracle:
-    """All set-ups, all starts and all ends of one run."""
+    """All requests, starts and ends of one run.
+
+    ``asked``: requests by uid; ``starts``: of tasks that must not be started twice, by idempotency key;
+    ``has_client_hint``: by key, whether the client gave a lifetime hint; ``unmarked_hints``: how often a node got
+    an assumed hint as if it were the client's; ``over``: when the node ended a task, by key; ``unknown_answers``: how many
+    answers had the id of no request.
+    """
 
     asked: dict[int, ObservedRequest] = field(default_factory=dict)
-    starts: Counter[int] = field(default_factory=Counter)  # by key, of tasks that must not be started twice
-    own_hints: dict[int, bool] = field(default_factory=dict)  # by key: its owner gave one
-    silent_hints: int = 0  # a node was given a hint as the owner's own, and the owner had given none
-    over: dict[int, int] = field(default_factory=dict)  # by key: when its node ended its run
-    unknown: int = 0  # answers about ids that nobody asked under
-
-    def final(self, uid: int, word: str, now_us: int) -> None:
-        """A client hears a final answer."""
-        asked = self.asked.get(uid)
-        if asked is None:
-            self.unknown += 1
+    starts: Counter[int] = field(default_factory=Counter)
+    has_client_hint: dict[int, bool] = field(default_factory=dict)
+    unmarked_hints: int = 0
+    over: dict[int, int] = field(default_factory=dict)
+    unknown_answers: int = 0
+
+    def record_answer(self, uid: int, answer: str, now_us: int) -> None:
+        """Record a final answer, one of ``FINAL_ANSWERS``."""
+        request = self.asked.get(uid)
+        if request is None:
+            self.unknown_answers += 1
             return
-        asked.answers.append(word)
-        if len(asked.answers) == 1:
-            asked.answered_us = now_us
+        request.answers.append(answer)
+        if len(request.answers) == 1:
+            request.answered_us = now_us
 
-    def released(self, uid: int, connection: int) -> None:
-        """A client hears that a task which stood is over.
+    def record_release(self, uid: int, connection: int) -> None:
+        """Record a release.
 
-        It knows by the id what it has heard before: a release told again on another connection, as it could not be
-        known whether the first came through, is no second end. On the same one it is.
+        A release may be sent again on another connection, where it is not known whether the first one arrived; the
+        client recognizes it by the id. A second one on the same connection is a fault.
         """
-        asked = self.asked.get(uid)
-        if asked is None:
-            self.unknown += 1
+        request = self.asked.get(uid)
+        if request is None:
+            self.unknown_answers += 1
         else:
-            asked.ends.append(connection)
+            request.releases.append(connection)
 
     def lost(self, now_us: int, slack_us: int) -> list[int]:
-        """Ids without a final answer after their time, and placed ones whose end was never told."""
+        """Ids of requests without a final answer after their deadline, and of placed ones without a release."""
         found = []
-        for one in self.asked.values():
-            if one.void:
+        for request in self.asked.values():
+            if request.void:
                 continue
-            if not one.answers and now_us > one.deadline_us + slack_us:
-                found.append(one.uid)
-            elif one.answers[:1] == ["placed"] and not one.ends:
-                ended = self.over.get(one.key)
-                if ended is not None and ended >= one.answered_us and now_us > ended + slack_us:
-                    found.append(one.uid)
+            if not request.answers and now_us > request.deadline_us + slack_us:
+                found.append(request.uid)
+            elif request.answers[:1] == ["placed"] and not request.releases:
+                ended_us = self.over.get(request.key)
+                if ended_us is None or ended_us < request.answered_us:
+                    continue
+                if now_us > ended_us + slack_us:
+                    found.append(request.uid)
         return found
 
     def doubled(self) -> list[int]:
-        """Ids with two final answers, or with two ends; what was given up is owed nothing, and knows nothing."""
-        kept = [one for one in self.asked.values() if not one.void]
-        return [one.uid for one in kept if len(one.answers) > 1 or len(one.ends) > len(set(one.ends))]
+        """Ids of requests with two final answers, or with two releases on one connection."""
+        return [
+            request.uid
+            for request in self.asked.values()
+            if not request.void
+            and (len(request.answers) > 1 or len(request.releases) > len(set(request.releases)))
+        ]
--- a/thornshelf/lab/process.py
+++ b/thornshelf/lab/process.py
@@ -1,4 +1,4 @@
-"""A dispatcher in a process of its own, for the experiments."""
+"""A dispatcher in a process of its own, for experiments and tests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 from thornshelf.errors import StartupError
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, GRPC2, HOST, JSON
 
-TICK = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # of processor time in /proc
+START_TIMEOUT_S = 20
+END_TIMEOUT_S = 15
+LOG_TAIL_CHARS = 2000  # that an error quotes
 
 
 def example_config() -> dict[str, Any]:
@@ -25,13 +28,13 @@
 
 
 def write_config(folder: Path, value: dict[str, Any], operator: str) -> None:
-    """The two files that a dispatcher is told by."""
+    """Write the configuration and the operator's file of a dispatcher into a folder."""
     (folder / "config.json").write_text(json.dumps(value))
     (folder / "operator.toml").write_text(operator)
 
 
 class DispatcherProcess:
-    """A dispatcher of its own process, configured for some nodes."""
+    """A running dispatcher that is configured for some nodes."""
 
     def __init__(
         self,
@@ -45,59 +48,57 @@
         wait: bool = True,
         tree: Path | None = None,
     ) -> None:
-        """``nodes``: their ports; ``operator``: the text of the operator's file; ``own_limit``: the process's real
-        limit of descriptors, where it is to be lower than the configured one; ``changes``: to the configuration.
-        ``wait``: until it is ready; else ``ready`` says so. ``tree``: sources of another version."""
-        value = example_config()
-        value["limits"]["sockets"] = sockets
-        value["known"]["results"][0]["fleet"]["instances"] = [
-            {
-                "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{port}", "zone": "jackson-dc",
-                "machineType": "node-small", "cell": 1, "lifecycle": "in_service", "weight": 1, "startedAtMs": 0,
-            }
-            for index, port in enumerate(nodes)
-        ]  # fmt: skip
-        changes(value)
-        write_config(folder, value, operator)
+        """Start the dispatcher; raises ``StartupError`` where ``wait`` is set and it does not start.
+
+        ``nodes``: their ports; ``operator``: the text of the operator's file; ``injected_fault``: names as
+        ``fault_injection`` takes them; ``own_limit``: the process's limit of descriptors where it is to be lower than
+        the configured one, ``sockets``; ``changes``: changes the configuration; ``wait``: until it serves, otherwise
+        ``ready`` tells; ``tree``: the folder of another version's sources.
+        """
+        config = example_config()
+        config["limits"]["sockets"] = sockets
+        config["known"]["results"][0]["fleet"]["instances"] = _endpoints(nodes)
+        changes(config)
+        write_config(folder, config, operator)
         self.log_path = folder / "log"
         module = ["thornshelf.lab.fault_injection", injected_fault] if injected_fault else ["thornshelf"]
+        command = [sys.executable, "-B", "-m", *module, str(folder / "operator.toml")]
+        if own_limit:
+            command = ["/bin/sh", "-c", f'ulimit -n {own_limit}; exec "$@"', "sh", *command]
         environment = os.environ | {
             "LB_CONFIG": str(folder / "config.json"),
-            "LB_LISTEN": value["listen"] if not wait else f"{HOST}:0",
+            "LB_LISTEN": config["listen"] if not wait else f"{HOST}:0",
         }
-        limited = ["/bin/sh", "-c", f'ulimit -n {own_limit}; exec "$@"', "sh"] if own_limit else []
         with self.log_path.open("wb") as log:
             self.process = subprocess.Popen(
-                [*limited, sys.executable, "-B", "-m", *module, str(folder / "operator.toml")],
-                stdout=log,
-                stderr=subprocess.STDOUT,
-                env=environment,
-                cwd=tree,
+                command, stdout=log, stderr=subprocess.STDOUT, env=environment, cwd=tree
             )
-        self.addresses: dict[str, tuple[str, int]] = self._ready() if wait else {}
+        self.addresses: dict[str, tuple[str, int]] = self._wait_until_ready() if wait else {}
         self._cpu_at_start = self.cpu_us
 
     def ready(self) -> bool:
-        """Whether it serves; an error where it never will."""
+        """Whether it serves; raises ``StartupError`` where its process has ended."""
         if self.process.poll() is not None:
-            raise StartupError(self.log_path.read_text(errors="replace")[-2000:])
-        found = re.search(r' listen="([^"]*):(\d+)"', self.log_path.read_text(errors="replace"))
+            raise StartupError(self._log()[-LOG_TAIL_CHARS:])
+        found = re.search(r' listen="([^"]*):(\d+)"', self._log())
         if found and not self.addresses:
             self.addresses = {JSON: (found[1], int(found[2]))}
         return bool(self.addresses)
 
-    def _ready(self) -> dict[str, tuple[str, int]]:
-        until = time.monotonic() + 20
-        while time.monotonic() < until and self.process.poll() is None:
-            text = self.log_path.read_text(errors="replace")
-            found = re.search(r'listen="[^"]*:(\d+)" grpc="[^"]*:(\d+)"', text)
+    def _wait_until_ready(self) -> dict[str, tuple[str, int]]:
+        """The addresses of its frontends, from its log; raises ``StartupError``."""
+        deadline = time.monotonic() + START_TIMEOUT_S
+        while time.monotonic() < deadline and self.process.poll() is None:
+            found = re.search(r'listen="[^"]*:(\d+)" grpc="[^"]*:(\d+)"', self._log())
             if found:
                 return {JSON: (HOST, int(found[1])), GRPC2: (HOST, int(found[2]))}
             time.sleep(0.02)
         self.process.kill()
-        raise StartupError(
-            f"the dispatcher did not start: {self.log_path.read_text(errors='replace')[-2000:]}"
-        )
+        raise StartupError(f"the dispatcher did not start: {self._log()[-LOG_TAIL_CHARS:]}")
+
+    def _log(self) -> str:
+        """What it has logged so far."""
+        return self.log_path.read_text(errors="replace")
 
     @property
     def cpu_us(self) -> float:
@@ -106,16 +107,16 @@
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
             return 0.0
-        return (int(fields[11]) + int(fields[12])) / TICK * 1e6
+        return (int(fields[11]) + int(fields[12])) / TICKS_PER_S * 1e6
 
     @property
     def cpu_spent_us(self) -> float:
-        """Since it was ready."""
+        """Processor time since it was ready, in microseconds."""
         return self.cpu_us - self._cpu_at_start
 
     @property
     def descriptors(self) -> int:
-        """How many it holds open."""
+        """How many descriptors it has open; 0 where it has ended."""
         try:
             return len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except OSError:
@@ -123,20 +124,31 @@
 
     @property
     def rss_kb(self) -> int:
-        """Memory that it holds."""
+        """Its resident memory in kB."""
         text = Path(f"/proc/{self.process.pid}/status").read_text()
         return int(re.search(r"VmRSS:\s+(\d+)", text)[1])  # type: ignore[index]
 
     def terminate(self) -> int:
-        """SIGTERM, and its exit code."""
+        """Shut it down gracefully, or kill it where that takes too long; returns the exit code."""
         self.process.terminate()
         try:
-            return self.process.wait(15)
+            return self.process.wait(END_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             self.process.kill()
             return self.process.wait()
 
     def log_counts(self) -> dict[str, int]:
-        """Log lines by message id."""
-        found = re.findall(r"^<\d+>1 \S+ \S+ \S+ \S+ (\S+) ", self.log_path.read_text(errors="replace"), re.M)
+        """How many log lines there are, by message id."""
+        found = re.findall(r"^<\d+>1 \S+ \S+ \S+ \S+ (\S+) ", self._log(), re.M)
         return dict(Counter(found))
+
+
+def _endpoints(ports: list[int]) -> list[dict[str, Any]]:
+    """Nodes on loopback as the change log shows them."""
+    return [
+        {
+            "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{port}", "zone": "jackson-dc",
+            "machineType": "node-small", "cell": 1, "lifecycle": "in_service", "weight": 1, "startedAtMs": 0,
+        }
+        for index, port in enumerate(ports)
+    ]  # fmt: skip
--- a/thornshelf/lab/scale/hollow.py
+++ b/thornshelf/lab/scale/hollow.py
@@ -129,7 +129,7 @@
     ):
         self.tally = tally
         super().__init__(loop, BINARY, truth, rng, address)
-        self.refuses, self.life_us = 0.0, 1_500_000
+        self.rejected_fraction, self.mean_lifetime_us = 0.0, 1_500_000
         self.drains_us = 0
 
     def connected(self, sock: Any) -> Stream:
@@ -145,13 +145,13 @@
         self.tally.messages += 1
         super().order(order, say)
 
-    def _offer(self, order: ReceivedOrder, say: Any) -> None:
+    def _handle_offer(self, order: ReceivedOrder, say: Any) -> None:
         self.tally.offers += 1
         if self.drains_us:
             self.tally.late += self.loop.now - self.drains_us > DRAIN_US
             say.end(order.uid, 34, 0, "unfit")
             return
-        super()._offer(order, say)
+        super()._handle_offer(order, say)
 
 
 class NodeProcess:
@@ -170,14 +170,14 @@
         match said:
             case Silence(nodes, for_us):
                 for node in self._mine(nodes):
-                    node.silent_until = self.loop.now + for_us
+                    node.unresponsive_until_us = self.loop.now + for_us
             case Drain(nodes, draining):
                 for node in self._mine(nodes):
                     node.drains_us = self.loop.now if draining else 0
             case Kill(nodes):
                 for node in self._mine(nodes):
                     node.die()
-                    node.cut()
+                    node.forget_tasks()
             case Rise(nodes):
                 for node in self._mine(nodes):
                     node.rise()
--- a/thornshelf/lab/shell.py
+++ b/thornshelf/lab/shell.py
@@ -20,7 +20,7 @@
 
 from thornshelf.errors import ThornshelfError
 from thornshelf.lab.fakes.network import private
-from thornshelf.lab.fleet import AIM_US, FleetTestbed, MemberProcess
+from thornshelf.lab.fleet import LATENCY_OBJECTIVE_US, FleetTestbed, MemberProcess
 from thornshelf.lab.load import LOOKUP
 from thornshelf.shell.client import ControlClient
 from thornshelf.shell.engine import QueryEngine
@@ -141,7 +141,7 @@
     """Tasks stand, and nothing else happens: all members together tell exactly what the stand-ins know."""
     world, members = inquiry.world, inquiry.world.members
     for node in world.nodes:
-        node.life_us = 600_000_000
+        node.mean_lifetime_us = 600_000_000
     for number in range(60):
         county = members[number % len(members)].county
         assert county is not None
@@ -216,7 +216,7 @@
     """p99 of the starts of lookups with questions over that without, in turn, also in mass resubmissions."""
     world = inquiry.world
     for node in world.nodes:
-        node.life_us, node.refuses = 800_000, 0.0
+        node.mean_lifetime_us, node.rejected_fraction = 800_000, 0.0
     world.pause_us, world.loading = 40_000, True
     world.load()
     world.rest(1.5)
@@ -228,7 +228,7 @@
             if pair < PAIRS:
                 p99[asking].append(waits[int(0.99 * len(waits))] // 100)
             else:
-                in_time[asking][0] += sum(wait <= AIM_US for wait in waits)
+                in_time[asking][0] += sum(wait <= LATENCY_OBJECTIVE_US for wait in waits)
                 in_time[asking][1] += asked
     world.loading = False
     world.rest(1.5)
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -99,8 +99,8 @@
 
     hung, restarted, broken, changed = rng.sample(nodes, 4)
     for node in nodes:
-        node.mishap = 0.08
-    at(0.15, lambda: setattr(hung, "silent_until", loop.now + 700_000))
+        node.cut_binding_fraction = 0.08
+    at(0.15, lambda: setattr(hung, "unresponsive_until_us", loop.now + 700_000))
     at(0.3, lambda: restarted.restart(restarted.form))
     at(0.45, broken.break_streams)
     at(0.6, broken.break_streams)
@@ -142,7 +142,7 @@
     result.tasks, result.asked = len(county.tasks), len(truth.asked)
     result.outcomes = dict(county.outcomes)
     result.lost, result.doubled = len(lost), len(truth.doubled())
-    result.unknown, result.silent_hints = truth.unknown, truth.silent_hints
+    result.unknown, result.silent_hints = truth.unknown_answers, truth.unmarked_hints
     result.ledger_batch = sum(task["class"] == LEDGER for task in county.tasks.values())
     result.ledger_batch_max_starts = max(truth.starts.values(), default=0)
     result.cpu_us_a_task = spent / max(1, result.asked)
