--- a/thornshelf/lab/oracle.py
+++ b/thornshelf/lab/oracle.py
@@ -33,8 +33,8 @@
 
     ``asked``: requests by uid; ``starts``: of tasks that must not be started twice, by idempotency key;
     ``has_client_hint``: by key, whether the client gave a lifetime hint; ``unmarked_hints``: how often a node got
-    an assumed hint as if it were the client's; ``over``: when the node ended a task, by key; ``unknown_answers``: how many
-    answers had the id of no request.
+    an assumed hint as if it were the client's; ``over``: when the node ended a task, by key;
+    ``unknown_answers``: how many answers had the id of no request.
     """
 
     asked: dict[int, ObservedRequest] = field(default_factory=dict)
