--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -27,58 +27,58 @@
 TASKS, NODES, STEPS = 100_000, 1_024, 20_000
 
 
-class Still:
+class IdleNode:
     """A node that does nothing."""
 
-    reach = "connected"
+    connection_state = "connected"
 
     def __init__(self) -> None:
-        self.out: dict[int, Attempt] = {}
-        self.standing: set[int] = set()
+        self.in_flight: dict[int, Attempt] = {}
+        self.running: set[int] = set()
 
     def __getattr__(self, name: str) -> Any:
         return lambda *_: []
 
 
-class Shell:
+class CountingClient:
     """Counts what it is sent."""
 
-    takes = open = True
+    can_accept = is_open = True
 
     def __init__(self) -> None:
         self.rows = self.bytes = self.pages = 0
-        self.over = False
+        self.finished = False
 
-    def say(self, word: Any) -> int:
-        """A word."""
-        size = len(encode_frame(word))
+    def send(self, reply: Any) -> int:
+        """Count a reply."""
+        size = len(encode_frame(reply))
         self.bytes += size
-        self.over = self.over or isinstance(word, QueryEnd)
-        if isinstance(word, RowPage):
-            self.rows += len(word.rows)
+        self.finished = self.finished or isinstance(reply, QueryEnd)
+        if isinstance(reply, RowPage):
+            self.rows += len(reply.rows)
             self.pages += 1
         return size
 
-    def drop(self, fault: Exception) -> None:
-        """Never."""
-        raise fault
+    def close_with_error(self, error: Exception) -> None:
+        """Fail: no query may be aborted here."""
+        raise error
 
 
 def a_core() -> Dispatcher:
     """A dispatcher's core that knows so many nodes and tasks."""
     config = read_config({"LB_CONFIG": str(Path(__file__).parent.parent / "examples" / "config.json")})
-    core = Dispatcher(Loop(), config.settings, 1, lambda *_: Still(), lambda *_: None)  # type: ignore[arg-type, return-value]
+    core = Dispatcher(Loop(), config.settings, 1, lambda *_: IdleNode(), lambda *_: None)
     named = [
         NodeEndpoint(
             f"s-{n + 1:08x}", f"127.0.0.1:{n + 1}", core_health(), "node-small", "jackson-dc", 1, 1.0, None
         )
         for n in range(NODES)
     ]
-    core.list_changed(EndpointListUpdate(True, 1, named))
-    core.turn()
-    machines = list(core.roster.nodes)
+    core.update_endpoints(EndpointListUpdate(True, 1, named))
+    core.run_turn()
+    machines = list(core.endpoints.nodes)
     for uid in range(1, TASKS + 1):
-        setup = TaskRequest(
+        request = TaskRequest(
             DisconnectedClient("h"),
             uid,
             "lookup",
@@ -91,10 +91,10 @@
             2,
             b"",
         )
-        task = core.numbered(setup)
-        core.know(task, uid)
+        task = core.create_task(request)
+        core.index_task(task, uid)
         task.machine, task.state = machines[uid % NODES], TaskState.RUNNING
-        core.roster.nodes[task.machine].standing.add(uid)  # type: ignore[attr-defined]
+        core.endpoints.nodes[task.machine].running.add(uid)  # type: ignore[attr-defined]
     return core
 
 
@@ -106,23 +106,24 @@
 
 
 def read(core: Dispatcher, catalog: Catalog, table: str) -> dict[str, Any]:
-    """One table, whole, by two shells at once."""
-    readers, shells = QuerySessions("m0", catalog, None, lambda: 1, 16), [Shell(), Shell()]
+    """One complete table, by two clients at once."""
+    sessions = QuerySessions("m0", catalog, None, lambda: 1, 16)
+    clients = [CountingClient(), CountingClient()]
     began, turns, worst, wall = time.monotonic(), 0, 0, 0
-    for shell in shells:
+    for client in clients:
         names = [column.name for column in catalog.table(table).columns]
-        readers.take(shell, QueryRequest(1, table, names), core.loop.now)
-    while len(readers):
+        sessions.start(client, QueryRequest(1, table, names), core.loop.now)
+    while len(sessions):
         core.loop.turn(True)
         cpu, clock = time.thread_time_ns(), time.monotonic_ns()
-        readers.step(core.loop.now, 1, core.loop.spent, False)
+        sessions.run_turn(core.loop.now, 1, core.loop.turn_elapsed_us, False)
         worst, wall = max(worst, time.thread_time_ns() - cpu), max(wall, time.monotonic_ns() - clock)
         turns += 1
-    assert all(shell.over for shell in shells)
+    assert all(client.finished for client in clients)
     return {
-        "rows": shells[0].rows, "turns": turns, "worst_turn_ms": round(worst / 1e6, 2),
+        "rows": clients[0].rows, "turns": turns, "worst_turn_ms": round(worst / 1e6, 2),
         "worst_wall_ms": round(wall / 1e6, 2), "seconds": round(time.monotonic() - began, 2),
-        "mb": round(shells[0].bytes / 1e6, 1),
+        "mb": round(clients[0].bytes / 1e6, 1),
     }  # fmt: skip
 
 
@@ -130,7 +131,7 @@
     """All tables."""
     core, history = a_core(), History(STEPS)
     for uid in range(1, STEPS + 1):
-        history.note(core.loop.now, uid, uid, "offered", 1 + uid % NODES, "attempt", 0)
+        history.record(core.loop.now, uid, uid, "offered", 1 + uid % NODES, "attempt", 0)
     catalog = Catalog()
     catalog.add(
         *CoreTables(core, history, ErrorCounters(), lambda us: us // 1000).tables(lambda: core.settings)
@@ -140,12 +141,12 @@
     said: dict[str, Any] = {
         name: read(core, catalog, name) for name in ("tasks", "nodes", "attempts", "history")
     }
-    task = next(iter(core.tasks()))
+    task = next(iter(core.all_tasks()))
     count = 200_000
     for name, held in (("step_off_ns", None), ("step_on_ns", history)):
         core.history = held
         took = timeit.timeit(
-            lambda: core._step(task, 1, "ended", 5, TaskState.OPEN, TaskState.OPEN), number=count
+            lambda: core.record_event(task, 1, "ended", 5, TaskState.OPEN, TaskState.OPEN), number=count
         )
         said[name] = round(took / count * 1e9)
     print(json.dumps(said))
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -20,7 +20,7 @@
 from thornshelf.placement.placer import Placer
 
 PLACERS = 16
-LOOKUP = replace(SAFE, deadline_s=8.0, aim_s=0.8)
+LOOKUP = replace(SAFE, deadline_s=8.0, latency_objective_s=0.8)
 
 
 class Timed(Placer):
@@ -30,9 +30,9 @@
         super().__init__(terms, seed)
         self.surveys: list[float] = []
 
-    def average(self) -> None:
+    def update_averages(self) -> None:
         began = time.perf_counter()
-        super().average()
+        super().update_averages()
         self.surveys.append((time.perf_counter() - began) * 1e3)
 
 
@@ -64,7 +64,9 @@
             size = (8.0, 16.0) if kinds[m] == "small" else (32.0, 64.0)
             report = api.LoadReport(*(size[k] - PLACERS * held[m][k] for k in (0, 1)))
             events.append(
-                api.AttemptEnded(ask.request, m, 0, api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report)
+                api.AttemptEnded(
+                    ask.request_id, m, 0, api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report
+                )
             )
         service = chance.randrange(len(shapes))
         asks = {}
@@ -80,8 +82,8 @@
         spent, longest = spent + took, max(longest, took)
         for action in actions:
             if isinstance(action, api.StartAttempt):
-                ask, m, offered = asks[action.request], action.machine, offered + 1
-                one.handle(now, [api.AttemptAccepted(ask.request, m, 0, 0.1)])
+                ask, m, offered = asks[action.request_id], action.machine, offered + 1
+                one.handle(now, [api.AttemptAccepted(ask.request_id, m, 0, 0.1)])
                 held[m] = held[m][0] + ask.cores, held[m][1] + ask.memory
                 standing.append((now + machines / 100.0, ask, m))
     return spent / asked * 1e3, longest * 1e3, offered, one
--- a/benchmarks/door.py
+++ b/benchmarks/door.py
@@ -52,23 +52,23 @@
         door = AdmissionController(AdmissionConfig(ReservedConnectionsConfig(10**9, 100, 10), rules, each))
         addresses = [str(ipaddress.ip_address((10 << 24) + n)) for n in range(sources)]
         for number in range(min(sources, 50_000)):
-            given = door.connect(addresses[number], 0, 0)[1]
+            given = door.admit_connection(addresses[number], 0, 0)[1]
             assert given is not None
             if number >= 1000:
-                door.close(given)
-        given = door.connect("10.3.0.1", 0, 0)[1]
+                door.release(given)
+        given = door.admit_connection("10.3.0.1", 0, 0)[1]
         assert given is not None
         one, now = given, [10**6]
 
         def set_up(_: int, door: AdmissionController = door, one: object = one, now: list[int] = now) -> None:
             now[0] += 100
-            door.set_up(one, now[0])  # type: ignore[arg-type]
+            door.admit_request(one, now[0])  # type: ignore[arg-type]
 
         def connect(number: int, door: AdmissionController = door, now: list[int] = now) -> None:
             now[0] += 100
-            found = door.connect(addresses[number * 7919 % len(addresses)], now[0], 0)[1]  # noqa: B023
+            found = door.admit_connection(addresses[number * 7919 % len(addresses)], now[0], 0)[1]  # noqa: B023
             if found is not None:
-                door.close(found)
+                door.release(found)
 
         cost = us_each(set_up, 20_000), us_each(connect, 20_000)
         print(f"{sources:>9} sources: set-up {cost[0]:.2f} us, connection {cost[1]:.2f} us, {len(door)} kept")
@@ -100,8 +100,8 @@
         for number in range(1, count + 1):
             length = rng.choice(lengths)
             prefix = (4, rng.randrange(2**32) >> (32 - length), length)
-            trie.put(prefix, number)
-            dicts.put(prefix, number)
+            trie.insert(prefix, number)
+            dicts.insert(prefix, number)
         asked = [rng.randrange(2**32) for _ in range(20_000)]
         cost = us_each(_lookup(trie, asked), len(asked)), us_each(_lookup(dicts, asked), len(asked))
         print(f"{count:>9} prefixes of {len(lengths)} lengths: trie {cost[0]:.2f} us, dicts {cost[1]:.2f} us")
@@ -122,7 +122,7 @@
 
         def step(number: int, queue: FairQueue[int] = queue) -> None:
             queue.put(number, 0, 10**12 + number, "hollis-county", 0)
-            queue.turn(0)
+            queue.pop_batch(0)
 
         def sort(number: int, plain: list[tuple[int, int]] = plain) -> None:
             plain.append((0, 10**12 + number))
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -47,15 +47,15 @@
             random.Random(index),
         )
         while True:
-            due = view.pass_time(loop.now)
-            for one, data in view.out:
+            due = view.tick(loop.now)
+            for one, data in view.outgoing:
                 host, _, port = one.rpartition(":")
                 sock.sendto(data, (host, int(port)))
-            view.out.clear()
+            view.outgoing.clear()
             yield Wait(sock.fileno(), IN, max(due, loop.now + 1_000))
             try:
                 while True:
-                    view.take(sock.recv(2048), loop.now)
+                    view.receive(sock.recv(2048), loop.now)
             except BlockingIOError:
                 pass
 
@@ -91,7 +91,7 @@
         while not process.ready():
             loop.after(10_000, lambda: None)
             loop.turn()
-        county = ClientPopulation(loop, process.fronts, JSON, truth, random.Random(1))
+        county = ClientPopulation(loop, process.addresses, JSON, truth, random.Random(1))
 
         def turn(until: float) -> None:
             while time.monotonic() < until:
@@ -106,7 +106,7 @@
         spent = process.cpu_us - cpu
         placed = sum(one.answers[:1] == ["placed"] for one in truth.asked.values())
         memory = process.rss_kb
-        process.end()
+        process.terminate()
     relays.close()
     keeper.close()
     loop.close()
--- a/thornshelf/control/shown_names.py
+++ b/thornshelf/control/shown_names.py
@@ -173,20 +173,22 @@
     "WireFormat": {"JSON_LINES": "LINES", "BINARY": "MESSAGES", "GRPC_V1": "V1", "GRPC_V2": "V2"},
 }
 
-# Members that tables and the history show under another name than their own in lower case.
-_STATE_NAMES: dict[Enum, str] = {
-    TaskState.RUNNING: "standing",
-    TaskState.CANCELLING: "ending",
-    Reason.UNSPECIFIED: "untold",
-    Reason.NOT_SERVING: "not_here",
-    Reason.PREEMPTED: "pushed_out",
-    Reason.DRAINED: "sent_away",
+# Members that tables and the history show under another name than their own in lower case. By name, as enums hash
+# slowly and the history asks at each event; no other enum shown there has members of these names.
+_STATE_NAMES: dict[str, str] = {
+    TaskState.RUNNING.name: "standing",
+    TaskState.CANCELLING.name: "ending",
+    Reason.UNSPECIFIED.name: "untold",
+    Reason.NOT_SERVING.name: "not_here",
+    Reason.PREEMPTED.name: "pushed_out",
+    Reason.DRAINED.name: "sent_away",
 }
 
 
 def state_name(member: Enum) -> str:
     """The name of a state, an outcome or a reason in tables and in the history."""
-    return _STATE_NAMES.get(member) or member.name.lower()
+    name: str = member._name_
+    return _STATE_NAMES.get(name) or name.lower()
 
 
 def setting_value_name(member: Enum) -> str:
