--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -20,7 +20,7 @@
 from thornshelf.placement.placer import Placer
 
 PLACERS = 16
-LOOKUP = replace(SAFE, deadline_s=8.0, aim_s=0.8)
+LOOKUP = replace(SAFE, deadline_s=8.0, latency_objective_s=0.8)
 
 
 class Timed(Placer):
@@ -82,7 +82,7 @@
         spent, longest = spent + took, max(longest, took)
         for action in actions:
             if isinstance(action, api.StartAttempt):
-                ask, m, offered = asks[action.request], action.machine, offered + 1
+                ask, m, offered = asks[action.request_id], action.machine, offered + 1
                 one.handle(now, [api.AttemptAccepted(ask.request_id, m, 0, 0.1)])
                 held[m] = held[m][0] + ask.cores, held[m][1] + ask.memory
                 standing.append((now + machines / 100.0, ask, m))
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -213,7 +213,10 @@
     world.run_until(lambda: len(old.asked) == 2)
     world.service.reload()  # a faulty file leaves the old one in force
     world.run_for(10)
-    assert world.logged[-1][:3] == (4, "config-reload-failed", {"kept": "old", "code": "TS1001"}) and not new.asked
+    assert (
+        world.logged[-1][:3] == (4, "config-reload-failed", {"kept": "old", "code": "TS1001"})
+        and not new.asked
+    )
     reloaded_us = world.loop.now
     world.service.reload()
     assert world.logged[-1][:3] == (5, "config-reloaded", {"restart": "seed"})
@@ -222,7 +225,9 @@
     assert since(old) == [1, 7] and since(new) == [7, 8]
     assert {"a", "b"} <= world.service.core.endpoints._machine_by_name.keys()
     assert (
-        world.service.json_frontend.listener.budget.total == descriptor_limits(world.service.config).total < 256
+        world.service.json_frontend.listener.budget.total
+        == descriptor_limits(world.service.config).total
+        < 256
     )
 
 
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -20,8 +20,8 @@
 from thornshelf.discovery.endpoint_events import decode_events
 from thornshelf.discovery.endpoint_watch import EndpointWatch
 from thornshelf.errors import InternalError
+from thornshelf.frontends.connection_budget import ConnectionBudget
 from thornshelf.frontends.json_lines import JsonLinesFrontend
-from thornshelf.frontends.listener import ConnectionBudget
 from thornshelf.graceful_shutdown import drain
 from thornshelf.loop import Loop, Wait
 from thornshelf.nodes.binary import BinaryNodeConnection
