--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,8 +1,8 @@
-"""What a decision costs as the fleet grows: the module beside the plain scan of all machines, in one run.
+"""The cost of a decision as the fleet grows: the index alongside the full scan of all machines, in one run.
 
     python -m benchmarks.decision
 
-Tasks of many services come in batches and stay; each machine reports what it really holds, of all placers' tasks.
+Tasks of many services arrive in batches and stay; each machine reports what all placers' tasks use on it.
 """
 
 from __future__ import annotations
@@ -11,34 +11,102 @@
 import statistics
 import time
 from collections import deque
-from dataclasses import replace
+from dataclasses import dataclass, replace
 
 from tests.conftest import SAFE, entry, listing, settings
 from tests.test_fleet import LEDGER, FullScanPlacer
-from thornshelf.placement import interface as api
-from thornshelf.placement import machine_index
-from thornshelf.placement.placer import Placer
+from thornshelf import placement as api
+from thornshelf.placement import Placer, machine_index
 
 PLACERS = 16
-LOOKUP = replace(SAFE, deadline_s=8.0, aim_s=0.8)
+LOOKUP = replace(SAFE, deadline_s=8.0, latency_objective_s=0.8)
+SIZES = {"small": (8.0, 16.0), "large": (32.0, 64.0)}  # cores and memory by kind
+BATCH_INTERVAL_S = 0.02
+BATCH_SIZE = 4
+LARGE_TASK_EVERY = 20  # batches
+UNSLICED = 1 << 30
 
 
-class Timed(Placer):
-    """Notes how long each look at all views holds a call up."""
+@dataclass(frozen=True)
+class Result:
+    """The cost of the decisions of one run."""
+
+    decision_ms: float
+    longest_call_ms: float
+    attempts: int
+    placer: Placer
+
+
+class TimedPlacer(Placer):
+    """Records how long each update of the averages delays a call."""
 
     def __init__(self, terms: api.Settings, seed: int) -> None:
         super().__init__(terms, seed)
-        self.surveys: list[float] = []
+        self.updates_ms: list[float] = []
 
     def update_averages(self) -> None:
-        began = time.perf_counter()
+        """Update the averages, and record how long that takes."""
+        started_at = time.perf_counter()
         super().update_averages()
-        self.surveys.append((time.perf_counter() - began) * 1e3)
+        self.updates_ms.append((time.perf_counter() - started_at) * 1e3)
+
+
+class Workload:
+    """Batches of requests to one placer, and the tasks that run on its machines."""
+
+    def __init__(self, machines: int) -> None:
+        self.random = random.Random(5)
+        self.kinds = {m: self.random.choice(("small", "large")) for m in range(1, machines + 1)}
+        self.used = dict.fromkeys(self.kinds, (0.0, 0.0))
+        self.running: deque[tuple[float, api.PlacementRequest, int]] = deque()  # end, request, machine
+        self.demands = [self.draw_demand() for _ in range(2 * machines)]  # by service
+        self.requested = 0
+
+    def draw_demand(self) -> tuple[float, float]:
+        """Draw the cores and memory that tasks of one service ask for."""
+        return self.random.choice((0.5, 1.0, 2.0)), self.random.choice((1.0, 2.0, 3.0))
+
+    def ended_tasks(self, now: float) -> list[api.Event]:
+        """End the tasks that are due."""
+        events: list[api.Event] = []
+        while self.running and self.running[0][0] <= now:
+            _, request, machine = self.running.popleft()
+            cores, memory = self.used[machine]
+            self.used[machine] = cores - request.cores, memory - request.memory
+            size = SIZES[self.kinds[machine]]
+            report = api.LoadReport(*(size[k] - PLACERS * self.used[machine][k] for k in (0, 1)))
+            ended = (api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report)
+            events.append(api.AttemptEnded(request.request_id, machine, 0, *ended))
+        return events
+
+    def batch(self, number: int) -> dict[int, api.PlacementRequest]:
+        """Draw the requests of one batch, all of one service; now and then the last is a large task."""
+        service = self.random.randrange(len(self.demands))
+        requests: dict[int, api.PlacementRequest] = {}
+        for _ in range(BATCH_SIZE):
+            self.requested += 1
+            request_id = self.requested
+            demand = self.demands[service]
+            requests[request_id] = api.PlacementRequest(
+                request_id, "safe", None, request_id, 8.0, None, service, *demand
+            )
+        if number % LARGE_TASK_EVERY == 0:
+            request_id = self.requested
+            requests[request_id] = api.PlacementRequest(
+                request_id, "ledger", None, request_id, 10.0, None, request_id, 6.0, 14.0
+            )
+        return requests
+
+    def start(self, request: api.PlacementRequest, machine: int, until: float) -> None:
+        """Run a task on a machine until a time."""
+        cores, memory = self.used[machine]
+        self.used[machine] = cores + request.cores, memory + request.memory
+        self.running.append((until, request, machine))
 
 
-def run(make: type[Placer], machines: int, batches: int) -> tuple[float, float, int, Placer]:
-    """Milliseconds a decision, the longest call in milliseconds, how many tasks were offered, and the placer."""
-    chance = random.Random(5)
+def run(make: type[Placer], machines: int, batches: int) -> Result:
+    """Measure the decisions of a placer of this type."""
+    workload = Workload(machines)
     terms = settings(
         LOOKUP,
         replace(LEDGER, deadline_s=10.0),
@@ -47,77 +115,58 @@
         overcommit_cores=3.0,
         overcommit_memory=2.0,
     )
-    one = make(terms, 1)
-    kinds = {m: chance.choice(("small", "large")) for m in range(1, machines + 1)}
-    one.handle(0.0, [listing(*(entry(m, kind=kind) for m, kind in kinds.items()))])
-    held = dict.fromkeys(kinds, (0.0, 0.0))
-    standing: deque[tuple[float, api.PlacementRequest, int]] = deque()
-    spent = longest = now = 0.0
-    asked = offered = 0
-    shapes = [(chance.choice((0.5, 1.0, 2.0)), chance.choice((1.0, 2.0, 3.0))) for _ in range(2 * machines)]
+    placer = make(terms, 1)
+    placer.handle(0.0, [listing(*(entry(m, kind=kind) for m, kind in workload.kinds.items()))])
+    spent_s = longest_s = now = 0.0
+    attempts = 0
     for number in range(batches):
-        now += 0.02
-        events: list[api.Event] = []
-        while standing and standing[0][0] <= now:
-            _, ask, m = standing.popleft()
-            held[m] = held[m][0] - ask.cores, held[m][1] - ask.memory
-            size = (8.0, 16.0) if kinds[m] == "small" else (32.0, 64.0)
-            report = api.LoadReport(*(size[k] - PLACERS * held[m][k] for k in (0, 1)))
-            events.append(
-                api.AttemptEnded(
-                    ask.request_id, m, 0, api.Outcome.OK, api.Reason.UNSPECIFIED, True, 1.0, report
-                )
-            )
-        service = chance.randrange(len(shapes))
-        asks = {}
-        for _ in range(4):
-            asked += 1
-            cores, memory = shapes[service]
-            asks[asked] = api.PlacementRequest(asked, "safe", None, asked, 8.0, None, service, cores, memory)
-        if number % 20 == 0:
-            asks[asked] = api.PlacementRequest(asked, "ledger", None, asked, 10.0, None, asked, 6.0, 14.0)
-        began = time.perf_counter()
-        actions = one.handle(now, [*events, *asks.values()])
-        took = time.perf_counter() - began
-        spent, longest = spent + took, max(longest, took)
+        now += BATCH_INTERVAL_S
+        events = workload.ended_tasks(now)
+        requests = workload.batch(number)
+        started_at = time.perf_counter()
+        actions = placer.handle(now, [*events, *requests.values()])
+        took_s = time.perf_counter() - started_at
+        spent_s += took_s
+        longest_s = max(longest_s, took_s)
         for action in actions:
             if isinstance(action, api.StartAttempt):
-                ask, m, offered = asks[action.request], action.machine, offered + 1
-                one.handle(now, [api.AttemptAccepted(ask.request_id, m, 0, 0.1)])
-                held[m] = held[m][0] + ask.cores, held[m][1] + ask.memory
-                standing.append((now + machines / 100.0, ask, m))
-    return spent / asked * 1e3, longest * 1e3, offered, one
-
-
-def rounds(machines: int, batches: int) -> None:
-    """What working all views out anew costs in one go, and by slices; a line."""
-    usual, found = machine_index.SLICE, []
-    for slice_of in (1 << 30, usual):
-        machine_index.SLICE = slice_of
-        cost, _, offered, one = run(Timed, machines, batches)
-        assert isinstance(one, Timed)
-        found.append((statistics.median(one.surveys), max(one.surveys), cost, offered))
+                attempts += 1
+                placer.handle(now, [api.AttemptAccepted(action.request_id, action.machine, 0, 0.1)])
+                workload.start(requests[action.request_id], action.machine, now + machines / 100.0)
+    return Result(spent_s / workload.requested * 1e3, longest_s * 1e3, attempts, placer)
+
+
+def compare_slices(machines: int, batches: int) -> None:
+    """Print what refreshing all estimates costs in one go, and in slices."""
+    usual = machine_index.SLICE
+    texts = []
+    for slice_size in (UNSLICED, usual):
+        machine_index.SLICE = slice_size
+        result = run(TimedPlacer, machines, batches)
+        assert isinstance(result.placer, TimedPlacer)
+        updates_ms = result.placer.updates_ms
+        texts.append(
+            f"{statistics.median(updates_ms):5.2f} ms (at most {max(updates_ms):5.2f}), a decision"
+            f" {result.decision_ms:.2f} ms, {result.attempts} attempts"
+        )
     machine_index.SLICE = usual
-    print(
-        f"{machines:5} machines: a look at all views holds a call up for"
-        f" {found[0][0]:5.2f} ms (at most {found[0][1]:5.2f}) in one go,"
-        f" {found[1][0]:5.2f} ({found[1][1]:5.2f}) by slices; a decision {found[0][2]:.2f} and {found[1][2]:.2f} ms;"
-        f" {found[0][3]} and {found[1][3]} offers"
-    )
+    print(f"{machines:5} machines: an update of the averages in one go {texts[0]}; in slices {texts[1]}")
 
 
 def main() -> None:
-    """Print a line a size."""
+    """Print a line for each size of fleet."""
     for machines in (14, 200, 400, 1024):
         batches = 600 if machines < 1000 else 300
-        plain, now = run(FullScanPlacer, machines, batches), run(Placer, machines, batches)
-        assert plain[2] == now[2], "the choices differ"
+        scan = run(FullScanPlacer, machines, batches)
+        indexed = run(Placer, machines, batches)
+        assert scan.attempts == indexed.attempts, "the choices differ"
         print(
-            f"{machines:5} machines: {plain[0]:7.3f} ms a decision by the plain scan, {now[0]:6.3f} now;"
-            f" the longest call {plain[1]:6.1f} and {now[1]:5.1f} ms; {now[2]} offers in both"
+            f"{machines:5} machines: {scan.decision_ms:7.3f} ms a decision by the full scan,"
+            f" {indexed.decision_ms:6.3f} by the index; the longest call {scan.longest_call_ms:6.1f} and"
+            f" {indexed.longest_call_ms:5.1f} ms; {indexed.attempts} attempts in both"
         )
     for machines in (64, 400, 1024):
-        rounds(machines, 300)
+        compare_slices(machines, 300)
 
 
 if __name__ == "__main__":
