--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -240,7 +240,7 @@
         assert [m.group for m in index.up] == [one.usage.fullness_group(m) for m in index.up]
         assert {m.id for m in index.ordered()} == {m.id for m in index.up}
         for k in (0, 1):
-            assert index.totals()[0][k] == pytest.approx(sum(one.usage.usage(m)[k] for m in index.up))
+            assert index.totals()[0][k] == pytest.approx(sum(one.usage.estimate(m)[k] for m in index.up))
             assert index.totals()[1][k] == pytest.approx(sum(m.capacity[k] for m in index.up))
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,7 +36,7 @@
             return None
         up = self.endpoints.index.up
         eligible = [m for m in up if self.rules.allows_attempt(request, m)]
-        usages = [self.usage.usage(m) for m in eligible]
+        usages = [self.usage.estimate(m) for m in eligible]
         capacities = [m.capacity for m in eligible]
         usage, capacity = ([sum(one[k] for one in pairs) for k in (0, 1)] for pairs in (usages, capacities))
         if not eligible:
@@ -79,7 +79,7 @@
         for task_class, demand, seen_at in self.reservations.largest_demands.values():
             is_recent = self._context.now - seen_at <= LARGE_RESERVATION_S
             if is_recent and not self.reservations.is_large(request.demand) and len(candidates) > 1:
-                usages = [self.usage.usage(m) for m in candidates]
+                usages = [self.usage.estimate(m) for m in candidates]
                 counts = [
                     min((m.capacity[k] - usage[k]) / demand[k] for k in (0, 1))
                     for m, usage in zip(candidates, usages, strict=True)
@@ -91,7 +91,7 @@
 
     def order(self, candidates: list[Machine]) -> list[Machine]:
         def key(machine: Machine) -> tuple[int, float]:
-            fullness = self.usage.fullness_steps * self.usage.usage(machine)[0] / machine.capacity[0]
+            fullness = self.usage.fullness_steps * self.usage.estimate(machine)[0] / machine.capacity[0]
             return -round(fullness), machine.order_key
 
         return sorted(candidates, key=key)
@@ -169,7 +169,7 @@
     def __init__(self, terms: api.Settings, seed: int) -> None:
         super().__init__(terms, seed)
         self.work = 0
-        usage, mean_cost, rank = self.usage.usage, self.pricing.mean_cost, self.pricing.rank
+        usage, mean_cost, rank = self.usage.estimate, self.pricing.mean_cost, self.pricing.rank
 
         def counted_usage(machine: Machine) -> tuple[float, ...]:
             self.work += machine.usage is None
@@ -183,7 +183,7 @@
             self.work += 1
             return rank(request, machine)
 
-        self.usage.usage = counted_usage  # type: ignore[method-assign]
+        self.usage.estimate = counted_usage  # type: ignore[method-assign]
         self.endpoints.index._usage_of = counted_usage
         self.pricing.mean_cost = counted_mean_cost  # type: ignore[method-assign]
         self.pricing.rank = counted_rank  # type: ignore[method-assign]
--- a/thornshelf/placement/endpoints.py
+++ b/thornshelf/placement/endpoints.py
@@ -23,7 +23,7 @@
         self._context = context
         self._slow_start = slow_start
         self.machines: dict[int, Machine] = {}
-        self.index = MachineIndex[Machine](usage.usage, usage.fullness_group)
+        self.index = MachineIndex[Machine](usage.estimate, usage.fullness_group)
         self.largest_capacity: tuple[float, ...] = (0.0, 0.0)  # the most cores, and memory, of one machine
         self._watch_at = 0.0 if context.settings.list_on_request else None  # when to subscribe next
 
--- a/thornshelf/placement/pricing.py
+++ b/thornshelf/placement/pricing.py
@@ -100,7 +100,7 @@
 
         The result is a plain tuple, as it is unpacked for each machine of each decision.
         """
-        usage = machine.usage or self._usage.usage(machine)
+        usage = machine.usage or self._usage.estimate(machine)
         limit = machine.usage_limit or self._usage.limit(machine)
         costs = unit_costs(usage, limit, demand)
         cores = usage[0] + demand[0]
--- a/thornshelf/placement/reservations.py
+++ b/thornshelf/placement/reservations.py
@@ -97,6 +97,6 @@
 
     def _count_fitting(self, machine: Machine, demand: ResourcePair) -> float:
         """How many tasks of this demand the machine still admits."""
-        usage = machine.usage or self._usage.usage(machine)
+        usage = machine.usage or self._usage.estimate(machine)
         capacity = machine.capacity
         return min((capacity[0] - usage[0]) / demand[0], (capacity[1] - usage[1]) / demand[1])
--- a/thornshelf/placement/usage.py
+++ b/thornshelf/placement/usage.py
@@ -33,7 +33,7 @@
         self._unreported_fraction = 0.0  # the part of all placers from which no gossip came
         self.fullness_steps = FULLNESS_STEPS
 
-    def usage(self, machine: Machine) -> tuple[float, ...]:
+    def estimate(self, machine: Machine) -> tuple[float, ...]:
         """Return the cores and memory used.
 
         What was reported, with own changes since, is mixed by the report's age with own and peers' tasks and
@@ -88,7 +88,7 @@
 
     def fullness_group(self, machine: Machine) -> tuple[bool, int]:
         """[D1] Group machines that are about equally full: the fullest first, required kinds last."""
-        usage = machine.usage or self.usage(machine)
+        usage = machine.usage or self.estimate(machine)
         cores = machine.capacity[0]
         fullness = round(self.fullness_steps * usage[0] / cores) if cores else 0
         return machine.kind_index in self._required_kinds, -fullness
