--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -18,13 +18,13 @@
 WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 
 
-def node_with_running_and_open_task(world: FakeCluster) -> Any:
+def node_with_running_and_open_task(cluster: FakeCluster) -> Any:
     """A node where one task runs, and where another that must not run twice is in flight."""
-    world.client.ask(5, NodeBehavior.RUN)
-    world.wait_for_events(5)
-    world.client.ask(6, NodeBehavior.SILENT, ONCE_ONLY)
-    world.run_until(lambda: world.offer_count(6) == 1)
-    return world.nodes[0]
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.wait_for_events(5)
+    cluster.client.ask(6, NodeBehavior.SILENT, ONCE_ONLY)
+    cluster.run_until(lambda: cluster.offer_count(6) == 1)
+    return cluster.nodes[0]
 
 
 @WIRES
@@ -34,20 +34,20 @@
 ) -> None:
     """It stays open, so that only the missing bytes show it; updates of running tasks come on the next connection."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    world = FakeCluster(front, node, nodes=1)
-    bad = node_with_running_and_open_task(world)
+    cluster = FakeCluster(front, node, nodes=1)
+    bad = node_with_running_and_open_task(cluster)
     if how == "partial":
         bad.streams[0].send(b"\x00\x40half" if node == BINARY else b"\x00\x00\x40\x00half")
     else:
         bad.deaf = True
-    assert world.wait_for_events(6) == [FAILED]  # it may have run
+    assert cluster.wait_for_events(6) == [FAILED]  # it may have run
     bad.deaf = False
-    world.run_until(lambda: len(bad.streams) == 2)
-    assert world.client.heard[5] == [PLACED] and world.offer_count(6) == 1
-    world.client.ask(7, NodeBehavior.RUN)
-    assert world.wait_for_events(7) == [PLACED]
-    world.client.give_up(5)
-    world.run_until(lambda: ("release", 5) in bad.seen)
+    cluster.run_until(lambda: len(bad.streams) == 2)
+    assert cluster.client.heard[5] == [PLACED] and cluster.offer_count(6) == 1
+    cluster.client.ask(7, NodeBehavior.RUN)
+    assert cluster.wait_for_events(7) == [PLACED]
+    cluster.client.give_up(5)
+    cluster.run_until(lambda: ("release", 5) in bad.seen)
 
 
 def test_a_wrong_length_that_swallows_later_messages_is_detected_though_bytes_arrive(
@@ -55,17 +55,17 @@
 ) -> None:
     """No attempt is in flight, yet updates of running tasks would be lost until so many bytes have come."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    world = FakeCluster(nodes=1)
-    world.client.ask(5, NodeBehavior.RUN)
-    world.wait_for_events(5)
-    (bad,) = world.nodes
+    cluster = FakeCluster(nodes=1)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.wait_for_events(5)
+    (bad,) = cluster.nodes
     bad.streams[0].send(b"\x2f\xff")
     swallowed = 0
     while len(bad.streams) == 1:
         bad.streams[0].send(binary.encode(binary.PROGRESS, 5))
         swallowed += 1
-        world.run_for(2)
-    assert swallowed < 100 and world.client.heard[5] == [PLACED]
+        cluster.run_for(2)
+    assert swallowed < 100 and cluster.client.heard[5] == [PLACED]
 
 
 @WIRES
@@ -73,18 +73,18 @@
     front: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    world = FakeCluster(front, node)
-    world.run_until(lambda: all(one.streams for one in world.nodes))
-    world.run_for(20)
-    for one in world.nodes:
+    cluster = FakeCluster(front, node)
+    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
+    cluster.run_for(20)
+    for one in cluster.nodes:
         one.deaf = True
-    world.client.ask(5, NodeBehavior.RUN)
-    core = world.service.core
-    world.run_until(lambda: 5 in core.tasks_by_uid and core.tasks_by_uid[5].attempt is not None)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    core = cluster.service.core
+    cluster.run_until(lambda: 5 in core.tasks_by_uid and core.tasks_by_uid[5].attempt is not None)
     attempt: Any = core.tasks_by_uid[5].attempt
-    other = world.nodes[2 - attempt.machine]
+    other = cluster.nodes[2 - attempt.machine]
     other.deaf = False
-    assert world.wait_for_events(5) == [PLACED] and other.offers(5) == 1
+    assert cluster.wait_for_events(5) == [PLACED] and other.offers(5) == 1
 
 
 @WIRES
@@ -93,10 +93,10 @@
 ) -> None:
     """It answers the ping, so that its answer may still come."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 2_000)
-    world = FakeCluster(front, node, nodes=1)
-    slow = node_with_running_and_open_task(world)
-    world.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
-    assert len(slow.streams) == 1 and slow.streams[0].open and 6 not in world.client.heard
+    cluster = FakeCluster(front, node, nodes=1)
+    slow = node_with_running_and_open_task(cluster)
+    cluster.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
+    assert len(slow.streams) == 1 and slow.streams[0].open and 6 not in cluster.client.heard
 
 
 CORRUPT_ANSWERS = [
@@ -111,18 +111,18 @@
 @pytest.mark.parametrize("answer", CORRUPT_ANSWERS)
 def test_a_corrupt_answer_is_never_passed_on(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    world = FakeCluster(nodes=1)
-    bad = node_with_running_and_open_task(world)
+    cluster = FakeCluster(nodes=1)
+    bad = node_with_running_and_open_task(cluster)
     bad.streams[0].send(answer)
-    assert world.wait_for_events(6) == [FAILED] and world.offer_count(6) == 1
-    assert world.client.heard[5] == [PLACED]
-    world.run_until(lambda: len(bad.streams) == 2)
+    assert cluster.wait_for_events(6) == [FAILED] and cluster.offer_count(6) == 1
+    assert cluster.client.heard[5] == [PLACED]
+    cluster.run_until(lambda: len(bad.streams) == 2)
 
 
 def test_a_binding_without_a_description_is_never_passed_on() -> None:
-    world = FakeCluster(JSON, GRPC, nodes=1)
-    node = node_with_running_and_open_task(world)
-    link: Any = world.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
+    cluster = FakeCluster(JSON, GRPC, nodes=1)
+    node = node_with_running_and_open_task(cluster)
+    link: Any = cluster.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
     with pytest.raises(WireError, match="without a description"):
         link._process_report(pb.NodeReport(uid=6, binding=pb.Binding()))
     assert node.offers(6) == 1
@@ -131,30 +131,32 @@
 @pytest.mark.parametrize("lifecycle", ["terminating", "in_service"])
 def test_a_refused_connect_proves_a_draining_node_dead_only_after_its_own_break(lifecycle: str) -> None:
     """A draining node accepts no connections while its tasks run on: a new dispatcher must not release them."""
-    world = FakeCluster(nodes=1)
-    (node,) = world.nodes
-    world.loop.cancel(node._accepting)
-    world.loop.unregister(node.sock.fileno())
+    cluster = FakeCluster(nodes=1)
+    (node,) = cluster.nodes
+    cluster.loop.cancel(node._accepting)
+    cluster.loop.unregister(node.sock.fileno())
     node.sock.close()
-    world.update_endpoint(world.endpoint(0) | {"instanceId": "s-00000009", "lifecycle": lifecycle})
-    world.client.ask(5, NodeBehavior.RUN, at="s-00000009")
-    world.run_until(lambda: 5 in world.service.core.tasks_by_uid or 5 in world.client.heard)
+    cluster.update_endpoint(cluster.endpoint(0) | {"instanceId": "s-00000009", "lifecycle": lifecycle})
+    cluster.client.ask(5, NodeBehavior.RUN, at="s-00000009")
+    cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid or 5 in cluster.client.heard)
     if lifecycle == "in_service":
-        world.wait_for_events(5)
+        cluster.wait_for_events(5)
     else:
-        world.run_for(600)
-        assert world.client.heard == {}
-    assert len([one for one in world.logged if one[1] == "node-process-dead"]) == (lifecycle == "in_service")
+        cluster.run_for(600)
+        assert cluster.client.heard == {}
+    assert len([one for one in cluster.logged if one[1] == "node-process-dead"]) == (
+        lifecycle == "in_service"
+    )
 
 
 def test_a_connection_that_breaks_while_new_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against attempts that wait for a backoff meant for nodes that close every connection."""
     monkeypatch.setattr(reconnect, "RECONNECT_BACKOFF_US", 60_000_000)
-    world = FakeCluster(nodes=1)
-    node_with_running_and_open_task(world)
-    world.nodes[0].break_streams()
-    world.client.ask(7, NodeBehavior.RUN)
-    assert world.wait_for_events(7) == [PLACED]
+    cluster = FakeCluster(nodes=1)
+    node_with_running_and_open_task(cluster)
+    cluster.nodes[0].break_streams()
+    cluster.client.ask(7, NodeBehavior.RUN)
+    assert cluster.wait_for_events(7) == [PLACED]
 
 
 @WIRES
@@ -166,16 +168,16 @@
 
     The request is read first, and a busy turn ends before the close is.
     """
-    world = FakeCluster(front, node, nodes=1)
-    world.run_until(lambda: bool(world.nodes[0].streams))
-    world.run_for(30)
-    (one,) = world.nodes
+    cluster = FakeCluster(front, node, nodes=1)
+    cluster.run_until(lambda: bool(cluster.nodes[0].streams))
+    cluster.run_for(30)
+    (one,) = cluster.nodes
     monkeypatch.setattr(loop_module, "STEPS_PER_CLOCK_CHECK", 1)
     monkeypatch.setattr(loop_module, "TURN_BUDGET_US", 0)
-    world.client.ask(5, NodeBehavior.RUN, task_class)
-    world.client.stream.flush()
+    cluster.client.ask(5, NodeBehavior.RUN, task_class)
+    cluster.client.stream.flush()
     one.streams[0].close()
-    assert world.wait_for_events(5) == [PLACED]
-    assert world.offer_count(5) == 1 and len(one.streams) == 2
-    core = world.service.core
+    assert cluster.wait_for_events(5) == [PLACED]
+    assert cluster.offer_count(5) == 1 and len(one.streams) == 2
+    core = cluster.service.core
     assert not core.counters["failed"] and core.placer.machines[1].consecutive_failures == 0
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -37,14 +37,14 @@
 
 
 def follow(
-    world: FakeCluster, *answers: bytes
+    cluster: FakeCluster, *answers: bytes
 ) -> tuple[list[EndpointListUpdate], list[tuple[str, str]], Feed]:
     updates: list[EndpointListUpdate] = []
     logged: list[tuple[str, str]] = []
-    feed = Feed(world.loop, [*answers, None])
+    feed = Feed(cluster.loop, [*answers, None])
     log = lambda *line: logged.append((line[1], line[3]))  # noqa: E731
-    EndpointWatch(world.loop, feed.sock.getsockname(), 0, lambda us: us, updates.append, log)
-    world.run_until(lambda: len(feed.asked) > len(answers))
+    EndpointWatch(cluster.loop, feed.sock.getsockname(), 0, lambda us: us, updates.append, log)
+    cluster.run_until(lambda: len(feed.asked) > len(answers))
     feed.sock.close()
     return updates, logged, feed
 
@@ -88,20 +88,20 @@
 
 def test_a_relist_is_reported_as_one_merged_update() -> None:
     """Guards against nodes that came after the first event: alone it would remove them, and the tasks there."""
-    world = FakeCluster(nodes=0)
+    cluster = FakeCluster(nodes=0)
     complete: dict[str, Any] = event(1, "s-00000001")
     complete["fleet"].update(reset=True)
     events = [complete, event(2, "s-00000002"), removal(3, "s-00000001")]
     updates: list[EndpointListUpdate] = []
     feed = Feed(
-        world.loop, [http({"seq": 3, "results": []}), None, http({"seq": 3, "results": events}), None]
+        cluster.loop, [http({"seq": 3, "results": []}), None, http({"seq": 3, "results": events}), None]
     )
     follower = EndpointWatch(
-        world.loop, feed.sock.getsockname(), 3, lambda us: us, updates.append, lambda *_: None
+        cluster.loop, feed.sock.getsockname(), 3, lambda us: us, updates.append, lambda *_: None
     )
-    world.run_until(lambda: len(feed.asked) == 2)
+    cluster.run_until(lambda: len(feed.asked) == 2)
     follower.relist()
-    world.run_until(lambda: len(feed.asked) == 4)
+    cluster.run_until(lambda: len(feed.asked) == 4)
     feed.sock.close()
     assert ["since=0" in asked for asked in feed.asked] == [False, False, True, False]
     assert [(change.complete, [one.name for one in change.endpoints]) for change in updates] == [
@@ -115,19 +115,19 @@
 )
 def test_after_a_failed_relist_the_watch_goes_on_after_the_last_known_event(answer: bytes) -> None:
     """Guards against polling in vain for ever: the next drain would never be applied."""
-    world = FakeCluster(nodes=0)
+    cluster = FakeCluster(nodes=0)
     updates: list[EndpointListUpdate] = []
     drain = event(8, "s-00000001")
     feed = Feed(
-        world.loop, [http({"seq": 7, "results": []}), None, answer, http({"seq": 8, "results": [drain]})]
+        cluster.loop, [http({"seq": 7, "results": []}), None, answer, http({"seq": 8, "results": [drain]})]
     )
     follower = EndpointWatch(
-        world.loop, feed.sock.getsockname(), 7, lambda us: us, updates.append, lambda *_: None
+        cluster.loop, feed.sock.getsockname(), 7, lambda us: us, updates.append, lambda *_: None
     )
-    world.run_until(lambda: len(feed.asked) == 2)
+    cluster.run_until(lambda: len(feed.asked) == 2)
     follower.relist()
     follower.relist()
-    world.run_until(lambda: bool(updates))
+    cluster.run_until(lambda: bool(updates))
     feed.sock.close()
     assert [asked.partition("&")[0][-1] for asked in feed.asked[:4]] == ["7", "7", "0", "7"]
     assert not updates[0].complete and updates[0].endpoints[0].name == "s-00000001"
@@ -142,29 +142,29 @@
 
 def test_a_component_that_fails_on_an_update_delays_none_of_the_others() -> None:
     """Guards against lost updates: the last sequence number was advanced before they were reported."""
-    world = FakeCluster()
+    cluster = FakeCluster()
 
     def fail(change: EndpointListUpdate) -> None:
         raise KeyError("whatever")
 
-    world.service.endpoint_listeners.append(fail)
+    cluster.service.endpoint_listeners.append(fail)
     feed = Feed(
-        world.loop, [http({"seq": 9, "results": [event(8, "s-00000008"), event(9, "s-00000009")]}), None]
+        cluster.loop, [http({"seq": 9, "results": [event(8, "s-00000008"), event(9, "s-00000009")]}), None]
     )
-    world.service._follow(feed.sock.getsockname())
-    world.run_until(lambda: {8, 9} <= world.service.core.endpoints.entries.keys())
-    assert [line[1] for line in world.logged].count("coroutine-failed") == 2
+    cluster.service._follow(feed.sock.getsockname())
+    cluster.run_until(lambda: {8, 9} <= cluster.service.core.endpoints.entries.keys())
+    assert [line[1] for line in cluster.logged].count("coroutine-failed") == 2
     feed.sock.close()
 
 
 @pytest.mark.parametrize("started", [10**15, 10**400, 1e300])
 def test_a_node_that_starts_far_in_the_future_is_used_like_others(started: Any) -> None:
     """Guards against a number on which each later decision fails."""
-    world = FakeCluster()
-    world.update_endpoint(world.endpoint(0, started=started))
-    world.client.ask(5, NodeBehavior.RUN)
-    assert world.wait_for_events(5)[0][0] == "placed"
-    assert not [line for line in world.logged if line[1] == "placement-failed"]
+    cluster = FakeCluster()
+    cluster.update_endpoint(cluster.endpoint(0, started=started))
+    cluster.client.ask(5, NodeBehavior.RUN)
+    assert cluster.wait_for_events(5)[0][0] == "placed"
+    assert not [line for line in cluster.logged if line[1] == "placement-failed"]
 
 
 def test_a_start_in_the_future_does_not_overflow_the_placement() -> None:
@@ -186,12 +186,12 @@
 
 
 def test_a_watch_at_a_new_address_is_not_responding_before_its_first_answer() -> None:
-    world = FakeCluster(nodes=0)
-    feed = Feed(world.loop, [http({"seq": 4, "results": [event(4, "a")]}), None])
+    cluster = FakeCluster(nodes=0)
+    feed = Feed(cluster.loop, [http({"seq": 4, "results": [event(4, "a")]}), None])
     log = EndpointWatch(
-        world.loop, feed.sock.getsockname(), 0, lambda us: us, lambda _: None, lambda *_: None
+        cluster.loop, feed.sock.getsockname(), 0, lambda us: us, lambda _: None, lambda *_: None
     )
-    world.run_until(lambda: log.is_responding)
+    cluster.run_until(lambda: log.is_responding)
     log.reconnect_to((HOST, 9))
     assert not log.is_responding
     feed.sock.close()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -69,12 +69,12 @@
 
 def test_a_flood_of_clients_leaves_each_node_its_connection() -> None:
     """Guards against clients that take the descriptor a node has just released: its reports came too late (soak)."""
-    world = FakeCluster(nodes=4)
-    budget = world.service.connection_budget
-    world.run_until(lambda: all(one.streams for one in world.nodes))
+    cluster = FakeCluster(nodes=4)
+    budget = cluster.service.connection_budget
+    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
     budget.total, budget.client_floor = 40, 4
-    clients = [world.connect_client(JSON) for _ in range(40)]
-    world.run_for(20)
+    clients = [cluster.connect_client(JSON) for _ in range(40)]
+    cluster.run_for(20)
     assert budget.client_count <= budget.max_clients == 40 - 4 - SPARE_NODES
     assert budget.max_nodes >= 4
     for one in clients:
@@ -89,11 +89,11 @@
 
 
 def test_tasks_are_placed_and_released_with_fewer_connections_than_nodes() -> None:
-    world = FakeCluster(nodes=6)
-    budget = world.service.connection_budget
-    world.run_until(lambda: all(one.streams for one in world.nodes))
+    cluster = FakeCluster(nodes=6)
+    budget = cluster.service.connection_budget
+    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
     budget.total, budget.client_floor = 3, 2  # one connection for all nodes together
     for uid in range(5, 11):
-        world.client.ask(uid, NodeBehavior.END, service=f"{uid:016x}")
-        assert world.wait_for_events(uid)[0] == PLACED
-    world.run_until(lambda: all(len(world.client.heard[uid]) == 2 for uid in range(5, 11)))
+        cluster.client.ask(uid, NodeBehavior.END, service=f"{uid:016x}")
+        assert cluster.wait_for_events(uid)[0] == PLACED
+    cluster.run_until(lambda: all(len(cluster.client.heard[uid]) == 2 for uid in range(5, 11)))
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture
-def world(tmp_path: Path) -> Iterator[ScaleTestbed]:
+def testbed(tmp_path: Path) -> Iterator[ScaleTestbed]:
     """One dispatcher that holds all nodes, and one of zone 1, over hollow nodes in a process of their own."""
     layout = Layout(11, free_port([private(0)]))
     nodes = Nodes(layout, NODES, NODES)
@@ -44,48 +44,48 @@
     return int(found[-1]) if found else -1
 
 
-def placed_tasks(world: ScaleTestbed, one: Dispatcher) -> int:
+def placed_tasks(testbed: ScaleTestbed, one: Dispatcher) -> int:
     assert one.county is not None
     return sum(bool(task.get("placed")) for task in one.county.tasks.values())
 
 
-def violations(world: ScaleTestbed) -> tuple[int, int, int]:
+def violations(testbed: ScaleTestbed) -> tuple[int, int, int]:
     """Tasks lost, doubled, and sent to a draining node, as the fake clients and nodes count them."""
-    world.rest(3.0)
-    tally = world.nodes.tell(Count())
-    world.truth.over = tally.over
-    lost, doubled = world.truth.lost(world.loop.now, 2_000_000), world.truth.doubled()
+    testbed.rest(3.0)
+    tally = testbed.nodes.tell(Count())
+    testbed.truth.over = tally.over
+    lost, doubled = testbed.truth.lost(testbed.loop.now, 2_000_000), testbed.truth.doubled()
     return len(lost), len(doubled), tally.late
 
 
 def test_a_stopped_process_of_a_lost_zone_continues_on_other_zones_and_loses_no_task(
-    world: ScaleTestbed,
+    testbed: ScaleTestbed,
 ) -> None:
     """It is stopped as its zone is lost, and partitioned as that returns; another holds the complete list."""
-    whole, part = world.real
+    complete, subset = testbed.real
     assert (
-        last_logged(part, "own") == 3
-        and last_logged(part, "known") == NODES
-        and last_logged(whole, "own") == -1
+        last_logged(subset, "own") == 3
+        and last_logged(subset, "known") == NODES
+        and last_logged(complete, "own") == -1
     )
-    world.load(1.0, 20.0)
-    before = placed_tasks(world, part)
+    testbed.load(1.0, 20.0)
+    before = placed_tasks(testbed, subset)
     assert before > 0
-    os.kill(part.pid, signal.SIGSTOP)
-    world.nodes.tell(Kill(ZONE))
-    world.tell(*(world.layout.entry(node, "terminated") for node in ZONE))
-    world.rest(0.7)
-    os.kill(part.pid, signal.SIGCONT)
-    assert world.until(lambda: last_logged(part, "spare") >= 3, 10.0)
-    world.load(1.0, 20.0)
-    assert world.until(lambda: placed_tasks(world, part) > before + 10, 5.0)
-    world.keeper.silent.add(1)
-    world.nodes.tell(Rise(ZONE))
-    world.tell(*(world.layout.entry(node, started_ms=1) for node in ZONE))
-    world.load(1.0, 20.0)
-    assert last_logged(part, "own") == 0  # the return is not known to it, and it continues
-    world.keeper.silent.clear()
-    assert world.until(lambda: last_logged(part, "own") == 3, 10.0)
-    world.load(1.0, 20.0)
-    assert violations(world) == (0, 0, 0)
-    assert whole.process.process.poll() is None and part.process.process.poll() is None
+    os.kill(subset.pid, signal.SIGSTOP)
+    testbed.nodes.tell(Kill(ZONE))
+    testbed.tell(*(testbed.layout.entry(node, "terminated") for node in ZONE))
+    testbed.rest(0.7)
+    os.kill(subset.pid, signal.SIGCONT)
+    assert testbed.until(lambda: last_logged(subset, "spare") >= 3, 10.0)
+    testbed.load(1.0, 20.0)
+    assert testbed.until(lambda: placed_tasks(testbed, subset) > before + 10, 5.0)
+    testbed.keeper.silent.add(1)
+    testbed.nodes.tell(Rise(ZONE))
+    testbed.tell(*(testbed.layout.entry(node, started_ms=1) for node in ZONE))
+    testbed.load(1.0, 20.0)
+    assert last_logged(subset, "own") == 0  # the return is not known to it, and it continues
+    testbed.keeper.silent.clear()
+    assert testbed.until(lambda: last_logged(subset, "own") == 3, 10.0)
+    testbed.load(1.0, 20.0)
+    assert violations(testbed) == (0, 0, 0)
+    assert complete.process.process.poll() is None and subset.process.process.poll() is None
--- a/thornshelf/nodes/node_connection.py
+++ b/thornshelf/nodes/node_connection.py
@@ -19,15 +19,14 @@
 from thornshelf.wire.pending_write import PendingWrite
 
 HEALTH_CHECK_TIMEOUT_US = 250_000
-CANCELLATION_ARRIVAL_US = (
-    2_000_000  # a cancellation sent so long ago, on a link that still stands, has arrived
-)
+# A cancellation that was sent so long ago, on a link that is still open, has arrived.
+CANCELLATION_ARRIVAL_US = 2_000_000
 # An idle link is closed this far into the time after which the node would close it.
 IDLE_TIMEOUT_FRACTION = 0.8
 MIN_KEEPALIVE_S = 1.0
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(eq=False, slots=True)
 class PendingCancellation:
     """A running task that is to be ended, and whose end the node has not reported.
 
@@ -42,7 +41,7 @@
         return self.write is not None and self.write.fully_sent and self.since_us < sent_before_us
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(eq=False, slots=True)
 class HealthCheck:
     """A health check that has no result yet."""
 
--- a/thornshelf/subsetting/config.py
+++ b/thornshelf/subsetting/config.py
@@ -1,4 +1,4 @@
-"""The settings of a subset. Times are whole microseconds."""
+"""The settings of a subset. Times are integers, in microseconds."""
 
 from __future__ import annotations
 
--- a/thornshelf/subsetting/subset.py
+++ b/thornshelf/subsetting/subset.py
@@ -45,7 +45,7 @@
         self.draining_nodes: dict[str, ListedNodeT] = {}
         self._with_health = with_health
         self._is_idle = is_idle
-        self._unlisted_names: set[str] = set()  # named by clients, and not found in the list yet
+        self._requested_names: set[str] = set()  # named by clients, and not found in the list yet
         self._own_up_count = 0
         self._demand = SpareDemand(config, now_us)
         self._surplus_since_us = now_us  # when there were too few spare nodes last, or some were released
@@ -101,24 +101,24 @@
                 continue
             if name in old_spares and entry.health is Health.UP:
                 self.spare_nodes[name] = entry
-            elif name in old_spares or name in old_draining or name in self._unlisted_names:
+            elif name in old_spares or name in old_draining or name in self._requested_names:
                 self._hold_as_draining(entry)
-        self._unlisted_names.clear()
+        self._requested_names.clear()
         return [*self.own_zone_nodes.values(), *self.spare_nodes.values(), *self.draining_nodes.values()]
 
     def _apply_entry(self, entry: ListedNodeT) -> list[ListedNodeT]:
         """Apply one node's change; returns what the core is to know: the entry, the same as draining, or nothing."""
         name = entry.name
         if entry.zone == self.config.zone:
-            was_held = self._evict(name)
+            was_known = self._evict(name)
             if entry.health is not Health.REMOVED:
                 self.own_zone_nodes[name] = entry
-            return [entry] if was_held or entry.health is not Health.REMOVED else []
+            return [entry] if was_known or entry.health is not Health.REMOVED else []
         was_own = self.own_zone_nodes.pop(name, None) is not None
         self._summarize(entry, len(self.zones))
-        if not (was_own or self._holds(name) or name in self._unlisted_names):
+        if not (was_own or self._holds(name) or name in self._requested_names):
             return []
-        self._unlisted_names.discard(name)
+        self._requested_names.discard(name)
         was_spare = self.spare_nodes.pop(name, None) is not None
         self.draining_nodes.pop(name, None)
         if entry.health is Health.REMOVED:
@@ -146,11 +146,11 @@
 
     def _evict(self, name: str) -> bool:
         """Keep nothing of a node; returns whether it was held."""
-        self._unlisted_names.discard(name)
-        was_held = self._holds(name)
+        self._requested_names.discard(name)
+        was_known = self._holds(name)
         for nodes in (self.own_zone_nodes, self.spare_nodes, self.draining_nodes):
             nodes.pop(name, None)
-        return was_held
+        return was_known
 
     def retain(self, name: str) -> list[ListedNodeT]:
         """Hold a node on which a client says that its task runs; returns the changes for the core.
@@ -162,7 +162,7 @@
         for zone in self.zones.values():
             if (entry := zone.get(name)) is not None:
                 return [self._hold_as_draining(entry)]
-        self._unlisted_names.add(name)
+        self._requested_names.add(name)
         return []
 
     def needs_relist(self, now_us: int) -> bool:
@@ -177,7 +177,7 @@
         sample_size = self.config.sample_size(len(self.zones))
         is_depleted = any(zone.is_depleted(sample_size) for zone in self.zones.values())
         refill_is_due = is_depleted and since_relist_us >= self.config.relist_interval_us
-        if not self._unlisted_names and not refill_is_due:
+        if not self._requested_names and not refill_is_due:
             return False
         self._last_relist_us = now_us
         return True
--- a/thornshelf/wire/errors.py
+++ b/thornshelf/wire/errors.py
@@ -18,7 +18,7 @@
     UNUSABLE = enum.auto()  # anything else: the text says what
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(eq=False, frozen=True, slots=True)
 class DisconnectReason:
     """Why a connection ended; ``text`` is the sentence of the log line."""
 
