--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -205,11 +205,12 @@
         Returns whether another turn is due at once.
         """
         sleep = 0.0 if at_once or self._ready or self._turn_end_calls else self._sleep_s()
-        before, polled = self.now, self.clock() // 1000
+        last_turn_us = self.now
+        polled_us = self.clock() // 1000
         events = self._epoll.poll(sleep)
         self.now = self.clock() // 1000
         # What a poll finds at once arrived while the last turn ran; one that sleeps wakes as input arrives.
-        self.earliest_arrival_us = before if self.now - polled < IMMEDIATE_POLL_US else self.now
+        self.earliest_arrival_us = last_turn_us if self.now - polled_us < IMMEDIATE_POLL_US else self.now
         for fd, mask in events:
             self._wake(fd, mask)
         while self._timers and self._timers[0][0] <= self.now:
--- a/thornshelf/wire/binary.py
+++ b/thornshelf/wire/binary.py
@@ -13,12 +13,28 @@
 
 MAX_MESSAGE = 16 * 1024
 
-SET_UP, PROGRESS, ANSWER, RELEASE, RELEASE_ACK = 1, 6, 9, 12, 16
-NOTE, MOVE, TEST, TESTED = 44, 51, 52, 53
-
-CLASS, WAIT, KEY, NOTE_NAME, REPORT, FIGURE, CAUSE, DESCRIPTION = 129, 132, 141, 150, 156, 165, 171, 174
-
-_HEAD = struct.Struct(">HBQ")
+# Types of messages.
+SET_UP = 1
+PROGRESS = 6
+ANSWER = 9
+RELEASE = 12
+RELEASE_ACK = 16
+NOTE = 44
+MOVE = 51
+TEST = 52
+TESTED = 53
+
+# Codes of parameters.
+CLASS = 129
+WAIT = 132
+KEY = 141
+NOTE_NAME = 150
+REPORT = 156
+FIGURE = 165
+CAUSE = 171
+DESCRIPTION = 174
+
+_HEADER = struct.Struct(">HBQ")
 _PARAMETER = struct.Struct(">BH")
 
 
@@ -45,9 +61,9 @@
 def encode(kind: int, uid: int, values: dict[int, bytes] | None = None) -> bytes:
     """A complete message, with the parameters in their order. Raises ``WireError`` where it is too long."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in (values or {}).items())
-    if len(body) + _HEAD.size > MAX_MESSAGE:
+    if len(body) + _HEADER.size > MAX_MESSAGE:
         raise WireError(f"message is longer than {MAX_MESSAGE} bytes", uid=uid)
-    return _HEAD.pack(len(body) + 9, kind, uid) + body
+    return _HEADER.pack(len(body) + 9, kind, uid) + body
 
 
 def parse(body: bytes) -> Message:
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -10,8 +10,17 @@
 from thornshelf.wire.errors import WireError
 
 MAX_MESSAGE = 16 * 1024
-OK, CANCELLED, INVALID_ARGUMENT, DEADLINE_EXCEEDED = 0, 1, 3, 4
-RESOURCE_EXHAUSTED, ABORTED, UNIMPLEMENTED, INTERNAL, UNAVAILABLE = 8, 10, 12, 13, 14
+
+# Status codes.
+OK = 0
+CANCELLED = 1
+INVALID_ARGUMENT = 3
+DEADLINE_EXCEEDED = 4
+RESOURCE_EXHAUSTED = 8
+ABORTED = 10
+UNIMPLEMENTED = 12
+INTERNAL = 13
+UNAVAILABLE = 14
 
 _TIMEOUT = re.compile(r"([0-9]{1,8})([HMSmun])")
 _UNIT_NS = {
@@ -38,8 +47,8 @@
     """Decode a message without its prefix. Raises ``WireError`` where it is malformed."""
     try:
         return kind.FromString(data)
-    except DecodeError as fault:
-        raise WireError(f"no {kind.__name__}: {fault}", fatal=True) from None
+    except DecodeError as error:
+        raise WireError(f"no {kind.__name__}: {error}", fatal=True) from None
 
 
 def read_timeout(text: str) -> int:
--- a/thornshelf/wire/jsonl.py
+++ b/thornshelf/wire/jsonl.py
@@ -13,7 +13,8 @@
 MAX_MESSAGE = 16 * 1024
 MAX_NUMBER = 1e9  # the largest number of a request: milliseconds, cores or units of memory
 _HEX = frozenset("0123456789abcdefABCDEF")
-_KIND, _SET_UP = b'"kind"', re.compile(rb'"kind"\s*:\s*"launch"')
+_KIND = b'"kind"'
+_LAUNCH = re.compile(rb'"kind"\s*:\s*"launch"')
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +46,12 @@
 # All kinds of lines, and the fields and causes of lines to clients: the field mapping lists them.
 KINDS = ("launch", "running", "stop", "stopped", "migrate", "check", "checked")
 OUT_FIELDS = ("wait", "why", "hint", "assumed")
-REFUSED, FAILED, UNREADABLE, ENDED, CANCELLED = CAUSES = (34, 41, 100, 16, 31)
+REFUSED = 34
+FAILED = 41
+UNREADABLE = 100
+ENDED = 16
+CANCELLED = 31
+CAUSES = (REFUSED, FAILED, UNREADABLE, ENDED, CANCELLED)
 
 UNKNOWN_UID = 0  # in a rejection, in place of the id of a message whose own could not be decoded
 
@@ -78,16 +84,18 @@
     """Decode one line without its end. Raises ``WireError``, with the task's id where that could be decoded."""
     try:
         value: Any = json.loads(text.decode("utf-8"))
-    except (ValueError, RecursionError) as fault:
-        raise WireError(f"line is no JSON: {fault!s:.80}") from None
+    except (ValueError, RecursionError) as error:
+        raise WireError(f"line is no JSON: {error!s:.80}") from None
     if not isinstance(value, dict):
         raise WireError("line is no JSON object")
     uid_text = value.get("uid")
     if not isinstance(uid_text, str) or len(uid_text) != 16:
         raise WireError(f"uid is not 16 hex digits: {uid_text!r:.40}")
     uid = read_hex(uid_text, "uid")
-    kind, meta = value.get("kind"), value.get("meta", {})
-    reason, body = value.get("reason"), value.get("body")
+    kind = value.get("kind")
+    meta = value.get("meta", {})
+    reason = value.get("reason")
+    body = value.get("body")
     if not isinstance(kind, str):
         raise WireError("kind is no text", uid=uid)
     if not isinstance(meta, dict) or not all(isinstance(one, str | int | float) for one in meta.values()):
@@ -118,8 +126,8 @@
             service=read_hex(extras.get("service", "0"), "service"),
             at=extras.get("at") or None,
         )
-    except WireError as fault:
-        raise WireError(str(fault), uid=line.uid) from None
+    except WireError as error:
+        raise WireError(str(error), uid=line.uid) from None
 
 
 def is_plain_launch(text: bytes) -> bool:
@@ -128,7 +136,7 @@
     False where only a decoder can say: with an escaped character, a second field ``kind``, or what may be an ``at``.
     """
     return (
-        _SET_UP.search(text) is not None
+        _LAUNCH.search(text) is not None
         and text.count(_KIND) == 1
         and b"at:" not in text
         and b"\\u" not in text
