--- /dev/null
+++ b/tests/test_uncertain_attempts.py
@@ -0,0 +1,305 @@
+"""Uncertain attempts, idempotency keys and releases: nothing is lost or started twice, with injected faults."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import pytest
+
+from tests.translation_helpers import (
+    CLIENTS,
+    FAILED,
+    ONCE_ONLY,
+    PLACED,
+    REJECTED,
+    counters,
+    reason_text,
+    start_count,
+)
+from thornshelf.lab.fakes.cluster import (
+    BINARY,
+    DESCRIPTION,
+    GRPC,
+    GRPC2,
+    JSON,
+    FakeCluster,
+    FakeNode,
+    NodeBehavior,
+)
+from thornshelf.translation.translator import TranslationConfig
+from thornshelf.wire import placement_v2_pb2 as pb2
+
+# uncertain attempts
+
+
+@CLIENTS
+@pytest.mark.parametrize(
+    ("conduct", "expected", "ran"),
+    [
+        (
+            NodeBehavior.CUT,
+            [PLACED],
+            1,
+        ),  # cut midway through the binding: it runs, and a query finds that
+        (NodeBehavior.CUT_AFTER, [PLACED], 1),
+        (NodeBehavior.CUT_BEFORE, [REJECTED], 0),  # each node answers that it never ran
+    ],
+)
+def test_an_uncertain_attempt_is_resolved_before_the_deadline(
+    front: str, conduct: NodeBehavior, expected: list[tuple[Any, ...]], ran: int
+) -> None:
+    cluster = FakeCluster(front, GRPC2)
+    cluster.client.ask(5, conduct, ONCE_ONLY)
+    heard = cluster.wait_for_events(5)
+    cluster.run_for(100)
+    assert [one[0] for one in heard] == [one[0] for one in expected]
+    assert start_count(cluster, 5) == ran and len(cluster.client.heard[5]) == 1
+
+
+def test_without_status_queries_an_uncertain_attempt_fails() -> None:
+    def mute(node: FakeNode) -> None:
+        node.manners.answers = False
+
+    for cluster in (
+        FakeCluster(JSON, GRPC2, manners=mute),
+        FakeCluster(JSON, BINARY, terms=TranslationConfig()),
+    ):
+        cluster.client.ask(5, NodeBehavior.CUT, ONCE_ONLY)
+        assert cluster.wait_for_events(5) == [FAILED] and start_count(cluster, 5) == 1
+        cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+        assert (
+            cluster.wait_for_events(6) == [FAILED] and start_count(cluster, 5) == 1
+        )  # another id does not start it again, either
+        assert reason_text(cluster.client.said[6][0]).startswith("in doubt: ")
+
+
+@pytest.mark.parametrize("second", [JSON, GRPC, GRPC2])
+def test_a_cut_attempt_is_found_by_a_retry_over_another_frontend(second: str) -> None:
+    """The client goes as its binding is cut; the same task comes under a new id, and is found to run."""
+    cluster = FakeCluster(JSON, GRPC2)
+    other = cluster.connect_client(second)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    running_node = next(node for node in cluster.nodes if node.orders)
+    order, say = running_node.waiting.pop(5)
+    running_node.begin(order, say, tell=False)
+    say.cut(5)
+    cluster.client.stream.close()
+    other.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+    cluster.run_until(lambda: 6 in other.heard)
+    cluster.run_for(100)
+    # It was cancelled as its client disconnected: the events are that it ran, and that it has ended.
+    words = [one[0] for one in other.heard[6]]
+    assert words in (["placed"], ["placed", "released"]) and start_count(cluster, 5) == 1
+
+
+def test_requests_with_one_key_from_several_clients_share_a_task() -> None:
+    cluster = FakeCluster(JSON, GRPC2)
+    other = cluster.connect_client(GRPC2)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    other.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+    cluster.run_for(50)
+    assert cluster.client.heard == {} and other.heard == {}
+    running_node = next(node for node in cluster.nodes if node.orders)
+    running_node.start(5)
+    cluster.run_until(lambda: 5 in cluster.client.heard and 6 in other.heard)
+    assert (cluster.client.heard[5], other.heard[6]) == ([PLACED], [PLACED]) and start_count(cluster, 5) == 1
+    third = cluster.connect_client(GRPC)
+    third.ask(7, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")  # it is running by now
+    cluster.run_until(lambda: 7 in third.heard)
+    assert third.heard[7] == [PLACED] and third.said[7][0].binding.description == DESCRIPTION
+    cluster.client.give_up(5)  # one of three: the task of the others continues
+    cluster.run_for(50)
+    assert 5 in running_node.running
+    running_node.over(5, pb2.ENDED)
+    running_node.voices[-1].end(5, 16, pb2.ENDED)
+    cluster.run_until(lambda: len(other.heard[6]) == 2 and len(third.heard[7]) == 2)
+    cluster.run_for(50)
+    assert other.heard[6] == third.heard[7] == [PLACED, ("released", pb2.ENDED)]
+    assert cluster.client.heard[5] == [PLACED] and not cluster.service.core.tasks_by_uid
+
+
+def test_one_of_two_clients_disconnects_while_the_task_is_open() -> None:
+    cluster = FakeCluster(JSON, GRPC2)
+    other = cluster.connect_client(GRPC2)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    other.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+    cluster.run_for(50)
+    cluster.client.stream.close()
+    cluster.run_for(50)
+    next(node for node in cluster.nodes if node.orders).start(5)
+    cluster.run_until(lambda: 6 in other.heard)
+    assert other.heard[6] == [PLACED] and start_count(cluster, 5) == 1
+    assert cluster.service.core.open_count == 0
+
+
+def test_a_joined_request_is_answered_by_its_own_deadline() -> None:
+    cluster = FakeCluster(JSON, GRPC2)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}", left="200")
+    assert cluster.wait_for_events(6) == [FAILED] and 5 not in cluster.client.heard
+
+
+def test_a_late_start_of_a_cancelled_attempt_is_cancelled_and_counted() -> None:
+    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    node = cluster.nodes[0]
+    cluster.run_until(lambda: 5 in node.waiting)
+    order, say = node.waiting[5]
+    cluster.client.give_up(5)
+    cluster.run_until(lambda: ("release", 5) in node.seen)
+    node.begin(order, say)  # it starts the attempt all the same
+    cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
+    cluster.run_for(50)
+    assert 5 not in node.running and counters(cluster)["late yes"] == 1 and cluster.client.heard == {}
+    cluster.client.ask(
+        6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}"
+    )  # the key is uncertain: the node answers that it ran
+    assert [one[0] for one in cluster.wait_for_events(6, 2)] == ["placed", "released"] and len(node.ran) == 1
+
+
+def test_a_late_start_after_a_retry_with_the_key_is_cancelled() -> None:
+    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    node = cluster.nodes[0]
+    cluster.run_until(lambda: 5 in node.waiting)
+    order, say = node.waiting[5]
+    cluster.client.give_up(5)
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+    cluster.run_until(lambda: ("question", 5) in node.seen)
+    assert (
+        cluster.wait_for_events(6) == [PLACED] and len(node.runs) == 1
+    )  # it never ran under the first id: it may start
+    node.begin(order, say)  # ...and then the node starts the attempt that it denied
+    cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
+    assert counters(cluster)["late yes"] == 1 and 6 in node.running
+
+
+def test_a_node_with_broken_promises_is_not_trusted_any_more() -> None:
+    cluster = FakeCluster(JSON, GRPC2, nodes=2)
+    for uid in (5, 6):
+        cluster.client.ask(uid, NodeBehavior.LATE, ONCE_ONLY)
+    cluster.run_until(lambda: sum(len(one.waiting) for one in cluster.nodes) == 2)
+    cluster.run_for(20)
+    for node in cluster.nodes:
+        node.manners.standings = {5: pb2.NEVER, 6: pb2.NEVER}
+    held = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
+    for node in {one[0] for one in held.values()}:
+        node.break_streams()
+    cluster.run_until(lambda: counters(cluster).get("asked: never ran", 0) >= 2)
+    for uid, (node, order, _) in held.items():
+        cluster.run_until(lambda node=node: bool(node.voices))  # type: ignore[misc]
+        node.waiting.pop(uid, None)
+        node.begin(order, node.voices[-1])
+    cluster.run_until(lambda: counters(cluster).get("late yes", 0) >= 1)
+    broken = [cluster.service.core.translator.profile(n).broken_promises for n in (1, 2)]  # type: ignore[union-attr]
+    assert sum(broken) >= 1
+
+
+def test_a_reply_after_the_timeout_of_the_attempt() -> None:
+    """The class's patience is half its deadline; the node is asked then, and says that it waits."""
+    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    node, core = cluster.nodes[0], cluster.service.core
+    cluster.run_until(lambda: 5 in node.waiting)
+    task = core.tasks_by_uid[5]
+    attempt = task.attempt
+    assert attempt is not None
+    kept = node.waiting[5]
+    core._attempt_timed_out(task, attempt)
+    cluster.run_until(lambda: ("question", 5) in node.seen)
+    assert ("release", 5) in node.seen
+    heard = cluster.wait_for_events(5)  # it was cancelled before the query: it never ran
+    assert heard[0][0] == "refused" and start_count(cluster, 5) == 0
+    node.begin(*kept)
+    cluster.run_until(lambda: 5 not in node.running)
+    assert counters(cluster)["late yes"] == 1 and cluster.client.heard[5] == heard
+
+
+def test_a_node_with_a_pending_attempt_is_queried_again() -> None:
+    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
+    node = cluster.nodes[0]
+    cluster.run_until(lambda: 5 in node.waiting)
+    order, _ = node.waiting[5]
+    node.break_streams()
+    cluster.run_until(lambda: node.seen.count(("question", 5)) >= 2)
+    node.waiting.pop(5)
+    node.begin(order, None, tell=False)
+    assert cluster.wait_for_events(5) == [PLACED] and start_count(cluster, 5) == 1
+
+
+def test_an_uncertain_key_expires_and_may_be_used_again() -> None:
+    cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(uncertain_retention_us=300_000))
+    cluster.client.ask(5, NodeBehavior.CUT, ONCE_ONLY)
+    assert cluster.wait_for_events(5) == [FAILED]
+    cluster.run_for(350)
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+    assert cluster.wait_for_events(6) == [PLACED]
+
+
+def test_a_task_that_ended_releases_its_key_at_once() -> None:
+    cluster = FakeCluster(JSON, GRPC2)
+    for uid in (5, 6, 7):
+        cluster.client.ask(uid, NodeBehavior.END, ONCE_ONLY, key=f"{5:016x}")
+        assert [one[0] for one in cluster.wait_for_events(uid, 2)] == ["placed", "released"]
+    assert len(cluster.service.core.translator.idempotency_keys) == 0  # type: ignore[union-attr]
+
+
+def test_idempotent_tasks_are_not_joined() -> None:
+    cluster = FakeCluster(JSON, GRPC2)
+    for uid in (5, 6):
+        cluster.client.ask(uid, NodeBehavior.RUN, key=f"{5:016x}")
+        assert cluster.wait_for_events(uid) == [PLACED]
+    assert cluster.offer_count(5) == cluster.offer_count(6) == 1
+
+
+# running tasks and releases
+
+
+def test_an_end_lost_with_a_broken_connection_is_queried() -> None:
+    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.wait_for_events(5)
+    node = cluster.nodes[0]
+    node.over(5, pb2.ENDED)  # and the report of its end is lost
+    node.break_streams()
+    assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.ENDED)
+
+
+def test_tasks_of_a_process_replaced_at_its_address_are_released() -> None:
+    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.wait_for_events(5)
+    node = cluster.nodes[0]
+    node.running.clear()
+    node.runs.clear()
+    node.break_streams()
+    assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.RESET)
+
+
+@pytest.mark.parametrize("front", [JSON, GRPC2])
+def test_an_unacknowledged_release_is_sent_again_on_another_connection(front: str) -> None:
+    cluster = FakeCluster(front, BINARY, terms=TranslationConfig())
+    other = cluster.connect_client(front)
+    for client, uid in ((cluster.client, 5), (cluster.client, 6), (other, 7)):
+        client.hears = True
+        client.ask(uid, NodeBehavior.RUN)
+        cluster.run_until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
+    running_node = {uid: next(node for node in cluster.nodes if uid in node.running) for uid in (5, 6)}
+    running_node[6].over(6, pb2.ENDED)
+    running_node[6].voices[-1].end(6, 16, pb2.ENDED)
+    assert cluster.wait_for_events(6, 2)[1][0] == "released"
+    cluster.run_for(50)  # the acknowledgement has arrived
+    cluster.client.take = lambda _: None  # it reads the release, and breaks before acknowledging it
+    running_node[5].over(5, pb2.ENDED)
+    running_node[5].voices[-1].end(5, 16, pb2.ENDED)
+    cluster.run_for(50)
+    other.placed.update((5, 6))
+    cluster.client.stream.close()
+    cluster.run_until(lambda: 5 in other.heard)
+    cluster.run_for(400)
+    assert other.heard[5] == [("released", pb2.ENDED)] and 6 not in other.heard
