--- a/benchmarks/admission.py
+++ b/benchmarks/admission.py
@@ -1,21 +1,28 @@
-"""What the door costs: a verdict at many sources, the sketch, the prefix table and the order by share.
+"""The cost of admission: decisions with many sources, the space-saving counter, the prefix table, the fair queue.
 
     python -m benchmarks.admission
 
-Each structure is measured beside the plain one that it takes the place of, in one run.
+Each structure is measured in one run with the plain one that it replaces.
 """
 
 from __future__ import annotations
 
 import ipaddress
+import itertools
 import random
 import time
 import tracemalloc
 from collections import Counter
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from functools import partial
 
-from thornshelf.admission.controller import AdmissionConfig, AdmissionController, Limits, PrefixRule
+from thornshelf.admission.controller import (
+    AdmissionConfig,
+    AdmissionController,
+    ConnectionPermit,
+    Limits,
+    PrefixRule,
+)
 from thornshelf.admission.fair_queue import FairQueue, FairQueueConfig
 from thornshelf.admission.gcra import Rate
 from thornshelf.admission.heavy_hitters import SpaceSavingCounter
@@ -24,7 +31,7 @@
 
 
 def us_each(call: Callable[[int], object], count: int) -> float:
-    """Microseconds a call, the best of three."""
+    """Microseconds for each call, the best of three runs."""
     best = float("inf")
     for _ in range(3):
         began = time.perf_counter()
@@ -35,87 +42,107 @@
 
 
 def memory(make: Callable[[], object]) -> float:
-    """MiB that it holds."""
+    """MiB used by an object."""
     tracemalloc.start()
-    kept = make()
-    held = tracemalloc.get_traced_memory()[0] / 2**20
+    result = make()
+    used_mib = tracemalloc.get_traced_memory()[0] / 2**20
     tracemalloc.stop()
-    del kept
-    return held
+    del result
+    return used_mib
 
 
-def verdicts() -> None:
-    """A verdict on a set-up, and on a connection with its close."""
+def decisions() -> None:
+    """Decisions on a request, and on a connection with its release."""
     rules = tuple(PrefixRule(f"r{n}", parse_prefix(f"10.{n}.0.0/16"), known=n % 2 == 0) for n in range(100))
-    each = Limits(50, Rate(1000, 1_000_000, 1000), Rate(100_000, 1_000_000, 100_000))
+    source_limits = Limits(50, Rate(1000, 1_000_000, 1000), Rate(100_000, 1_000_000, 100_000))
+    reserved = ReservedConnectionsConfig(10**9, 100, 10)
     for sources in (10, 10_000, 1_000_000):
-        door = AdmissionController(AdmissionConfig(ReservedConnectionsConfig(10**9, 100, 10), rules, each))
+        controller = AdmissionController(AdmissionConfig(reserved, rules, source_limits))
         addresses = [str(ipaddress.ip_address((10 << 24) + n)) for n in range(sources)]
-        for number in range(min(sources, 50_000)):
-            given = door.admit_connection(addresses[number], 0, 0)[1]
-            assert given is not None
-            if number >= 1000:
-                door.release(given)
-        given = door.admit_connection("10.3.0.1", 0, 0)[1]
-        assert given is not None
-        one, now = given, [10**6]
-
-        def set_up(_: int, door: AdmissionController = door, one: object = one, now: list[int] = now) -> None:
-            now[0] += 100
-            door.admit_request(one, now[0])  # type: ignore[arg-type]
-
-        def connect(number: int, door: AdmissionController = door, now: list[int] = now) -> None:
-            now[0] += 100
-            found = door.admit_connection(addresses[number * 7919 % len(addresses)], now[0], 0)[1]  # noqa: B023
-            if found is not None:
-                door.release(found)
-
-        cost = us_each(set_up, 20_000), us_each(connect, 20_000)
-        print(f"{sources:>9} sources: set-up {cost[0]:.2f} us, connection {cost[1]:.2f} us, {len(door)} kept")
-
-
-def _sketch(sources: int) -> SpaceSavingCounter[int]:
-    table = SpaceSavingCounter[int](4096)
+        _open_connections(controller, addresses)
+        _, permit = controller.admit_connection("10.3.0.1", 0, 0)
+        assert permit is not None
+        now_us = itertools.count(10**6, 100)
+        request_us = us_each(partial(_request, controller, permit, now_us), 20_000)
+        connection_us = us_each(partial(_connect, controller, addresses, now_us), 20_000)
+        costs = f"request {request_us:.2f} us, connection {connection_us:.2f} us"
+        print(f"{sources:>9} sources: {costs}, {len(controller)} tracked")
+
+
+def _open_connections(controller: AdmissionController, addresses: list[str]) -> None:
+    """Up to 50,000 sources connect; the first 1000 stay connected."""
+    for number in range(min(len(addresses), 50_000)):
+        _, permit = controller.admit_connection(addresses[number], 0, 0)
+        assert permit is not None
+        if number >= 1000:
+            controller.release(permit)
+
+
+def _request(
+    controller: AdmissionController, permit: ConnectionPermit, now_us: Iterator[int], _: int
+) -> None:
+    controller.admit_request(permit, next(now_us))
+
+
+def _connect(
+    controller: AdmissionController, addresses: list[str], now_us: Iterator[int], number: int
+) -> None:
+    address = addresses[number * 7919 % len(addresses)]
+    _, permit = controller.admit_connection(address, next(now_us), 0)
+    if permit is not None:
+        controller.release(permit)
+
+
+def _filled_counter(sources: int) -> SpaceSavingCounter[int]:
+    counter = SpaceSavingCounter[int](4096)
     for number in range(sources):
-        table.add(number)
-    return table
+        counter.add(number)
+    return counter
 
 
-def sketch() -> None:
-    """Space-saving beside a plain counter."""
+def counters() -> None:
+    """The space-saving counter and a plain counter."""
     for sources in (1_000, 1_000_000):
-        bounded = memory(partial(_sketch, sources))
+        bounded = memory(partial(_filled_counter, sources))
         plain = memory(partial(Counter, range(sources)))
-        print(f"{sources:>9} sources: sketch {bounded:.2f} MiB, plain counter {plain:.2f} MiB")
-    table, rng = SpaceSavingCounter[int](4096), random.Random(1)
+        print(f"{sources:>9} sources: space-saving {bounded:.2f} MiB, plain counter {plain:.2f} MiB")
+    counter = SpaceSavingCounter[int](4096)
+    rng = random.Random(1)
     draws = [rng.randrange(10**6) for _ in range(100_000)]
-    print(f"          an addition: {us_each(lambda number: table.add(draws[number]), len(draws)):.2f} us")
+    print(f"          an addition: {us_each(lambda number: counter.add(draws[number]), len(draws)):.2f} us")
 
 
 def prefixes() -> None:
-    """The trie beside a dict for each length."""
+    """The trie and a dict for each length."""
     rng = random.Random(2)
     for count, lengths in ((100, (8, 16, 24)), (10_000, tuple(range(8, 33)))):
-        trie, dicts = PrefixTable[int](), PerLengthPrefixTable[int]()
+        trie = PrefixTable[int]()
+        dicts = PerLengthPrefixTable[int]()
         for number in range(1, count + 1):
             length = rng.choice(lengths)
             prefix = (4, rng.randrange(2**32) >> (32 - length), length)
             trie.insert(prefix, number)
             dicts.insert(prefix, number)
-        asked = [rng.randrange(2**32) for _ in range(20_000)]
-        cost = us_each(_lookup(trie, asked), len(asked)), us_each(_lookup(dicts, asked), len(asked))
-        print(f"{count:>9} prefixes of {len(lengths)} lengths: trie {cost[0]:.2f} us, dicts {cost[1]:.2f} us")
+        addresses = [rng.randrange(2**32) for _ in range(20_000)]
+        trie_us = us_each(_lookup(trie, addresses), len(addresses))
+        dicts_us = us_each(_lookup(dicts, addresses), len(addresses))
+        print(
+            f"{count:>9} prefixes of {len(lengths)} lengths: trie {trie_us:.2f} us, dicts {dicts_us:.2f} us"
+        )
 
 
-def _lookup(table: PrefixTable[int] | PerLengthPrefixTable[int], asked: list[int]) -> Callable[[int], object]:
-    return lambda number: list(table.matches(4, asked[number]))
+def _lookup(
+    table: PrefixTable[int] | PerLengthPrefixTable[int], addresses: list[int]
+) -> Callable[[int], object]:
+    return lambda number: list(table.matches(4, addresses[number]))
 
 
-def shares() -> None:
-    """Put and take, beside sorting a list for each turn."""
-    terms = FairQueueConfig({"hollis-county": 0.72, "pruett-county": 0.28}, batch_size=1)
+def queues() -> None:
+    """Putting and taking one request, and sorting a list for each."""
+    config = FairQueueConfig({"hollis-county": 0.72, "pruett-county": 0.28}, batch_size=1)
     for waiting in (100, 10_000):
-        queue, plain = FairQueue[int](terms), list[tuple[int, int]]()
+        queue = FairQueue[int](config)
+        plain = list[tuple[int, int]]()
         for number in range(waiting):
             queue.put(number, 0, 10**12 + number, "hollis-county" if number % 3 else "pruett-county", 0)
             plain.append((0, 10**12 + number))
@@ -133,6 +160,6 @@
 
 
 if __name__ == "__main__":
-    for part in (verdicts, sketch, prefixes, shares):
+    for part in (decisions, counters, prefixes, queues):
         print(part.__doc__)
         part()
