--- a/thornshelf/admission/prefixes.py
+++ b/thornshelf/admission/prefixes.py
@@ -73,7 +73,7 @@
             if child is None:
                 child = node.children[side] = _Node(bits, length)
             else:
-                common = _common(child.bits, child.length, bits, length)
+                common = _common_length(child.bits, child.length, bits, length)
                 if common < child.length:
                     # The paths diverge within this edge, or the new prefix ends in it.
                     middle: _Node[T] = _Node(bits >> (length - common), common)
@@ -102,10 +102,10 @@
         return found
 
 
-def _common(a: int, a_length: int, b: int, b_length: int) -> int:
+def _common_length(first: int, first_length: int, second: int, second_length: int) -> int:
     """Number of leading bits that two prefixes share."""
-    length = min(a_length, b_length)
-    difference = (a >> (a_length - length)) ^ (b >> (b_length - length))
+    length = min(first_length, second_length)
+    difference = (first >> (first_length - length)) ^ (second >> (second_length - length))
     return length - difference.bit_length()
 
 
--- a/thornshelf/translation/capabilities.py
+++ b/thornshelf/translation/capabilities.py
@@ -14,7 +14,7 @@
 from thornshelf.translation.failures import GENERATION, FailureReason, WireFormat
 
 # Connections in a row that close before any message came, until the next wire format is tried.
-SILENT_CLOSES_BEFORE_FALLBACK = 2
+CLOSES_BEFORE_FALLBACK = 2
 # Denials that proved wrong, from which on a node's answers to status queries are not trusted any more.
 MAX_BROKEN_PROMISES = 2
 MAX_REQUIRED_FIELDS = 16  # in a hello; more are reported as inconsistent
@@ -54,7 +54,7 @@
             raise InvalidParameterError("a node needs at least one wire format")
         self.allowed = tuple(sorted(set(allowed), key=lambda candidate: -GENERATION[candidate]))
         self.current = self.allowed[0]
-        self._silent_closes = 0
+        self._closes_without_message = 0
         self._formats_tried = 0  # since the last message from the node
         self._confirmed_format: WireFormat | None = None
 
@@ -70,7 +70,7 @@
 
     def confirm(self) -> None:
         """A message in the current format was received."""
-        self._silent_closes = 0
+        self._closes_without_message = 0
         self._formats_tried = 0
         self._confirmed_format = self.current
 
@@ -82,15 +82,18 @@
         """A connection was closed; ``received_message``: after a message of the node."""
         if received_message:
             # The node may have been restarted as a newer version.
-            self._silent_closes = 0
+            self._closes_without_message = 0
             self.current = self.allowed[0]
             return
-        self._silent_closes += 1
-        if self._silent_closes >= SILENT_CLOSES_BEFORE_FALLBACK or self._confirmed_format is not self.current:
+        self._closes_without_message += 1
+        if (
+            self._closes_without_message >= CLOSES_BEFORE_FALLBACK
+            or self._confirmed_format is not self.current
+        ):
             self._try_next()
 
     def _try_next(self) -> None:
-        self._silent_closes = 0
+        self._closes_without_message = 0
         self._formats_tried += 1
         index = self.allowed.index(self.current)
         self.current = self.allowed[(index + 1) % len(self.allowed)]
