--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -96,7 +96,7 @@
     assert cluster.wait_for_events(20) == [PLACED]
 
 
-def test_a_rejected_connection_is_told_the_reason_and_retry_after() -> None:
+def test_a_rejected_connection_gets_the_reason_and_retry_after() -> None:
     cluster = FakeCluster(JSON, admission=filter_config(Limits(max_connections=1)))
     reply = read_until_closed(cluster, connect(cluster))
     assert reply is not None
@@ -161,7 +161,7 @@
     while (reply := read_until_closed(cluster, known)) is None:
         assert cluster.loop.now - began < 2_000_000
     assert b'"running"' in reply and len(cluster.client.heard) < 500  # the flood is still being read
-    lines = [values for _, word, values, _ in cluster.logged if word == "connections-rejected"]
+    lines = [values for _, message_id, values, _ in cluster.logged if message_id == "connections-rejected"]
     assert 0 < len(lines) <= 4 and str(lines[0]["heaviest"]).startswith("127.0.0.1=")
 
 
@@ -282,10 +282,10 @@
     for one in flood:
         one.close()
     cluster.run_for(100)
-    with socket.create_connection(at, timeout=TIMEOUT_S) as late:
-        late.sendall(jsonl.encode_line("check", 1, reason=0))
-        late.settimeout(TIMEOUT_S)
-        assert b"checked" in late.recv(100)
+    with socket.create_connection(at, timeout=TIMEOUT_S) as sock:
+        sock.sendall(jsonl.encode_line("check", 1, reason=0))
+        sock.settimeout(TIMEOUT_S)
+        assert b"checked" in sock.recv(100)
 
 
 def test_a_successor_takes_over_the_running_tasks(
@@ -338,25 +338,25 @@
     try:
         flood = [socket.create_connection(at, timeout=TIMEOUT_S) for _ in range(120)]
         cluster.run_for(200)
-        most = 0
+        peak = 0
         os.kill(pids[0], signal.SIGUSR2)
         limit = time.monotonic() + TIMEOUT_S
         while "taken over from the predecessor" not in (log := dispatcher.log_path.read_text()):
             assert time.monotonic() < limit, log[-2000:]
             pids = [dispatcher.process.pid, *(int(one) for one in re.findall(r'pid="(\d+)"', log))]
-            most = max(most, sum(map(descriptors, pids)))
+            peak = max(peak, sum(map(descriptors, pids)))
             flood.append(
                 socket.create_connection(at, timeout=TIMEOUT_S)
             )  # the system refuses no connection meanwhile
             cluster.run_for(10)
-        assert len(pids) == 2 and most <= 96
+        assert len(pids) == 2 and peak <= 96
         for one in flood:
             one.close()
         cluster.run_for(100)
-        with socket.create_connection(at, timeout=TIMEOUT_S) as late:
-            late.sendall(jsonl.encode_line("check", 1, reason=0))
-            late.settimeout(TIMEOUT_S)
-            assert b"checked" in late.recv(100)
+        with socket.create_connection(at, timeout=TIMEOUT_S) as sock:
+            sock.sendall(jsonl.encode_line("check", 1, reason=0))
+            sock.settimeout(TIMEOUT_S)
+            assert b"checked" in sock.recv(100)
     finally:
         for pid in pids[1:]:
             with contextlib.suppress(ProcessLookupError):
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -43,11 +43,11 @@
     st.lists(st.integers(0, 500_000), max_size=100),
 )
 def test_no_window_exceeds_the_rate_and_the_burst(
-    count: int, period: int, burst: int, gaps: list[int]
+    count: int, period: int, burst: int, pauses: list[int]
 ) -> None:
     rate, tat, now, taken = Rate(count, period, burst), 0, 0, list[int]()
-    for gap in gaps:
-        now += gap
+    for pause in pauses:
+        now += pause
         wait = wait_us(rate, tat, now)
         new = next_arrival_time(rate, tat, now)
         assert (new is None) == (wait > 0)
@@ -209,7 +209,7 @@
 def test_a_known_source_always_gets_a_reserved_connection(steps: list[tuple[bool, bool, int]]) -> None:
     connections = ReservedConnections(ReservedConnectionsConfig(capacity=10, reserved=4, floor=2))
     busy = 0
-    for known, opens, share in steps:
+    for known, opens, chance in steps:
         if opens and connections.can_open(known, busy):
             connections.record_open(known)
         elif not opens and (connections.known_count if known else connections.unknown_count - busy) > 0:
@@ -217,7 +217,7 @@
         # an unknown connection becomes busy only where that leaves the reserve what it needs
         busy = min(busy, connections.unknown_count)
         if (
-            share < 3
+            chance < 3
             and connections.unknown_count > busy
             and connections.unknown_count + max(4, connections.known_count) <= 10
         ):
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -102,7 +102,7 @@
 
 @CLIENTS
 @pytest.mark.parametrize(
-    ("conduct", "reason", "words"),
+    ("behavior", "reason", "text"),
     [
         (NodeBehavior.LICENCE, pb2.LICENCE, "licence: no licence for this program"),
         (NodeBehavior.QUARANTINED, pb2.QUARANTINED, "quarantined: under repair"),
@@ -110,18 +110,18 @@
     ],
 )
 def test_a_reason_unknown_to_the_format_keeps_its_guarantee_and_text(
-    front: str, conduct: NodeBehavior, reason: int, words: str
+    front: str, behavior: NodeBehavior, reason: int, text: str
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, conduct, ONCE_ONLY)
+    cluster.client.ask(5, behavior, ONCE_ONLY)
     assert (
         cluster.wait_for_events(5)[0][0] == "refused"
     )  # it never ran: this holds for tasks that must not be started twice, too
     message = cluster.client.said[5][0]
     if front == JSON:
-        assert (message.reason, message.meta["why"]) == (34, words)
+        assert (message.reason, message.meta["why"]) == (34, text)
     if front == GRPC2:
-        assert message.refusal.reason == reason and message.refusal.text in words
+        assert message.refusal.reason == reason and message.refusal.text in text
     assert start_count(cluster, 5) == 0
 
 
@@ -147,9 +147,9 @@
 def test_a_class_without_a_suitable_node_is_rejected_at_once() -> None:
     cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(minimum_generations={ONCE_ONLY: 2}))
     cluster.run_for(50)
-    asked = cluster.loop.now
+    requested_us = cluster.loop.now
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-    assert cluster.wait_for_events(5)[0][0] == "refused" and cluster.loop.now - asked < 500_000
+    assert cluster.wait_for_events(5)[0][0] == "refused" and cluster.loop.now - requested_us < 500_000
     assert reason_text(cluster.client.said[5][0]).startswith(
         "wrong generation: ledger-batch wants nodes of generation 2"
     )
@@ -186,9 +186,9 @@
     uid = 6
     while True:  # until it is reached in its new format; no attempt may be lost or started twice meanwhile
         cluster.client.ask(uid, NodeBehavior.RUN, ONCE_ONLY)
-        heard = cluster.wait_for_events(uid)[0]
-        assert heard[0] in ("placed", "refused")
-        if heard == PLACED:
+        events = cluster.wait_for_events(uid)[0]
+        assert events[0] in ("placed", "refused")
+        if events == PLACED:
             break
         uid += 1
     profile = cluster.service.core.translator.profile(1)  # type: ignore[union-attr]
@@ -335,11 +335,11 @@
     for uid in range(10, 30):
         cluster.client.ask(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
     cluster.client.ask(30, NodeBehavior.RUN, ONCE_ONLY)
-    heard = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
+    events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
     order = [one.uid for one in cluster.nodes[0].orders]
-    assert heard[20] == "refused" and heard[30] == "placed" and order[0] == 30
+    assert events[20] == "refused" and events[30] == "placed" and order[0] == 30
     assert cluster.service.core.open_count == 0 and not cluster.service.core.queue
-    refused = [uid for uid, word in heard.items() if word == "refused"]
+    refused = [uid for uid, kind in events.items() if kind == "refused"]
     assert len(refused) >= 10 and reason_text(cluster.client.said[20][0]).startswith("overloaded")
 
 
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -50,9 +50,9 @@
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
     cluster.client.ask(5, conduct, ONCE_ONLY)
-    heard = cluster.wait_for_events(5)
+    events = cluster.wait_for_events(5)
     cluster.run_for(100)
-    assert [one[0] for one in heard] == [one[0] for one in expected]
+    assert [one[0] for one in events] == [one[0] for one in expected]
     assert start_count(cluster, 5) == ran and len(cluster.client.heard[5]) == 1
 
 
@@ -89,8 +89,8 @@
     cluster.run_until(lambda: 6 in other.heard)
     cluster.run_for(100)
     # It was cancelled as its client disconnected: the events are that it ran, and that it has ended.
-    words = [one[0] for one in other.heard[6]]
-    assert words in (["placed"], ["placed", "released"]) and start_count(cluster, 5) == 1
+    kinds = [one[0] for one in other.heard[6]]
+    assert kinds in (["placed"], ["placed", "released"]) and start_count(cluster, 5) == 1
 
 
 def test_requests_with_one_key_from_several_clients_share_a_task() -> None:
@@ -186,11 +186,11 @@
     cluster.run_for(20)
     for node in cluster.nodes:
         node.manners.standings = {5: pb2.NEVER, 6: pb2.NEVER}
-    held = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
-    for node in {one[0] for one in held.values()}:
+    pending = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
+    for node in {one[0] for one in pending.values()}:
         node.break_streams()
     cluster.run_until(lambda: counters(cluster).get("asked: never ran", 0) >= 2)
-    for uid, (node, order, _) in held.items():
+    for uid, (node, order, _) in pending.items():
         cluster.run_until(lambda node=node: bool(node.voices))  # type: ignore[misc]
         node.waiting.pop(uid, None)
         node.begin(order, node.voices[-1])
@@ -208,15 +208,15 @@
     task = core.tasks_by_uid[5]
     attempt = task.attempt
     assert attempt is not None
-    kept = node.waiting[5]
+    pending_attempt = node.waiting[5]
     core._attempt_timed_out(task, attempt)
     cluster.run_until(lambda: ("question", 5) in node.seen)
     assert ("release", 5) in node.seen
-    heard = cluster.wait_for_events(5)  # it was cancelled before the query: it never ran
-    assert heard[0][0] == "refused" and start_count(cluster, 5) == 0
-    node.begin(*kept)
+    events = cluster.wait_for_events(5)  # it was cancelled before the query: it never ran
+    assert events[0][0] == "refused" and start_count(cluster, 5) == 0
+    node.begin(*pending_attempt)
     cluster.run_until(lambda: 5 not in node.running)
-    assert counters(cluster)["late yes"] == 1 and cluster.client.heard[5] == heard
+    assert counters(cluster)["late yes"] == 1 and cluster.client.heard[5] == events
 
 
 def test_a_node_with_a_pending_attempt_is_queried_again() -> None:
--- a/thornshelf/admission/__init__.py
+++ b/thornshelf/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who gets in at the door, what is kept for whom, and how many descriptors there are. No I/O; time is a value."""
+"""Admission control: rate limits, known sources, reserved connections, descriptors and overload. No I/O."""
