--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -7,9 +7,19 @@
 
 import pytest
 
+from tests.translation_helpers import (
+    ASSUME,
+    CLIENTS,
+    ONCE_ONLY,
+    PLACED,
+    counters,
+    log_lines,
+    needs_hint,
+    reason_text,
+    start_count,
+)
 from thornshelf.lab.fakes.cluster import (
     BINARY,
-    DESCRIPTION,
     GRPC,
     GRPC2,
     JSON,
@@ -22,48 +32,16 @@
 from thornshelf.retries.budget import RetryBudgetConfig
 from thornshelf.retries.deadline_queue import DeadlineQueueConfig
 from thornshelf.translation.failures import WireFormat
-from thornshelf.translation.missing_fields import MissingFieldAction, MissingFieldPolicy
 from thornshelf.translation.translator import TranslationConfig
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-ONCE_ONLY = "ledger-batch"
-PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
-CLIENTS = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
-ASSUME = TranslationConfig(
-    missing_field_policies={"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000_000)}
-)
-
-
-def needs_hint(node: FakeNode) -> None:
-    node.manners.requires = (pb2.HINT,)
-
-
-def counters(cluster: FakeCluster) -> dict[str, int]:
-    translator = cluster.service.core.translator
-    assert translator is not None
-    return translator.counters
-
-
-def start_count(cluster: FakeCluster, key: int) -> int:
-    """Number of nodes that run or ran a task with this key."""
-    return sum((key in node.runs) + (key in node.ran) for node in cluster.nodes)
-
-
-def log_lines(cluster: FakeCluster, name: str) -> list[dict[str, object]]:
-    return [values for _, word, values, _ in cluster.logged if word == name]
-
-
-def reason_text(message: Any) -> str:
-    return str(message.meta["why"] if hasattr(message, "meta") else message.refusal.text)
-
-
 # missing fields
 
 
 @CLIENTS
 def test_a_missing_hint_is_rejected_with_the_reason(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, manners=needs_hint)
-    cluster.run_for(50)  # their hellos have come
+    cluster.run_for(50)  # their hellos have arrived
     cluster.client.ask(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused" and cluster.offer_count(5) == 0
     message = cluster.client.said[5][0]
@@ -79,7 +57,7 @@
 def test_a_missing_hint_is_assumed_by_policy_and_reported(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, terms=ASSUME, manners=needs_hint)
     cluster.client.ask(5, NodeBehavior.RUN, hint=None)
-    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # not of the class that it is said of
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # the policy is of another class
     assert cluster.wait_for_events(5) == [PLACED] and cluster.wait_for_events(6)[0][0] == "refused"
     (order,) = (one for node in cluster.nodes for one in node.orders if one.uid == 5)
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
@@ -124,7 +102,7 @@
 
 @CLIENTS
 @pytest.mark.parametrize(
-    ("conduct", "reason", "words"),
+    ("behavior", "reason", "text"),
     [
         (NodeBehavior.LICENCE, pb2.LICENCE, "licence: no licence for this program"),
         (NodeBehavior.QUARANTINED, pb2.QUARANTINED, "quarantined: under repair"),
@@ -132,18 +110,18 @@
     ],
 )
 def test_a_reason_unknown_to_the_format_keeps_its_guarantee_and_text(
-    front: str, conduct: NodeBehavior, reason: int, words: str
+    front: str, behavior: NodeBehavior, reason: int, text: str
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, conduct, ONCE_ONLY)
+    cluster.client.ask(5, behavior, ONCE_ONLY)
     assert (
         cluster.wait_for_events(5)[0][0] == "refused"
-    )  # it never ran: also a task that must not be started twice
+    )  # it never ran: this holds for tasks that must not be started twice, too
     message = cluster.client.said[5][0]
     if front == JSON:
-        assert (message.reason, message.meta["why"]) == (34, words)
+        assert (message.reason, message.meta["why"]) == (34, text)
     if front == GRPC2:
-        assert message.refusal.reason == reason and message.refusal.text in words
+        assert message.refusal.reason == reason and message.refusal.text in text
     assert start_count(cluster, 5) == 0
 
 
@@ -169,9 +147,9 @@
 def test_a_class_without_a_suitable_node_is_rejected_at_once() -> None:
     cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(minimum_generations={ONCE_ONLY: 2}))
     cluster.run_for(50)
-    asked = cluster.loop.now
+    requested_us = cluster.loop.now
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-    assert cluster.wait_for_events(5)[0][0] == "refused" and cluster.loop.now - asked < 500_000
+    assert cluster.wait_for_events(5)[0][0] == "refused" and cluster.loop.now - requested_us < 500_000
     assert reason_text(cluster.client.said[5][0]).startswith(
         "wrong generation: ledger-batch wants nodes of generation 2"
     )
@@ -206,11 +184,11 @@
     node.runs.clear()
     node.break_streams()
     uid = 6
-    while True:  # until it is reached in its new form; no offer may be lost or started twice on the way
+    while True:  # until it is reached in its new format; no attempt may be lost or started twice meanwhile
         cluster.client.ask(uid, NodeBehavior.RUN, ONCE_ONLY)
-        heard = cluster.wait_for_events(uid)[0]
-        assert heard[0] in ("placed", "refused")
-        if heard == PLACED:
+        events = cluster.wait_for_events(uid)[0]
+        assert events[0] in ("placed", "refused")
+        if events == PLACED:
             break
         uid += 1
     profile = cluster.service.core.translator.profile(1)  # type: ignore[union-attr]
@@ -268,7 +246,7 @@
     cluster = FakeCluster(GRPC2, GRPC2, manners=lambda node: setattr(node.manners, "generation", 3))
     ask = cluster.client.message(5, NodeBehavior.RUN, "lookup").SerializeToString() + extra
     body = pb2.ClientMessage(ask=pb2.Ask.FromString(ask)).SerializeToString()
-    assert extra in body  # it is kept as it came
+    assert extra in body  # it is preserved
     cluster.client.h2.send(cluster.client.call, b"\0" + len(body).to_bytes(4, "big") + body)
     assert cluster.wait_for_events(5) == [PLACED]
 
@@ -291,7 +269,9 @@
     assert cluster.wait_for_events(5)[0][0] == "refused" and cluster.offer_count(5) == 1
     assert len(log_lines(cluster, "rejection-unexpected")) == 1
     cluster.client.ask(6, NodeBehavior.RUN, hint=None)
-    assert cluster.wait_for_events(6)[0][0] == "refused" and cluster.offer_count(6) == 0  # once was enough
+    assert (
+        cluster.wait_for_events(6)[0][0] == "refused" and cluster.offer_count(6) == 0
+    )  # it was learned from the first rejection
 
 
 def test_a_node_without_a_hello_gets_no_attempts() -> None:
@@ -313,7 +293,7 @@
     cluster.client.h2.send(call, _frame(ask))
     cluster.client.h2.finish(call, [])
     cluster.run_until(lambda: call in cluster.client.status)
-    # v2 tells all by its verdict; v1 by the status
+    # v2 answers by a message, v1 by the status
     assert cluster.client.status[call]["grpc-status"] == ("0" if front == GRPC2 else "8")
     assert (6 in cluster.client.heard) == (front == GRPC2)
 
@@ -355,11 +335,11 @@
     for uid in range(10, 30):
         cluster.client.ask(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
     cluster.client.ask(30, NodeBehavior.RUN, ONCE_ONLY)
-    heard = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
+    events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
     order = [one.uid for one in cluster.nodes[0].orders]
-    assert heard[20] == "refused" and heard[30] == "placed" and order[0] == 30
+    assert events[20] == "refused" and events[30] == "placed" and order[0] == 30
     assert cluster.service.core.open_count == 0 and not cluster.service.core.queue
-    refused = [uid for uid, word in heard.items() if word == "refused"]
+    refused = [uid for uid, kind in events.items() if kind == "refused"]
     assert len(refused) >= 10 and reason_text(cluster.client.said[20][0]).startswith("overloaded")
 
 
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -6,6 +6,16 @@
 
 import pytest
 
+from tests.translation_helpers import (
+    CLIENTS,
+    FAILED,
+    ONCE_ONLY,
+    PLACED,
+    REJECTED,
+    counters,
+    reason_text,
+    start_count,
+)
 from thornshelf.lab.fakes.cluster import (
     BINARY,
     DESCRIPTION,
@@ -16,41 +26,9 @@
     FakeNode,
     NodeBehavior,
 )
-from thornshelf.translation.missing_fields import MissingFieldAction, MissingFieldPolicy
 from thornshelf.translation.translator import TranslationConfig
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-ONCE_ONLY = "ledger-batch"
-PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
-CLIENTS = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
-ASSUME = TranslationConfig(
-    missing_field_policies={"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000_000)}
-)
-
-
-def needs_hint(node: FakeNode) -> None:
-    node.manners.requires = (pb2.HINT,)
-
-
-def counters(cluster: FakeCluster) -> dict[str, int]:
-    translator = cluster.service.core.translator
-    assert translator is not None
-    return translator.counters
-
-
-def start_count(cluster: FakeCluster, key: int) -> int:
-    """Number of nodes that run or ran a task with this key."""
-    return sum((key in node.runs) + (key in node.ran) for node in cluster.nodes)
-
-
-def log_lines(cluster: FakeCluster, name: str) -> list[dict[str, object]]:
-    return [values for _, word, values, _ in cluster.logged if word == name]
-
-
-def reason_text(message: Any) -> str:
-    return str(message.meta["why"] if hasattr(message, "meta") else message.refusal.text)
-
-
 # uncertain attempts
 
 
@@ -62,9 +40,9 @@
             NodeBehavior.CUT,
             [PLACED],
             1,
-        ),  # the stream is cut midway through the binding: it runs, and that is found out
+        ),  # cut midway through the binding: it runs, and a query finds that
         (NodeBehavior.CUT_AFTER, [PLACED], 1),
-        (NodeBehavior.CUT_BEFORE, [REFUSED], 0),  # it never ran, says each node
+        (NodeBehavior.CUT_BEFORE, [REJECTED], 0),  # each node answers that it never ran
     ],
 )
 def test_an_uncertain_attempt_is_resolved_before_the_deadline(
@@ -72,9 +50,9 @@
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
     cluster.client.ask(5, conduct, ONCE_ONLY)
-    heard = cluster.wait_for_events(5)
+    events = cluster.wait_for_events(5)
     cluster.run_for(100)
-    assert [one[0] for one in heard] == [one[0] for one in expected]
+    assert [one[0] for one in events] == [one[0] for one in expected]
     assert start_count(cluster, 5) == ran and len(cluster.client.heard[5]) == 1
 
 
@@ -91,7 +69,7 @@
         cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
         assert (
             cluster.wait_for_events(6) == [FAILED] and start_count(cluster, 5) == 1
-        )  # nor does another id start it again
+        )  # another id does not start it again, either
         assert reason_text(cluster.client.said[6][0]).startswith("in doubt: ")
 
 
@@ -110,9 +88,9 @@
     other.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
     cluster.run_until(lambda: 6 in other.heard)
     cluster.run_for(100)
-    # It was told to end as its client went: what is told is that it ran, and that it is over.
-    words = [one[0] for one in other.heard[6]]
-    assert words in (["placed"], ["placed", "released"]) and start_count(cluster, 5) == 1
+    # It was cancelled as its client disconnected: the events are that it ran, and that it has ended.
+    kinds = [one[0] for one in other.heard[6]]
+    assert kinds in (["placed"], ["placed", "released"]) and start_count(cluster, 5) == 1
 
 
 def test_requests_with_one_key_from_several_clients_share_a_task() -> None:
@@ -128,10 +106,10 @@
     cluster.run_until(lambda: 5 in cluster.client.heard and 6 in other.heard)
     assert (cluster.client.heard[5], other.heard[6]) == ([PLACED], [PLACED]) and start_count(cluster, 5) == 1
     third = cluster.connect_client(GRPC)
-    third.ask(7, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")  # it stands by now
+    third.ask(7, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")  # it is running by now
     cluster.run_until(lambda: 7 in third.heard)
     assert third.heard[7] == [PLACED] and third.said[7][0].binding.description == DESCRIPTION
-    cluster.client.give_up(5)  # one of three: the others' task runs on
+    cluster.client.give_up(5)  # one of three: the task of the others continues
     cluster.run_for(50)
     assert 5 in running_node.running
     running_node.over(5, pb2.ENDED)
@@ -173,13 +151,13 @@
     order, say = node.waiting[5]
     cluster.client.give_up(5)
     cluster.run_until(lambda: ("release", 5) in node.seen)
-    node.begin(order, say)  # it says yes all the same
+    node.begin(order, say)  # it starts the attempt all the same
     cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
     cluster.run_for(50)
     assert 5 not in node.running and counters(cluster)["late yes"] == 1 and cluster.client.heard == {}
     cluster.client.ask(
         6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}"
-    )  # the name is in doubt: the node tells that it ran
+    )  # the key is uncertain: the node answers that it ran
     assert [one[0] for one in cluster.wait_for_events(6, 2)] == ["placed", "released"] and len(node.ran) == 1
 
 
@@ -194,8 +172,8 @@
     cluster.run_until(lambda: ("question", 5) in node.seen)
     assert (
         cluster.wait_for_events(6) == [PLACED] and len(node.runs) == 1
-    )  # never ran under the first id: it may start
-    node.begin(order, say)  # ...and then the node breaks its word
+    )  # it never ran under the first id: it may start
+    node.begin(order, say)  # ...and then the node starts the attempt that it denied
     cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
     assert counters(cluster)["late yes"] == 1 and 6 in node.running
 
@@ -208,11 +186,11 @@
     cluster.run_for(20)
     for node in cluster.nodes:
         node.manners.standings = {5: pb2.NEVER, 6: pb2.NEVER}
-    held = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
-    for node in {one[0] for one in held.values()}:
+    pending = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
+    for node in {one[0] for one in pending.values()}:
         node.break_streams()
     cluster.run_until(lambda: counters(cluster).get("asked: never ran", 0) >= 2)
-    for uid, (node, order, _) in held.items():
+    for uid, (node, order, _) in pending.items():
         cluster.run_until(lambda node=node: bool(node.voices))  # type: ignore[misc]
         node.waiting.pop(uid, None)
         node.begin(order, node.voices[-1])
@@ -230,15 +208,15 @@
     task = core.tasks_by_uid[5]
     attempt = task.attempt
     assert attempt is not None
-    kept = node.waiting[5]
+    pending_attempt = node.waiting[5]
     core.attempts.timed_out(task, attempt)
     cluster.run_until(lambda: ("question", 5) in node.seen)
     assert ("release", 5) in node.seen
-    heard = cluster.wait_for_events(5)  # it was told to end before it was asked: it never ran
-    assert heard[0][0] == "refused" and start_count(cluster, 5) == 0
-    node.begin(*kept)
+    events = cluster.wait_for_events(5)  # it was cancelled before the query: it never ran
+    assert events[0][0] == "refused" and start_count(cluster, 5) == 0
+    node.begin(*pending_attempt)
     cluster.run_until(lambda: 5 not in node.running)
-    assert counters(cluster)["late yes"] == 1 and cluster.client.heard[5] == heard
+    assert counters(cluster)["late yes"] == 1 and cluster.client.heard[5] == events
 
 
 def test_a_node_with_a_pending_attempt_is_queried_again() -> None:
@@ -287,7 +265,7 @@
     cluster.client.ask(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     node = cluster.nodes[0]
-    node.over(5, pb2.ENDED)  # and its word is lost
+    node.over(5, pb2.ENDED)  # and the report of its end is lost
     node.break_streams()
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.ENDED)
 
@@ -315,8 +293,8 @@
     running_node[6].over(6, pb2.ENDED)
     running_node[6].voices[-1].end(6, 16, pb2.ENDED)
     assert cluster.wait_for_events(6, 2)[1][0] == "released"
-    cluster.run_for(50)  # that it was heard has come
-    cluster.client.take = lambda _: None  # it reads and breaks before it has understood
+    cluster.run_for(50)  # the acknowledgement has arrived
+    cluster.client.take = lambda _: None  # it reads the release, and breaks before acknowledging it
     running_node[5].over(5, pb2.ENDED)
     running_node[5].voices[-1].end(5, 16, pb2.ENDED)
     cluster.run_for(50)
