--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from dataclasses import replace
+import enum
+from dataclasses import dataclass, replace
 
 import pytest
 from hypothesis import given
@@ -114,148 +115,262 @@
     assert len(offers(one.handle(1.2, [ask(3)]))) == sent
 
 
-STEP = st.tuples(
-    st.sampled_from(
-        ["ask", "ask", "end", "end", "place", "list", "adopt", "timer", "abandon", "note", "peer"]
-    ),
-    st.integers(0, 7),
-    st.sampled_from(list(api.Outcome)),
-    st.sampled_from(list(api.Health)),
-    st.floats(0.0, 1.5),
+class StepKind(enum.Enum):
+    """What happens in a step of a generated sequence."""
+
+    REQUEST = enum.auto()
+    END = enum.auto()
+    ACCEPT = enum.auto()
+    ENDPOINT_UPDATE = enum.auto()
+    ADOPT = enum.auto()
+    TIMER = enum.auto()
+    CANCEL = enum.auto()
+    TASK_UPDATE = enum.auto()
+    GOSSIP = enum.auto()
+
+
+class AttemptState(enum.Enum):
+    """What is known of an attempt."""
+
+    IN_FLIGHT = enum.auto()
+    RUNNING = enum.auto()
+    NEVER_RAN = enum.auto()
+    MAY_HAVE_RUN = enum.auto()
+
+
+ACTIVE = (AttemptState.IN_FLIGHT, AttemptState.RUNNING)
+
+
+@dataclass
+class ModelAttempt:
+    """An attempt as the model knows it."""
+
+    machine: int
+    started_at: float
+    state: AttemptState
+
+
+@dataclass(frozen=True)
+class Step:
+    """One step of a generated sequence; ``pick`` chooses the request, the machine or the service that it is about."""
+
+    kind: StepKind
+    pick: int
+    outcome: api.Outcome
+    health: api.Health
+    wait_s: float
+
+
+STEPS = st.builds(
+    Step,
+    # Requests and ends are drawn more often than the others.
+    kind=st.sampled_from([StepKind.REQUEST, *StepKind, StepKind.END]),
+    pick=st.integers(0, 7),
+    outcome=st.sampled_from(list(api.Outcome)),
+    health=st.sampled_from(list(api.Health)),
+    wait_s=st.floats(0.0, 1.5),
 )
 
 
-def together(spread: api.Scope, one: api.Endpoint, other: api.Endpoint) -> bool:
-    """Whether two machines lie in one place of the spread."""
-    if spread is api.Scope.MACHINE:
-        return one.machine == other.machine
-    return one.cell == other.cell if spread is api.Scope.CELL else one.zone == other.zone
+class RuleModel:
+    """What surrounds one placer: makes events of steps, and checks each action against the five rules."""
+
+    SLOW_START_MACHINE = 3
+    DEADLINE_MARGIN_S = 0.005
+
+    def __init__(self, task_class: api.TaskClass) -> None:
+        self.task_class = task_class
+        self.entries = {
+            machine: entry(
+                machine,
+                zone=("here", "there")[machine % 2],
+                cell=machine % 3,
+                started_at=float(machine == self.SLOW_START_MACHINE),
+            )
+            for machine in range(6)
+        }
+        self.clock = 1.0
+        self.last_request = 0
+        self.deadlines: dict[int, float] = {}  # of the requests that are open
+        self.service: dict[int, int] = {}
+        self.attempts: dict[int, list[ModelAttempt]] = {}
+        self.slow_start: list[float] = []  # when attempts were started at the machine that is warming up
+
+    def events(self, step: Step) -> list[api.Event]:
+        """Let time pass; the timers that are due then, and the event of the step."""
+        self.clock += step.wait_s * 0.4
+        due = [request for request in self.deadlines if self._is_due(request)]
+        timers: list[api.Event] = [api.TimerFired(request) for request in due]
+        if step.kind is StepKind.CANCEL and not timers and self.deadlines:
+            cancelled = sorted(self.deadlines)[step.pick % len(self.deadlines)]
+            del self.deadlines[cancelled]
+            return [api.RequestCancelled(cancelled)]
+        return timers + self._step_events(step)
+
+    def _is_due(self, request: int) -> bool:
+        return self.clock >= self.deadlines[request] - self.DEADLINE_MARGIN_S
+
+    def _step_events(self, step: Step) -> list[api.Event]:
+        match step.kind:
+            case StepKind.REQUEST:
+                return [self._request(step)]
+            case StepKind.ADOPT:
+                return [self._adopt(step)]
+            case StepKind.ENDPOINT_UPDATE:
+                machine = step.pick % 6
+                self.entries[machine] = replace(self.entries[machine], health=step.health)
+                return [listing(self.entries[machine], complete=False)]
+            case StepKind.GOSSIP:
+                return [api.GossipMessage(step.pick % 3, bytes([1, *range(step.pick)]))]
+            case StepKind.END | StepKind.ACCEPT | StepKind.TASK_UPDATE:
+                return self._attempt_events(step)
+            case _:
+                return []
+
+    def _request(self, step: Step) -> api.Event:
+        self.last_request += 1
+        request = self.last_request
+        self.deadlines[request] = self.clock + 1.0 + step.wait_s
+        self.service[request] = step.pick % 3
+        self.attempts[request] = []
+        return ask(request, service=step.pick % 3, budget_s=1.0 + step.wait_s)
+
+    def _adopt(self, step: Step) -> api.Event:
+        self.last_request += 1
+        request = self.last_request
+        self.service[request] = step.pick % 3
+        self.attempts[request] = [ModelAttempt(step.pick % 6, self.clock, AttemptState.RUNNING)]
+        return api.TaskAdopted(ask(request, service=step.pick % 3), step.pick % 6)
+
+    def _attempt_events(self, step: Step) -> list[api.Event]:
+        active = [
+            (request, number, attempt)
+            for request, attempts in self.attempts.items()
+            for number, attempt in enumerate(attempts)
+            if attempt.state in ACTIVE
+        ]
+        if not active:
+            return []
+        request, number, attempt = active[step.pick % len(active)]
+        machine = attempt.machine
+        was_running = attempt.state is AttemptState.RUNNING
+        if step.kind is StepKind.TASK_UPDATE:
+            kind = api.TaskUpdateKind.CORES_USED
+            return [api.TaskUpdate(request, machine, number, kind, step.wait_s)]
+        if step.kind is StepKind.END:
+            never_ran = step.outcome in PROVEN and not was_running
+            attempt.state = AttemptState.NEVER_RAN if never_ran else AttemptState.MAY_HAVE_RUN
+            return [ended(request, machine, step.outcome, number, last=was_running)]
+        if not was_running and request in self.deadlines:
+            attempt.state = AttemptState.RUNNING
+            if not self._is_due(request):
+                del self.deadlines[request]  # else its timer, which comes first, has to fail it
+            return [api.AttemptAccepted(request, machine, number, 0.1)]
+        return []
+
+    def check(self, action: api.Action) -> None:
+        """Fail the test where an action breaks a rule; others are carried out in the model."""
+        match action:
+            case api.StartAttempt(request, machine, _):
+                self._check_attempt(request, machine)
+            case api.Reject(request, _):
+                self._check_answer(request)
+                if any(attempt.state is not AttemptState.NEVER_RAN for attempt in self.attempts[request]):
+                    idempotency = self.task_class.idempotency
+                    assert idempotency is api.Idempotency.ALWAYS or (
+                        idempotency is api.Idempotency.WITH_KEY
+                        and self.task_class.idempotency_scope is api.Scope.ALL
+                    )
+            case api.Fail(request):
+                self._check_answer(request)
+            case _:
+                pass
+
+    def check_deadlines(self) -> None:
+        """Fail the test where a request was not answered by its deadline."""
+        assert all(at - self.DEADLINE_MARGIN_S > self.clock for at in self.deadlines.values())
+
+    def _check_answer(self, request: int) -> None:
+        assert request in self.deadlines
+        del self.deadlines[request]
+
+    def _check_attempt(self, request: int, machine: int) -> None:
+        assert request in self.deadlines
+        attempts = self.attempts[request]
+        assert all(attempt.state is not AttemptState.IN_FLIGHT for attempt in attempts)
+        self._check_retry(attempts, self.entries[machine])
+        assert self.entries[machine].health is api.Health.UP
+        if machine == self.SLOW_START_MACHINE and self.clock < 11.0:
+            self.slow_start.append(self.clock)
+            assert sum(at > self.clock - 1.0 for at in self.slow_start) <= 2
+        attempts.append(ModelAttempt(machine, self.clock, AttemptState.IN_FLIGHT))
+        if self.task_class.spread_scope is not api.Scope.NONE:
+            assert self._count_together(request, self.entries[machine]) <= 2
+
+    def _check_retry(self, attempts: list[ModelAttempt], target: api.Endpoint) -> None:
+        """Rule 2: what may have run is retried only where, and for as long as, its class allows it."""
+        uncertain = [attempt for attempt in attempts if attempt.state is AttemptState.MAY_HAVE_RUN]
+        if not uncertain:
+            return
+        if self.task_class.idempotency is api.Idempotency.NEVER:
+            pytest.fail("a task that is not idempotent was retried")
+        if self.task_class.idempotency is api.Idempotency.WITH_KEY:
+            assert self.clock <= min(attempt.started_at for attempt in uncertain) + 2.0
+            scope = self.task_class.idempotency_scope
+            for attempt in uncertain:
+                before = self.entries[attempt.machine]
+                assert scope is not api.Scope.ZONE or before.zone == target.zone
+                assert scope is not api.Scope.CELL or before.cell == target.cell
+
+    def _count_together(self, request: int, target: api.Endpoint) -> int:
+        """Rule 5: active attempts of the request's service in the same failure domain as a machine."""
+        return sum(
+            attempt.state in ACTIVE and self._is_together(self.entries[attempt.machine], target)
+            for other, attempts in self.attempts.items()
+            if self.service[other] == self.service[request]
+            for attempt in attempts
+        )
+
+    def _is_together(self, one: api.Endpoint, other: api.Endpoint) -> bool:
+        scope = self.task_class.spread_scope
+        if scope is api.Scope.MACHINE:
+            return one.machine == other.machine
+        return one.cell == other.cell if scope is api.Scope.CELL else one.zone == other.zone
 
 
 @runs(derandomize=True, deadline=None, max_examples=150)
 @given(
-    steps=st.lists(STEP, max_size=60),
-    effect=st.sampled_from(list(api.Idempotency)),
-    group=st.sampled_from([api.Scope.ALL, api.Scope.ZONE, api.Scope.CELL]),
+    steps=st.lists(STEPS, max_size=60),
+    idempotency=st.sampled_from(list(api.Idempotency)),
+    scope=st.sampled_from([api.Scope.ALL, api.Scope.ZONE, api.Scope.CELL]),
     spread=st.sampled_from([api.Scope.NONE, api.Scope.MACHINE, api.Scope.CELL, api.Scope.ZONE]),
     running=st.booleans(),
 )
 def test_all_rules_over_any_sequence(
-    steps: list[tuple[str, int, api.Outcome, api.Health, float]],
-    effect: api.Idempotency,
-    group: api.Scope,
+    steps: list[Step],
+    idempotency: api.Idempotency,
+    scope: api.Scope,
     spread: api.Scope,
     running: bool,
 ) -> None:
-    terms = replace(
+    task_class = replace(
         SAFE,
-        idempotency=effect,
-        idempotency_scope=group,
+        idempotency=idempotency,
+        idempotency_scope=scope,
         idempotency_window_s=2.0,
         spread_scope=spread,
         max_per_domain=2,
     )
     using = settings(
-        terms, placers=3, may_gossip=True, accepts_before_running=not running, slow_start_attempts=5.0
+        task_class, placers=3, may_gossip=True, accepts_before_running=not running, slow_start_attempts=5.0
     )
-    enattempts = {
-        n: entry(n, zone=("here", "there")[n % 2], cell=n % 3, started_at=float(n == 3)) for n in range(6)
-    }
-    one = placer(*enattempts.values(), using=using)
-    clock = 1.0
-    last_request = 0
-    deadlines: dict[int, float] = {}
-    service: dict[int, int] = {}
-    attempts: dict[int, list[tuple[int, float, str]]] = {}  # machine, time, state
-    slow_start: list[float] = []
-
-    for kind, pick, outcome, health, wait in steps:
-        clock += wait * 0.4
-        in_flight = [
-            (r, n)
-            for r, made in attempts.items()
-            for n, attempt in enumerate(made)
-            if attempt[2] in ("out", "bound")
-        ]
-        events: list[api.Event] = [api.TimerFired(r) for r, at in deadlines.items() if clock >= at - 0.005]
-        if kind == "ask":
-            last_request += 1
-            deadlines[last_request] = clock + 1.0 + wait
-            service[last_request] = pick % 3
-            attempts[last_request] = []
-            events.append(ask(last_request, service=pick % 3, budget_s=1.0 + wait))
-        elif kind in ("end", "place", "note") and in_flight:
-            request, number = in_flight[pick % len(in_flight)]
-            machine, at, state = attempts[request][number]
-            if kind == "note":
-                events.append(api.TaskUpdate(request, machine, number, api.TaskUpdateKind.CORES_USED, wait))
-            elif kind == "end":
-                proven = outcome in PROVEN and state == "out"
-                attempts[request][number] = (machine, at, "never" if proven else "maybe")
-                events.append(ended(request, machine, outcome, number, last=state == "bound"))
-            elif state == "out" and request in deadlines:
-                attempts[request][number] = (machine, at, "bound")
-                del deadlines[request]
-                events.append(api.AttemptAccepted(request, machine, number, 0.1))
-        elif kind == "list":
-            machine = pick % 6
-            enattempts[machine] = replace(enattempts[machine], health=health)
-            events.append(listing(enattempts[machine], complete=False))
-        elif kind == "adopt":
-            last_request += 1
-            service[last_request] = pick % 3
-            attempts[last_request] = [(pick % 6, clock, "bound")]
-            events.append(api.TaskAdopted(ask(last_request, service=pick % 3), pick % 6))
-        elif kind == "abandon" and deadlines and not events:
-            cancelled = sorted(deadlines)[pick % len(deadlines)]
-            del deadlines[cancelled]
-            events = [api.RequestCancelled(cancelled)]
-        elif kind == "peer":
-            events.append(api.GossipMessage(pick % 3, bytes([1, *range(pick)])))
-        for action in one.handle(clock, events):
-            match action:
-                case api.StartAttempt(request, machine, _):
-                    assert request in deadlines
-                    made = attempts[request]
-                    assert all(state != "out" for _, _, state in made)
-                    maybe = [(m, at) for m, at, state in made if state == "maybe"]
-                    if maybe and effect is api.Idempotency.NEVER:
-                        pytest.fail("a task that is not idempotent was retried")
-                    if maybe and effect is api.Idempotency.WITH_KEY:
-                        assert clock <= min(at for _, at in maybe) + 2.0
-                        for m, _ in maybe:
-                            assert (
-                                group is not api.Scope.ZONE or enattempts[m].zone == enattempts[machine].zone
-                            )
-                            assert (
-                                group is not api.Scope.CELL or enattempts[m].cell == enattempts[machine].cell
-                            )
-                    assert enattempts[machine].health is api.Health.UP
-                    if machine == 3 and clock < 11.0:
-                        slow_start.append(clock)
-                        assert sum(at > clock - 1.0 for at in slow_start) <= 2
-                    made.append((machine, clock, "out"))
-                    if spread is not api.Scope.NONE:
-                        there = sum(
-                            state in ("out", "bound") and together(spread, enattempts[m], enattempts[machine])
-                            for r, made in attempts.items()
-                            if service[r] == service[request]
-                            for m, _, state in made
-                        )
-                        assert there <= 2
-                case api.Reject(request, _):
-                    assert request in deadlines
-                    del deadlines[request]
-                    if any(state != "never" for _, _, state in attempts[request]):
-                        assert effect is api.Idempotency.ALWAYS or (
-                            effect is api.Idempotency.WITH_KEY and group is api.Scope.ALL
-                        )
-                case api.Fail(request):
-                    assert request in deadlines
-                    del deadlines[request]
-                case _:
-                    pass
-        assert all(at - 0.005 > clock for at in deadlines.values())
+    model = RuleModel(task_class)
+    one = placer(*model.entries.values(), using=using)
+    for step in steps:
+        events = model.events(step)
+        for action in one.handle(model.clock, events):
+            model.check(action)
+        model.check_deadlines()
 
 
 def test_rule_4_holds_in_every_window_and_its_quotas_rotate() -> None:
