--- a/thornshelf/components/fleet.py
+++ b/thornshelf/components/fleet.py
@@ -128,7 +128,7 @@
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue  # an ICMP error for an earlier datagram: nobody listens there
+                    continue  # an ICMP error for an earlier datagram: its receiver does not listen
                 self.membership.receive(data, self.host.loop.now)
             self.flush()
 
@@ -170,7 +170,7 @@
                 "before": _state_name(change.before),
                 "after": _state_name(change.after),
             }
-            text = "This member's view of the state of another has changed."
+            text = "The state of another member has changed, as this one sees it."
             self.host.log(5, "member-state-changed", parameters, text)
 
     def _take_entries(self) -> None:
--- a/thornshelf/membership/__init__.py
+++ b/thornshelf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""A view of the fleet that the dispatchers keep themselves. No I/O: time, datagrams and randomness are values."""
+"""Membership of the dispatchers: SWIM with Lifeguard. No I/O: time, datagrams and randomness are values."""
--- a/thornshelf/membership/anti_entropy.py
+++ b/thornshelf/membership/anti_entropy.py
@@ -67,7 +67,7 @@
             self._bucket_hashes[bucket] ^= old.stamp_hash
 
     def replace_with(self, other: BucketIndex[Key]) -> None:
-        """Take over all that another index holds."""
+        """Take over all that is in another index."""
         self._bucket_hashes = list(other._bucket_hashes)
         self._buckets = [dict(bucket) for bucket in other._buckets]
 
--- a/thornshelf/membership/config.py
+++ b/thornshelf/membership/config.py
@@ -9,7 +9,7 @@
 
 MAX_DATAGRAM_BYTES = 1_200  # below the MTU of any path, so that no datagram is fragmented
 MIN_MEMBER_LIMIT = 1_024
-MIN_PROBES_PER_INTERVAL = 3  # a probe interval has to hold the direct probe and the indirect ones
+MIN_PROBES_PER_INTERVAL = 3  # a probe interval has to leave time for direct and indirect probes
 MAX_EXPECTED_CONFIRMATIONS = 3  # more independent suspicions do not shorten the timeout any further
 RETRANSMIT_EXTRA = 3  # transmissions of a rumor beyond the logarithm of the fleet's size
 MIN_WRITE_INTERVAL_US = 1_000_000
--- a/thornshelf/membership/entry_publisher.py
+++ b/thornshelf/membership/entry_publisher.py
@@ -65,7 +65,7 @@
                     self._sender.gossip(key, now_us)
 
     def rewrite(self, kind: str, part: int, now_us: int) -> None:
-        """Write the current value again, above a version of this entry that others hold."""
+        """Write the current value again, above a version of this entry that others have."""
         stored = self._state.replicated_map.get(self._state.local.record.name, kind, part)
         self._write(kind, part, stored.entry.value if stored is not None else b"", now_us)
 
--- a/thornshelf/membership/join_candidates.py
+++ b/thornshelf/membership/join_candidates.py
@@ -1,6 +1,6 @@
 """Names that are not known yet: each has to acknowledge a ping of this very member before it becomes a member here.
 
-Guards against a member that invents others by the thousand, or speaks in their names: nobody is accepted, nor
+Guards against a member that invents others by the thousand, or sends in their names: none is accepted, nor
 gossiped on, on another member's report. Candidates that sent a datagram themselves are pinged before those that were
 only reported.
 """
@@ -113,7 +113,7 @@
     def _ping(self, candidate: Candidate, now_us: int) -> CandidatePing:
         candidate.attempts += 1
         candidate.due_us = now_us + RETRY_INTERVAL_US
-        # Random, so that nobody can forge the acknowledgement without having seen the ping.
+        # Random, so that no one can forge the acknowledgement without having seen the ping.
         candidate.sequence = self._random.randrange(MIN_SEQUENCE, MAX_SEQUENCE)
         self._name_by_sequence[candidate.sequence] = candidate.record.name
         return CandidatePing(candidate.record, candidate.sequence, candidate.attempts == MAX_ATTEMPTS)
--- a/thornshelf/membership/message_handler.py
+++ b/thornshelf/membership/message_handler.py
@@ -84,7 +84,7 @@
             return
         is_for_anyone = message.kind is MessageKind.JOIN and not message.recipient_instance_id
         if message.recipient_instance_id != self._local.record.instance_id and not is_for_anyone:
-            # It is for a process that has ended. If it is no replay, its sender has to be told of this one.
+            # It is for a process that has ended. If it is no replay, its sender has to learn of this one.
             self._correct(sender)
             raise ReplayedDatagramError(f"meant for another process: of {sender.name}")
         self._replay_windows.accept(sender.name, sender.instance_id, message.counter)
@@ -149,9 +149,7 @@
             self._state.update_record(self._local.record)
             self._sender.gossip(RecordKey(self._name), self._now_us)
         elif self._local.superseded and self.superseded is None:
-            self.superseded = DuplicateNameError(
-                f"a process at {record.address} goes by the name {self._name}"
-            )
+            self.superseded = DuplicateNameError(f"a process at {record.address} uses the name {self._name}")
 
     def _answer_unknown_sender(self, message: Message) -> None:
         """Answer a sender that is no member here.
@@ -203,7 +201,7 @@
             case MessageKind.GOSSIP:
                 self._push_pull.gossip_received(self._now_us)
             case MessageKind.LEAVE:
-                pass  # the sender's own record says so, and was taken already
+                pass  # the sender's own record has the status, and was taken already
             case MessageKind.QUERY | MessageKind.QUERY_REPLY:
                 self._user_messages.append(UserMessage(member.record.name, message.kind, message.payload))
 
--- a/thornshelf/membership/protocol.py
+++ b/thornshelf/membership/protocol.py
@@ -70,7 +70,7 @@
             config, self.state, self.sender, self._probes, self._push_pull, self.publisher, now_us
         )
         self._changes: list[MemberChange] = []
-        self._urgent_keys: dict[RecordKey, None] = {}  # what cannot wait for a probe to ride on
+        self._urgent_keys: dict[RecordKey, None] = {}  # refutations, which are gossiped soon
         self._last_tick_us = now_us
         self._next_gossip_us = now_us
         self._next_reconnect_us = now_us
--- a/thornshelf/membership/quota_division.py
+++ b/thornshelf/membership/quota_division.py
@@ -34,7 +34,7 @@
     departed_hold_us: int = 60_000_000
     established_after_us: int = 15_000_000  # an invented member does not stay live for so long
     startup_us: int = 5_000_000  # a fleet in which no member has run for longer has just started
-    stable_after_us: int = 5_000_000  # indices hold only where the members have not changed for so long
+    stable_after_us: int = 5_000_000  # indices are valid only where the members have not changed for so long
 
 
 @dataclass(frozen=True, slots=True)
--- a/thornshelf/membership/replicated_map.py
+++ b/thornshelf/membership/replicated_map.py
@@ -1,7 +1,7 @@
 """The map that all members replicate: one writer an entry, the greatest stamp prevails, bounded in memory.
 
 Entries merge in any order and however often they arrive. A writer that receives an entry of its own under a greater
-stamp than its last one (its former process wrote it, or somebody else did) writes it again above that.
+stamp than its last one (its former process wrote it, or another one did) writes it again above that.
 """
 
 from __future__ import annotations
--- a/thornshelf/membership/states.py
+++ b/thornshelf/membership/states.py
@@ -40,7 +40,7 @@
 
 
 class MemberEvent(enum.Enum):
-    """What may happen to a member in this one's view."""
+    """What may happen to a member, as this one sees it."""
 
     PROBE_FAILED = "neither the direct nor the indirect probes of this member were acknowledged"
     REPORTED_SUSPECT = "another member suspects it"
