--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -47,7 +47,7 @@
     assert found.at(XS[-1]) == pytest.approx(points[-1].y, rel=0.05)
 
 
-def test_one_odd_point_does_not_make_a_rising_curve_flat() -> None:
+def test_one_outlying_point_does_not_make_a_rising_curve_flat() -> None:
     """Points of a run: the last of the fit was a third too low. Which curve rises so can not be told by them."""
     ys = (2834.0, 3643.0, 7885.0, 19933.0, 35858.0, 37592.0, 62735.0)
     points = [Point(x, y) for x, y in zip((14, 200, 1000, 4000, 9000, 13500, 18000), ys, strict=True)]
@@ -62,7 +62,7 @@
     assert found.fit_error < 0.01 and found.held_out_error > 0.6
 
 
-def test_differences_below_what_can_be_told_are_no_error() -> None:
+def test_differences_below_the_resolution_are_no_error() -> None:
     points = [Point(x, y) for x, y in zip(XS, (3.0, 9.0, 1.0, 7.0, 2.0), strict=True)]
     found = fit("q", "quantity", "unit", "nodes", points, floor=100.0)
     assert found.curve is Curve.CONSTANT and found.held_out_error < 0.1
@@ -166,7 +166,7 @@
         ({"rules_broken": ["a rule"]}, "a rule"),
     ],
 )
-def test_what_broke_fails_the_run(report: Report, changes: dict[str, object], error: str) -> None:
+def test_a_broken_rule_fails_the_run(report: Report, changes: dict[str, object], error: str) -> None:
     broken = msgspec.structs.replace(report, **changes)
     assert error in broken.errors and error in json.dumps(last_line(broken))
 
@@ -180,7 +180,7 @@
     assert not with_error("decision_us").errors
 
 
-def test_a_bound_that_is_passed_ends_the_run() -> None:
+def test_an_exceeded_bound_ends_the_run() -> None:
     bounds = Bounds(600.0)
     bounds.look()
     assert bounds.peak_memory > 0 and bounds.peak_processes >= 1
@@ -192,6 +192,6 @@
         late.look()
 
 
-def test_the_command_names_its_plants() -> None:
+def test_the_command_names_its_injected_faults() -> None:
     found = CliRunner().invoke(cli, ["lab", "scale", "--help"])
     assert found.exit_code == 0 and all(plant in found.output for plant in ("all-to-all", "leak", "hold-all"))
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -66,7 +66,7 @@
 # tables and slices
 
 
-def test_a_reading_is_cut_into_slices_by_the_clock_and_loses_nothing() -> None:
+def test_a_table_is_read_in_slices_by_the_clock_without_losing_rows() -> None:
     reading, found, slices = TableReader(numbers(100_000), ["n"], {}), list[Any](), 0
     clock = Clock(10)
     while not reading.exhausted:
@@ -78,7 +78,7 @@
     assert slices > 100 and reading.examined_count == 100_000
 
 
-def test_a_reading_gives_only_what_is_asked_for_and_no_more_than_it_may() -> None:
+def test_a_table_reader_returns_the_columns_and_filters_requested_up_to_its_limit() -> None:
     reading = TableReader(numbers(30), ["text", "n"], {"n": 7})
     assert reading.read_rows(lambda: 0, 1, 99) == [["t7", 7]] and reading.exhausted
     reading = TableReader(numbers(30), ["n"], {}, max_rows=5)
@@ -90,7 +90,7 @@
         Catalog().table("x")
 
 
-def test_history_is_bounded_and_errors_are_counted_also_where_lines_are_left_out() -> None:
+def test_history_is_bounded_and_errors_are_counted_also_where_lines_are_suppressed() -> None:
     history = History(1000)
     for number in range(2000):
         history.record(number, number, 1, "ended", 3, Outcome.TIMED_OUT, "", "untold")
@@ -107,7 +107,7 @@
     assert tallies.by_code["TS2001"].count == 70 and tallies.by_code["TS2001"].text == "line 69"
 
 
-def test_settings_are_told_without_the_key() -> None:
+def test_settings_are_shown_without_the_key() -> None:
     from thornshelf.membership.config import MembershipConfig
 
     told = dict(flatten_settings(MembershipConfig(fleet="f", name="n", address="a:1", key=b"secret" * 4)))
@@ -119,7 +119,7 @@
 
 @FIXED
 @given(st.lists(st.binary(max_size=300), max_size=8), st.lists(st.integers(1, 400), max_size=20))
-def test_words_are_the_same_however_they_are_cut(bodies: list[bytes], cuts: list[int]) -> None:
+def test_messages_are_the_same_however_the_stream_is_split(bodies: list[bytes], cuts: list[int]) -> None:
     stream = b"".join(len(body).to_bytes(4, "big") + body for body in bodies)
     words, found = framing.FrameDecoder(1000), list[bytes]()
     for cut in cuts:
@@ -130,7 +130,7 @@
 
 @FIXED
 @given(st.binary(max_size=200))
-def test_what_is_no_word_is_an_error_of_its_own(data: bytes) -> None:
+def test_a_malformed_message_is_a_protocol_error(data: bytes) -> None:
     for read in (framing.decode_request, framing.decode_reply):
         with suppress(errors.ControlProtocolError):
             read(data)
@@ -186,7 +186,7 @@
         return iter([one for one in carried if self.chance.random() >= self.loss])
 
 
-def teller(count: int) -> QueryResponder:
+def responder(count: int) -> QueryResponder:
     catalog = Catalog()
     catalog.add(numbers(count))
     return QueryResponder(lambda table, wanted, only: TableReader(catalog.table(table), wanted, only))
@@ -198,9 +198,11 @@
 
 @FIXED
 @given(st.integers(0, 999), st.sampled_from([0.0, 0.1, 0.3]))
-def test_all_rows_come_once_and_in_order_through_loss_doubles_and_reordering(seed: int, loss: float) -> None:
+def test_all_rows_come_once_and_in_order_through_loss_duplicates_and_reordering(
+    seed: int, loss: float
+) -> None:
     counts = {"a": 0, "b": 3, "c": 700, "d": 4_000}
-    wire = Wire(seed, {name: teller(count) for name, count in counts.items()}, loss)
+    wire = Wire(seed, {name: responder(count) for name, count in counts.items()}, loss)
     found = wire.run()
     for name, count in counts.items():
         if name in wire.asker.incomplete:  # named, and what came of it is its beginning
@@ -214,8 +216,8 @@
 
 
 @pytest.mark.parametrize("after", [0, 1, 12, 40])
-def test_a_member_that_falls_silent_in_the_middle_is_named(after: int) -> None:
-    wire = Wire(1, {"a": teller(60_000), "b": teller(50)}, 0.0)
+def test_a_member_that_stops_responding_midway_is_named(after: int) -> None:
+    wire = Wire(1, {"a": responder(60_000), "b": responder(50)}, 0.0)
     found: dict[str, list[int]] = {"a": [], "b": []}
     while wire.sent < after:
         wire.turn(found)
@@ -229,17 +231,17 @@
     )
 
 
-def test_a_member_that_was_started_anew_in_the_middle_says_so() -> None:
-    wire = Wire(1, {"a": teller(60_000)}, 0.0)
+def test_a_member_that_restarts_midway_is_named() -> None:
+    wire = Wire(1, {"a": responder(60_000)}, 0.0)
     found: dict[str, list[int]] = {"a": []}
     while not found["a"]:
         wire.turn(found)
-    wire.members["a"] = teller(60_000)
+    wire.members["a"] = responder(60_000)
     wire.run()
     assert "started anew" in wire.asker.incomplete["a"]
 
 
-def test_an_answer_has_a_longest_and_a_member_answers_so_many_at_once() -> None:
+def test_replies_are_bounded_in_length_and_in_number_at_once() -> None:
     chance = random.Random(3)
     noise = [chance.getrandbits(62) for _ in range(120_000)]
     shape = declare_columns(("n", INTEGER, "noise"))
@@ -247,7 +249,7 @@
     wire = Wire(1, {"a": QueryResponder(lambda *_: TableReader(table, ["n"], {}))}, 0.0)
     wire.run()
     assert "too long" in wire.asker.incomplete["a"]
-    busy = teller(60_000)
+    busy = responder(60_000)
     for number in range(scatter_gather.MAX_OPEN_QUERIES):
         busy.receive("other", msgspec.msgpack.encode([number, "numbers", ["n"], {}, 0]), 0)
     late = Wire(1, {"a": busy}, 0.0, 99)
@@ -257,7 +259,7 @@
     assert not len(busy)  # nobody asked on
 
 
-def test_a_lying_member_costs_no_more_than_its_own_answer() -> None:
+def test_a_malicious_member_costs_only_its_own_reply() -> None:
     import zlib
 
     bomb = zlib.compress(bytes(50_000_000), 9)[: scatter_gather.MAX_CHUNK_BYTES - 4]
@@ -273,63 +275,66 @@
     assert not asker.finished
 
 
-# readers
+# query sessions
 
 
 class FakeQueryClient:
-    """A shell that reads, or not."""
+    """A client that reads, or not."""
 
     def __init__(self) -> None:
         self.can_accept = self.is_open = True
-        self.said: list[Any] = []
-        self.fault: errors.ThornshelfError | None = None
+        self.replies: list[Any] = []
+        self.error: errors.ThornshelfError | None = None
 
-    def send(self, word: Any) -> int:
-        self.said.append(word)
-        return len(framing.encode_frame(word))
+    def send(self, reply: Any) -> int:
+        self.replies.append(reply)
+        return len(framing.encode_frame(reply))
 
-    def close_with_error(self, fault: errors.ThornshelfError) -> None:
-        self.fault, self.is_open = fault, False
+    def close_with_error(self, error: errors.ThornshelfError) -> None:
+        self.error = error
+        self.is_open = False
 
 
-def readers(count: int = 20_000, most: int = 2) -> QuerySessions:
+def query_sessions_of(count: int = 20_000, max_clients: int = 2) -> QuerySessions:
     catalog = Catalog()
     catalog.add(numbers(count))
-    return QuerySessions("me", catalog, None, lambda: 1, most)
+    return QuerySessions("me", catalog, None, lambda: 1, max_clients)
 
 
-def test_questions_take_turns_within_the_time_of_a_turn() -> None:
-    served, clock = readers(), Clock(10)
-    shells = [FakeQueryClient(), FakeQueryClient()]
-    for shell in shells:
-        served.start(shell, framing.QueryRequest(4, "numbers", ["n"]), 0)
+def test_queries_take_turns_within_the_time_budget() -> None:
+    sessions, clock = query_sessions_of(), Clock(10)
+    clients = [FakeQueryClient(), FakeQueryClient()]
+    for client in clients:
+        sessions.start(client, framing.QueryRequest(4, "numbers", ["n"]), 0)
     turns = 0
-    while len(served):
+    while len(sessions):
         before = clock.at
-        served.run_turn(turns, 7, clock, has_backlog=False)
+        sessions.run_turn(turns, 7, clock, has_backlog=False)
         assert clock.at - before <= TURN_TIME_BUDGET_US + 4 * clock.step
         turns += 1
         if turns == 5:  # both are on their way
-            assert all(shell.said for shell in shells)
-    for shell in shells:
-        rows = [row[0] for word in shell.said if isinstance(word, framing.RowPage) for row in word.rows]
+            assert all(client.replies for client in clients)
+    for client in clients:
+        rows = [
+            row[0] for reply in client.replies if isinstance(reply, framing.RowPage) for row in reply.rows
+        ]
         assert rows == wanted(20_000)
-        assert shell.said[-1] == framing.QueryEnd(4, ["me"], [])
+        assert client.replies[-1] == framing.QueryEnd(4, ["me"], [])
     assert turns > 3
 
 
-def test_one_that_reads_nothing_loses_its_connection_and_holds_up_nobody() -> None:
-    served, deaf, well = readers(), FakeQueryClient(), FakeQueryClient()
-    served.start(deaf, framing.QueryRequest(1, "numbers", ["n"]), 0)
-    served.start(well, framing.QueryRequest(2, "numbers", ["n"]), 0)
-    deaf.can_accept = False
+def test_a_stalled_client_is_disconnected_and_delays_nobody() -> None:
+    sessions, stalled, reading = query_sessions_of(), FakeQueryClient(), FakeQueryClient()
+    sessions.start(stalled, framing.QueryRequest(1, "numbers", ["n"]), 0)
+    sessions.start(reading, framing.QueryRequest(2, "numbers", ["n"]), 0)
+    stalled.can_accept = False
     for now in range(0, STALLED_CLIENT_TIMEOUT_US + 2_000_000, 100_000):
-        served.run_turn(now, 7, Clock(1), has_backlog=False)
-    assert isinstance(deaf.fault, errors.ControlProtocolError) and not deaf.said
-    assert isinstance(well.said[-1], framing.QueryEnd) and not len(served)
+        sessions.run_turn(now, 7, Clock(1), has_backlog=False)
+    assert isinstance(stalled.error, errors.ControlProtocolError) and not stalled.replies
+    assert isinstance(reading.replies[-1], framing.QueryEnd) and not len(sessions)
 
 
-def test_a_turn_sends_no_more_than_its_bytes_and_one_page() -> None:
+def test_a_turn_sends_no_more_than_its_byte_budget_and_one_page() -> None:
     catalog = Catalog()
     catalog.add(
         Table(
@@ -340,33 +345,40 @@
             lambda n: ("x" * 2_000,),
         )
     )
-    served, shells = QuerySessions("me", catalog, None, lambda: 1, 4), [FakeQueryClient() for _ in range(4)]
-    for shell in shells:
-        served.start(shell, framing.QueryRequest(1, "numbers", ["n"]), 0)
+    sessions, clients = (
+        QuerySessions("me", catalog, None, lambda: 1, 4),
+        [FakeQueryClient() for _ in range(4)],
+    )
+    for client in clients:
+        sessions.start(client, framing.QueryRequest(1, "numbers", ["n"]), 0)
     sent = 0
-    while len(served):
-        served.run_turn(0, 7, lambda: 0, has_backlog=False)  # no time passes: the bytes alone bound it
-        now = sum(len(framing.encode_frame(word)) for shell in shells for word in shell.said)
+    while len(sessions):
+        sessions.run_turn(0, 7, lambda: 0, has_backlog=False)  # no time passes: the bytes alone bound it
+        now = sum(len(framing.encode_frame(reply)) for client in clients for reply in client.replies)
         assert now - sent < TURN_BYTE_BUDGET + 1_100_000
         sent = now
     assert sent > 4 * 2_000 * 2_000
 
 
-def test_a_question_that_cannot_be_served_is_declined_by_its_error() -> None:
-    served, shell = readers(), FakeQueryClient()
-    served.start(shell, framing.QueryRequest(1, "nothing", []), 0)
-    served.start(shell, framing.QueryRequest(2, "numbers", ["x"]), 0)
+def test_a_query_that_cannot_be_served_is_answered_with_its_error() -> None:
+    sessions, client = query_sessions_of(), FakeQueryClient()
+    sessions.start(client, framing.QueryRequest(1, "nothing", []), 0)
+    sessions.start(client, framing.QueryRequest(2, "numbers", ["x"]), 0)
     for number in range(MAX_QUERIES_PER_CLIENT + 1):
-        served.start(shell, framing.QueryRequest(10 + number, "numbers", ["n"]), 0)
-    assert [(one.number, one.code) for one in shell.said] == [(1, "TS5004"), (2, "TS5004"), (14, "TS5005")]
-    served.remove_client(shell)
-    assert not len(served)
+        sessions.start(client, framing.QueryRequest(10 + number, "numbers", ["n"]), 0)
+    assert [(reply.number, reply.code) for reply in client.replies] == [
+        (1, "TS5004"),
+        (2, "TS5004"),
+        (14, "TS5005"),
+    ]
+    sessions.remove_client(client)
+    assert not len(sessions)
 
 
 # the socket
 
 
-def test_the_socket_is_for_its_user_alone_whatever_the_umask(tmp_path: Path) -> None:
+def test_the_socket_admits_its_user_alone_whatever_the_umask(tmp_path: Path) -> None:
     folder = tmp_path / ("x" * 120)  # longer than a socket's path may be
     folder.mkdir()
     place = folder / "control.sock"
@@ -383,7 +395,9 @@
 
 
 @pytest.mark.parametrize("what", ["folder", "file", "nothing"])
-def test_a_place_that_others_may_write_to_or_that_is_none_is_refused(tmp_path: Path, what: str) -> None:
+def test_a_socket_path_that_others_may_write_to_or_that_is_invalid_is_rejected(
+    tmp_path: Path, what: str
+) -> None:
     folder = tmp_path / "run"
     if what != "nothing":
         folder.mkdir(mode=0o700)
@@ -400,52 +414,57 @@
 # SQL
 
 
-class Teller:
-    """A client whose dispatcher tells what it is told to."""
+class FakeControlClient:
+    """A client of a dispatcher with the given rows."""
 
-    seconds = 5.0
+    timeout_s = 5.0
 
     def __init__(
         self, rows: dict[str, list[dict[str, Any]]], missing: list[tuple[str, str]] | None = None
     ) -> None:
-        self.told, self.missing = rows, missing or []
-        self.asked: list[tuple[str, list[str]]] = []
+        self.tables = rows
+        self.missing = missing or []
+        self.requests: list[tuple[str, list[str]]] = []
 
     def fetch_catalog(self) -> framing.CatalogReply:
         shapes = [
             framing.TableSchema(name, "x", [(column, "TEXT", "") for column in (rows[0] if rows else {})])
-            for name, rows in self.told.items()
+            for name, rows in self.tables.items()
         ]
         return framing.CatalogReply(0, "m0", "1", True, shapes)
 
     def fetch_rows(
-        self, table: str, names: list[str], fleet: bool, only: Any, told: ResponseSummary
+        self, table: str, names: list[str], fleet: bool, filters: Any, summary: ResponseSummary
     ) -> Iterator[framing.RowPage]:
-        self.asked.append((table, names))
-        told.missing += self.missing
-        page = framing.RowPage(1, "m0", 5, [[row[name] for name in names] for row in self.told[table]])
-        told.add_page(page)
+        self.requests.append((table, names))
+        summary.missing += self.missing
+        page = framing.RowPage(1, "m0", 5, [[row[name] for name in names] for row in self.tables[table]])
+        summary.add_page(page)
         yield page
 
 
-ODD = 's-"q" [red]x[/red] \'\x1b[2J\n\u202e'
+HOSTILE_NAME = 's-"q" [red]x[/red] \'\x1b[2J\n\u202e'
+
 
+ONE_SECOND = QueryLimits(timeout_s=1.0)
 
-def engine(limits: QueryLimits = QueryLimits(timeout_s=1.0), **more: Any) -> tuple[QueryEngine, Teller]:  # noqa: B008
-    teller = Teller(
-        {"nodes": [{"node": ODD, "health": "up"}, {"node": "b", "health": "draining"}], "t": []}, **more
+
+def engine(limits: QueryLimits = ONE_SECOND, **more: Any) -> tuple[QueryEngine, FakeControlClient]:
+    client = FakeControlClient(
+        {"nodes": [{"node": HOSTILE_NAME, "health": "up"}, {"node": "b", "health": "draining"}], "t": []},
+        **more,
     )
-    return QueryEngine(teller, limits), teller  # type: ignore[arg-type]
+    return QueryEngine(client, limits), client  # type: ignore[arg-type]
 
 
-def test_only_what_a_query_reads_is_asked_for() -> None:
-    found, teller = engine()
+def test_only_what_a_query_reads_is_fetched() -> None:
+    found, client = engine()
     assert found.query("SELECT count(*) FROM nodes").rows == [(2,)]
     assert found.query(
         "WITH x AS (SELECT member, health FROM nodes) SELECT * FROM x WHERE health = 'up'"
     ).rows
-    assert teller.asked == [("nodes", []), ("nodes", ["health"])]
-    assert found.query("SELECT 1").rows == [(1,)] and len(teller.asked) == 2
+    assert client.requests == [("nodes", []), ("nodes", ["health"])]
+    assert found.query("SELECT 1").rows == [(1,)] and len(client.requests) == 2
 
 
 @pytest.mark.parametrize(
@@ -457,15 +476,15 @@
         "SELECT * FROM nowhere", "BEGIN", "SELECT '\x00'", "\ud800",
     ],
 )  # fmt: skip
-def test_sql_that_writes_or_is_none_is_refused_and_nothing_is_asked_for(sql: str) -> None:
-    found, teller = engine()
+def test_sql_that_writes_or_is_invalid_is_rejected_and_nothing_is_fetched(sql: str) -> None:
+    found, client = engine()
     with pytest.raises(errors.QueryError):
         found.query(sql)
-    assert not teller.asked
+    assert not client.requests
     assert found.query("SELECT count(*) FROM nodes").rows == [(2,)]
 
 
-def test_a_query_that_never_ends_or_gives_too_much_is_bounded_and_told() -> None:
+def test_a_query_that_never_ends_or_returns_too_much_is_bounded_and_reported() -> None:
     endless = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n) SELECT "
     found, _ = engine(QueryLimits(timeout_s=0.2, max_rows=10))
     with pytest.raises(errors.QueryLimitError, match="not over"):
@@ -474,7 +493,7 @@
     assert len(cut.rows) == 10 and not cut.complete and "first 10 rows" in cut.truncation
 
 
-def test_who_told_nothing_is_in_the_result_and_in_a_table() -> None:
+def test_members_without_a_reply_are_in_the_result_and_in_a_table() -> None:
     found, _ = engine(missing=[("m3", "it does not answer")])
     result = found.query("SELECT u.member, u.why FROM unanswered u, nodes LIMIT 1")
     assert result.rows == [("m3", "it does not answer")] and not result.complete
@@ -482,22 +501,22 @@
     assert '"unanswered": [{"member": "m3"' in output.as_json(result)
 
 
-def test_names_move_no_cursor_and_are_no_markup() -> None:
+def test_names_cannot_move_the_cursor_and_are_not_markup() -> None:
     found, _ = engine()
     result = found.query("SELECT node FROM nodes LIMIT 1")
-    assert result.rows == [(ODD,)]
+    assert result.rows == [(HOSTILE_NAME,)]
     from rich.console import Console
 
     console = Console(width=200, record=True, file=open(os.devnull, "w"))  # noqa: SIM115
     console.print(output.render_table(result))
     shown = console.export_text()
-    for text in (shown, output.as_csv(result), output.sanitize(ODD), output.as_json(result)):
+    for text in (shown, output.as_csv(result), output.sanitize(HOSTILE_NAME), output.as_json(result)):
         assert "\x1b" not in text and "\u202e" not in text
     assert "[red]x[/red]" in shown and "\\x1b[2J\\n\\u202e" in shown
-    assert unquote(output.sanitize(ODD)) == ODD  # as it is shown it can be typed
+    assert unquote(output.sanitize(HOSTILE_NAME)) == HOSTILE_NAME  # as it is shown it can be typed
 
 
-def test_ready_queries_and_differences_are_sql_over_the_tables() -> None:
+def test_saved_queries_and_differences_are_sql_over_the_tables() -> None:
     from thornshelf.control.core_tables import CoreTables
     from thornshelf.control.fleet_tables import (
         drain_gossip_table,
@@ -515,8 +534,10 @@
         drain_gossip_table(nothing),
         quota_table(nothing),
     )
-    teller = Teller({table.name: [{column.name: None for column in table.columns}] for table in shown})
-    found = QueryEngine(teller)  # type: ignore[arg-type]
+    client = FakeControlClient(
+        {table.name: [{column.name: None for column in table.columns}] for table in shown}
+    )
+    found = QueryEngine(client)  # type: ignore[arg-type]
     for one in saved_queries.SAVED_QUERIES:
         assert found.referenced_columns(one.sql), one.name
     for name in saved_queries.COMPARED_COLUMNS:
@@ -552,7 +573,7 @@
         ({"cores": None}, "does not know it yet"),
     ],
 )
-def test_each_reason_against_a_node_is_said(change: dict[str, Any], said: str) -> None:
+def test_each_reason_against_a_node_is_reported(change: dict[str, Any], said: str) -> None:
     seen = [{"by": "m2", "sight": "silent", "member": "m1"}, {"by": "m1", "sight": "silent", "member": "m1"}]
     assert placement_reasons(FINE, [], False) == []
     (reason,) = placement_reasons(FINE | change, seen, False)
@@ -560,7 +581,7 @@
     assert "by others' word" in placement_reasons(FINE | {"health": "draining"}, seen, True)[0]
 
 
-def test_a_task_is_known_by_its_form() -> None:
+def test_a_task_id_is_recognized_by_its_form() -> None:
     assert (
         is_task_id("9b1f03aa5c7e2d41")
         and is_task_id("7F")
@@ -569,12 +590,12 @@
     )
 
 
-def test_numbers_and_nothing_are_shown_as_they_are() -> None:
+def test_numbers_and_nulls_are_shown_as_they_are() -> None:
     result = QueryResult(["a", "b"], [(1, None), (2.5, "x")], ResponseSummary())
     assert output.as_csv(result) == "a,b\r\n1,\r\n2.5,x\r\n" and result.complete
 
 
-def test_a_peer_is_told_who_it_is_by_the_system(tmp_path: Path) -> None:
+def test_a_peer_is_identified_by_the_system(tmp_path: Path) -> None:
     """What the dispatcher reads of a shell's user comes from the kernel, in this shape."""
     from thornshelf.components.control import PEER
 
@@ -585,7 +606,7 @@
     right.close()
 
 
-def test_tasks_in_runs_are_the_tasks_and_a_table_reads_them_run_by_run_as_they_change() -> None:
+def test_task_pages_hold_all_tasks_and_a_table_reads_them_page_by_page_as_they_change() -> None:
     chance, known = random.Random(5), dict[int, Any]({1: "early"})
     runs: Any = TaskPages(known)
     for number in range(2, 6_000):
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -41,7 +41,7 @@
         (NodeBehavior.RUN, "no-such-class", grpc.INVALID_ARGUMENT),
     ],
 )
-def test_place_tells_its_outcome_by_status(conduct: NodeBehavior, task_class: str, status: int) -> None:
+def test_place_reports_its_outcome_by_status(conduct: NodeBehavior, task_class: str, status: int) -> None:
     world = FakeCluster(GRPC, GRPC)
     trailers = place(world, conduct, task_class)
     assert trailers["grpc-status"] == str(status)
@@ -49,7 +49,7 @@
     assert world.client.heard == ({5: [("placed", DESCRIPTION)]} if status == grpc.OK else {})
 
 
-def test_grpc_timeout_ends_the_call_and_gives_the_offer_up() -> None:
+def test_grpc_timeout_ends_the_call_and_withdraws_the_attempt() -> None:
     world = FakeCluster(GRPC, GRPC)
     trailers = place(world, NodeBehavior.SILENT, grpc_timeout="150m")
     assert trailers["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
@@ -70,7 +70,7 @@
         ("Dispatch", {"grpc_encoding": "gzip"}, grpc.UNIMPLEMENTED),
     ],
 )
-def test_calls_that_are_not_taken(method: str, headers: dict[str, str], status: int) -> None:
+def test_calls_that_cannot_be_served(method: str, headers: dict[str, str], status: int) -> None:
     world = FakeCluster(GRPC, GRPC)
     call = world.client.open(method, **headers)
     world.run_until(lambda: call in world.client.status)
@@ -79,7 +79,7 @@
     world.wait_for_events(5)
 
 
-def test_unreadable_message_ends_its_stream_alone() -> None:
+def test_malformed_message_ends_its_stream_alone() -> None:
     world = FakeCluster(GRPC, GRPC)
     call = world.client.open("Dispatch")
     world.client.h2.send(call, b"\x00\x00\x00\x00\x02\xff\xff")
@@ -89,7 +89,7 @@
     world.wait_for_events(5)
 
 
-def test_rst_stream_by_a_client_gives_up_its_open_tasks() -> None:
+def test_rst_stream_by_a_client_cancels_its_open_tasks() -> None:
     world = FakeCluster(GRPC, GRPC)
     world.client.ask(5, NodeBehavior.SILENT)
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -108,7 +108,7 @@
     assert world.wait_for_events(5) == [("refused", "1000")]
 
 
-def test_goaway_by_a_node_lets_open_offers_end_and_sends_new_ones_elsewhere() -> None:
+def test_goaway_by_a_node_lets_open_attempts_end_and_sends_new_ones_elsewhere() -> None:
     world = FakeCluster(GRPC, GRPC, nodes=1)
     node, usual = world.nodes[0], world.nodes[0].order
     held: list[Any] = []
@@ -133,7 +133,7 @@
     assert len(node.streams) == 2 and node.offers(5) == 1
 
 
-def test_ending_dispatcher_answers_what_is_open_and_goes_away() -> None:
+def test_a_dispatcher_that_shuts_down_answers_open_requests_and_closes() -> None:
     world = FakeCluster(GRPC, GRPC)
     world.client.ask(5, NodeBehavior.SILENT, left=1500)
     world.run_until(lambda: world.offer_count(5) == 1)
@@ -190,7 +190,7 @@
         return future.result()
 
 
-def test_grpcio_client_and_our_front() -> None:
+def test_grpcio_client_with_our_frontend() -> None:
     world = FakeCluster(JSON, GRPC)
     address = "%s:%d" % world.service.frontends[1].listener.address
     ask = pb.Ask(uid=5, task_class=ONCE_ONLY, left_ms=8000, key=5, cores=1, memory=2, service=7)
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -12,7 +12,7 @@
 from thornshelf.placement.placer import BOUND, PENDING
 
 
-def check_picture(world: FakeCluster) -> Counter[str]:
+def check_placement_state(world: FakeCluster) -> Counter[str]:
     """In flight, standing and their cores, by machine: the same to module, core and connection."""
     core, seen = world.service.core, Counter[str]()
     if core.inbox or core._events or core._ended_attempts or core.queue:
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
-def test_the_module_s_picture_is_what_the_sockets_carry(front: str, node: str) -> None:
+def test_the_placement_state_matches_what_the_sockets_carry(front: str, node: str) -> None:
     world, draw = FakeCluster(front, node, nodes=3), random.Random(7)
     clock = [world.loop.clock()]
     world.loop.clock = lambda: clock[0]  # a busy machine must not make tasks late
@@ -64,7 +64,7 @@
             drained = True
         for _ in range(4):
             turn()
-            seen += check_picture(world)
+            seen += check_placement_state(world)
     assert drained and seen["out"] > 20 and seen["standing"] > 20
     world.update_lifecycle(2, "terminated")
     for number in range(1, uid + 1):
@@ -73,5 +73,5 @@
         if world.service.core.tasks_by_uid:
             turn()
     assert not world.service.core.tasks_by_uid
-    check_picture(world)
+    check_placement_state(world)
     assert not world.service.core.placer.requests
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -34,7 +34,7 @@
     return [one for one in psutil.Process().children(recursive=True) if not is_tracker(one)]
 
 
-def test_a_tiny_run_works_out_every_row_keeps_every_rule_and_leaves_no_process() -> None:
+def test_a_tiny_run_computes_every_row_meets_every_rule_and_leaves_no_process() -> None:
     """Its sizes are too small for slopes: whether the held-out points are met is the longer runs' matter."""
     before = {one.pid for one in children()}
     report = run(3, TINY)
@@ -68,7 +68,7 @@
 }
 
 
-def rules_with(plant: str) -> list[str]:
+def rules_broken_by(plant: str) -> list[str]:
     """The rules that the troubles break with a planted fault."""
     port = 7_380 + sorted(PLANTED).index(plant)
     with Jobs(1, plant, Bounds(100.0), lambda _: None) as jobs:
@@ -76,13 +76,13 @@
     return list(counted.rules)
 
 
-def test_each_planted_fault_breaks_its_rule_and_no_other() -> None:
+def test_each_injected_fault_breaks_its_rule_and_no_other() -> None:
     with ThreadPoolExecutor(len(PLANTED)) as pool:
-        found = dict(zip(PLANTED, pool.map(rules_with, PLANTED), strict=True))
+        found = dict(zip(PLANTED, pool.map(rules_broken_by, PLANTED), strict=True))
     assert found == {plant: [rule] for plant, rule in PLANTED.items()}
 
 
-def test_a_control_message_to_everyone_shows_in_the_growth_of_the_view() -> None:
+def test_gossip_to_all_members_shows_in_the_growth_of_traffic() -> None:
     for plant, grows in ((None, False), ("all-to-all", True)):
         with Jobs(2, plant, Bounds(100.0), lambda _: None) as jobs:
             few, many = jobs.run("view", [partial(quantities.view_at, members, 3) for members in (4, 16)])
--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -104,7 +104,7 @@
     world.loading = False
 
 
-def in_the_middle(asking: Asking, fault: Callable[[MemberProcess], None]) -> QueryResult:
+def query_during(asking: Asking, fault: Callable[[MemberProcess], None]) -> QueryResult:
     """The last member's answer is long, and after some pieces of it the fault happens; its relays pass no more."""
     world, victim, seen = asking.world, asking.world.members[3], [0]
     load(asking, 300)
@@ -127,7 +127,7 @@
 
 
 @pytest.mark.parametrize("how", ["dies", "hangs", "is cut off"])
-def test_a_member_that_goes_in_the_middle_of_its_answer_is_named_and_the_others_are_whole(
+def test_a_member_that_fails_during_its_reply_is_named_and_the_others_are_complete(
     asking: Asking, how: str
 ) -> None:
     def fault(victim: MemberProcess) -> None:
@@ -136,7 +136,7 @@
         elif how == "hangs":
             asking.world.kill(victim, number=signal.SIGSTOP)
 
-    result = in_the_middle(asking, fault)
+    result = query_during(asking, fault)
     assert [name for name, _ in result.summary.missing] == ["m03"]
     assert "rows" in result.summary.missing[0][1] or "held for dead" in result.summary.missing[0][1]
     assert not result.complete and result.summary.members >= {"m00", "m01", "m02"}
@@ -148,7 +148,7 @@
         os.kill(process.process.pid, signal.SIGCONT)
 
 
-def test_one_that_is_held_for_dead_is_named_at_once_and_no_more_once_it_is_back(asking: Asking) -> None:
+def test_a_dead_member_is_named_at_once_and_no_more_once_it_is_back(asking: Asking) -> None:
     world, dead = asking.world, asking.world.members[2]
     world.kill(dead)
     assert world.until(world.agreed, LIMIT_S) is not None
@@ -160,7 +160,7 @@
     assert asking.query("SELECT 1 FROM counters").complete
 
 
-def test_what_is_told_is_what_the_stand_ins_know_through_a_mass_resubmission(asking: Asking) -> None:
+def test_tables_match_what_the_fakes_know_through_a_mass_resubmission(asking: Asking) -> None:
     world = asking.world
     load(asking, 100)
     world.resubmit()
@@ -193,7 +193,7 @@
     assert any("taken" in line for line in story) and any("given-up" in line for line in story)
 
 
-def test_members_of_which_one_has_no_control_socket_and_one_no_word_for_questions(tmp_path: Path) -> None:
+def test_members_without_a_control_socket_or_without_support_for_queries(tmp_path: Path) -> None:
     """A fleet is updated member by member: what can't answer says so, or is named."""
     world = FleetTestbed(7, True, None, 3, 2, tmp_path)
     asking = Asking(world)
@@ -237,7 +237,7 @@
         world.end()
 
 
-def test_one_that_never_reads_and_one_that_talks_nonsense_lose_their_connections_alone(
+def test_a_stalled_and_a_malformed_client_are_disconnected_alone(
     asking: Asking,
 ) -> None:
     load(asking, 200)
@@ -281,7 +281,7 @@
     assert json.loads(done.stdout)["rows"] == [[odd]]
 
 
-def test_a_script_is_told_by_the_exit_code(asking: Asking) -> None:
+def test_a_script_learns_the_outcome_from_the_exit_code(asking: Asking) -> None:
     world = asking.world
     at = place(world, world.members[0])
 
@@ -304,7 +304,7 @@
     assert done.returncode == 2 and "TS5006" in done.stderr and "What to do:" in done.stderr
 
 
-def test_a_shell_that_is_fed_lines(asking: Asking) -> None:
+def test_a_shell_that_reads_lines_from_a_pipe(asking: Asking) -> None:
     load(asking, 40)
     world = asking.world
     world.kill(world.members[3])
@@ -319,7 +319,14 @@
     done = asking.command("shell", "--at", place(world, world.members[0]), text="\n".join(lines))
     assert done.returncode == 0, done.stdout + done.stderr
     out = done.stdout
-    for word in ("allowances", "by the endpoint list", "Who is down", "dead", "answered at s-0000000", "how_many"):
+    for word in (
+        "allowances",
+        "by the endpoint list",
+        "Who is down",
+        "dead",
+        "answered at s-0000000",
+        "how_many",
+    ):
         assert word in out, out
     assert out.count("NOT ALL MEMBERS: m03: it is held for dead") >= 2
     assert "NOT HEARD: m03" in out and "m01 (up, connected" in out
@@ -329,7 +336,7 @@
     assert done.returncode == 1 and "TS5007" in done.stdout
 
 
-def test_what_a_killed_process_left_behind_makes_way_and_a_live_one_does_not(tmp_path: Path) -> None:
+def test_a_stale_socket_is_replaced_and_a_live_one_is_not(tmp_path: Path) -> None:
     world = FleetTestbed(7, True, None, 2, 2, tmp_path)
     asking = Asking(world)
     at = tmp_path / "one.sock"
@@ -356,7 +363,7 @@
     assert not at.exists()  # one that ends in order leaves nothing behind
 
 
-def test_a_hundred_thousand_tasks_are_told_while_others_are_served(tmp_path: Path) -> None:
+def test_a_hundred_thousand_tasks_are_read_while_others_are_served(tmp_path: Path) -> None:
     world = FleetTestbed(7, True, None, 2, 3, tmp_path)
     asking = Asking(world)
     try:
