--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -50,7 +50,7 @@
         outcome(self, task, attempt, Outcome.NOT_CONNECTED if maybe else how, *more)
 
     Dispatcher.report_outcome = blind  # type: ignore[method-assign, assignment]
-    IdempotencyTable.deduplicates = lambda self, setup: False  # type: ignore[method-assign]
+    IdempotencyTable.deduplicates = lambda self, request: False  # type: ignore[method-assign]
     IdempotencyTable.resolve_uncertain = lambda self, *_: False  # type: ignore[method-assign]
 
 
