--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,7 +1,8 @@
-"""Retry budgets, spread waits and the order of set-ups, with time as a value."""
+"""Retry budgets, jitter of Retry-After waits and the queue of requests, with time as a value."""
 
 from __future__ import annotations
 
+import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -9,31 +10,37 @@
 from thornshelf.retries.deadline_queue import DeadlineQueue, DeadlineQueueConfig
 from thornshelf.retries.jitter import JitterConfig, RetryAfterJitter
 
+SERVICES = 4
 SMALL = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=0, capacity_milli=3_000)
 WIDE = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=0, capacity_milli=1_000_000)
+FIXED = settings(derandomize=True, max_examples=100, deadline=None)
 
 
-def test_a_service_has_its_share_of_further_attempts_and_no_more() -> None:
-    budget = RetryBudget(SMALL, WIDE)
+@pytest.fixture
+def budget() -> RetryBudget:
+    """A small budget per service, and one of the fleet that never limits."""
+    return RetryBudget(SMALL, WIDE)
+
+
+def test_a_service_has_its_fraction_of_retries_and_no_more(budget: RetryBudget) -> None:
     assert [budget.try_spend(7, 0) for _ in range(4)] == [True, True, True, False]
-    assert budget.try_spend(8, 0)  # another service has its own
+    assert budget.try_spend(8, 0)  # another service has its own budget
     for _ in range(5):
         budget.record_first_attempt(7, 0)
     assert [budget.try_spend(7, 0) for _ in range(2)] == [True, False] and budget.denied == 2
 
 
-def test_the_fleets_budget_holds_for_all_services_together() -> None:
+def test_the_budget_of_the_fleet_limits_all_services_together() -> None:
     budget = RetryBudget(WIDE, SMALL)
     assert sum(budget.try_spend(service, 0) for service in range(100)) == 3
 
 
-def test_a_higher_priority_goes_into_bounded_debt() -> None:
-    budget = RetryBudget(SMALL, WIDE)
+def test_a_higher_priority_may_overdraw_by_the_capacity(budget: RetryBudget) -> None:
     assert sum(budget.try_spend(7, 0, priority=1) for _ in range(100)) == 6
     assert not budget.try_spend(7, 0)
 
 
-def test_time_earns_the_floor_and_a_jump_earns_no_burst() -> None:
+def test_time_earns_tokens_and_a_jump_of_the_clock_earns_no_burst() -> None:
     budget = RetryBudget(RetryBudgetConfig(0, 500, 2_000), WIDE)
     while budget.try_spend(7, 0):
         pass
@@ -42,85 +49,90 @@
     assert sum(budget.try_spend(7, 10**12) for _ in range(10)) == 2
 
 
-def test_services_are_bounded() -> None:
+def test_the_number_of_services_is_bounded() -> None:
     budget = RetryBudget(SMALL, WIDE, max_services=10)
     for service in range(1000):
         budget.record_first_attempt(service, 0)
     assert len(budget) == 10
 
 
-@settings(derandomize=True, max_examples=100, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 400_000), st.booleans()), max_size=200))
-def test_no_more_further_attempts_than_were_earned(steps: list[tuple[int, int, bool]]) -> None:
-    terms = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=1_000, capacity_milli=5_000)
-    budget, now, firsts, further = RetryBudget(terms, WIDE), 0, [0] * 4, [0] * 4
-    for service, passed, first in steps:
-        now += passed
-        if first:
-            budget.record_first_attempt(service, now)
-            firsts[service] += 1
+@FIXED
+@given(
+    st.lists(st.tuples(st.integers(0, SERVICES - 1), st.integers(0, 400_000), st.booleans()), max_size=200)
+)
+def test_no_more_retries_than_were_earned(steps: list[tuple[int, int, bool]]) -> None:
+    config = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=1_000, capacity_milli=5_000)
+    budget = RetryBudget(config, WIDE)
+    now_us = 0
+    first_attempts = [0] * SERVICES
+    retries = [0] * SERVICES
+    for service, elapsed_us, is_first in steps:
+        now_us += elapsed_us
+        if is_first:
+            budget.record_first_attempt(service, now_us)
+            first_attempts[service] += 1
         else:
-            further[service] += budget.try_spend(service, now)
-    for service in range(4):
-        assert further[service] <= 5 + firsts[service] * 0.2 + now / 1e6
+            retries[service] += budget.try_spend(service, now_us)
+    for service in range(SERVICES):
+        assert retries[service] <= 5 + first_attempts[service] * 0.2 + now_us / 1e6
 
 
 def test_waits_spread_a_crowd_over_the_longest_wait() -> None:
-    spread = RetryAfterJitter(JitterConfig(returns_per_s=100, max_wait_us=3_000_000))
-    waits = [spread.retry_after_us(1_000_000, 0) for _ in range(200)]
+    jitter = RetryAfterJitter(JitterConfig(returns_per_s=100, max_wait_us=3_000_000))
+    waits = [jitter.retry_after_us(1_000_000, 0) for _ in range(200)]
     assert min(waits) == 1_000_000 and max(waits) <= 3_000_000 and len(set(waits)) == 200
-    most = max(sum(a <= one < a + 100_000 for one in waits) for a in range(0, 3_000_000, 50_000))
+    most = max(
+        sum(start <= wait < start + 100_000 for wait in waits) for start in range(0, 3_000_000, 50_000)
+    )
     assert most <= 11
-    crowd = [spread.retry_after_us(1_000_000, 0) for _ in range(1000)]
-    assert all(1_000_000 <= one <= 3_000_000 for one in crowd)
-    assert spread.retry_after_us(1_000_000, 0, priority=1) == 1_000_000
-    assert spread.retry_after_us(5_000_000, 0) == 3_000_000
-    later = 20_000_000
-    assert spread.retry_after_us(1_000_000, later) == 1_000_000  # a quiet time leaves no trace
+    crowd = [jitter.retry_after_us(1_000_000, 0) for _ in range(1000)]
+    assert all(1_000_000 <= wait <= 3_000_000 for wait in crowd)
+    assert jitter.retry_after_us(1_000_000, 0, priority=1) == 1_000_000
+    assert jitter.retry_after_us(5_000_000, 0) == 3_000_000
+    later_us = 20_000_000
+    assert jitter.retry_after_us(1_000_000, later_us) == 1_000_000  # an idle time leaves no trace
 
 
-def test_set_ups_are_taken_by_priority_and_then_by_what_time_is_left() -> None:
+def test_requests_are_taken_by_priority_and_then_by_deadline() -> None:
     queue = DeadlineQueue[str](DeadlineQueueConfig(batch_size=2, min_remaining_us=10, max_waiting=3))
     queue.put("late", 0, 900)
     queue.put("soon", 0, 500)
-    gone = queue.put("given up", 1, 100)
+    cancelled = queue.put("cancelled", 1, 100)
     queue.put("ledger", 1, 800)
-    queue.remove(gone)
+    queue.remove(cancelled)
     assert queue.pop_batch() == ["ledger", "soon"] and len(queue) == 1
     assert queue.pop_batch() == ["late"] and queue.pop_batch() == []
 
 
-def test_what_can_not_start_in_time_is_given_back_at_once() -> None:
+def test_a_request_that_can_not_start_in_time_expires_at_once() -> None:
     queue = DeadlineQueue[int](DeadlineQueueConfig(batch_size=1, min_remaining_us=10, max_waiting=3))
-    for number, deadline in enumerate((100, 300, 200)):
-        queue.put(number, 0, deadline)
+    for number, deadline_us in enumerate((100, 300, 200)):
+        queue.put(number, 0, deadline_us)
     assert queue.pop_expired(80) == [] and queue.pop_expired(95) == [0]
     assert queue.pop_batch() == [2] and queue.pop_expired(1000) == [1] and not queue
 
 
-def test_beyond_the_most_the_last_of_the_order_goes() -> None:
+def test_beyond_the_maximum_the_last_requests_in_order_expire() -> None:
     queue = DeadlineQueue[str](DeadlineQueueConfig(batch_size=9, min_remaining_us=0, max_waiting=2))
-    for name, priority, deadline in (("a", 1, 900), ("b", 0, 100), ("c", 0, 200), ("d", 0, 300)):
-        queue.put(name, priority, deadline)
+    for name, priority, deadline_us in (("a", 1, 900), ("b", 0, 100), ("c", 0, 200), ("d", 0, 300)):
+        queue.put(name, priority, deadline_us)
     assert queue.pop_expired(0) == ["d", "c"] and queue.pop_batch() == ["a", "b"]
 
 
-@settings(derandomize=True, max_examples=100, deadline=None)
+@FIXED
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 1000), st.booleans()), max_size=150))
 def test_the_queue_against_a_sorted_list(steps: list[tuple[int, int, bool]]) -> None:
-    queue, plain = (
-        DeadlineQueue[int](DeadlineQueueConfig(batch_size=3, min_remaining_us=0)),
-        dict[int, tuple[int, int, int]](),
-    )
-    for number, (priority, deadline, back) in enumerate(steps):
-        ticket = queue.put(number, priority, deadline)
-        plain[number] = (-priority, deadline, ticket)
-        if back:
+    queue = DeadlineQueue[int](DeadlineQueueConfig(batch_size=3, min_remaining_us=0))
+    model = dict[int, tuple[int, int, int]]()
+    for number, (priority, deadline_us, removed) in enumerate(steps):
+        ticket = queue.put(number, priority, deadline_us)
+        model[number] = (-priority, deadline_us, ticket)
+        if removed:
             queue.remove(ticket)
-            del plain[number]
+            del model[number]
         if number % 4 == 3:
-            expected = sorted(plain, key=plain.__getitem__)[:3]
+            expected = sorted(model, key=model.__getitem__)[:3]
             assert queue.pop_batch() == expected
-            for one in expected:
-                del plain[one]
-    assert len(queue) == len(plain)
+            for taken in expected:
+                del model[taken]
+    assert len(queue) == len(model)
--- a/thornshelf/cli.py
+++ b/thornshelf/cli.py
@@ -209,7 +209,7 @@
 
 def _read_record(file: Path, say: Callable[[str], object]) -> None:
     from thornshelf.wal import entries
-    from thornshelf.wal.recovery_plan import RecoveredState
+    from thornshelf.wal.recovered_state import RecoveredState
 
     memory, count, torn = RecoveredState(), 0, None
     try:
--- a/thornshelf/retries/__init__.py
+++ b/thornshelf/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Repeated attempts under a mass resubmission: a budget, waits that spread the return, and an order. No I/O."""
+"""Retry policy: retry budgets, jitter for Retry-After waits, and the queue of waiting requests. No I/O."""
--- a/thornshelf/retries/budget.py
+++ b/thornshelf/retries/budget.py
@@ -1,8 +1,10 @@
-"""How many further attempts may be made: a share of the first ones, for each service and for the whole fleet.
+"""Retry budgets: how many retries may be made, as a fraction of first attempts, per service and for the fleet.
 
-While all is well a budget is never felt. When most offers fail, each task would otherwise be offered three times
-over, and the further attempts would take the nodes' time from first ones. Tokens are whole thousandths, time is
-whole microseconds; a clock that stands still or jumps ahead adds no more than the bucket holds.
+Each budget is a token bucket. While most attempts succeed, a budget never limits anything. When most attempts fail,
+every task would otherwise be attempted several times, and the retries would take the nodes' time from first attempts.
+
+Tokens are counted in whole thousandths and time in whole microseconds, so that the arithmetic is exact. A clock that
+stands still, steps back or jumps ahead never adds more than a bucket's capacity.
 """
 
 from __future__ import annotations
@@ -11,12 +13,17 @@
 from dataclasses import dataclass
 
 MILLI_PER_TOKEN = 1000
+US_PER_S = 1_000_000
+DEFAULT_MAX_SERVICES = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetConfig:
-    """``share``: further attempts earned by a first one, in thousandths; ``floor``: earned a second in any case,
-    in thousandths; ``most``: what a bucket holds, in thousandths."""
+    """Limits of one kind of budget, in thousandths of a token; a retry costs one token.
+
+    ``earned_per_attempt_milli`` is added for each first attempt, ``earned_per_s_milli`` for each second that passes,
+    and ``capacity_milli`` is the most that a bucket holds.
+    """
 
     earned_per_attempt_milli: int = 200
     earned_per_s_milli: int = 1000
@@ -24,74 +31,92 @@
 
 
 class TokenBucket:
-    """One budget."""
+    """The budget of one service or of the fleet; it starts full."""
 
-    __slots__ = ("updated_us", "tokens_milli", "remainder")
+    __slots__ = ("remainder", "tokens_milli", "updated_us")
 
-    def __init__(self, terms: RetryBudgetConfig, now_us: int) -> None:
-        self.tokens_milli, self.updated_us, self.remainder = terms.capacity_milli, now_us, 0
+    def __init__(self, config: RetryBudgetConfig, now_us: int) -> None:
+        self.tokens_milli = config.capacity_milli
+        self.updated_us = now_us
+        self.remainder = 0  # earned since the last refill, in thousandths of a token times microseconds
 
-    def refill(self, terms: RetryBudgetConfig, now_us: int) -> None:
-        """Add what time has earned; what is less than a thousandth is kept for the next time."""
-        passed = max(0, now_us - self.updated_us)
+    def refill(self, config: RetryBudgetConfig, now_us: int) -> None:
+        """Add what the time since the last call has earned; less than a thousandth is carried over."""
+        elapsed_us = max(0, now_us - self.updated_us)
         self.updated_us = max(self.updated_us, now_us)
-        earned = self.remainder + passed * terms.earned_per_s_milli
-        self.tokens_milli = min(terms.capacity_milli, self.tokens_milli + earned // 1_000_000)
-        self.remainder = earned % 1_000_000
+        earned = self.remainder + elapsed_us * config.earned_per_s_milli
+        self.tokens_milli = min(config.capacity_milli, self.tokens_milli + earned // US_PER_S)
+        self.remainder = earned % US_PER_S
+
+    def earn(self, config: RetryBudgetConfig) -> None:
+        """Add what one first attempt earns."""
+        self.tokens_milli = min(config.capacity_milli, self.tokens_milli + config.earned_per_attempt_milli)
 
-    def earn(self, terms: RetryBudgetConfig) -> None:
-        """A first attempt was made."""
-        self.tokens_milli = min(terms.capacity_milli, self.tokens_milli + terms.earned_per_attempt_milli)
+    def can_spend(self, config: RetryBudgetConfig, priority: int) -> bool:
+        """Whether one token may be spent; a priority above 0 may overdraw the bucket by its capacity."""
+        minimum = MILLI_PER_TOKEN if priority <= 0 else MILLI_PER_TOKEN - config.capacity_milli
+        return self.tokens_milli >= minimum
+
+    def spend(self) -> None:
+        """Take one token."""
+        self.tokens_milli -= MILLI_PER_TOKEN
 
 
 class RetryBudget:
-    """The budgets of the fleet and of the services that asked lately."""
+    """The budget of the fleet, and those of the services that made attempts recently.
+
+    At most ``max_services`` services are tracked. The one that has been idle longest is evicted first, because its
+    bucket is full again by then. ``denied`` counts the retries that were not allowed.
+    """
 
     def __init__(
         self,
         service: RetryBudgetConfig,
         fleet: RetryBudgetConfig,
         now_us: int = 0,
-        max_services: int = 10_000,
+        max_services: int = DEFAULT_MAX_SERVICES,
     ) -> None:
-        self.service_config, self.fleet_config = service, fleet
+        self.service_config = service
+        self.fleet_config = fleet
         self.max_services = max_services
-        self._fleet = TokenBucket(fleet, now_us)
-        self._services: OrderedDict[int, TokenBucket] = OrderedDict()  # the one used last is the last
         self.denied = 0
+        self._fleet = TokenBucket(fleet, now_us)
+        self._services: OrderedDict[int, TokenBucket] = OrderedDict()  # least recently used first
 
     def __len__(self) -> int:
         return len(self._services)
 
-    def _service_bucket(self, service: int, now_us: int) -> TokenBucket:
-        bucket = self._services.get(service)
-        if bucket is None:
-            bucket = self._services[service] = TokenBucket(self.service_config, now_us)
-            while len(self._services) > self.max_services:
-                self._services.popitem(last=False)  # it has been quiet the longest: its bucket is full by now
-        else:
-            self._services.move_to_end(service)
-            bucket.refill(self.service_config, now_us)
-        return bucket
-
     def record_first_attempt(self, service: int, now_us: int) -> None:
-        """A first attempt leaves."""
+        """Credit a service and the fleet for a first attempt that is being sent."""
         self._fleet.refill(self.fleet_config, now_us)
         self._fleet.earn(self.fleet_config)
         self._service_bucket(service, now_us).earn(self.service_config)
 
     def try_spend(self, service: int, now_us: int, priority: int = 0) -> bool:
-        """Whether a further attempt may leave, which spends one of each; a higher priority may go into debt.
+        """Whether a retry may be sent; if so, one token of the service and one of the fleet are spent.
 
-        The debt is bounded by what a bucket holds, so that a county can't buy the fleet with priority alone.
+        A priority above 0 may overdraw both budgets. The overdraft is bounded by a bucket's capacity, so that one
+        tenant can't use up the whole fleet by priority alone.
         """
         self._fleet.refill(self.fleet_config, now_us)
-        mine = self._service_bucket(service, now_us)
-        for bucket, terms in ((self._fleet, self.fleet_config), (mine, self.service_config)):
-            lowest = MILLI_PER_TOKEN if priority <= 0 else MILLI_PER_TOKEN - terms.capacity_milli
-            if bucket.tokens_milli < lowest:
-                self.denied += 1
-                return False
-        self._fleet.tokens_milli -= MILLI_PER_TOKEN
-        mine.tokens_milli -= MILLI_PER_TOKEN
+        service_bucket = self._service_bucket(service, now_us)
+        allowed = self._fleet.can_spend(self.fleet_config, priority)
+        if not allowed or not service_bucket.can_spend(self.service_config, priority):
+            self.denied += 1
+            return False
+        self._fleet.spend()
+        service_bucket.spend()
         return True
+
+    def _service_bucket(self, service: int, now_us: int) -> TokenBucket:
+        """The refilled bucket of a service; a service that is not tracked gets a full one."""
+        bucket = self._services.get(service)
+        if bucket is not None:
+            self._services.move_to_end(service)
+            bucket.refill(self.service_config, now_us)
+            return bucket
+        bucket = TokenBucket(self.service_config, now_us)
+        self._services[service] = bucket
+        while len(self._services) > self.max_services:
+            self._services.popitem(last=False)
+        return bucket
--- a/thornshelf/retries/deadline_queue.py
+++ b/thornshelf/retries/deadline_queue.py
@@ -1,7 +1,7 @@
-"""The order in which set-ups are taken when more come than can be placed: priority first, then the least time left.
+"""A queue of waiting requests, ordered by priority and then by deadline.
 
-The decision module gets so many a turn; the others wait here for the next turns. What could not start in time any
-more is given back as hopeless at once, while it waits and not when its deadline comes.
+The decision module takes a bounded batch per turn; the other requests wait here. A request that can no longer start
+before its deadline is given back as expired as soon as that is known, not when its deadline passes.
 """
 
 from __future__ import annotations
@@ -12,74 +12,94 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
+COMPACTION_SLACK = 64  # stale heap entries that are tolerated, beyond twice the requests that wait
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineQueueConfig:
-    """``a_turn``: set-ups for the module in one turn; ``least_us``: with less time left none can start;
-    ``most``: set-ups that wait, beyond which the last of the order is given back."""
+    """``batch_size``: requests per batch; ``min_remaining_us``: with less time left a request can't start any more;
+    ``max_waiting``: requests that may wait, beyond which the last ones in order are given back as expired."""
 
     batch_size: int = 16
     min_remaining_us: int = 20_000
     max_waiting: int = 10_000
 
 
+@dataclass(slots=True)
+class _Waiting(Generic[T]):
+    """A request in the queue."""
+
+    item: T
+    deadline_us: int
+    priority: int
+
+
 class DeadlineQueue(Generic[T]):
-    """Waiting set-ups."""
+    """Waiting requests: the highest priority first, and among equal ones the nearest deadline first.
+
+    Both heaps hold plain tuples, which compare fast. A removed request stays in them until it is popped or the heaps
+    are compacted; ``_waiting`` alone says which requests wait.
+    """
 
     def __init__(self, config: DeadlineQueueConfig) -> None:
-        self.config, self.max_waiting = config, config.max_waiting
-        self._heap: list[tuple[int, int, int]] = []
-        self._items: dict[int, tuple[T, int, int]] = {}  # item, deadline, priority, by ticket
-        self._deadlines: list[tuple[int, int]] = []
+        self.config = config
+        self.max_waiting = config.max_waiting
+        self._waiting: dict[int, _Waiting[T]] = {}  # by ticket
+        self._order: list[tuple[int, int, int]] = []  # heap of (-priority, deadline_us, ticket)
+        self._deadlines: list[tuple[int, int]] = []  # heap of (deadline_us, ticket)
         self._tickets = itertools.count()
 
     def __len__(self) -> int:
-        return len(self._items)
+        return len(self._waiting)
 
     def put(
         self, item: T, priority: int, deadline_us: int, tenant: str | None = None, now_us: int = 0
     ) -> int:
-        """Add one; the ticket takes it back. This order knows no counties."""
+        """Add a request; the returned ticket removes it. Tenants are not distinguished by this queue."""
         ticket = next(self._tickets)
-        self._items[ticket] = item, deadline_us, priority
-        heapq.heappush(self._heap, (-priority, deadline_us, ticket))
+        self._waiting[ticket] = _Waiting(item, deadline_us, priority)
+        heapq.heappush(self._order, (-priority, deadline_us, ticket))
         heapq.heappush(self._deadlines, (deadline_us, ticket))
         return ticket
 
     def remove(self, ticket: int) -> None:
-        """Its owner gave it up."""
-        self._items.pop(ticket, None)
+        """Remove a request, for example because its client cancelled it; an unknown ticket is ignored."""
+        self._waiting.pop(ticket, None)
 
     def pop_expired(self, now_us: int) -> list[T]:
-        """Those that can't start any more, and those beyond the most that wait: they are to be answered now."""
-        found = []
+        """Remove and return the requests that can't start in time, then those beyond ``max_waiting``."""
+        expired = []
         while self._deadlines and self._deadlines[0][0] - now_us < self.config.min_remaining_us:
             ticket = heapq.heappop(self._deadlines)[1]
-            if ticket in self._items:
-                found.append(self._items.pop(ticket)[0])
-        if (beyond := len(self._items) - self.max_waiting) > 0:
-            # the last of the order: least priority, and of those the most time left, who can best come again
-            for _, _, ticket in heapq.nlargest(
-                beyond, [(-p, deadline, ticket) for ticket, (_, deadline, p) in self._items.items()]
-            ):
-                found.append(self._items.pop(ticket)[0])
-        return found
+            if ticket in self._waiting:
+                expired.append(self._waiting.pop(ticket).item)
+        excess = len(self._waiting) - self.max_waiting
+        if excess > 0:
+            expired += self._pop_last(excess)
+        return expired
 
     def pop_batch(self, now_us: int = 0) -> list[T]:
-        """The next ones for the module."""
-        found: list[T] = []
-        while self._heap and len(found) < self.config.batch_size:
-            ticket = heapq.heappop(self._heap)[2]
-            if ticket in self._items:
-                found.append(self._items.pop(ticket)[0])
-        if len(self._heap) > 64 + 2 * len(self._items):
+        """Remove and return the next requests for the decision module, at most ``batch_size``."""
+        batch: list[T] = []
+        while self._order and len(batch) < self.config.batch_size:
+            ticket = heapq.heappop(self._order)[2]
+            if ticket in self._waiting:
+                batch.append(self._waiting.pop(ticket).item)
+        if len(self._order) > COMPACTION_SLACK + 2 * len(self._waiting):
             self._compact()
-        return found
+        return batch
+
+    def _pop_last(self, count: int) -> list[T]:
+        """Remove the last requests in order: those of least priority, and of these the ones with most time left.
+
+        They lose least by being rejected, because they have the most time to retry.
+        """
+        order = [(-one.priority, one.deadline_us, ticket) for ticket, one in self._waiting.items()]
+        return [self._waiting.pop(ticket).item for _, _, ticket in heapq.nlargest(count, order)]
 
     def _compact(self) -> None:
-        """Entries of set-ups that were taken back go."""
-        self._heap = [one for one in self._heap if one[2] in self._items]
-        self._deadlines = [one for one in self._deadlines if one[1] in self._items]
-        heapq.heapify(self._heap)
+        """Drop the heap entries of requests that no longer wait."""
+        self._order = [entry for entry in self._order if entry[2] in self._waiting]
+        self._deadlines = [entry for entry in self._deadlines if entry[1] in self._waiting]
+        heapq.heapify(self._order)
         heapq.heapify(self._deadlines)
--- a/thornshelf/retries/jitter.py
+++ b/thornshelf/retries/jitter.py
@@ -1,46 +1,48 @@
-"""When refused tasks are told to come again: spread, so that a crowd that was refused together does not return
-together.
+"""Jitter for Retry-After waits, so that clients rejected at the same moment do not all return at the same moment.
 
-Places in time are given out one after another, so far apart that no more return a second than the fleet has been
-seen to take. Nothing is held back by this: the refusal leaves at once, and names the wait.
+Return times are handed out as evenly spaced slots, so that no more clients return per second than the fleet is known
+to accept. Nothing is delayed by this: the rejection is sent at once and only states the wait.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
+US_PER_S = 1_000_000
+
 
 @dataclass(frozen=True, slots=True)
 class JitterConfig:
-    """``returns_per_s``: returns a second at most; ``longest_us``: no wait is longer (clients follow no more)."""
+    """``returns_per_s``: clients that may return per second; ``max_wait_us``: the longest wait that is stated."""
 
     returns_per_s: int = 200
     max_wait_us: int = 3_000_000
 
 
 class RetryAfterJitter:
-    """Gives out waits."""
+    """Chooses the Retry-After wait of each rejected request."""
 
     def __init__(self, config: JitterConfig) -> None:
         self.config = config
-        self._next_slot_us = 0  # the next free place
-        self._overflow_phase = 0
+        self._next_slot_us = 0  # the earliest return time that is still free
+        self._overflow_phase = 0  # 0 or 1: half a slot is added in every second round
 
     def retry_after_us(self, base_us: int, now_us: int, priority: int = 0) -> int:
-        """A wait in microseconds: at least ``base_us``, but never more than the longest.
+        """A wait in microseconds of at least ``base_us``, but never more than ``max_wait_us``.
 
-        Where the places up to the longest wait are all given, later ones are dealt over the same stretch again,
-        shifted by half a place, so that the crowd stays even. A higher priority keeps the base.
+        When all slots up to the longest wait are taken, the same range is handed out again, shifted by half a slot
+        in every second round, so that the returns stay even. A priority above 0 gets the base wait.
         """
-        longest = max(self.config.max_wait_us, 0)
-        if base_us >= longest:
-            return longest
+        max_wait_us = max(self.config.max_wait_us, 0)
+        if base_us >= max_wait_us:
+            return max_wait_us
         if priority > 0:
             return base_us
-        step = max(1, 1_000_000 // max(1, self.config.returns_per_s))
-        at = max(self._next_slot_us, now_us + base_us)
-        if at > now_us + longest:
+        slot_us = max(1, US_PER_S // max(1, self.config.returns_per_s))
+        earliest_us = now_us + base_us
+        return_at_us = max(self._next_slot_us, earliest_us)
+        if return_at_us > now_us + max_wait_us:
             self._overflow_phase = (self._overflow_phase + 1) % 2
-            at = now_us + base_us + self._overflow_phase * (step // 2)
-        self._next_slot_us = at + step
-        return at - now_us
+            return_at_us = earliest_us + self._overflow_phase * (slot_us // 2)
+        self._next_slot_us = return_at_us + slot_us
+        return return_at_us - now_us
--- a/thornshelf/wal/__init__.py
+++ b/thornshelf/wal/__init__.py
@@ -1,1 +1,1 @@
-"""What a dispatcher remembers: the entries of its record, their framing, and what a start makes of them. No I/O."""
+"""The write-ahead log of a dispatcher: its entries, their framing, and the recovery from them at start-up. No I/O."""
--- a/thornshelf/wal/entries.py
+++ b/thornshelf/wal/entries.py
@@ -1,8 +1,11 @@
-"""The entries of the record, and their frames.
+"""The entries of the write-ahead log, and the frames in which they are stored.
 
-A frame is a mark, the format's version, the payload's length, a checksum (XXH3, 64 bits, over version, length and
-payload) and the payload (MessagePack). Entries are only ever added; the order of frames is the order of events, and
-the clock's times in them order nothing, as a clock may step back over a restart.
+A frame is a magic number, the format's version, the payload's length, a checksum (XXH3, 64 bits, over version, length
+and payload) and the payload (MessagePack). Frames are only ever appended, and their order is the order of events. The
+times inside entries order nothing, because a clock may step back across a restart.
+
+Entries are stored as arrays with a number in front that states their kind, so that names of classes and fields here
+are not part of the format. The order of the fields is.
 """
 
 from __future__ import annotations
@@ -10,6 +13,7 @@
 import struct
 from collections.abc import Iterator
 from dataclasses import dataclass
+from typing import NamedTuple
 
 import msgspec
 import xxhash
@@ -20,7 +24,7 @@
 MAGIC = b"\xa7\x52"
 FORMAT_VERSION = 1
 MAX_PAYLOAD_SIZE = 64 * 1024
-_HEADER = struct.Struct(">2sBIQ")
+_HEADER = struct.Struct(">2sBIQ")  # magic, version, payload length, checksum
 HEADER_SIZE = _HEADER.size
 
 
@@ -29,14 +33,14 @@
 
 
 class ProcessStarted(Entry, frozen=True, array_like=True, tag=1):
-    """A process began to write, under an epoch that no earlier one had; ``at_us`` on the system's clock."""
+    """A process began to write, under an epoch that no earlier process had; ``at_us`` is wall-clock time."""
 
     epoch: int
     at_us: int
 
 
 class AttemptIntent(Entry, frozen=True, array_like=True, tag=2):
-    """An offer of a task that must not be started twice is about to leave: recorded before its first byte."""
+    """An attempt of a non-idempotent task is about to be sent: stored before its first byte leaves."""
 
     key: int
     uid: int
@@ -46,7 +50,7 @@
 
 
 class AttemptEnded(Entry, frozen=True, array_like=True, tag=3):
-    """An attempt has ended; ``never``: it is proved that it did not run, else it may have."""
+    """An attempt has ended; ``never_ran`` means that this is proved, otherwise the task may have run."""
 
     key: int
     uid: int
@@ -54,7 +58,7 @@
 
 
 class TaskRunning(Entry, frozen=True, array_like=True, tag=4):
-    """A task stands, and who is to be told of its end."""
+    """A task runs on a node; ``peer`` is the host of the client that must be notified of its end."""
 
     key: int
     uid: int
@@ -71,7 +75,7 @@
 
 
 class ReleasePending(Entry, frozen=True, array_like=True, tag=5):
-    """A task that stood is over, and its release has not been told yet; by the numbers of thornshelf.v2."""
+    """A running task has ended and its client has not been notified; numbers as in thornshelf.v2."""
 
     uid: int
     peer: str
@@ -81,13 +85,13 @@
 
 
 class ReleaseDone(Entry, frozen=True, array_like=True, tag=6):
-    """A release was told, or is not owed: its owner ended the task."""
+    """A client has been notified of the end of its task, or has ended the task itself and needs no notice."""
 
     uid: int
 
 
 class CleanShutdown(Entry, frozen=True, array_like=True, tag=7):
-    """The process ended in order: what it knew is all here."""
+    """The process ended in order: the log holds all that it knew."""
 
 
 AnyEntry = (
@@ -97,55 +101,74 @@
 _decoder: msgspec.msgpack.Decoder[AnyEntry] = msgspec.msgpack.Decoder(AnyEntry)
 
 
+class StoredEntry(NamedTuple):
+    """An entry, and the offset of its frame in the log."""
+
+    offset: int
+    entry: AnyEntry
+
+
 @dataclass(frozen=True, slots=True)
 class TornTail:
-    """Where reading stopped, and why; everything before it is sound."""
+    """The offset at which the log stops being readable, and the reason; everything before it is intact."""
 
     offset: int
     reason: str
 
 
 def encode_frame(entry: AnyEntry) -> bytes:
-    """An entry as it is written; an error where it is too large."""
+    """An entry as it is stored.
+
+    Raises EntryTooLargeError for a payload of more than ``MAX_PAYLOAD_SIZE`` bytes.
+    """
     payload = _encoder.encode(entry)
     if len(payload) > MAX_PAYLOAD_SIZE:
         raise EntryTooLargeError(f"an entry of {len(payload)} bytes")
-    return _HEADER.pack(MAGIC, FORMAT_VERSION, len(payload), _checksum(FORMAT_VERSION, payload)) + payload
+    checksum = _checksum(FORMAT_VERSION, payload)
+    return _HEADER.pack(MAGIC, FORMAT_VERSION, len(payload), checksum) + payload
 
 
-def _checksum(version: int, payload: bytes) -> int:
-    # The version and the length are in it: a length that was torn must not swallow the next frame.
-    return xxhash.xxh3_64_intdigest(payload, seed=version << 32 | len(payload))
-
+def read_frames(data: bytes) -> Iterator[StoredEntry | TornTail]:
+    """The entries of a log; the last item is a ``TornTail`` unless the log ends with a complete frame.
 
-def read_frames(data: bytes) -> Iterator[tuple[int, AnyEntry] | TornTail]:
-    """The entries with their offsets; the last thing is ``Torn`` where the record does not end with a whole frame.
+    A crash leaves a tail that breaks off or was only partly written; such an entry was never acknowledged. The same
+    in the middle of the log is damage, and what follows it is not read, because it is unknown what is missing.
 
-    A tail that breaks off, or is not what was written, is what a crash leaves: it was never acknowledged. The same in
-    the middle is damage; what follows it is not read, as it can't be told what is missing.
+    Raises UnsupportedVersionError at a frame that a newer version of the program has written.
     """
-    at = 0
-    while at < len(data):
-        if at + HEADER_SIZE > len(data):
-            yield TornTail(at, "a head breaks off")
-            return
-        mark, version, length, checksum = _HEADER.unpack_from(data, at)
-        if mark != MAGIC:
-            yield TornTail(at, "no mark")
-            return
-        payload = data[at + HEADER_SIZE : at + HEADER_SIZE + length]
-        if length > MAX_PAYLOAD_SIZE or len(payload) < length:
-            yield TornTail(at, "a payload breaks off")
+    offset = 0
+    while offset < len(data):
+        if offset + HEADER_SIZE > len(data):
+            yield TornTail(offset, "the header is incomplete")
             return
-        if _checksum(version, payload) != checksum:
-            yield TornTail(at, "a checksum does not fit")
+        magic, version, length, checksum = _HEADER.unpack_from(data, offset)
+        payload = data[offset + HEADER_SIZE : offset + HEADER_SIZE + length]
+        fault = _frame_fault(magic, version, length, checksum, payload)
+        if fault is not None:
+            yield TornTail(offset, fault)
             return
         if version > FORMAT_VERSION:
-            raise UnsupportedVersionError(version, at, FORMAT_VERSION)
+            raise UnsupportedVersionError(version, offset, FORMAT_VERSION)
         try:
             entry = _decoder.decode(payload)
-        except (msgspec.DecodeError, msgspec.ValidationError) as fault:
-            yield TornTail(at, f"no entry: {fault}")
+        except (msgspec.DecodeError, msgspec.ValidationError) as error:
+            yield TornTail(offset, f"the payload is not an entry: {error}")
             return
-        yield at, entry
-        at += HEADER_SIZE + length
+        yield StoredEntry(offset, entry)
+        offset += HEADER_SIZE + length
+
+
+def _frame_fault(magic: bytes, version: int, length: int, checksum: int, payload: bytes) -> str | None:
+    """Why a frame is not intact, or None; of any version, because all versions share the header."""
+    if magic != MAGIC:
+        return "the magic number is missing"
+    if length > MAX_PAYLOAD_SIZE or len(payload) < length:
+        return "the payload is incomplete"
+    if _checksum(version, payload) != checksum:
+        return "the checksum does not match"
+    return None
+
+
+def _checksum(version: int, payload: bytes) -> int:
+    """The checksum of a frame; it covers the length, so that a damaged length can't swallow the next frame."""
+    return xxhash.xxh3_64_intdigest(payload, seed=version << 32 | len(payload))
