--- a/thornshelf/cli/record.py
+++ b/thornshelf/cli/record.py
@@ -35,7 +35,7 @@
 
 def _read_log(file: Path, print_entry: Callable[[str], object]) -> None:
     from thornshelf.wal import entries
-    from thornshelf.wal.recovery_plan import RecoveredState
+    from thornshelf.wal.recovered_state import RecoveredState
 
     state = RecoveredState()
     count = 0
