--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -1,74 +1,94 @@
-"""Whom to tell that a task is over: standing tasks outlive connections, and their release is owed within 1 s."""
+"""Notifies clients that a running task has ended, which is called a release.
+
+Running tasks outlive connections, and a release is due within 1 s: it goes to the task's own connection, otherwise to
+another one of the same client, and soon to any connection that can be trusted with it.
+"""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 from thornshelf.core.messages import AnswerMetadata, ClientConnection, LogFunction
 from thornshelf.loop import Loop
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 
-ANY_CLIENT_AFTER_US = 300_000  # a release waits so long for its own client before any open connection will do
-PENDING_TTL_US = 60_000_000  # and is kept no longer than this where no client comes
+ANY_CLIENT_AFTER_US = (
+    300_000  # a release waits so long for its own client before any trusted connection gets it
+)
+PENDING_TTL_US = 60_000_000  # a release that no client came for is dropped after this time
+
+
+class PendingRelease(NamedTuple):
+    """A release that waits for a connection since ``since_us``; ``peer`` is the host of the task's client."""
 
-PendingRelease = tuple[int, str, int, Outcome, Reason, FailureCause | None]
+    since_us: int
+    peer: str
+    uid: int
+    outcome: Outcome
+    reason: Reason
+    cause: FailureCause | None
 
 
 class DisconnectedClient:
-    """The owner of a task that was handed over by a predecessor: only its host is known."""
+    """The client of a task that a predecessor handed over: only its host is known.
 
-    is_connected = accepts_any_release = False
+    Its connection is never open: nothing is sent on it, and releases go to other connections.
+    """
+
+    is_connected = False
+    accepts_any_release = False
     wire_form = WireFormat.JSON_LINES
 
     def __init__(self, peer: str) -> None:
         self.peer = peer
 
+    def awaits_answer(self, uid: int) -> bool:
+        """Never: the requests of this connection were answered by the predecessor."""
+        return False
+
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Nobody is there to hear it."""
+        """Discard the answer."""
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Likewise."""
+        """Discard the answer."""
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Likewise."""
-
-    def awaits_answer(self, uid: int) -> bool:
-        """Likewise."""
-        return False
+        """Discard the answer."""
 
     def reject_duplicate(self, uid: int) -> None:
-        """Likewise."""
+        """Do nothing: no request comes on this connection."""
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Not reached: releases go to those that are there."""
+        """Never called: releases go to connections that are open."""
 
     def send_migrate(self, uid: int) -> None:
-        """Likewise."""
+        """Discard the message."""
 
     def task_cancelled(self, uid: int) -> None:
-        """Likewise."""
+        """Do nothing: nothing is stored for this connection."""
 
 
 class ReleaseNotifier:
-    """The owners' open connections, with their open set-ups, and the releases that found none."""
+    """The open client connections with their open requests, and the releases that wait for a connection.
+
+    ``open_requests`` has, for each open connection, the ids of its requests that have no answer yet.
+    """
 
     def __init__(self, loop: Loop, log: LogFunction) -> None:
-        self.loop, self.log = loop, log
-        self.open_requests: dict[ClientConnection, set[int]] = {}  # their open set-ups
-        self._placed_clients: dict[
-            ClientConnection, None
-        ] = {}  # those that a task was placed for, the latest last
-        self._requesting_clients: dict[ClientConnection, None] = {}  # those that asked for one, likewise
+        self.loop = loop
+        self.log = log
+        self.open_requests: dict[ClientConnection, set[int]] = {}
+        self._placed_clients: dict[ClientConnection, None] = {}  # a task was placed for them; the latest last
+        self._requesting_clients: dict[ClientConnection, None] = {}  # they requested a task; the latest last
         self._pending: deque[PendingRelease] = deque()
 
     @property
     def pending(self) -> tuple[PendingRelease, ...]:
-        """The releases that wait for a connection, each since when."""
+        """The releases that wait for a connection, the oldest first."""
         return tuple(self._pending)
 
     def client_connected(self, client: ClientConnection) -> None:
@@ -77,92 +97,99 @@
         self.send_pending()
 
     def client_disconnected(self, client: ClientConnection) -> list[int]:
-        """It is closed; its open set-ups, in a fixed order."""
+        """A client's connection is closed; returns its open requests in ascending order."""
         self._placed_clients.pop(client, None)
         self._requesting_clients.pop(client, None)
         return sorted(self.open_requests.pop(client, ()))
 
     def request_received(self, client: ClientConnection) -> None:
-        """It has asked for a task."""
+        """A client has requested a task."""
         self._mark_active(client, self._requesting_clients)
 
     def request_answered(self, client: ClientConnection, uid: int) -> None:
-        """A set-up of it is open no more."""
-        if (mine := self.open_requests.get(client)) is not None:
-            mine.discard(uid)
+        """A request of a client is no longer open."""
+        if (requests := self.open_requests.get(client)) is not None:
+            requests.discard(uid)
 
     def task_placed(self, client: ClientConnection) -> None:
-        """A task was placed for it."""
+        """A task was placed for a client."""
         self._mark_active(client, self._placed_clients)
 
     def notify(
-        self, client: ClientConnection, uid: int, outcome: Outcome, reason: Reason, why: FailureCause | None
+        self,
+        client: ClientConnection,
+        uid: int,
+        outcome: Outcome,
+        reason: Reason,
+        cause: FailureCause | None,
     ) -> None:
-        """Send a release on the task's own connection, else on another of that client, else keep it."""
+        """Send a release on the task's own connection, or keep it until another one can take it."""
         if client in self.open_requests and client.is_connected:
-            client.send_release(uid, outcome, reason, why)
+            client.send_release(uid, outcome, reason, cause)
             return
-        # Standing tasks outlive connections: the release goes to another of the client's, or, as it is owed
-        # within a second, soon to any that can be trusted with it.
-        self._pending.append((self.loop.now, client.peer, uid, outcome, reason, why))
-        while self._pending[0][0] < self.loop.now - PENDING_TTL_US:
-            dropped = self._pending.popleft()[2]
-            self.log(4, "release-dropped", {"uid": f"{dropped:016x}"}, "no client came for it")
-        self.send_pending()
-        self.loop.after(ANY_CLIENT_AFTER_US, self.send_pending)
-
-    def export_pending(self) -> list[dict[str, object]]:
-        """The releases that are owed, for a successor."""
-        found: list[dict[str, object]] = [
-            {"owed": uid, "peer": peer, "outcome": outcome.value, "reason": reason.value}
-            for _, peer, uid, outcome, reason, _ in self._pending
-        ]
+        self._pending.append(PendingRelease(self.loop.now, client.peer, uid, outcome, reason, cause))
+        self._drop_stale()
+        self._schedule()
+
+    def add_pending(self, peer: str, uid: int, outcome: Outcome, reason: Reason) -> None:
+        """Take over a pending release of a predecessor."""
+        self._pending.append(PendingRelease(self.loop.now, peer, uid, outcome, reason, None))
+        self._schedule()
+
+    def take_pending(self) -> tuple[PendingRelease, ...]:
+        """Remove and return all pending releases, to hand them to a successor."""
+        pending = self.pending
         self._pending.clear()
-        return found
-
-    def import_pending(self, value: Mapping[str, Any]) -> bool:
-        """A release that a predecessor owed."""
-        try:
-            uid, outcome, reason = int(value["owed"]), Outcome(value["outcome"]), Reason(value["reason"])
-            self._pending.append((self.loop.now, str(value["peer"]), uid, outcome, reason, None))
-        except (KeyError, TypeError, ValueError):
-            return False
-        self.send_pending()
-        self.loop.after(ANY_CLIENT_AFTER_US, self.send_pending)
-        return True
+        return pending
 
     def send_pending(self) -> None:
-        """Send the releases that waited for a connection."""
+        """Send the pending releases for which there is a connection by now."""
         for _ in range(len(self._pending)):
-            at, peer, uid, outcome, reason, why = self._pending.popleft()
-            owner = self._recipient(peer, self.loop.now >= at + ANY_CLIENT_AFTER_US)
-            if owner is not None:
-                owner.send_release(uid, outcome, reason, why)
+            release = self._pending.popleft()
+            any_client = self.loop.now >= release.since_us + ANY_CLIENT_AFTER_US
+            client = self._recipient(release.peer, any_client)
+            if client is not None:
+                client.send_release(release.uid, release.outcome, release.reason, release.cause)
             else:
-                self._pending.append((at, peer, uid, outcome, reason, why))
+                self._pending.append(release)
 
-    def _recipient(self, peer: str, anyone: bool) -> ClientConnection | None:
-        """Whom to tell a release: one that a task was placed for lately, else one that has asked for any.
+    def _schedule(self) -> None:
+        """Try at once, and again when any trusted connection will do."""
+        self.send_pending()
+        self.loop.after(ANY_CLIENT_AFTER_US, self.send_pending)
 
-        Guards against strangers: bad clients open connections from the same hosts and ask for nothing of use,
-        and what they are told is lost. One of the same host gets it only where there is nobody else.
+    def _drop_stale(self) -> None:
+        while self._pending[0].since_us < self.loop.now - PENDING_TTL_US:
+            release = self._pending.popleft()
+            self.log(4, "release-dropped", {"uid": f"{release.uid:016x}"}, "no client came for it")
+
+    def _recipient(self, peer: str, any_client: bool) -> ClientConnection | None:
+        """The connection that gets a release of a task whose client has the host ``peer``.
+
+        It is the latest one of that host for which a task was placed. With ``any_client`` it is the latest one of any
+        host for which a task was placed, otherwise one that requested a task, otherwise any of the same host.
+
+        Guards against unknown clients: bad clients open connections from the same hosts and request nothing useful,
+        and a release that is sent to them is lost.
         """
-        tables: tuple[tuple[dict[ClientConnection, Any], bool], ...] = ((self._placed_clients, False),)
-        if anyone:
-            tables = (
-                (self._placed_clients, True),
-                (self._requesting_clients, True),
-                (self.open_requests, False),
-            )
-        for table, any_peer in tables:
-            for owner in reversed(table):
-                if owner.accepts_any_release and owner.is_connected and (any_peer or owner.peer == peer):
-                    return owner
-        return None
-
-    def _mark_active(self, owner: ClientConnection, table: dict[ClientConnection, None]) -> None:
-        """An owner's set-up was taken, or placed: the latest is the last of its table."""
-        if owner in self.open_requests and owner.accepts_any_release:
-            table.pop(owner, None)
-            table[owner] = None
+        if not any_client:
+            return _latest(self._placed_clients, peer)
+        for clients in (self._placed_clients, self._requesting_clients):
+            if (client := _latest(clients)) is not None:
+                return client
+        return _latest(self.open_requests, peer)
+
+    def _mark_active(self, client: ClientConnection, clients: dict[ClientConnection, None]) -> None:
+        """Make a connection the latest one of a table; it may be sent releases from now on."""
+        if client in self.open_requests and client.accepts_any_release:
+            clients.pop(client, None)
+            clients[client] = None
             self.send_pending()
+
+
+def _latest(clients: dict[ClientConnection, Any], peer: str | None = None) -> ClientConnection | None:
+    """The last connection, of one host if given, that is open and accepts releases of tasks of other connections."""
+    for client in reversed(clients):
+        if client.accepts_any_release and client.is_connected and (peer is None or client.peer == peer):
+            return client
+    return None
--- a/thornshelf/core/state_transfer.py
+++ b/thornshelf/core/state_transfer.py
@@ -1,81 +1,195 @@
-"""What stands at a dispatcher that ends, handed to the one that goes on in its place."""
+"""Hands the running tasks and pending releases of a dispatcher that ends to its successor.
+
+Each record is one JSON object, in the form that ``export_state`` writes. The two processes may run different versions
+of the program, so the keys of these objects are a stable format, and only this module knows them.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from dataclasses import dataclass
 from typing import Any
 
 from thornshelf.core.dispatcher import Dispatcher
 from thornshelf.core.messages import TaskRequest
-from thornshelf.core.releases import DisconnectedClient
+from thornshelf.core.releases import DisconnectedClient, PendingRelease
 from thornshelf.core.task import TaskState
+from thornshelf.placement.interface import Outcome, Reason
 
+PENDING_RELEASE_KEY = "owed"  # the task's id; only records of pending releases have this key
 
-def export_state(core: Dispatcher) -> list[dict[str, object]]:
-    """All that stands and all releases that are owed, as a successor's ``take_over`` takes them.
 
-    They are the successor's from now on: what a node says of them here is not told.
-    """
-    found: list[dict[str, object]] = core.releases.export_pending()
-    for task in list(core.all_tasks()):
-        entry = core.endpoints.entries.get(task.machine)
-        if task.state is not TaskState.RUNNING or entry is None:
-            continue
-        setup = task.request
-        for uid, owner in task.each_subscriber():
-            found.append(
-                {
-                    "uid": uid, "class": setup.task_class, "tenant": setup.tenant, "key": setup.idempotency_key,
-                    "hint_us": setup.lifetime_hint_us, "service": setup.service, "cores": setup.cores,
-                    "memory": setup.memory, "node": entry.name, "node_uid": task.node_uid, "peer": owner.peer,
-                }
-            )  # fmt: skip
-        task.state = TaskState.ANSWERED
-        core.discard(task)
-    return found
+@dataclass(frozen=True, slots=True)
+class RunningTaskRecord:
+    """One subscriber of a running task, as it is handed to a successor."""
 
+    uid: int
+    task_class: str
+    tenant: str | None
+    idempotency_key: int
+    lifetime_hint_us: int | None
+    service: int
+    cores: float
+    memory: float
+    node: str
+    node_uid: int
+    peer: str
 
-def import_record(core: Dispatcher, value: Mapping[str, Any]) -> bool:
-    """A task that stood at a predecessor; false where it can't be understood, or is known."""
-    if "owed" in value:
-        return core.releases.import_pending(value)
-    try:
-        task_class, uid, node_uid = str(value["class"]), int(value["uid"]), int(value["node_uid"])
-        if task_class not in core.task_classes or core.find_task(uid) is not None:
-            return False
-        setup = TaskRequest(
-            client=DisconnectedClient(str(value["peer"])),
-            uid=uid,
-            task_class=task_class,
+    def encode(self) -> dict[str, object]:
+        """The record as a JSON object."""
+        return {
+            "uid": self.uid,
+            "class": self.task_class,
+            "tenant": self.tenant,
+            "key": self.idempotency_key,
+            "hint_us": self.lifetime_hint_us,
+            "service": self.service,
+            "cores": self.cores,
+            "memory": self.memory,
+            "node": self.node,
+            "node_uid": self.node_uid,
+            "peer": self.peer,
+        }
+
+    @classmethod
+    def decode(cls, value: Mapping[str, Any]) -> RunningTaskRecord:
+        """The record of a JSON object; raises KeyError, TypeError or ValueError for any other."""
+        return cls(
+            uid=int(value["uid"]),
+            task_class=str(value["class"]),
             tenant=value["tenant"],
             idempotency_key=int(value["key"]),
-            deadline_us=core.loop.now,
             lifetime_hint_us=value["hint_us"],
             service=int(value["service"]),
             cores=float(value["cores"]),
             memory=float(value["memory"]),
-            description=b"",
-            running_on=str(value["node"]),
+            node=str(value["node"]),
+            node_uid=int(value["node_uid"]),
+            peer=str(value["peer"]),
         )
+
+
+@dataclass(frozen=True, slots=True)
+class PendingReleaseRecord:
+    """A release that has not been sent, as it is handed to a successor."""
+
+    uid: int
+    peer: str
+    outcome: Outcome
+    reason: Reason
+
+    def encode(self) -> dict[str, object]:
+        """The record as a JSON object."""
+        return {
+            PENDING_RELEASE_KEY: self.uid,
+            "peer": self.peer,
+            "outcome": self.outcome.value,
+            "reason": self.reason.value,
+        }
+
+    @classmethod
+    def decode(cls, value: Mapping[str, Any]) -> PendingReleaseRecord:
+        """The record of a JSON object; raises KeyError, TypeError or ValueError for any other."""
+        return cls(
+            uid=int(value[PENDING_RELEASE_KEY]),
+            peer=str(value["peer"]),
+            outcome=Outcome(value["outcome"]),
+            reason=Reason(value["reason"]),
+        )
+
+
+TransferRecord = RunningTaskRecord | PendingReleaseRecord
+
+
+def export_state(core: Dispatcher) -> list[dict[str, object]]:
+    """All pending releases and running tasks, as ``import_record`` takes them.
+
+    They belong to the successor from now on: this dispatcher forgets them, and ignores what nodes report about them.
+    """
+    records = [_release_record(release).encode() for release in core.releases.take_pending()]
+    for task in core.all_tasks():
+        endpoint = core.endpoints.entries.get(task.machine)
+        if task.state is not TaskState.RUNNING or endpoint is None:
+            continue
+        request = task.request
+        for uid, client in task.each_subscriber():
+            record = RunningTaskRecord(
+                uid=uid,
+                task_class=request.task_class,
+                tenant=request.tenant,
+                idempotency_key=request.idempotency_key,
+                lifetime_hint_us=request.lifetime_hint_us,
+                service=request.service,
+                cores=request.cores,
+                memory=request.memory,
+                node=endpoint.name,
+                node_uid=task.node_uid,
+                peer=client.peer,
+            )
+            records.append(record.encode())
+        task.state = TaskState.ANSWERED
+        core.discard(task)
+    return records
+
+
+def import_record(core: Dispatcher, value: Mapping[str, Any]) -> bool:
+    """Take over one record of a predecessor; returns False if it can't be decoded, or its task is known already."""
+    try:
+        record = _decode(value)
     except (KeyError, TypeError, ValueError):
         return False
-    known = core.find_task(node_uid)
-    if known is not None and known.state is TaskState.RUNNING:
-        known.subscribers[uid] = setup.client  # another holder of a task that two ids share
-        core.index_task(known, uid)
+    if isinstance(record, PendingReleaseRecord):
+        core.releases.add_pending(record.peer, record.uid, record.outcome, record.reason)
         return True
-    task = core.create_task(setup)
-    task.node_uid = node_uid
-    core.index_task(task, uid, node_uid)
-    core.adopt_task(task, setup.running_on or "")
+    if record.task_class not in core.task_classes or core.find_task(record.uid) is not None:
+        return False
+    _adopt(core, record)
     return True
 
 
 def reconnect_nodes(core: Dispatcher) -> None:
-    """The predecessor has ended: new connections to the nodes where its tasks stand.
+    """Make new connections to the nodes of running tasks, after the predecessor has ended.
 
-    Guards against ends that were told to it as it closed: a node tells them again on the next connection.
+    Guards against ends that were reported to the predecessor as it closed: a node reports them again on the next
+    connection.
     """
     for machine, node in core.endpoints.nodes.items():
         if next(core.running_at(machine), None) is not None:
             node.reconnect()
+
+
+def _release_record(release: PendingRelease) -> PendingReleaseRecord:
+    return PendingReleaseRecord(release.uid, release.peer, release.outcome, release.reason)
+
+
+def _decode(value: Mapping[str, Any]) -> TransferRecord:
+    if PENDING_RELEASE_KEY in value:
+        return PendingReleaseRecord.decode(value)
+    return RunningTaskRecord.decode(value)
+
+
+def _adopt(core: Dispatcher, record: RunningTaskRecord) -> None:
+    client = DisconnectedClient(record.peer)
+    running = core.find_task(record.node_uid)
+    if running is not None and running.state is TaskState.RUNNING:
+        running.subscribers[record.uid] = client  # another id of the same task
+        core.index_task(running, record.uid)
+        return
+    request = TaskRequest(
+        client=client,
+        uid=record.uid,
+        task_class=record.task_class,
+        tenant=record.tenant,
+        idempotency_key=record.idempotency_key,
+        deadline_us=core.loop.now,
+        lifetime_hint_us=record.lifetime_hint_us,
+        service=record.service,
+        cores=record.cores,
+        memory=record.memory,
+        description=b"",
+        running_on=record.node,
+    )
+    task = core.create_task(request)
+    task.node_uid = record.node_uid
+    core.index_task(task, record.uid, record.node_uid)
+    core.adopt_task(task, record.node)
--- a/thornshelf/socket_handover.py
+++ b/thornshelf/socket_handover.py
@@ -1,10 +1,10 @@
-"""A planned restart without a refused connection: the successor takes the listening sockets over.
+"""A planned restart without a rejected connection: a successor process takes over the listening sockets.
 
 The sockets are inherited by the LISTEN_FDS convention (sd_listen_fds(3)): descriptors from 3 on, LISTEN_PID and
-LISTEN_FDNAMES. The successor says that it is ready through a pipe; until then, and if it never is, the old process
-serves. Then the old one stops accepting, finishes what is open, and sends what stands through the same channel, so
-that its releases are told by the successor. Both stay within the descriptor limit together: the successor is told
-how many the old one may still hold.
+LISTEN_FDNAMES. The successor reports through a channel, a socket pair, that it is ready. Until then, and if it never
+is, the old process keeps serving. After that the old process stops accepting, finishes the open requests and sends
+its state through the same channel, so that the successor sends the releases of its tasks. The successor is told how
+many descriptors the old process may still have open, so that both together stay within the descriptor limit.
 """
 
 from __future__ import annotations
@@ -15,89 +15,113 @@
 import sys
 from collections.abc import Generator, Mapping
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 from thornshelf.loop import Loop, Wait
 from thornshelf.loop.loop import IN
 
-LISTEN_FDS_START = 3
+LISTEN_FDS_START = 3  # SD_LISTEN_FDS_START of sd_listen_fds(3)
 READY_TIMEOUT_US = 10_000_000  # a successor that is not ready by then has failed
+SEND_RETRY_US = 1_000  # while the channel's buffer is full
 CHANNEL_VARIABLE = "THORNSHELF_CHANNEL"
-DESCRIPTORS_VARIABLE = "THORNSHELF_HELD"  # descriptors that the predecessor may hold until it has ended
-READY_MESSAGE, DONE_MESSAGE = b"ready\n", b"done\n"
+DESCRIPTORS_VARIABLE = "THORNSHELF_HELD"  # descriptors that the predecessor may have open until it has ended
+READY_MESSAGE = b"ready\n"
+DONE_MESSAGE = b"done\n"
 RECEIVE_SIZE = 64 * 1024
+READY_RECEIVE_SIZE = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class InheritedSockets:
-    """What a predecessor handed over: listening sockets by name, and the channel to it."""
+    """What a predecessor has passed on: its listening sockets by name, and the channel to it.
+
+    ``predecessor_descriptors`` is how many descriptors the predecessor may have open until it has ended.
+    """
 
     sockets: dict[str, socket.socket]
     channel: socket.socket | None = None
     predecessor_descriptors: int = 0
 
 
+class Successor(NamedTuple):
+    """A successor process, and this process's end of the channel to it."""
+
+    process_id: int
+    channel: socket.socket
+
+
 def inherit_sockets(environment: Mapping[str, str]) -> InheritedSockets:
-    """The sockets of the LISTEN_FDS convention; nothing where they were meant for another process."""
+    """The sockets of the LISTEN_FDS convention; none if the variables are invalid or meant for another process."""
     if environment.get("LISTEN_PID") != str(os.getpid()):
         return InheritedSockets({})
     try:
         count = int(environment.get("LISTEN_FDS", "0"))
-        channel_fd = int(environment.get(CHANNEL_VARIABLE, "-1"))
-        held = int(environment.get(DESCRIPTORS_VARIABLE, "0"))
+        channel_descriptor = int(environment.get(CHANNEL_VARIABLE, "-1"))
+        predecessor_descriptors = int(environment.get(DESCRIPTORS_VARIABLE, "0"))
     except ValueError:
         return InheritedSockets({})
     names = environment.get("LISTEN_FDNAMES", "").split(":")
     sockets = {}
     for index in range(count):
-        sock = socket.socket(fileno=LISTEN_FDS_START + index)
-        sock.set_inheritable(False)
-        sockets[names[index] if index < len(names) and names[index] else f"unknown{index}"] = sock
+        listener = socket.socket(fileno=LISTEN_FDS_START + index)
+        listener.set_inheritable(False)
+        name = names[index] if index < len(names) else ""
+        sockets[name or f"unknown{index}"] = listener
     channel = None
-    if channel_fd >= 0:
-        channel = socket.socket(fileno=channel_fd)
+    if channel_descriptor >= 0:
+        channel = socket.socket(fileno=channel_descriptor)
         channel.set_inheritable(False)
         channel.setblocking(False)
-    return InheritedSockets(sockets, channel, held)
+    return InheritedSockets(sockets, channel, predecessor_descriptors)
 
 
 def spawn_successor(
     arguments: list[str], sockets: Mapping[str, socket.socket], open_descriptors: int
-) -> tuple[int, socket.socket]:
-    """Start a successor with copies of the listening sockets; its process id, and our end of the channel.
+) -> Successor:
+    """Start a successor with copies of the listening sockets.
 
-    A shell sets LISTEN_PID, which has to be the successor's own, and gives way to it by exec.
+    ``open_descriptors`` is how many descriptors this process may have open until it has ended. Raises OSError if no
+    process can be started.
+
+    LISTEN_PID has to be the successor's own process id, so a shell sets it and then replaces itself by exec.
     """
-    ours, theirs = socket.socketpair()
-    names = list(sockets)
-    channel_fd = LISTEN_FDS_START + len(names)
+    own_end, successor_end = socket.socketpair()
+    channel_descriptor = LISTEN_FDS_START + len(sockets)
     environment = dict(os.environ) | {
-        "LISTEN_FDS": str(len(names)),
-        "LISTEN_FDNAMES": ":".join(names),
-        CHANNEL_VARIABLE: str(channel_fd),
+        "LISTEN_FDS": str(len(sockets)),
+        "LISTEN_FDNAMES": ":".join(sockets),
+        CHANNEL_VARIABLE: str(channel_descriptor),
         DESCRIPTORS_VARIABLE: str(open_descriptors),
     }
-    # Copies beyond all targets first, so that no target is overwritten before it has been copied.
-    high = [os.dup(one.fileno()) for one in (*sockets.values(), theirs)]
-    base = max(high) + channel_fd + 1
-    actions: list[tuple[int, ...]] = [
-        (os.POSIX_SPAWN_DUP2, fd, base + index) for index, fd in enumerate(high)
-    ]
-    actions += [(os.POSIX_SPAWN_DUP2, base + index, LISTEN_FDS_START + index) for index in range(len(high))]
-    actions += [(os.POSIX_SPAWN_CLOSE, base + index) for index in range(len(high))]
+    copies = [os.dup(one.fileno()) for one in (*sockets.values(), successor_end)]
     command = ["/bin/sh", "-c", 'LISTEN_PID=$$ exec "$@"', "sh", *arguments]
     try:
-        child = os.posix_spawn("/bin/sh", command, environment, file_actions=actions)
+        process_id = os.posix_spawn("/bin/sh", command, environment, file_actions=_file_actions(copies))
     finally:
-        for fd in high:
-            os.close(fd)
-        theirs.close()
-    ours.setblocking(False)
-    return child, ours
+        for descriptor in copies:
+            os.close(descriptor)
+        successor_end.close()
+    own_end.setblocking(False)
+    return Successor(process_id, own_end)
+
+
+def _file_actions(descriptors: list[int]) -> list[tuple[int, ...]]:
+    """The actions of posix_spawn that move descriptors to ``LISTEN_FDS_START`` and the numbers after it.
+
+    They are first copied beyond all of these numbers, so that none is overwritten before it has been moved.
+    """
+    base = max(descriptors) + LISTEN_FDS_START + len(descriptors)
+    indices = range(len(descriptors))
+    actions: list[tuple[int, ...]] = [
+        (os.POSIX_SPAWN_DUP2, descriptor, base + index) for index, descriptor in enumerate(descriptors)
+    ]
+    actions += [(os.POSIX_SPAWN_DUP2, base + index, LISTEN_FDS_START + index) for index in indices]
+    actions += [(os.POSIX_SPAWN_CLOSE, base + index) for index in indices]
+    return actions
 
 
 def own_command_line() -> list[str]:
-    """How this process was started, to start a successor likewise."""
+    """The command line of this process, to start a successor with."""
     main = sys.modules.get("__main__")
     spec = getattr(main, "__spec__", None)
     flags = ["-B"] if sys.dont_write_bytecode else []
@@ -107,40 +131,42 @@
 
 
 def await_ready(loop: Loop, channel: socket.socket) -> Generator[Wait, int, str]:
-    """Until the successor is ready: empty; or why it will not be."""
+    """Wait until the successor is ready; returns an empty text, or why it has failed."""
     until = loop.now + READY_TIMEOUT_US
-    heard = b""
-    while READY_MESSAGE not in heard:
+    received = b""
+    while READY_MESSAGE not in received:
         if not (yield Wait(channel.fileno(), IN, until)):
             return "it was not ready in time"
         try:
-            data = channel.recv(4096)
+            data = channel.recv(READY_RECEIVE_SIZE)
         except BlockingIOError:
             continue
         except OSError as fault:
             return str(fault.strerror)
         if not data:
             return "it ended before it was ready"
-        heard += data
+        received += data
     return ""
 
 
 def send_state(loop: Loop, channel: socket.socket, lines: list[dict[str, Any]]) -> Generator[Wait, int, bool]:
-    """What stands, a JSON line each, then the end; false where the successor has gone."""
+    """Send the state, a JSON object a line, and the end mark; returns False if the successor has gone."""
     data = b"".join(json.dumps(one, separators=(",", ":")).encode() + b"\n" for one in lines) + DONE_MESSAGE
     while data:
         try:
             data = data[channel.send(data) :]
         except BlockingIOError:
-            yield Wait(until=loop.now + 1000)
+            yield Wait(until=loop.now + SEND_RETRY_US)
         except OSError:
             return False
     return True
 
 
 def receive_state(channel: socket.socket) -> Generator[Wait, int, list[dict[str, Any]] | None]:
-    """What the predecessor sends before it ends; none where it ended without."""
-    held, lines, done = b"", list[dict[str, Any]](), False
+    """Receive the predecessor's state until it closes the channel; returns None if it sent no end mark."""
+    buffer = b""
+    records = list[dict[str, Any]]()
+    complete = False
     while True:
         yield Wait(channel.fileno(), IN)
         try:
@@ -150,15 +176,19 @@
         except OSError:
             data = b""
         if not data:
-            return lines if done else None
-        *whole, held = (held + data).split(b"\n")
-        for line in whole:
+            return records if complete else None
+        *lines, buffer = (buffer + data).split(b"\n")
+        for line in lines:
             if line + b"\n" == DONE_MESSAGE:
-                done = True  # ...but it has ended only when the channel does
-                continue
-            try:
-                value = json.loads(line)
-            except ValueError:
-                continue
-            if isinstance(value, dict):
-                lines.append(value)
+                complete = True  # ... but the predecessor has ended only when it closes the channel
+            elif (record := _parse_record(line)) is not None:
+                records.append(record)
+
+
+def _parse_record(line: bytes) -> dict[str, Any] | None:
+    """The JSON object of a line; None for anything else, which a later version may send."""
+    try:
+        value = json.loads(line)
+    except ValueError:
+        return None
+    return value if isinstance(value, dict) else None
