--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Random cuts of valid messages and random garbage against every parser, from fixed seeds."""
+"""Valid messages cut at random places, and random bytes, against every parser, from fixed seeds."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire.errors import WireError
 
-fixed = settings(derandomize=True, deadline=None, max_examples=150)
-uids = st.integers(0, 2**64 - 1)
-cuts = st.lists(st.integers(1, 40), max_size=30)
-json_values = st.recursive(
+FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+UIDS = st.integers(0, 2**64 - 1)
+SIZES = st.lists(st.integers(1, 40), max_size=30)
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=8),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=8), inner, max_size=3),
     max_leaves=8,
 )
 
 
-def pieces(data: bytes, sizes: list[int]) -> list[bytes]:
-    """The data cut at random places."""
+def split(data: bytes, sizes: list[int]) -> list[bytes]:
+    """The data in parts of these sizes, and the rest."""
     parts = []
     for size in sizes:
         parts.append(data[:size])
@@ -34,8 +34,8 @@
     return [*parts, data]
 
 
-def drain(reader: jsonl.LineReader | binary.MessageReader | grpc.Framer) -> list[object]:
-    """All whole messages; errors are counted as such, and a fatal one ends it."""
+def read_all(reader: jsonl.LineReader | binary.MessageReader | grpc.Framer) -> list[object]:
+    """All complete messages, with "error" for each that can't be read; a fatal error is the last item."""
     found: list[object] = []
     while True:
         try:
@@ -50,63 +50,68 @@
         found.append(message)
 
 
-@fixed
-@given(st.lists(st.tuples(uids, st.text(max_size=30), st.integers(0, 127)), max_size=5), cuts)
+@FIXED
+@given(st.lists(st.tuples(UIDS, st.text(max_size=30), st.integers(0, 127)), max_size=5), SIZES)
 def test_lines_survive_any_cut(tasks: list[tuple[int, str, int]], sizes: list[int]) -> None:
     data = b"".join(
         jsonl.encode_line("launch", uid, {"class": text}, reason, text.encode("utf-8", "surrogatepass"))
         for uid, text, reason in tasks
     )
-    reader, found = jsonl.LineReader(), list[object]()
-    for part in pieces(data, sizes):
+    reader = jsonl.LineReader()
+    found: list[object] = []
+    for part in split(data, sizes):
         reader.feed(part)
-        found += drain(reader)
+        found += read_all(reader)
     assert found == [
         jsonl.Line("launch", uid, {"class": text}, reason, text.encode("utf-8", "surrogatepass"))
         for uid, text, reason in tasks
     ]
 
 
-@fixed
+@FIXED
 @given(
-    st.lists(st.tuples(uids, st.dictionaries(st.integers(129, 150), st.binary(max_size=30))), max_size=5),
-    cuts,
+    st.lists(st.tuples(UIDS, st.dictionaries(st.integers(129, 150), st.binary(max_size=30))), max_size=5),
+    SIZES,
 )
 def test_binary_messages_survive_any_cut(tasks: list[tuple[int, dict[int, bytes]]], sizes: list[int]) -> None:
     data = b"".join(binary.encode(binary.SET_UP, uid, values) for uid, values in tasks)
-    reader, found = binary.MessageReader(), list[object]()
-    for part in pieces(data, sizes):
+    reader = binary.MessageReader()
+    found: list[object] = []
+    for part in split(data, sizes):
         reader.feed(part)
-        found += drain(reader)
+        found += read_all(reader)
     assert found == [binary.Message(binary.SET_UP, uid, values) for uid, values in tasks]
 
 
-@fixed
-@given(st.lists(st.tuples(uids, st.binary(max_size=50)), max_size=5), cuts)
+@FIXED
+@given(st.lists(st.tuples(UIDS, st.binary(max_size=50)), max_size=5), SIZES)
 def test_grpc_messages_survive_any_cut(tasks: list[tuple[int, bytes]], sizes: list[int]) -> None:
-    asks = [pb.Ask(uid=uid, description=text) for uid, text in tasks]
-    reader, found = grpc.Framer(), list[object]()
-    for part in pieces(b"".join(grpc.frame(ask) for ask in asks), sizes):
+    requests = [pb.Ask(uid=uid, description=text) for uid, text in tasks]
+    reader = grpc.Framer()
+    found: list[object] = []
+    for part in split(b"".join(grpc.frame(request) for request in requests), sizes):
         reader.feed(part)
-        found += drain(reader)
-    assert found == [ask.SerializeToString() for ask in asks]
+        found += read_all(reader)
+    assert found == [request.SerializeToString() for request in requests]
 
 
-@fixed
+@FIXED
 @given(st.lists(st.binary(max_size=60), max_size=6))
-def test_garbage_costs_one_kind_of_error(parts: list[bytes]) -> None:
+def test_random_bytes_raise_only_wire_errors(parts: list[bytes]) -> None:
     for reader in (jsonl.LineReader(), binary.MessageReader(), grpc.Framer()):
         for part in parts:
             reader.feed(part)
-            drain(reader)
-    for kind in (pb.ClientMessage, pb.NodeReport, pb.Ask):
+            read_all(reader)
+    for message_type in (pb.ClientMessage, pb.NodeReport, pb.Ask):
         with contextlib.suppress(WireError):
-            grpc.parse(kind, b"".join(parts))
+            grpc.parse(message_type, b"".join(parts))
 
 
-@fixed
-@given(st.booleans(), st.lists(st.binary(min_size=1, max_size=60), max_size=6), cuts, st.integers(0, 80))
-def test_http2_takes_cuts_and_garbage(client: bool, parts: list[bytes], sizes: list[int], at: int) -> None:
+@FIXED
+@given(st.booleans(), st.lists(st.binary(min_size=1, max_size=60), max_size=6), SIZES, st.integers(0, 80))
+def test_http2_survives_cuts_and_random_bytes(
+    client: bool, parts: list[bytes], sizes: list[int], offset: int
+) -> None:
     sent = bytearray()
 
     def emit(data: bytes) -> Chunk:
@@ -118,41 +123,41 @@
         call = peer.call([(":method", "POST"), (":scheme", "http"), (":path", "/a"), (":authority", "a")])
         peer.send(call, grpc.frame(pb.Ask(uid=1)))
     data = bytes(sent)
-    whole = http2.Http2(client, Chunk)
-    told = [event for part in pieces(data, sizes) for event in whole.receive(part)]
-    assert told == http2.Http2(client, Chunk).receive(data)
+    intact = http2.Http2(client, Chunk)
+    events = [event for part in split(data, sizes) for event in intact.receive(part)]
+    assert events == http2.Http2(client, Chunk).receive(data)
     broken = http2.Http2(client, Chunk)
     with contextlib.suppress(WireError):
-        for part in [data[:at], *parts, data[at:]]:
+        for part in [data[:offset], *parts, data[offset:]]:
             broken.receive(part)
 
 
-@fixed
-@given(st.dictionaries(st.sampled_from(["class", "left", "key", "hint", "extras", "tenant"]), json_values))
-def test_set_ups_are_read_or_refused_and_figures_are_finite(meta: dict[str, object]) -> None:
+@FIXED
+@given(st.dictionaries(st.sampled_from(["class", "left", "key", "hint", "extras", "tenant"]), JSON_VALUES))
+def test_requests_are_decoded_or_rejected_and_figures_are_finite(meta: dict[str, object]) -> None:
     value = {"kind": "launch", "uid": "9b1f03aa5c7e2d41", "meta": meta}
     with contextlib.suppress(WireError):
         fields = jsonl.launch_fields(jsonl.parse_line(json.dumps(value).encode()))
         assert all(map(math.isfinite, (fields.left_ms, fields.cores, fields.memory, fields.hint_ms or 0.0)))
 
 
-@fixed
-@given(json_values, st.sampled_from(["seq", "results", "instances", "instanceId", "hostPort", "startedAtMs"]))
-def test_change_log_is_read_or_refused(value: object, key: str) -> None:
+@FIXED
+@given(JSON_VALUES, st.sampled_from(["seq", "results", "instances", "instanceId", "hostPort", "startedAtMs"]))
+def test_the_change_log_is_decoded_or_rejected(value: object, key: str) -> None:
     node = {"instanceId": "s-1", "hostPort": "127.0.0.1:1", "lifecycle": "in_service", "startedAtMs": 5}
     fleet: dict[str, object] = {"generation": 1, "reset": True, "instances": [node]}
     event: dict[str, object] = {"seq": 1, "fleet": fleet}
     answer: dict[str, object] = {"seq": 1, "results": [event]}
-    for place in (answer, event, fleet, node):
-        kept = place.get(key)
-        place[key] = value
+    for holder in (answer, event, fleet, node):
+        original = holder.get(key)
+        holder[key] = value
         with contextlib.suppress(WireError):
             last, changes = decode_events(answer, 0, lambda us: us, lambda _: None)
             assert last >= 0 and all(entry.name for change in changes for entry in change.endpoints)
-        place[key] = kept
+        holder[key] = original
 
 
-@fixed
+@FIXED
 @given(st.text(max_size=40), st.text(max_size=20), st.dictionaries(st.text(max_size=8), st.text(max_size=20)))
 def test_log_lines_are_one_line_each(text: str, name: str, values: dict[str, str]) -> None:
     line = rfc5424.format_line(rfc5424.INFO, 1_700_000_000_123_456, name, "app", 1, name, values, text)
--- a/thornshelf/core/idempotency.py
+++ b/thornshelf/core/idempotency.py
@@ -108,8 +108,10 @@
             self.dispatcher.fail(task, cause)
             return
         self.translator.counters["joined"] += 1
-        values: dict[str, object] = {"uid": f"{uid:016x}", "first": f"{known.request.uid:016x}"}
-        self.dispatcher.log(5, "request-joined", values, "one task, two ids")
+        values: dict[str, object] = {"uid": f"{uid:016x}", "joined_uid": f"{known.request.uid:016x}"}
+        self.dispatcher.log(
+            5, "request-joined", values, "the request joined the task that has its idempotency key"
+        )
         self.dispatcher.merge(task, known)
         if known.state is TaskState.RUNNING:
             self.dispatcher.send_running(known, {uid: client}, AnswerMetadata(joined_running_task=True))
--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -161,7 +161,12 @@
     def _drop_stale(self) -> None:
         while self._pending[0].since_us < self.loop.now - PENDING_TTL_US:
             release = self._pending.popleft()
-            self.log(4, "release-dropped", {"uid": f"{release.uid:016x}"}, "no client came for it")
+            self.log(
+                4,
+                "release-dropped",
+                {"uid": f"{release.uid:016x}"},
+                "no client connected that could take this release in time",
+            )
 
     def _recipient(self, peer: str, any_client: bool) -> ClientConnection | None:
         """The connection that gets a release of a task whose client has the host ``peer``.
--- a/thornshelf/core/status_queries.py
+++ b/thornshelf/core/status_queries.py
@@ -113,7 +113,10 @@
         after_denial = task is not None and task.never_ran_at == item.machine
         self.translator.record_late_start(item.machine, after_denial)
         self.dispatcher.log(
-            4, "late-start", {"uid": f"{item.uid:016x}"}, "given up before; its node is told to end it"
+            4,
+            "late-start",
+            {"uid": f"{item.uid:016x}"},
+            "the task started after its attempt was given up, so its node is told to cancel it",
         )
         node.cancel_task(item.uid)
 
