--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -112,7 +112,7 @@
     def cut(sender: int, receiver: int) -> bool:
         return victim.index in (sender, receiver) and seen[0] >= 4
 
-    deliver = world.relays._pass
+    deliver = world.relays._relay
 
     def count(sender: int, receiver: int, data: bytes) -> None:
         seen[0] += sender == victim.index and len(data) > LARGE
@@ -121,7 +121,7 @@
             seen[0] += 1
         deliver(sender, receiver, data)
 
-    world.relays._pass = count  # type: ignore[method-assign]
+    world.relays._relay = count  # type: ignore[method-assign]
     world.relays.cut = cut
     return asking.query("SELECT member, when_ms, uid, key, event, node, detail FROM history")
 
--- a/thornshelf/lab/fakes/behavior.py
+++ b/thornshelf/lab/fakes/behavior.py
@@ -1,4 +1,4 @@
-"""What stand-ins of all wire forms share: the forms' names, and what a node is told to do with a task."""
+"""What the fakes of all wire forms share: the names of the forms, and what a node is to do with a task."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class NodeBehavior(enum.Enum):
-    """What a node does with an offer."""
+    """What a node does with an attempt; the value is the task's description."""
 
     RUN = b"run"
     END = b"run, then end"
@@ -37,5 +37,5 @@
 
 COMMON_BEHAVIORS = list(NodeBehavior)[
     :12
-]  # what nodes of all forms do; the others are for questions of translation
+]  # of nodes of all wire forms; the others are for tests of translation
 DESCRIPTION = "v=0\r\no=\u00e9".encode()  # of every answer
--- a/thornshelf/lab/fakes/clients.py
+++ b/thornshelf/lab/fakes/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients in all wire forms, on the same loop as the dispatcher."""
+"""Fake clients in all wire forms, on the same loop as the dispatcher."""
 
 from __future__ import annotations
 
@@ -15,20 +15,23 @@
 
 
 class FakeClient:
-    """A client; ``heard`` holds what came for each task, in words that both forms share."""
+    """A client; ``heard`` holds the events of each task by uid, in terms that all wire forms share.
+
+    ``said`` holds the messages themselves; ``placed`` the uids of tasks that run; ``hears``: the client acknowledges
+    releases; ``on_closed`` is called with whether it was ever connected, ``on_traffic`` with the bytes and lines of
+    JSON lines.
+    """
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self.loop, self.address = loop, address
         self.heard: dict[int, list[tuple[Any, ...]]] = {}
-        self.placed: set[int] = set()  # ids that an answer came for
-        self.hears = False  # it says which releases it has heard
-        self.said: dict[int, list[Any]] = {}  # the messages themselves
+        self.placed: set[int] = set()
+        self.hears = False
+        self.said: dict[int, list[Any]] = {}
         self.stream: Stream | None = None
         self.closed = False
-        self.on_closed: Callable[[bool], None] = lambda _: None  # told whether it was ever connected
-        self.on_traffic: Callable[[int, int], None] = (
-            lambda size, lines: None
-        )  # bytes and messages of JSON lines
+        self.on_closed: Callable[[bool], None] = lambda _: None
+        self.on_traffic: Callable[[int, int], None] = lambda size, lines: None
         self.loop.spawn(self._run())
 
     def hear(self, uid: int, *what: Any) -> None:
@@ -62,7 +65,7 @@
         raise NotImplementedError
 
     def ask_for(self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any) -> None:
-        """A set-up with all its figures; ``size``: cores and memory."""
+        """Request a task; ``size``: cores and memory."""
         raise NotImplementedError
 
 
@@ -71,11 +74,11 @@
 
 
 class FakeJsonLinesClient(FakeClient):
-    """The platform's form."""
+    """A client that speaks the platform's JSON lines."""
 
     def begin(self, stream: Stream) -> None:
         self.reader = jsonl.LineReader()
-        if self.hears:  # said at once, so that it holds from the first release on
+        if self.hears:  # sent at once, so that it holds from the first release on
             stream.send(jsonl.encode_line("stopped", jsonl.UNKNOWN_UID))
 
     def send(self, data: bytes) -> None:
@@ -122,7 +125,7 @@
 
 
 class FakeGrpcV1Client(FakeClient):
-    """gRPC: one Dispatch stream."""
+    """A client that speaks gRPC of the first generation, on one Dispatch stream."""
 
     form = "thornshelf.v1"
     words: Any = pb
@@ -190,7 +193,7 @@
 
 
 class FakeGrpcV2Client(FakeGrpcV1Client):
-    """The second generation."""
+    """A client that speaks gRPC of the second generation."""
 
     form = "thornshelf.v2"
     words = pb2
--- a/thornshelf/lab/fakes/cluster.py
+++ b/thornshelf/lab/fakes/cluster.py
@@ -1,4 +1,4 @@
-"""A dispatcher with stand-in nodes and clients, all on one loop; the stand-ins themselves are beside this."""
+"""A dispatcher with fake nodes and clients, all on one loop, for tests."""
 
 from __future__ import annotations
 
@@ -54,7 +54,10 @@
         manners: Callable[[FakeNode], None] = lambda _: None,
         **more: Any,
     ) -> None:
-        """``terms``: the translation layer, which nodes of the second generation need in any case."""
+        """``front``: the client's wire form; ``node``: the nodes'; ``terms``: the translation layer, which nodes
+        of the second generation need in any case; ``manners``: prepares a node; ``more``: further fields of the
+        configuration.
+        """
         open_clusters.append(self)
         self.loop = Loop()
         self.logged: list[tuple[int, str, dict[str, object], str]] = []
@@ -79,13 +82,13 @@
         self.client = self.connect_client(front)
 
     def close(self) -> None:
-        """Give back all sockets."""
+        """Close all sockets."""
         self.service.close()
         for node in self.nodes:
             node.sock.close()
 
     def endpoint(self, index: int, lifecycle: str = "in_service", started: int = 0) -> dict[str, Any]:
-        """A node as the change log shows it."""
+        """A node as the endpoint list shows it."""
         return {
             "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{self.nodes[index].port}",
             "zone": "jackson-dc", "machineType": "node-small", "cell": 1, "lifecycle": lifecycle,
@@ -93,23 +96,23 @@
         }  # fmt: skip
 
     def update_lifecycle(self, index: int, lifecycle: str) -> None:
-        """A change of the list."""
+        """Change the lifecycle of a node in the endpoint list."""
         self.update_endpoint(self.endpoint(index, lifecycle))
 
     def update_endpoint(self, value: dict[str, Any]) -> None:
-        """A change of the list, as the change log words it."""
+        """Change an entry of the endpoint list."""
         entry = decode_endpoint(value, self.service.monotonic_us)
         self.service.core.update_endpoints(EndpointListUpdate(False, 2, [entry]))
 
     def connect_client(self, front: str) -> Any:
-        """One more client, connected."""
+        """One more client, once it is connected."""
         at = self.service.frontends[0 if front == JSON else 1].listener.address
         client = CLIENT_TYPES[front](self.loop, at)
         self.run_until(lambda: client.stream is not None)
         return client
 
     def run_until(self, done: Callable[[], bool]) -> None:
-        """Turn the loop until something holds; fails where it takes too long."""
+        """Run the loop until a condition holds; fails after ``TIMEOUT_S``."""
         limit = time.monotonic() + TIMEOUT_S
         while not done():
             assert time.monotonic() < limit, "it did not come about in time"
@@ -117,15 +120,15 @@
             self.loop.turn()
 
     def run_for(self, milliseconds: int = 50) -> None:
-        """Turn for a while, to see that nothing more happens."""
+        """Run the loop for a while, to see that nothing more happens."""
         end = self.loop.now + milliseconds * 1000
         self.run_until(lambda: self.loop.now >= end)
 
     def offer_count(self, uid: int) -> int:
-        """How often a task was offered, by all nodes together."""
+        """How many attempts of a task have come, at all nodes together."""
         return sum(node.offers(uid) for node in self.nodes)
 
     def wait_for_events(self, uid: int, count: int = 1) -> list[tuple[Any, ...]]:
-        """What the client heard of a task, once that is so much."""
+        """The events of a task at the client, once there are ``count``."""
         self.run_until(lambda: len(self.client.heard.get(uid, [])) >= count)
         return list(self.client.heard[uid])
--- a/thornshelf/lab/fakes/network.py
+++ b/thornshelf/lab/fakes/network.py
@@ -1,4 +1,4 @@
-"""Links between processes that can be cut, slowed and spoilt: relays of datagrams, a change log for each member."""
+"""Links between processes with injected faults: relays of datagrams, and an endpoint source for each member."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 def public(index: int) -> str:
-    """The host by which the others reach a member; datagrams to it go through a relay."""
+    """The host by which the other members reach a member; datagrams to it go through a relay."""
     return f"127.0.101.{index + 1}"
 
 
 def private(index: int) -> str:
-    """The host that a member itself uses: the relay tells by it who sends."""
+    """The host that a member itself uses, by which a relay identifies the sender."""
     return f"127.0.102.{index + 1}"
 
 
 def free_port(hosts: list[str]) -> int:
-    """A UDP port that is free at all of some hosts."""
+    """A UDP port that is free on all of the hosts."""
     while True:
         first = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         first.bind((hosts[0], 0))
@@ -43,7 +43,11 @@
 
 
 class DatagramRelays:
-    """All datagrams between members."""
+    """Relays all datagrams between members, and can lose, duplicate, delay and record them.
+
+    ``cut(sender, receiver)``: whether a link is cut; ``loss`` and ``doubles``: fractions of the datagrams; ``kept``:
+    (receiver, datagram) of those recorded while ``keep`` is set, for a replay.
+    """
 
     def __init__(self, loop: Loop, count: int, seed: int) -> None:
         self.loop, self.chance = loop, random.Random(seed)
@@ -54,7 +58,7 @@
         self.bytes = 0
         self.sent: Counter[int] = Counter()  # bytes, by member
         self.datagrams: Counter[int] = Counter()
-        self.kept: list[tuple[int, bytes]] = []  # for a replay: the receiver and the datagram
+        self.kept: list[tuple[int, bytes]] = []
         self.keep = False
         self._socks: list[socket.socket] = []
         for index in range(count):
@@ -72,9 +76,9 @@
                     data, (host, _) = sock.recvfrom(2048)
                 except OSError:
                     break
-                self._pass(int(host.rpartition(".")[2]) - 1, receiver, data)
+                self._relay(int(host.rpartition(".")[2]) - 1, receiver, data)
 
-    def _pass(self, sender: int, receiver: int, data: bytes) -> None:
+    def _relay(self, sender: int, receiver: int, data: bytes) -> None:
         self.bytes += len(data) + 28
         self.sent[sender] += len(data) + 28
         self.datagrams[sender] += 1
@@ -84,26 +88,29 @@
             self.kept.append((receiver, data))
         for _ in range(2 if self.chance.random() < self.doubles else 1):
             if self.chance.random() >= self.loss:
-                late = self.chance.randrange(self.late_us) if self.late_us else 0
-                if late:
-                    self.loop.after(late, lambda: self.deliver(receiver, data))
+                delay_us = self.chance.randrange(self.late_us) if self.late_us else 0
+                if delay_us:
+                    self.loop.after(delay_us, lambda: self.deliver(receiver, data))
                 else:
                     self.deliver(receiver, data)
 
     def deliver(self, receiver: int, data: bytes) -> None:
-        """Hand a datagram to a member."""
-        with suppress(OSError):  # its process may not be there
+        """Deliver a datagram to a member."""
+        with suppress(OSError):  # its process may have ended
             self._socks[receiver].sendto(data, (private(receiver), self.port))
 
     def close(self) -> None:
-        """Give back all sockets."""
+        """Close all sockets."""
         for sock in self._socks:
             self.loop.unregister(sock.fileno())
             sock.close()
 
 
 class FakeEndpointSource:
-    """The change log, at an address of its own for each member, so that it can fall silent for one."""
+    """A fake change log with an address for each member, so that it can stop responding to one.
+
+    ``silent``: the members to which it does not respond.
+    """
 
     def __init__(self, loop: Loop, count: int) -> None:
         self.loop = loop
@@ -120,7 +127,7 @@
             loop.spawn(self._accept(index, sock))
 
     def publish(self, instances: list[dict[str, Any]], reset: bool = False) -> None:
-        """An event of the list."""
+        """Publish an event; ``reset``: it replaces the whole list."""
         number = len(self.events) + 1
         fleet = {"generation": number, "reset": reset, "instances": instances}
         self.events.append({"seq": number, "fleet": fleet})
@@ -132,15 +139,16 @@
             self.loop.spawn(self._serve(index, Stream(self.loop, accepted, "member")))
 
     def _serve(self, index: int, stream: Stream) -> Generator[Wait, int, None]:
-        held = b""
+        received = b""
         while data := (yield from stream.read()):
-            held += data
-            while b"\r\n\r\n" in held:
-                head, _, held = held.partition(b"\r\n\r\n")
+            received += data
+            while b"\r\n\r\n" in received:
+                head, _, received = received.partition(b"\r\n\r\n")
                 self.sent[index] += len(head) + 4
                 query = head.split(b" ")[1].decode().partition("?")[2]
-                asked = dict(one.split("=") for one in query.split("&"))
-                since, until = int(asked["since"]), self.loop.now + int(asked["timeout"]) * 1000
+                parameters = dict(item.split("=") for item in query.split("&"))
+                since = int(parameters["since"])
+                until = self.loop.now + int(parameters["timeout"]) * 1000
                 while index in self.silent or (len(self.events) <= since and self.loop.now < until):
                     yield Wait(until=self.loop.now + 10_000)
                     if not stream.open:
@@ -152,7 +160,7 @@
         stream.close()
 
     def close(self) -> None:
-        """Give back all sockets."""
+        """Close all sockets."""
         for sock in self._socks:
             self.loop.unregister(sock.fileno())
             sock.close()
--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -1,7 +1,7 @@
-"""Stand-in nodes in all wire forms, on the same loop as the dispatcher.
+"""Fake nodes in all wire forms, on the same loop as the dispatcher.
 
-What a node does with a task is told by the task's description, a word of ``Conduct``. A node's form may change
-while it stands, as if it were upgraded or downgraded in place.
+The description of a task says what the node does with it: a value of ``NodeBehavior``. A node's wire form may change
+while it runs, as if it were upgraded or downgraded in place.
 """
 
 from __future__ import annotations
@@ -19,10 +19,29 @@
 from thornshelf.wire import placement_v2_pb2 as pb2
 from thornshelf.wire.errors import WireError
 
+# Behaviors that start the task and say so.
+_STARTING = frozenset(
+    (NodeBehavior.RUN, NodeBehavior.END, NodeBehavior.EVICT, NodeBehavior.TWICE, NodeBehavior.STRAY)
+)
+# How a behavior ends an offer or a task: the binary form's cause and note, gRPC's outcome, reason and text.
+_ENDS: dict[NodeBehavior, tuple[Any, ...]] = {
+    NodeBehavior.END: (16, pb.ENDED),
+    NodeBehavior.EVICT: (41, pb.RESET, "killed", pb.EVICTED),
+    NodeBehavior.FULL: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
+    NodeBehavior.FULL_TWICE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
+    NodeBehavior.FAULT: (47, pb.ERROR),
+    NodeBehavior.MOOT: (102, pb.MOOT),
+    NodeBehavior.RESET: (41, pb.RESET),
+    NodeBehavior.NEEDS_HINT: (34, pb.FULL, "unfit", 8, "how long will it run?"),
+    NodeBehavior.LICENCE: (34, pb.FULL, "unfit", 12, "no licence for this program"),
+    NodeBehavior.QUARANTINED: (34, pb.FULL, "unfit", 10, "under repair"),
+    NodeBehavior.NEWER: (34, pb.FULL, "", 99, "a word of tomorrow"),
+}
+
 
 @dataclass(slots=True)
 class ReceivedOrder:
-    """What came to a node, as far as its form can say it."""
+    """A message of the dispatcher to a node, with the fields that the node's wire form has."""
 
     kind: str
     uid: int
@@ -37,18 +56,21 @@
 
 @dataclass(slots=True)
 class NodeProfile:
-    """What a node of the second generation says of itself, true or not."""
+    """What a node of the second generation says of itself, true or not.
+
+    ``standings``: false answers to queries, by idempotency key.
+    """
 
     generation: int = 2
     name: str = ""
     requires: tuple[int, ...] = ()
     answers: bool = True
     greets: bool = True
-    standings: dict[int, int] = field(default_factory=dict)  # answers about keys that are not the truth
+    standings: dict[int, int] = field(default_factory=dict)
 
 
 class FakeNode:
-    """A node; ``seen`` holds the offers and releases that came, in order."""
+    """A node; ``seen`` holds the kinds and ids of the messages that came, in order."""
 
     def __init__(self, loop: Loop, form: str = BINARY, address: tuple[str, int] = (HOST, 0)) -> None:
         self.loop, self.form = loop, form
@@ -73,20 +95,20 @@
         self._accepting = self.loop.spawn(self._accept())
 
     def came(self, say: Any) -> None:
-        """A connection is open on which something can be said."""
+        """Note a connection on which messages can be sent."""
         self.voices.append(say)
 
     def went(self, say: Any) -> None:
-        """It is no more."""
+        """Forget a connection that has closed."""
         if say in self.voices:
             self.voices.remove(say)
 
     def offers(self, uid: int) -> int:
-        """How often a task was offered here."""
+        """How many attempts of a task have come."""
         return self.seen.count(("offer", uid))
 
     def die(self) -> None:
-        """Reset all connections and listen no more."""
+        """Reset all connections, and stop listening."""
         self.loop.cancel(self._accepting)
         self.loop.unregister(self.sock.fileno())
         self.sock.close()
@@ -108,15 +130,15 @@
             self.loop.spawn(self.serve(stream))
 
     def connected(self, sock: socket.socket) -> Stream:
-        """A dispatcher's connection."""
+        """The stream of an accepted connection; subclasses may return one that counts."""
         return Stream(self.loop, sock, "dispatcher")
 
     def serve(self, stream: Stream) -> Generator[Wait, int, None]:
-        """One connection, in the form that the node speaks as it comes."""
+        """Serve a connection in the wire form that the node has now."""
         return _serve_binary(self, stream) if self.form == BINARY else _serve_grpc(self, stream)
 
     def begin(self, order: ReceivedOrder, say: Any, tell: bool = True) -> None:
-        """The task runs."""
+        """Start a task; ``tell``: send its binding."""
         self.running.add(order.uid)
         self.runs[order.key] = order.uid
         if tell:
@@ -124,7 +146,7 @@
             say.bind(order.uid)
 
     def over(self, uid: int, outcome: int) -> None:
-        """The task runs no more."""
+        """Note that a task has ended."""
         self.running.discard(uid)
         for key, running in list(self.runs.items()):
             if running == uid:
@@ -132,64 +154,56 @@
                 self.ran[key] = uid, outcome
 
     def order(self, order: ReceivedOrder, say: Any) -> None:
-        """Behave; ``say`` has a method for each thing that a node says."""
-        uid = order.uid
-        self.seen.append((order.kind, uid))
+        """Handle what came from the dispatcher; ``say`` sends on the connection on which it came."""
+        self.seen.append((order.kind, order.uid))
         self.orders.append(order)
-        if order.kind == "question":
-            self.answer(order, say)
-            return
-        if order.kind == "release":
-            self.waiting.pop(uid, None)
-            if uid in self.running:
-                self.over(uid, pb.CANCELLED)
-                say.end(uid, 31, pb.CANCELLED)
-            return
-        conduct = NodeBehavior(order.description)
-        if conduct is NodeBehavior.STRAY:
+        match order.kind:
+            case "question":
+                self.answer(order, say)
+            case "release":
+                self._cancel_task(order.uid, say)
+            case _:
+                self._carry_out(order, say, NodeBehavior(order.description))
+
+    def _cancel_task(self, uid: int, say: Any) -> None:
+        """End a task, or forget one that has not started."""
+        self.waiting.pop(uid, None)
+        if uid in self.running:
+            self.over(uid, pb.CANCELLED)
+            say.end(uid, 31, pb.CANCELLED)
+
+    def _carry_out(self, order: ReceivedOrder, say: Any, behavior: NodeBehavior) -> None:
+        """Do with an offer what its description says."""
+        uid = order.uid
+        if behavior is NodeBehavior.STRAY:
             say.bind(uid ^ 0xFF00)
-        if conduct in (
-            NodeBehavior.RUN,
-            NodeBehavior.END,
-            NodeBehavior.EVICT,
-            NodeBehavior.TWICE,
-            NodeBehavior.STRAY,
-        ):
+        if behavior in _STARTING:
             self.begin(order, say)
-        if conduct is NodeBehavior.TWICE:
+        if behavior is NodeBehavior.TWICE:
             say.bind(uid)
-        if conduct is NodeBehavior.FULL_TWICE:
-            say.end(uid, 34, pb.FULL, "lack_cpu", pb.NO_CORES)
-        if conduct is NodeBehavior.LATE:
+        if behavior is NodeBehavior.FULL_TWICE:
+            say.end(uid, *_ENDS[behavior])
+        if behavior is NodeBehavior.LATE:
             self.waiting[uid] = order, say
-        ends: dict[NodeBehavior, tuple[Any, ...]] = {
-            NodeBehavior.END: (16, pb.ENDED),
-            NodeBehavior.EVICT: (41, pb.RESET, "killed", pb.EVICTED),
-            NodeBehavior.FULL: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
-            NodeBehavior.FULL_TWICE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
-            NodeBehavior.FAULT: (47, pb.ERROR),
-            NodeBehavior.MOOT: (102, pb.MOOT),
-            NodeBehavior.RESET: (41, pb.RESET),
-            NodeBehavior.NEEDS_HINT: (34, pb.FULL, "unfit", 8, "how long will it run?"),
-            NodeBehavior.LICENCE: (34, pb.FULL, "unfit", 12, "no licence for this program"),
-            NodeBehavior.QUARANTINED: (34, pb.FULL, "unfit", 10, "under repair"),
-            NodeBehavior.NEWER: (34, pb.FULL, "", 99, "a word of tomorrow"),
-        }
-        if conduct in ends:
+        if behavior in _ENDS:
             if uid in self.running:
-                self.over(uid, ends[conduct][1])
-            say.end(uid, *ends[conduct])
-        if conduct is NodeBehavior.CUT:
-            self.begin(order, say, tell=False)  # it runs; its binding is cut midway
-            say.cut(uid)
-        if conduct is NodeBehavior.CUT_AFTER:
+                self.over(uid, _ENDS[behavior][1])
+            say.end(uid, *_ENDS[behavior])
+        self._break_connection(order, say, behavior)
+
+    def _break_connection(self, order: ReceivedOrder, say: Any, behavior: NodeBehavior) -> None:
+        """Break the connection in the middle of a binding, after a start or before it, where the behavior is so."""
+        if behavior is NodeBehavior.CUT:
+            self.begin(order, say, tell=False)
+            say.cut(order.uid)
+        if behavior is NodeBehavior.CUT_AFTER:
             self.begin(order, say, tell=False)
             self.break_streams()
-        if conduct is NodeBehavior.CUT_BEFORE:
+        if behavior is NodeBehavior.CUT_BEFORE:
             self.break_streams()
 
     def answer(self, order: ReceivedOrder, say: Any) -> None:
-        """Whether a task of this name runs or ran here."""
+        """Answer a query whether a task runs or ran here, by its idempotency key."""
         key = order.key
         if key in self.manners.standings:
             say.standing(order, self.manners.standings[key], 0, 0)
@@ -203,7 +217,7 @@
             say.standing(order, pb2.NEVER, 0, 0)
 
     def start(self, uid: int) -> None:
-        """An offer that waits runs now, given up or not."""
+        """Start a delayed task, whether or not its attempt was withdrawn."""
         order, say = self.waiting.pop(uid)
         self.begin(order, say)
 
@@ -231,13 +245,13 @@
                         say,
                     )
         except WireError:
-            break  # another form is no message here
+            break  # the dispatcher speaks another wire form
     node.went(say)
     stream.close()
 
 
 class BinaryResponder:
-    """What a node of the platform says."""
+    """Sends a node's messages in the platform's binary form."""
 
     def __init__(self, loop: Loop, stream: Stream) -> None:
         self.loop, self.stream = loop, stream
@@ -321,7 +335,7 @@
 
 
 class GrpcResponder:
-    """What a node says by gRPC, in either generation."""
+    """Sends a node's messages by gRPC, in either generation."""
 
     def __init__(self, h2: http2.Http2, stream: int, words: Any) -> None:
         self.h2, self.stream, self.pb = h2, stream, words
