--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -1,4 +1,4 @@
-"""Hand-overs under load: a successor takes the listening sockets over, again and again."""
+"""Experiment: hand-overs under load, in which successors take over the listening sockets again and again."""
 
 from __future__ import annotations
 
@@ -20,90 +20,137 @@
 
 SOCKETS = 256
 HANDOVER_INTERVAL_S = 1.5
-SLACK_US = 3_000_000
+REQUESTS_PER_S = 60
+LEDGER_FRACTION = 0.05  # of the requests
+SLACK_US = 3_000_000  # after which an answer or a release counts as lost
+END_TIMEOUT_S = 15
+LOG_LINES, LOG_LINE_CHARS = 12, 400  # that the report quotes where something failed
+_HANDED_OVER = re.compile(r'succession \[\S+ pid="(\d+)"\] a successor')
+_TAKEN_OVER = re.compile(r'standing="(\d+)"\] taken over')
 
 
-def run(seed: int, handovers: int = 10) -> dict[str, Any]:
-    """The whole run; the object that is printed."""
-    rng, loop, oracle = random.Random(seed), Loop(), Oracle()
-    nodes = [LoadNode(loop, BINARY, oracle, rng) for _ in range(6)]
-    with tempfile.TemporaryDirectory() as folder:
-        operator = (
-            GRPC_CONFIG + ADMISSION_CONFIG.format(**WITH_RESERVE) + '[translate]\notherwise = ["binary"]\n'
-        )
-        operator = operator.replace("set_ups_per_s = 60", "set_ups_per_s = 600").replace(
-            "connections = 24", ""
+class HandoverRun:
+    """A dispatcher under load whose successors take its sockets over, one after another.
+
+    ``pids``: of the dispatcher and its successors; ``failed``: hand-overs that did not happen; ``peak_descriptors``:
+    of a predecessor and its successor together.
+    """
+
+    def __init__(self, seed: int, folder: Path) -> None:
+        self.rng = random.Random(seed)
+        self.loop = Loop()
+        self.oracle = Oracle()
+        nodes = [LoadNode(self.loop, BINARY, self.oracle, self.rng) for _ in range(6)]
+        self.dispatcher = DispatcherProcess(
+            folder, [node.port for node in nodes], _operator_file(), sockets=SOCKETS
         )
-        operator = operator.replace("unknown_set_ups_per_s = 20", "unknown_set_ups_per_s = 600")
-        operator = operator.replace("connections_per_s = 100", "connections_per_s = 1000")
-        dispatcher = DispatcherProcess(Path(folder), [node.port for node in nodes], operator, sockets=SOCKETS)
-        clients = ClientPopulation(loop, dispatcher.addresses, JSON, oracle, rng)
-        seconds = (handovers + 2) * HANDOVER_INTERVAL_S
-        for number in range(int(seconds * 60)):
-            key, ledger = seed * 1_000_003 + number * 7919 + 1, rng.random() < 0.05
-            args = (key, LEDGER if ledger else LOOKUP, "1500", rng.randrange(1, 40))
-            loop.after(int(number / 60 * 1e6) + 500_000, lambda args=args: clients.ask(*args))  # type: ignore[misc]
-        pids, peak = [dispatcher.process.pid], 0
-
-        def turn(until: float) -> None:
-            nonlocal peak
-            while time.monotonic() < until:
-                loop.after(10_000, lambda: None)
-                loop.turn()
-                peak = max(peak, sum(_descriptors(pid) for pid in pids[-2:]))
+        self.clients = ClientPopulation(self.loop, self.dispatcher.addresses, JSON, self.oracle, self.rng)
+        self.pids = [self.dispatcher.process.pid]
+        self.peak_descriptors = 0
+        self.failed = 0
+
+    def schedule_requests(self, seed: int, seconds: float) -> None:
+        """Spread all requests over the run."""
+        for number in range(int(seconds * REQUESTS_PER_S)):
+            key = seed * 1_000_003 + number * 7919 + 1
+            task_class = LEDGER if self.rng.random() < LEDGER_FRACTION else LOOKUP
+            request = (key, task_class, "1500", self.rng.randrange(1, 40))
+            at_us = int(number / REQUESTS_PER_S * 1e6) + 500_000
+            self.loop.after(at_us, lambda request=request: self.clients.ask(*request))  # type: ignore[misc]
 
+    def run_until(self, deadline: float) -> None:
+        """Run the loop, and watch the descriptors of the last two processes."""
+        while time.monotonic() < deadline:
+            self.loop.after(10_000, lambda: None)
+            self.loop.turn()
+            descriptors = sum(_descriptors(pid) for pid in self.pids[-2:])
+            self.peak_descriptors = max(self.peak_descriptors, descriptors)
+
+    def hand_over(self, handovers: int) -> None:
+        """Have a successor started again and again."""
         at = time.monotonic() + HANDOVER_INTERVAL_S
-        turn(at)
-        failed = 0
+        self.run_until(at)
         for _ in range(handovers):
-            os.kill(pids[-1], signal.SIGUSR2)
+            os.kill(self.pids[-1], signal.SIGUSR2)
             at += HANDOVER_INTERVAL_S
-            turn(at)
-            found = re.findall(r'succession \[\S+ pid="(\d+)"\] a successor', dispatcher.log_path.read_text())
-            if len(found) < len(pids):
-                failed += 1
-            elif _descriptors(int(found[-1])):
-                pids.append(int(found[-1]))
-        turn(time.monotonic() + HANDOVER_INTERVAL_S + 4.0)
-        log = dispatcher.log_path.read_text()
-        if pids[-1] != dispatcher.process.pid:
-            os.kill(pids[-1], signal.SIGTERM)
-            until = time.monotonic() + 15
-            while _descriptors(pids[-1]) and time.monotonic() < until:
+            self.run_until(at)
+            successors = _HANDED_OVER.findall(self.dispatcher.log_path.read_text())
+            if len(successors) < len(self.pids):
+                self.failed += 1
+            elif _descriptors(int(successors[-1])):
+                self.pids.append(int(successors[-1]))
+        self.run_until(time.monotonic() + HANDOVER_INTERVAL_S + 4.0)
+
+    def end(self) -> None:
+        """End the last successor, and the dispatcher that was started first."""
+        if self.pids[-1] != self.dispatcher.process.pid:
+            os.kill(self.pids[-1], signal.SIGTERM)
+            deadline = time.monotonic() + END_TIMEOUT_S
+            while _descriptors(self.pids[-1]) and time.monotonic() < deadline:
                 time.sleep(0.05)
-        dispatcher.terminate()
-    lost = oracle.lost(loop.now, SLACK_US)
-    none = [
-        str(oracle.asked[one["uid"]])
-        for one in clients.tasks.values()
-        if not (one.get("placed") or one["done"])
-    ]
-    clients.finish()
-    handed = [int(one) for one in re.findall(r'standing="(\d+)"\] taken over', log)]
-    loop.close()
-    return {
-        "seed": seed,
-        "handovers": len(pids) - 1,
-        "failed_handovers": failed,
-        "tasks": len(clients.tasks),
-        "asked": len(oracle.asked),
-        "outcomes": dict(clients.outcomes),
-        "standing_handed_over": sum(handed),
-        "refused_connections": clients.refused_connections,
-        "lost": len(lost),
-        "doubled": len(oracle.doubled()),
-        "ledger_batch_max_starts": max(oracle.starts.values(), default=0),
-        "peak_descriptors": peak,
-        "descriptor_limit": SOCKETS,
-        "log": [one[:400] for one in log.splitlines()[-12:]]
-        if lost or failed or len(pids) <= handovers
-        else [],
-        "none": none[:5],
-        "details": [str(oracle.asked[uid]) for uid in (*lost, *oracle.doubled())][:10],
-    }
+        self.dispatcher.terminate()
+
+    def report(self, seed: int, handovers: int, log: str) -> dict[str, Any]:
+        """What happened, as the fakes count it."""
+        lost = self.oracle.lost(self.loop.now, SLACK_US)
+        doubled = self.oracle.doubled()
+        without_outcome = [
+            str(self.oracle.asked[task["uid"]])
+            for task in self.clients.tasks.values()
+            if not (task.get("placed") or task["done"])
+        ]
+        self.clients.finish()
+        has_failed = lost or self.failed or len(self.pids) <= handovers
+        log_tail = [line[:LOG_LINE_CHARS] for line in log.splitlines()[-LOG_LINES:]]
+        return {
+            "seed": seed,
+            "handovers": len(self.pids) - 1,
+            "failed_handovers": self.failed,
+            "tasks": len(self.clients.tasks),
+            "asked": len(self.oracle.asked),
+            "outcomes": dict(self.clients.outcomes),
+            "standing_handed_over": sum(map(int, _TAKEN_OVER.findall(log))),
+            "refused_connections": self.clients.refused_connections,
+            "lost": len(lost),
+            "doubled": len(doubled),
+            "ledger_batch_max_starts": max(self.oracle.starts.values(), default=0),
+            "peak_descriptors": self.peak_descriptors,
+            "descriptor_limit": SOCKETS,
+            "log": log_tail if has_failed else [],
+            "none": without_outcome[:5],
+            "details": [str(self.oracle.asked[uid]) for uid in (*lost, *doubled)][:10],
+        }
+
+
+def run(seed: int, handovers: int = 10) -> dict[str, Any]:
+    """The whole experiment; returns the report that is printed."""
+    with tempfile.TemporaryDirectory() as folder:
+        experiment = HandoverRun(seed, Path(folder))
+        experiment.schedule_requests(seed, (handovers + 2) * HANDOVER_INTERVAL_S)
+        experiment.hand_over(handovers)
+        log = experiment.dispatcher.log_path.read_text()
+        experiment.end()
+    report = experiment.report(seed, handovers, log)
+    experiment.loop.close()
+    return report
+
+
+def _operator_file() -> str:
+    """An operator's file with admission whose limits the load does not reach."""
+    operator = GRPC_CONFIG + ADMISSION_CONFIG.format(**WITH_RESERVE)
+    operator += '[translate]\notherwise = ["binary"]\n'
+    for old, new in (
+        ("set_ups_per_s = 60", "set_ups_per_s = 600"),
+        ("connections = 24", ""),
+        ("unknown_set_ups_per_s = 20", "unknown_set_ups_per_s = 600"),
+        ("connections_per_s = 100", "connections_per_s = 1000"),
+    ):
+        operator = operator.replace(old, new)
+    return operator
 
 
 def _descriptors(pid: int) -> int:
+    """How many descriptors a process has open; 0 where it has ended."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
@@ -111,7 +158,7 @@
 
 
 def passed(report: dict[str, Any]) -> bool:
-    """Nobody was refused, nothing lost, nothing told twice, and both processes kept within the limit together."""
+    """Whether no connection was rejected, nothing lost or sent twice, and the descriptors stayed within the limit."""
     return bool(
         report["handovers"] >= 10
         and not report["failed_handovers"]
