--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -25,8 +25,8 @@
 SLACK_US = 3_000_000  # after which an answer or a release counts as lost
 END_TIMEOUT_S = 15
 LOG_LINES, LOG_LINE_CHARS = 12, 400  # that the report quotes where something failed
-_HANDED_OVER = re.compile(r'succession \[\S+ pid="(\d+)"\] a successor')
-_TAKEN_OVER = re.compile(r'standing="(\d+)"\] taken over')
+_HANDED_OVER = re.compile(r'successor-started \[\S+ pid="(\d+)"\] a successor')
+_TAKEN_OVER = re.compile(r'tasks="(\d+)"\] taken over')
 
 
 class HandoverRun:
