--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -93,13 +93,13 @@
 
 def test_check_config_says_what_is_in_force(tmp_path: Path) -> None:
     run = CliRunner(env=ENVIRONMENT).invoke
-    said = run(cli, ["check-config", str(ROOT / "deploy" / "translate.toml")])
-    assert said.exit_code == 0 and "class lookup: a missing hint is assumed of 15000 ms" in said.output
+    result = run(cli, ["check-config", str(ROOT / "deploy" / "translate.toml")])
+    assert result.exit_code == 0 and "class lookup: a missing hint is assumed of 15000 ms" in result.output
     assert "translation layer off" in run(cli, ["check-config"]).output
     bad = tmp_path / "bad.toml"
     bad.write_text("[translate]\nx = 1")
-    said = run(cli, ["check-config", str(bad)])
-    assert said.exit_code == 2 and "translate.x: not known" in said.output
+    result = run(cli, ["check-config", str(bad)])
+    assert result.exit_code == 2 and "translate.x: not known" in result.output
 
 
 @pytest.mark.parametrize("command", ["field-mapping", "fates"])
@@ -184,8 +184,8 @@
 
 
 def test_the_main_job_can_be_seen() -> None:
-    said = CliRunner().invoke(cli, ["lab", "show"])
-    assert said.exit_code == 0 and "hint needed" in said.output and "LICENCE" in said.output
+    result = CliRunner().invoke(cli, ["lab", "show"])
+    assert result.exit_code == 0 and "hint needed" in result.output and "LICENCE" in result.output
 
 
 def test_the_experiment_in_the_small_and_that_it_can_fail() -> None:
