--- a/thornshelf/core/__init__.py
+++ b/thornshelf/core/__init__.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and outcomes; no wire is known here."""
+"""The core: requests, attempts and final answers of tasks; it knows no wire form."""
 
 from thornshelf.core.dispatcher import Dispatcher
 from thornshelf.core.messages import (
@@ -23,21 +23,21 @@
 __all__ = [
     "AnswerMetadata",
     "Attempt",
-    "Dispatcher",
-    "TaskFinished",
     "CancelTask",
-    "HandshakeCompleted",
-    "TaskStatusReply",
+    "ClientConnected",
+    "ClientConnection",
+    "ClientDisconnected",
+    "Dispatcher",
     "EndpointListUpdate",
+    "HandshakeCompleted",
+    "HealthCheckCompleted",
     "LogFunction",
     "NodeConnection",
     "NodeEndpoint",
     "NodeLost",
+    "TaskFinished",
     "TaskProgress",
-    "ClientConnection",
-    "ClientConnected",
-    "ClientDisconnected",
-    "HealthCheckCompleted",
     "TaskRequest",
     "TaskStarted",
+    "TaskStatusReply",
 ]
