--- a/thornshelf/lab/admission.py
+++ b/thornshelf/lab/admission.py
@@ -1,14 +1,13 @@
-"""A flood at the door, while two known counties go on as ever. What is counted is the clients' word.
+"""Experiment: a flood of hostile clients, while two known client networks go on as usual.
 
-The flood runs in a process of its own, from addresses of the loopback range that no rule lists; the counties connect
-from prefixes that the operator's file lists as known.
+The flood comes from addresses of the loopback range that no rule lists as known; the known clients connect from
+prefixes that the operator's file lists. What is counted is what the clients saw.
 """
 
 from __future__ import annotations
 
 import errno
 import random
-import socket
 import tempfile
 import time
 from collections import Counter
@@ -20,22 +19,20 @@
 
 from hdrh.histogram import HdrHistogram
 
-from thornshelf.lab.fakes.cluster import BINARY, GRPC2, HOST, JSON
-from thornshelf.lab.load import LOOKUP, LoadNode
+from thornshelf.lab.fakes.cluster import BINARY, JSON
+from thornshelf.lab.flood import KINDS, PHASE_S, connect_from, launch, run_flood
+from thornshelf.lab.load import LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
-from thornshelf.loop import Loop, Stream, Wait
-from thornshelf.loop.loop import OUT
-from thornshelf.wire import grpc, http2, jsonl
-from thornshelf.wire import placement_v2_pb2 as pb2
-from thornshelf.wire.errors import WireError
+from thornshelf.loop import Loop, Wait
+from thornshelf.wire import jsonl
 
 SOCKETS = 256
 KNOWN_CLIENT_PREFIXES = {"hollis-county": "127.1.0.", "pruett-county": "127.2.0."}
-FLOOD_SOURCE, CROWD_PREFIX = "127.9.0.1", "127.9.1."
-CALM_S, PHASE_S = 5.0, 3.0
+WARM_UP_S = 1.0
+CALM_S = 5.0
 TARGET_US = 800_000
-VISIT_INTERVAL_US = 60_000  # a county opens a connection so often
+VISIT_INTERVAL_US = 60_000  # between two connections of one client network
 
 GRPC_CONFIG = """
 [grpc]
@@ -70,40 +67,9 @@
 WITH_RESERVE = {"reserve": 64, "floor": 16, "known": "true", "crowd": 150}
 
 
-def connect_from(
-    loop: Loop, source: str, to: tuple[str, int], wait_us: int
-) -> Generator[Wait, int, Stream | int]:
-    """A connection from an address of ours, or the number of the error."""
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-    sock.setblocking(False)
-    try:
-        sock.bind((source, 0))
-    except OSError as fault:
-        sock.close()
-        return fault.errno or errno.EIO
-    code = sock.connect_ex(to)
-    try:
-        if code == errno.EINPROGRESS:
-            code = errno.ETIMEDOUT
-            if (yield Wait(sock.fileno(), OUT, loop.now + wait_us)):
-                code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-    finally:
-        loop.unregister(sock.fileno())
-        if code:
-            sock.close()
-    return code or Stream(loop, sock, source)
-
-
-def launch(uid: int, tenant: str, service: int, left_ms: int = 4000) -> bytes:
-    """A set-up of a lookup."""
-    meta = {"class": LOOKUP, "left": str(left_ms), "tenant": tenant, "key": f"{uid:016x}", "hint": "300"}
-    meta["extras"] = f"cores:1;memory:2;service:{service:016x}"
-    return jsonl.encode_line("launch", uid, meta, body=b"x")
-
-
 @dataclass
 class Tally:
-    """What the counties saw in one part of the run."""
+    """What the known clients saw in one part of the run."""
 
     visits: int = 0
     connected: int = 0
@@ -115,17 +81,19 @@
 
 def merged(parts: list[Tally]) -> Tally:
     """Several parts of the run as one."""
-    whole = Tally()
-    for one in parts:
-        for name in ("visits", "connected", "asked", "in_time"):
-            setattr(whole, name, getattr(whole, name) + getattr(one, name))
-        whole.words.update(one.words)
-        whole.answers.add(one.answers)
-    return whole
+    total = Tally()
+    for part in parts:
+        total.visits += part.visits
+        total.connected += part.connected
+        total.asked += part.asked
+        total.in_time += part.in_time
+        total.words.update(part.words)
+        total.answers.add(part.answers)
+    return total
 
 
 class KnownClients:
-    """The clients of the known counties: short visits, each on a connection of its own."""
+    """The known clients: short visits, each on a connection of its own."""
 
     def __init__(self, loop: Loop, to: tuple[str, int], rng: random.Random) -> None:
         self.loop, self.to, self.rng = loop, to, rng
@@ -180,189 +148,71 @@
         stream.close()
 
 
-class Flood:
-    """One process of flooders; ``counts`` are what they saw."""
-
-    def __init__(self, fronts: dict[str, tuple[str, int]], seed: int) -> None:
-        self.loop, self.addresses, self.rng = Loop(), fronts, random.Random(seed)
-        self.counts: Counter[str] = Counter()
-        self.uid = 1 << 50
-        self.running = True
+class FloodRun:
+    """A dispatcher under load by known clients; ``peak_descriptors``: the most that it had open."""
 
-    def run(self) -> dict[str, int]:
-        """All kinds, one after another."""
-        kinds: list[tuple[Any, int, Any]] = [
-            (self.send_nothing, 100, lambda: FLOOD_SOURCE),
-            (self.close_at_once, 20, lambda: FLOOD_SOURCE),
-            (self.send_requests, 20, lambda: FLOOD_SOURCE),
-            (self.send_half_lines, 60, lambda: FLOOD_SOURCE),
-            (self.send_requests, 60, lambda: CROWD_PREFIX + str(self.rng.randrange(1, 201))),
-            (self.open_streams, 4, lambda: FLOOD_SOURCE),
-        ]
-        for kind, flooders, source in kinds:
-            self.running = True
-            tasks = [self.loop.spawn(self._repeat(kind, source)) for _ in range(flooders)]
-            end = time.monotonic() + PHASE_S
-            while time.monotonic() < end:
-                self.loop.after(20_000, lambda: None)
-                self.loop.turn()
-            self.running = False
-            for task in tasks:
-                self.loop.cancel(task)
-        self.loop.close()
-        return dict(self.counts)
-
-    def _repeat(self, kind: Any, source: Any) -> Generator[Wait, int, None]:
-        while self.running:
-            front = GRPC2 if kind == self.open_streams else JSON
-            stream = yield from connect_from(self.loop, source(), self.addresses[front], 1_000_000)
-            if isinstance(stream, int):
-                self.counts["not connected: " + errno.errorcode.get(stream, str(stream))] += 1
-                yield Wait(until=self.loop.now + 5_000)
-                continue
-            self.counts["connections"] += 1
-            try:
-                yield from kind(stream)
-            finally:
-                stream.close()
-            yield Wait(until=self.loop.now + self.rng.randrange(500, 4_000))
-
-    def _read_until_closed(self, stream: Stream, until: int) -> Generator[Wait, int, None]:
-        """Until it is closed: with a word, without one, or by a reset."""
-        heard = b""
-        while True:
-            data = yield from stream.read(until)
-            if data is None:
-                self.counts["left alone"] += 1
-                return
-            if not data:
-                break
-            heard += data
-        try:
-            stream.sock.recv(1)
-            reset = False
-        except OSError as fault:
-            reset = fault.errno == errno.ECONNRESET
-        word = b'"reason":34' in heard and b'"uid":"0000000000000000"' in heard
-        self.counts["turned away with a word" if word else "reset" if reset else "closed"] += 1
-
-    def send_nothing(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Connects, and says nothing."""
-        yield from self._read_until_closed(stream, self.loop.now + 2_500_000)
-
-    def close_at_once(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Connects, and closes."""
-        self.counts["closed by itself"] += 1
-        return
-        yield Wait()
-
-    def send_half_lines(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Begins a message, and never ends it."""
-        stream.send(launch(1, "hollis-county", 1)[:40])
-        yield from self._read_until_closed(stream, self.loop.now + 2_500_000)
-
-    def send_requests(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Set-ups as fast as they are taken."""
-        until = self.loop.now + 1_000_000
-        while self.running and stream.open and self.loop.now < until:
-            for _ in range(20):
-                self.uid += 1
-                stream.send(launch(self.uid, "hollis-county", 77))
-                self.counts["set-ups"] += 1
-            data = yield from stream.read(self.loop.now + 20_000)
-            if data == b"":
-                yield from self._read_until_closed(stream, self.loop.now)
-                return
-            if data:
-                self.counts["set-ups refused"] += data.count(b'"reason":34')
-                self.counts["set-ups placed"] += data.count(b'"running"')
-
-    def open_streams(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Many gRPC streams and set-ups on few connections."""
-        h2 = http2.Http2(True, stream.send)
-        headers = [(":method", "POST"), (":scheme", "http"), (":path", "/thornshelf.v2.Placement/Dispatch")]
-        headers += [(":authority", HOST), ("te", "trailers"), ("content-type", "application/grpc")]
-        calls = [h2.call(headers) for _ in range(50)]
-        until = self.loop.now + 1_000_000
-        while self.running and stream.open and self.loop.now < until:
-            for call in calls:
-                self.uid += 1
-                ask = pb2.Ask(
-                    uid=self.uid, task_class=LOOKUP, key=self.uid, cores=1, memory=2, description=b"x"
-                )
-                h2.send(call, grpc.frame(pb2.ClientMessage(ask=ask)))
-                self.counts["stream set-ups"] += 1
-            data = yield from stream.read(self.loop.now + 20_000)
-            if data == b"":
-                self.counts["closed"] += 1
-                return
-            try:
-                for event in h2.receive(data or b""):
-                    if isinstance(event, http2.GoAway):
-                        self.counts["turned away with a word"] += 1
-                        return
-                    if isinstance(event, http2.Ended | http2.Broken):
-                        why = (
-                            event.reason
-                            if isinstance(event, http2.Broken)
-                            else event.trailers.get("grpc-message")
-                        )
-                        self.counts[f"stream ended: {why}"[:60]] += 1
-                        calls = [call for call in calls if call != event.stream]
-            except WireError:
-                return
-
-
-def _flood(fronts: dict[str, tuple[str, int]], seed: int, results: Any) -> None:
-    results.put(Flood(fronts, seed).run())
+    def __init__(self, seed: int, operator: str, folder: Path) -> None:
+        self.loop = Loop()
+        rng = random.Random(seed)
+        nodes = [LoadNode(self.loop, BINARY, Oracle(), rng) for _ in range(4)]
+        for node in nodes:
+            node.rejected_fraction = 0.0
+            node.mean_lifetime_us = 300_000
+        ports = [node.port for node in nodes]
+        self.dispatcher = DispatcherProcess(folder, ports, operator, sockets=SOCKETS)
+        self.known = KnownClients(self.loop, self.dispatcher.addresses[JSON], rng)
+        self.peak_descriptors = 0
+
+    def run_for(self, seconds: float) -> Tally:
+        """Run the loop for a while; returns what the known clients saw meanwhile."""
+        self.known.tally = tally = Tally()
+        end = time.monotonic() + seconds
+        while time.monotonic() < end:
+            self.loop.after(10_000, lambda: None)
+            self.loop.turn()
+            if self.dispatcher.process.poll() is None:
+                self.peak_descriptors = max(self.peak_descriptors, self.dispatcher.descriptors)
+        return tally
+
+    def flood(self, seed: int) -> tuple[list[Tally], dict[str, int]]:
+        """Run the flood; returns what the known clients saw during each kind, and what the flood saw."""
+        context = get_context("spawn")
+        results = context.Queue()
+        process = context.Process(target=run_flood, args=(self.dispatcher.addresses, seed, results))
+        process.start()
+        self.run_for(0.5)
+        parts = [self.run_for(PHASE_S) for _ in range(KINDS)]
+        counts = results.get(timeout=10)
+        process.join(10)
+        return parts, counts
 
 
 def run(seed: int, door: bool = True, plant: str | None = None) -> dict[str, Any]:
-    """The whole run; the object that is printed."""
-    rng, loop, oracle = random.Random(seed), Loop(), Oracle()
-    nodes = [LoadNode(loop, BINARY, oracle, rng) for _ in range(4)]
-    for node in nodes:
-        node.rejected_fraction, node.mean_lifetime_us = 0.0, 300_000
+    """The whole experiment; returns the report that is printed.
+
+    ``door``: with admission; ``plant``: ``no-reserve`` for admission without reserved connections.
+    """
     operator = GRPC_CONFIG
     if door:
         operator += ADMISSION_CONFIG.format(**(WITHOUT_RESERVE if plant == "no-reserve" else WITH_RESERVE))
     with tempfile.TemporaryDirectory() as folder:
-        ports = [node.port for node in nodes]
-        dispatcher = DispatcherProcess(Path(folder), ports, operator, sockets=SOCKETS)
-        known = KnownClients(loop, dispatcher.addresses[JSON], rng)
-        peak, rss = [0], dispatcher.rss_kb
-
-        def turn(seconds: float) -> Tally:
-            known.tally = tally = Tally()
-            end = time.monotonic() + seconds
-            while time.monotonic() < end:
-                loop.after(10_000, lambda: None)
-                loop.turn()
-                if dispatcher.process.poll() is None:
-                    peak[0] = max(peak[0], dispatcher.descriptors)
-            return tally
-
-        turn(1.0)  # its own warm-up is no calm
-        calm = turn(CALM_S)
-        rss = dispatcher.rss_kb
-        context = get_context("spawn")
-        results = context.Queue()
-        flood = context.Process(target=_flood, args=(dispatcher.addresses, seed, results))
-        flood.start()
-        turn(0.5)
-        parts = [turn(PHASE_S) for _ in range(6)]
-        counts = results.get(timeout=10)
-        flood.join(10)
-        known.running = False
-        turn(2.5)
-        stormy = merged(parts)
-        up = dispatcher.process.poll() is None
-        grown = (dispatcher.rss_kb - rss) / 1024 if up else 0.0
-        code = dispatcher.terminate()
+        experiment = FloodRun(seed, operator, Path(folder))
+        dispatcher = experiment.dispatcher
+        experiment.run_for(WARM_UP_S)
+        calm = experiment.run_for(CALM_S)
+        rss_kb = dispatcher.rss_kb
+        parts, counts = experiment.flood(seed)
+        experiment.known.running = False
+        experiment.run_for(2.5)
+        is_up = dispatcher.process.poll() is None
+        grown_mb = (dispatcher.rss_kb - rss_kb) / 1024 if is_up else 0.0
+        exit_code = dispatcher.terminate()
         log = dispatcher.log_counts()
-    loop.close()
-    phases = [float(round(one.answers.get_value_at_percentile(99) / 1000, 1)) for one in parts]
-    report = _report(seed, calm, stormy, counts, peak[0], grown, up and code == 0)
+    experiment.loop.close()
+    phases = [float(round(part.answers.get_value_at_percentile(99) / 1000, 1)) for part in parts]
+    report = _report(
+        seed, calm, merged(parts), counts, experiment.peak_descriptors, grown_mb, is_up and exit_code == 0
+    )
     return report | {"p99_by_phase": phases, "log": log, "door": door}
 
 
