--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -16,7 +16,7 @@
 
 from thornshelf.lab.fakes.cluster import BINARY, JSON
 from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
-from thornshelf.lab.fleet import KEY
+from thornshelf.lab.fleet_testbed import KEY
 from thornshelf.lab.load import LOOKUP, ClientPopulation, LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from thornshelf.lab.fleet import FleetTestbed, MemberProcess
+from thornshelf.lab.fleet_testbed import FleetTestbed, MemberProcess
 
 LIMIT_S = 40.0  # nothing waits longer
 
--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -18,7 +18,7 @@
 
 from thornshelf.control.framing import QueryRequest, encode_frame
 from thornshelf.errors import ThornshelfError, TooManySessionsError
-from thornshelf.lab.fleet import FleetTestbed, MemberProcess
+from thornshelf.lab.fleet_testbed import FleetTestbed, MemberProcess
 from thornshelf.lab.shell import CONTROL, place
 from thornshelf.shell.client import ControlClient
 from thornshelf.shell.engine import QueryEngine, QueryLimits, QueryResult
--- a/thornshelf/lab/shell.py
+++ b/thornshelf/lab/shell.py
@@ -20,7 +20,8 @@
 
 from thornshelf.errors import ThornshelfError
 from thornshelf.lab.fakes.network import private
-from thornshelf.lab.fleet import LATENCY_OBJECTIVE_US, FleetTestbed, MemberProcess
+from thornshelf.lab.fleet import LATENCY_OBJECTIVE_US
+from thornshelf.lab.fleet_testbed import FleetTestbed, MemberProcess
 from thornshelf.lab.load import LOOKUP
 from thornshelf.shell.client import ControlClient
 from thornshelf.shell.engine import QueryEngine
