--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -65,7 +65,9 @@
         elif isinstance(child, ast.ImportFrom) and (child.module or "").startswith("thornshelf."):
             yield str(child.module).split(".")[1]
         elif isinstance(child, ast.Import):
-            yield from (alias.name.split(".")[1] for alias in child.names if alias.name.startswith("thornshelf."))
+            yield from (
+                alias.name.split(".")[1] for alias in child.names if alias.name.startswith("thornshelf.")
+            )
         yield from imports(child)
 
 
--- a/thornshelf/core/__init__.py
+++ b/thornshelf/core/__init__.py
@@ -1,8 +1,8 @@
 """The core: requests, attempts and final answers of tasks; it knows no wire form."""
 
+from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.dispatcher import Dispatcher
 from thornshelf.core.messages import (
-    AnswerMetadata,
     Attempt,
     CancelTask,
     ClientConnected,
@@ -18,7 +18,7 @@
     TaskStarted,
     TaskStatusReply,
 )
-from thornshelf.core.ports import ClientConnection, LogFunction, NodeConnection
+from thornshelf.core.ports import LogFunction, NodeConnection
 
 __all__ = [
     "AnswerMetadata",
--- a/thornshelf/core/actions.py
+++ b/thornshelf/core/actions.py
@@ -12,12 +12,12 @@
 from thornshelf.translation.failures import FailureReason
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
 
 ActionHandlers = Mapping[type[Any], Callable[[Any], None]]
 
 
-def action_handlers(core: Dispatcher) -> ActionHandlers:
+def action_handlers(core: DispatcherParts) -> ActionHandlers:
     """The handler of each type of action; it takes the action."""
     handlers = _Handlers(core)
     return {
@@ -40,7 +40,7 @@
 class _Handlers:
     """The actions that belong to no other part of the core."""
 
-    def __init__(self, core: Dispatcher) -> None:
+    def __init__(self, core: DispatcherParts) -> None:
         self._core = core
 
     def reject(self, action: api.Reject) -> None:
--- a/thornshelf/core/answers.py
+++ b/thornshelf/core/answers.py
@@ -5,14 +5,13 @@
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
 
-from thornshelf.core.messages import AnswerMetadata
-from thornshelf.core.ports import ClientConnection
+from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.task import TaskRecord, TaskState
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
 
 
 class Answers:
@@ -21,7 +20,7 @@
     ``open_count``: requests that still wait for their answer, by id: a task with two subscribers counts twice.
     """
 
-    def __init__(self, core: Dispatcher) -> None:
+    def __init__(self, core: DispatcherParts) -> None:
         self._core = core
         self.open_count = 0
         self.counters = {"taken": 0, "answered": 0, "refused": 0, "failed": 0, "released": 0, "given_up": 0}
--- a/thornshelf/core/attempts.py
+++ b/thornshelf/core/attempts.py
@@ -12,7 +12,7 @@
 from thornshelf.translation.failures import FailureReason, failure_cause
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
 
 MAX_ENDED_PER_TURN = 16  # ended attempts: the decision module places each of their tasks anew
 RETRY_BUDGET_TEXT = "the retry budget is spent"
@@ -24,7 +24,7 @@
     ``ended``: attempts that are over, whose tasks are placed anew a few a turn.
     """
 
-    def __init__(self, core: Dispatcher) -> None:
+    def __init__(self, core: DispatcherParts) -> None:
         self._core = core
         self.ended: deque[TaskFinished | AttemptTimedOut] = deque()
 
--- a/thornshelf/core/deadlines.py
+++ b/thornshelf/core/deadlines.py
@@ -9,7 +9,7 @@
 from thornshelf.placement.interface import Settings
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
 
 MAX_CLASS_DEADLINES = 2  # a request waits for no longer than this many times its class's own deadline
 DEFAULT_SHORTEST_DEADLINE_S = 1.0  # where the settings name no class
@@ -24,7 +24,7 @@
 class Deadlines:
     """Limits the deadline of each request, and sees to it that it is answered by then."""
 
-    def __init__(self, core: Dispatcher) -> None:
+    def __init__(self, core: DispatcherParts) -> None:
         self._core = core
 
     def limit(self, request: TaskRequest) -> None:
--- a/thornshelf/core/dispatcher.py
+++ b/thornshelf/core/dispatcher.py
@@ -17,10 +17,10 @@
 from thornshelf.core.actions import action_handlers
 from thornshelf.core.answers import Answers
 from thornshelf.core.attempts import Attempts
+from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.deadlines import Deadlines
 from thornshelf.core.endpoint_registry import EndpointRegistry
 from thornshelf.core.messages import (
-    AnswerMetadata,
     Attempt,
     CancelTask,
     ClientConnected,
@@ -40,7 +40,6 @@
 )
 from thornshelf.core.placement_driver import PlacementDriver
 from thornshelf.core.ports import (
-    ClientConnection,
     Gossip,
     LogFunction,
     NodeConnection,
--- a/thornshelf/core/dispatcher_port.py
+++ b/thornshelf/core/dispatcher_port.py
@@ -6,9 +6,10 @@
 from collections.abc import Iterator, Mapping
 from typing import Any, Protocol
 
+from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.endpoint_registry import EndpointRegistry
-from thornshelf.core.messages import AnswerMetadata, Attempt
-from thornshelf.core.ports import ClientConnection, LogFunction
+from thornshelf.core.messages import Attempt
+from thornshelf.core.ports import LogFunction
 from thornshelf.core.task import TaskRecord
 from thornshelf.loop import Loop
 from thornshelf.placement.interface import Outcome, Reason, TaskClass
--- a/thornshelf/core/idempotency.py
+++ b/thornshelf/core/idempotency.py
@@ -9,7 +9,8 @@
 
 from typing import TYPE_CHECKING
 
-from thornshelf.core.messages import AnswerMetadata, Attempt, TaskRequest, TaskStarted, TaskStatusReply
+from thornshelf.core.client_connection import AnswerMetadata
+from thornshelf.core.messages import Attempt, TaskRequest, TaskStarted, TaskStatusReply
 from thornshelf.core.status_queries import DEADLINE_MARGIN_US, StatusQueries
 from thornshelf.core.task import TaskRecord, TaskState, UncertainAttempt
 from thornshelf.placement.interface import Idempotency, Outcome, Reason
--- a/thornshelf/core/messages.py
+++ b/thornshelf/core/messages.py
@@ -8,32 +8,16 @@
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
+from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.placement.interface import Health, LoadReport, Outcome, Reason, TaskUpdateKind
 from thornshelf.translation.capabilities import NodeCapabilities
 from thornshelf.translation.failures import FailureCause, WireFormat
-from thornshelf.translation.missing_fields import DeclaredFields, LifetimeHint
-
-if TYPE_CHECKING:
-    from thornshelf.core.ports import ClientConnection
-
+from thornshelf.translation.missing_fields import DeclaredFields
 
 # what goes out
 
 
-@dataclass(frozen=True, slots=True)
-class AnswerMetadata:
-    """What an answer carries beside the node's description, in wire forms that have fields for it.
-
-    ``assumed_hint``: the lifetime that was assumed where the client gave none; ``joined_running_task``: the task was
-    requested under another id before.
-    """
-
-    assumed_hint: LifetimeHint | None = None
-    joined_running_task: bool = False
-
-
 @dataclass(eq=False, slots=True)
 class Attempt:
     """One attempt to start a task on a node.
--- a/thornshelf/core/ports.py
+++ b/thornshelf/core/ports.py
@@ -1,6 +1,6 @@
-"""Ports of the core: what it asks of client connections, nodes, other dispatchers, the request queue and the history.
+"""Ports of the core: what it asks of nodes, other dispatchers, the request queue and the history.
 
-Frontends, nodes, membership, queues and control implement these protocols structurally, and the core imports none of
+Client connections have their own, ``thornshelf.core.client_connection``. Nodes, membership, queues and control implement these protocols structurally, and the core imports none of
 them. Times are microseconds on the loop's clock.
 """
 
@@ -10,61 +10,14 @@
 from typing import TYPE_CHECKING, Any, Protocol, TypeVar
 
 if TYPE_CHECKING:
-    from thornshelf.core.messages import AnswerMetadata, Attempt, HealthCheckCompleted
+    from thornshelf.core.messages import Attempt, HealthCheckCompleted
     from thornshelf.placement.interface import Outcome, Reason
-    from thornshelf.translation.failures import FailureCause, WireFormat
 
 QueuedItem = TypeVar("QueuedItem")
 LogFunction = Callable[[int, str, dict[str, object], str], None]
 """Writes one log line: its severity by RFC 5424, its message id, its parameters and its text."""
 
 
-class ClientConnection(Protocol):
-    """Where the answers of a request go: one connection or stream of a client."""
-
-    @property
-    def is_connected(self) -> bool:
-        """Whether the connection is open."""
-
-    @property
-    def accepts_any_release(self) -> bool:
-        """Whether releases of tasks that were requested on another connection may be sent here."""
-
-    @property
-    def wire_form(self) -> WireFormat:
-        """The wire form that the client speaks."""
-
-    @property
-    def peer(self) -> str:
-        """The client's host."""
-
-    def awaits_answer(self, uid: int) -> bool:
-        """Whether the client has neither cancelled this request nor disconnected."""
-
-    def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Answer a request: its task runs, and the node describes it so."""
-
-    def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Answer a request: it was rejected, nothing of it ran, and a retry does no harm."""
-
-    def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Answer a request: it failed, and it may have run."""
-
-    def reject_duplicate(self, uid: int) -> None:
-        """End the connection, in the way of its wire form: it sent two open requests under one id."""
-
-    def send_release(
-        self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
-    ) -> None:
-        """Notify the client that a running task is over."""
-
-    def send_migrate(self, uid: int) -> None:
-        """Notify the client that a running task was stopped, and should be requested again."""
-
-    def task_cancelled(self, uid: int) -> None:
-        """Discard the state of a task that the client has cancelled on any connection; nothing is sent."""
-
-
 class NodeConnection(Protocol):
     """What the core asks of a node; its answers arrive in the core's inbox."""
 
--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -9,8 +9,8 @@
 from collections import deque
 from typing import Any, NamedTuple
 
-from thornshelf.core.messages import AnswerMetadata
-from thornshelf.core.ports import ClientConnection, LogFunction
+from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
+from thornshelf.core.ports import LogFunction
 from thornshelf.loop import Loop
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
--- a/thornshelf/core/requests.py
+++ b/thornshelf/core/requests.py
@@ -10,13 +10,13 @@
 from thornshelf.placement.interface import Outcome
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
 
 
 class Requests:
     """Opens tasks for requests, and closes those that no client waits for any more."""
 
-    def __init__(self, core: Dispatcher) -> None:
+    def __init__(self, core: DispatcherParts) -> None:
         self._core = core
         self._tenants = {one.name for one in core.settings.tenants}
 
--- a/thornshelf/core/running_tasks.py
+++ b/thornshelf/core/running_tasks.py
@@ -4,13 +4,14 @@
 
 from typing import TYPE_CHECKING
 
-from thornshelf.core.messages import AnswerMetadata, TaskFinished, TaskProgress
+from thornshelf.core.client_connection import AnswerMetadata
+from thornshelf.core.messages import TaskFinished, TaskProgress
 from thornshelf.core.task import TaskRecord, TaskState
 from thornshelf.placement import interface as api
 from thornshelf.placement.interface import Outcome
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
 
 CANCEL_TIMEOUT_US = 2_000_000  # a node that does not confirm a cancellation is not waited for longer
 UNKNOWN_NODE_TIMEOUT_US = 2_000_000  # so long may an adopted task's node be missing from the endpoint list
@@ -19,7 +20,7 @@
 class RunningTasks:
     """Follows running tasks to their end."""
 
-    def __init__(self, core: Dispatcher) -> None:
+    def __init__(self, core: DispatcherParts) -> None:
         self._core = core
 
     # tasks that come to run
--- a/thornshelf/core/scheduler.py
+++ b/thornshelf/core/scheduler.py
@@ -12,7 +12,7 @@
 from thornshelf.translation.failures import FailureCause, FailureReason, failure_cause
 
 if TYPE_CHECKING:
-    from thornshelf.core.dispatcher import Dispatcher
+    from thornshelf.core.parts import DispatcherParts
     from thornshelf.retries.jitter import RetryAfterJitter
 
 PLACEMENT_TIME_PER_TURN_US = 10_000  # requests go to the decision module for so long in a turn
@@ -36,7 +36,7 @@
     """
 
     def __init__(
-        self, core: Dispatcher, queue: RequestQueue[TaskRecord] | None, jitter: RetryAfterJitter | None
+        self, core: DispatcherParts, queue: RequestQueue[TaskRecord] | None, jitter: RetryAfterJitter | None
     ) -> None:
         self._core = core
         self._shortest_deadline_us = shortest_deadline_us(core.settings)
--- a/thornshelf/core/task.py
+++ b/thornshelf/core/task.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from thornshelf.core.client_connection import ClientConnection
 from thornshelf.core.messages import Attempt, TaskRequest
-from thornshelf.core.ports import ClientConnection
 from thornshelf.loop import Timer
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
--- a/thornshelf/membership/query_gatherer.py
+++ b/thornshelf/membership/query_gatherer.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from thornshelf.errors import WireError
 from thornshelf.membership.scatter_gather import (
     BLOCK_LENGTH_BYTES,
     MAX_REPLY_BYTES,
@@ -56,11 +57,11 @@
     is_finished: bool = False
 
     def take_blocks(self, column_count: int) -> Iterator[Block]:
-        """The complete blocks in the buffer. Raises ``ValueError`` where one is malformed or too large."""
+        """The complete blocks in the buffer. Raises ``WireError`` where one is malformed or too large."""
         while len(self.buffer) >= BLOCK_LENGTH_BYTES:
             end = BLOCK_LENGTH_BYTES + int.from_bytes(self.buffer[:BLOCK_LENGTH_BYTES], "big")
             if end - BLOCK_LENGTH_BYTES > MAX_REPLY_BYTES:
-                raise ValueError("a block is longer than a reply")
+                raise WireError("a block is longer than a reply")
             if len(self.buffer) < end:
                 break
             block = _decode_block(bytes(self.buffer[BLOCK_LENGTH_BYTES:end]), column_count)
@@ -73,12 +74,12 @@
     try:
         encoded = decompressor.decompress(data, MAX_BLOCK_BYTES)
         if not decompressor.eof:
-            raise ValueError("a block is cut off, or too large")
+            raise WireError("a block is cut off, or too large")
         block = _block_decoder.decode(encoded)
     except (zlib.error, msgspec.MsgspecError, UnicodeDecodeError) as fault:
-        raise ValueError("a block cannot be decoded") from fault
+        raise WireError("a block cannot be decoded") from fault
     if any(len(row) != column_count for row in block.rows):
-        raise ValueError("a row has another number of columns")
+        raise WireError("a row has another number of columns")
     return block
 
 
@@ -180,7 +181,7 @@
             for block in reply.take_blocks(len(self._query.columns)):
                 reply.row_count += len(block.rows)
                 self.batches.append(RowBatch(sender, block.unix_ms, block.rows))
-        except ValueError:
+        except WireError:
             self._give_up(sender, "its answer can't be read")
             return
         if chunk.is_last:
