--- a/thornshelf/core/ports.py
+++ b/thornshelf/core/ports.py
@@ -1,7 +1,7 @@
 """Ports of the core: what it asks of nodes, other dispatchers, the request queue and the history.
 
-Client connections have their own, ``thornshelf.core.client_connection``. Nodes, membership, queues and control implement these protocols structurally, and the core imports none of
-them. Times are microseconds on the loop's clock.
+Client connections have their own, ``thornshelf.core.client_connection``. Nodes, membership, queues and control
+implement these protocols structurally, and the core imports none of them. Times are microseconds on the loop's clock.
 """
 
 from __future__ import annotations
--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -20,7 +20,7 @@
 from thornshelf.wire.jsonl import MAX_NUMBER
 
 if TYPE_CHECKING:
-    from thornshelf.frontends.grpc_connection import GrpcConnection
+    from thornshelf.frontends.grpc_ports import GrpcConnectionPort
 
 DEADLINE_PROXIMITY_US = 20_000  # a task that fails within this time of its deadline failed for lack of time
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
@@ -56,7 +56,7 @@
     """One call of a client. Calls other than ``Place`` and ``Dispatch`` are answered at once."""
 
     def __init__(
-        self, connection: GrpcConnection, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+        self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
     ) -> None:
         """``timeout_us``: from grpc-timeout, None where the client set none."""
         self.connection = connection
@@ -103,7 +103,7 @@
     """Tells a client whether the dispatcher accepts tasks."""
 
     def __init__(
-        self, connection: GrpcConnection, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+        self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
     ) -> None:
         super().__init__(connection, stream_id, timeout_us, codec)
         connection.http.respond(stream_id, RESPONSE_HEADERS)
--- a/thornshelf/frontends/grpc_connection.py
+++ b/thornshelf/frontends/grpc_connection.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from thornshelf.frontends.admission_filter import ReadBackoff
-    from thornshelf.frontends.grpc import GrpcFrontend
+    from thornshelf.frontends.grpc_ports import GrpcFrontendPort
 
 MAX_FRAMES_PER_TURN = 32  # of one connection
 
@@ -40,7 +40,7 @@
 class GrpcConnection:
     """One client connection."""
 
-    def __init__(self, frontend: GrpcFrontend, stream: Stream) -> None:
+    def __init__(self, frontend: GrpcFrontendPort, stream: Stream) -> None:
         self.frontend = frontend
         self.stream = stream
         self.http = http2.Http2(False, stream.send)
--- a/thornshelf/nodes/binary.py
+++ b/thornshelf/nodes/binary.py
@@ -42,6 +42,8 @@
 class BinaryLink(NodeLink):
     """One connection to a node that speaks binary messages."""
 
+    node: BaseNodeConnection
+
     def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
         self._reader = binary.MessageReader()
--- a/thornshelf/nodes/grpc.py
+++ b/thornshelf/nodes/grpc.py
@@ -44,6 +44,8 @@
 class GrpcLink(NodeLink):
     """One connection with its Bind stream, first generation."""
 
+    node: BaseNodeConnection
+
     service = "/thornshelf.v1.Node/"
     report_type: type[Message] = pb.NodeReport
     load_type: type[Message] = pb.Load
--- a/thornshelf/nodes/liveness.py
+++ b/thornshelf/nodes/liveness.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from thornshelf.nodes.node_link import NodeLink
+    from thornshelf.nodes.ports import MonitoredLink
 
 CHECK_INTERVAL_US = 100_000
 MAX_PARTIAL_CHECKS = 3  # a message that began so many checks ago, and has not ended, never will
@@ -24,7 +24,7 @@
     or where an answer breaks off or never comes, updates of running tasks on that connection would be lost, too.
     """
 
-    def __init__(self, link: NodeLink) -> None:
+    def __init__(self, link: MonitoredLink) -> None:
         self._link = link
         self._check_scheduled = False
         self._ping_sent = False
--- a/thornshelf/nodes/node_link.py
+++ b/thornshelf/nodes/node_link.py
@@ -12,7 +12,7 @@
 from thornshelf.wire.pending_write import PendingWrite
 
 if TYPE_CHECKING:
-    from thornshelf.nodes.node_connection import BaseNodeConnection
+    from thornshelf.nodes.ports import LinkOwner
 
 DRAIN_POLL_US = 20_000  # read timeout of a link that only finishes its attempts
 
@@ -32,7 +32,7 @@
     node has answered that it does not speak this generation of the wire form.
     """
 
-    def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
+    def __init__(self, node: LinkOwner, stream: Stream) -> None:
         self.node = node
         self.stream = stream
         self.opened_us = node.loop.now
--- a/thornshelf/nodes/reconnect.py
+++ b/thornshelf/nodes/reconnect.py
@@ -15,7 +15,7 @@
 from thornshelf.wire.rfc5424 import NOTICE
 
 if TYPE_CHECKING:
-    from thornshelf.nodes.node_connection import BaseNodeConnection
+    from thornshelf.nodes.ports import ReconnectingNode
 
 # The node reports the ends of its tasks on the next connection, and these are due within some seconds.
 DESCRIPTOR_BACKOFF_US = 1_500_000  # after a connect for which there was no descriptor
@@ -27,7 +27,7 @@
 class Reconnector:
     """Keeps one node connected for as long as its connection is wanted."""
 
-    def __init__(self, node: BaseNodeConnection) -> None:
+    def __init__(self, node: ReconnectingNode) -> None:
         self._node = node
         self._task: Task | None = None
         self._last_closed_by_peer = False  # whether the process still lives is not known since
