--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -100,7 +100,7 @@
 
 def core_health() -> Any:
     """In service."""
-    from thornshelf.placement.interface import Health
+    from thornshelf.placement import Health
 
     return Health.UP
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,8 +8,8 @@
 
 import pytest
 
+from thornshelf import placement as api
 from thornshelf.lab.fakes import cluster
-from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
 pytest_plugins = ("tests.known_red",)
--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -19,6 +19,7 @@
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG
 from thornshelf.lab.membership import SECOND, Network
 from thornshelf.lab.scale.quantities import IdleNode
+from thornshelf.lifecycle.socket_handover import receive_state, send_state
 from thornshelf.loop import Loop
 from thornshelf.membership.anti_entropy import BucketIndex, pack_hashes
 from thornshelf.membership.datagrams import (
@@ -35,8 +36,7 @@
 from thornshelf.membership.query_gatherer import QueryGatherer
 from thornshelf.membership.scatter_gather import Query, QueryResponder, ReplyChunk, decline
 from thornshelf.membership.states import MemberRecord, RecordStatus
-from thornshelf.placement.interface import Health, Outcome, Reason
-from thornshelf.socket_handover import receive_state, send_state
+from thornshelf.placement import Health, Outcome, Reason
 from thornshelf.wal import entries
 
 FIRST_UID, SECOND_UID, KEY, AT_US = (
--- a/tests/golden/wires.py
+++ b/tests/golden/wires.py
@@ -32,7 +32,7 @@
 from thornshelf.nodes.binary import BinaryLink, BinaryNodeConnection
 from thornshelf.nodes.grpc import GrpcLink, GrpcLinkV2, GrpcNodeConnection
 from thornshelf.nodes.node_link import NodeLink
-from thornshelf.placement.interface import Health, LoadReport, Outcome, Reason, TaskUpdateKind
+from thornshelf.placement import Health, LoadReport, Outcome, Reason, TaskUpdateKind
 from thornshelf.translation.capabilities import NodeCapabilities
 from thornshelf.translation.failures import FailureCause, FailureReason, RetryAdvice
 from thornshelf.translation.missing_fields import LifetimeHint
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -23,7 +23,7 @@
     FakeCluster,
     NodeBehavior,
 )
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.wire import grpc, jsonl
 
 PLACED, FAILED = ("placed", DESCRIPTION), ("failed", None)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -15,12 +15,12 @@
 from tests.conftest import SAFE, ask, ended, entry, listing, offers, settings
 from tests.test_fleet import FLEET, LEDGER, FullScanPlacer, day
 from tests.test_turns import a_loop, entries
+from thornshelf import placement as api
 from thornshelf.core import Dispatcher, EndpointListUpdate
 from thornshelf.loop import Wait
 from thornshelf.nodes import reconnect
 from thornshelf.nodes.binary import BinaryNodeConnection
 from thornshelf.placement import connect_pacing, machine_index
-from thornshelf.placement import interface as api
 from thornshelf.placement.hashing import unit_hash
 from thornshelf.placement.health_check_schedule import HealthCheckSchedule
 from thornshelf.placement.machine import Machine
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -17,14 +17,14 @@
 from tests.conftest import ask, entry, offers, placer, settings
 from tests.test_edges import Feed, changed, event, http
 from tests.test_turns import FakeNode, Rig, entries
+from thornshelf import placement as api
 from thornshelf.configuration import ConfigError, read_config
 from thornshelf.core import Dispatcher, EndpointListUpdate, TaskRequest
 from thornshelf.discovery.endpoint_watch import EndpointWatch
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, HOST, TIMEOUT_S, FakeCluster, NodeBehavior
 from thornshelf.loop import Loop
 from thornshelf.loop.stream import connect
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 from thornshelf.service import Service
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -15,7 +15,7 @@
 from thornshelf.loop.loop import IN
 from thornshelf.loop.stream import connect as usual_connect
 from thornshelf.nodes import reconnect
-from thornshelf.placement.interface import Outcome, TaskUpdateKind
+from thornshelf.placement import Outcome, TaskUpdateKind
 from thornshelf.wire import jsonl
 
 PLACED = ("placed", DESCRIPTION)
--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -43,7 +43,7 @@
         "Service(read_config(os.environ)).close()\n"
         "heavy = ('click', 'msgspec', 'google', 'h2', 'thornshelf.translation.translator',"
         " 'thornshelf.translation.field_mapping', 'thornshelf.core.idempotency', 'thornshelf.admission',"
-        " 'thornshelf.socket_handover', 'thornshelf.retries.budget',"
+        " 'thornshelf.lifecycle.socket_handover', 'thornshelf.retries.budget',"
         " 'thornshelf.retries.jitter', 'thornshelf.configuration.schema',"
         " 'thornshelf.configuration.operator_file', 'thornshelf.lab')\n"
         "print([one for one in heavy if one in sys.modules])"
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -34,7 +34,7 @@
 from thornshelf.membership import scatter_gather
 from thornshelf.membership.query_gatherer import QueryGatherer
 from thornshelf.membership.scatter_gather import QueryResponder
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 from thornshelf.shell import output, saved_queries
 from thornshelf.shell.client import ResponseSummary
 from thornshelf.shell.engine import QueryEngine, QueryLimits, QueryResult
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 import pytest
 
 from tests.conftest import SAFE, ask, ended, entry, listing, offers, settings
-from thornshelf.placement import interface as api
+from thornshelf import placement as api
 from thornshelf.placement.candidates import RANK_TOLERANCE, TARGET_UTILIZATION
 from thornshelf.placement.fit import Fit
 from thornshelf.placement.machine import Machine
--- a/tests/test_fleet_uses.py
+++ b/tests/test_fleet_uses.py
@@ -12,12 +12,12 @@
 
 from tests.conftest import SAFE, ask, entry, listing, offers
 from tests.conftest import settings as deployment
+from thornshelf import placement as api
 from thornshelf.lab.membership import SECOND, Network, run_until_settled
 from thornshelf.membership.drain_gossip import GOSSIP_LIFETIME_US, MAX_PAGES, DrainGossip, NodeStage
 from thornshelf.membership.outlier_gossip import Observation, OutlierGossip, health_checkers
 from thornshelf.membership.policies import DRAINS, OBSERVATIONS, PLACER_GOSSIP, FleetPolicies, PolicyChanges
 from thornshelf.membership.quota_division import NO_QUOTA, Quota, QuotaConfig, QuotaDivision
-from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
 ALL_POLICIES = frozenset(("allowances", "news", "probes", "evidence", "messages"))
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.test_bad_clients import read_all, stranger
-from thornshelf import graceful_shutdown
 from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, HOST, JSON, FakeCluster, NodeBehavior
+from thornshelf.lifecycle import graceful_shutdown
 from thornshelf.wire import jsonl
 
 PLACED = ("placed", DESCRIPTION)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from tests.conftest import SAFE, answers, ask, ended, entry, listing, offers, placer, settings
-from thornshelf.placement import interface as api
+from thornshelf import placement as api
 from thornshelf.placement.placer import Placer
 from thornshelf.placement.pricing import is_under_threshold, unit_costs
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,11 +11,11 @@
 
 import pytest
 
+from thornshelf import placement as api
 from thornshelf.core import Attempt, TaskStarted
 from thornshelf.lab.fakes.cluster import DESCRIPTION, JSON, FakeCluster, NodeBehavior
 from thornshelf.loop import Stream
 from thornshelf.nodes.node_link import NodeLink
-from thornshelf.placement import interface as api
 from thornshelf.wire import binary, jsonl
 from thornshelf.wire import placement_pb2 as pb
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from tests.conftest import SAFE, answers, ask, ended, entry, listing, offers, placer, settings
-from thornshelf.placement import interface as api
+from thornshelf import placement as api
 
 WITH_KEY = replace(SAFE, idempotency=api.Idempotency.WITH_KEY, idempotency_window_s=5.0)
 NOT_IDEMPOTENT = replace(SAFE, idempotency=api.Idempotency.NEVER)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -9,9 +9,9 @@
 
 from tests.conftest import ask, entry, listing, offers, settings
 from tests.test_turns import a_loop
+from thornshelf import placement as api
 from thornshelf.core import Dispatcher, EndpointListUpdate, NodeEndpoint
 from thornshelf.core.ports import NodeConnection
-from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
 WINDOW_S, SLOW_START_S = 3.0, 14.0
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from thornshelf.errors import InvalidParameterError
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 from thornshelf.subsetting import RequestCounts, Subset, SubsetConfig
 from thornshelf.subsetting.zone_summary import ZoneSummary, rendezvous_rank
 
--- a/tests/test_translation_rules.py
+++ b/tests/test_translation_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule, run_state_machine_as_test
 
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation import element_bindings, field_mapping, field_mapping_audit
 from thornshelf.translation.capabilities import (
     NodeCapabilities,
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -7,6 +7,7 @@
 from typing import Any
 
 from tests.conftest import SAFE, settings
+from thornshelf import placement as api
 from thornshelf.core import (
     Dispatcher,
     EndpointListUpdate,
@@ -18,8 +19,7 @@
 from thornshelf.core.messages import NodeLost
 from thornshelf.core.task import AttemptTimedOut, TaskState
 from thornshelf.loop import Loop, Wait
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Health, Outcome
+from thornshelf.placement import Health, Outcome
 
 NODES = 1024
 TERMS = settings(SAFE, placers=1024, fleet=0.2, retry_after=True, max_retry_after_s=3.0)
--- a/thornshelf/components/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -14,6 +14,7 @@
 from thornshelf.configuration import Config
 
 if TYPE_CHECKING:
+    from thornshelf import placement as api
     from thornshelf.control.tables import Catalog
     from thornshelf.core import Dispatcher, EndpointListUpdate, LogFunction, NodeConnection, NodeEndpoint
     from thornshelf.discovery.endpoint_watch import EndpointWatch
@@ -21,9 +22,8 @@
     from thornshelf.frontends.connection_budget import ConnectionBudget
     from thornshelf.frontends.grpc import GrpcFrontend
     from thornshelf.frontends.json_lines import JsonLinesFrontend
+    from thornshelf.lifecycle.socket_handover import InheritedSockets
     from thornshelf.loop import Loop
-    from thornshelf.placement import interface as api
-    from thornshelf.socket_handover import InheritedSockets
     from thornshelf.translation.translator import Translator
 
 
--- a/thornshelf/components/fleet.py
+++ b/thornshelf/components/fleet.py
@@ -27,7 +27,7 @@
 from thornshelf.membership.quota_division import Quota
 from thornshelf.membership.scatter_gather import decline
 from thornshelf.membership.states import MemberState
-from thornshelf.placement.interface import Health, Outcome, Reason
+from thornshelf.placement import Health, Outcome, Reason
 
 DATAGRAMS_PER_TURN = 64
 REVIEW_INTERVAL_US = 250_000
--- a/thornshelf/components/subsetting.py
+++ b/thornshelf/components/subsetting.py
@@ -11,7 +11,7 @@
 from thornshelf.components import Component, Host
 from thornshelf.configuration import Config, ZoneSubsetConfig
 from thornshelf.core import EndpointListUpdate, NodeEndpoint
-from thornshelf.placement.interface import Health, Settings
+from thornshelf.placement import Health, Settings
 from thornshelf.subsetting import RequestCounts, Subset
 from thornshelf.subsetting.subset import log_fields
 
--- a/thornshelf/configuration/admission_table.py
+++ b/thornshelf/configuration/admission_table.py
@@ -5,6 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
+from thornshelf import placement as api
 from thornshelf.admission.controller import AdmissionConfig, Limits, PrefixRule
 from thornshelf.admission.fair_queue import FairQueueConfig
 from thornshelf.admission.gcra import Rate
@@ -17,7 +18,6 @@
 from thornshelf.configuration.model import Config
 from thornshelf.errors import ConfigError
 from thornshelf.frontends.admission_filter import AdmissionFilterConfig
-from thornshelf.placement import interface as api
 from thornshelf.retries.jitter import JitterConfig
 
 _MICROSECONDS = 1_000_000  # in a second
--- a/thornshelf/configuration/model.py
+++ b/thornshelf/configuration/model.py
@@ -8,11 +8,11 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
+    from thornshelf import placement as api
     from thornshelf.admission.fair_queue import FairQueueConfig
     from thornshelf.configuration.addresses import Address
     from thornshelf.frontends.admission_filter import AdmissionFilterConfig
     from thornshelf.membership.config import FleetConfig
-    from thornshelf.placement import interface as api
     from thornshelf.retries.jitter import JitterConfig
     from thornshelf.subsetting import SubsetConfig
     from thornshelf.translation.translator import TranslationConfig
--- a/thornshelf/configuration/reader.py
+++ b/thornshelf/configuration/reader.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
+from thornshelf import placement as api
 from thornshelf.configuration.addresses import Address, parse_address
 from thornshelf.configuration.model import Config
 from thornshelf.errors import ConfigError, WireError
-from thornshelf.placement import interface as api
 from thornshelf.placement.simulator.settings import decode_settings
 from thornshelf.placement.simulator.values import ABSENT
 
--- a/thornshelf/control/node_table.py
+++ b/thornshelf/control/node_table.py
@@ -8,7 +8,7 @@
 
 from thornshelf.control.tables import INTEGER, REAL, TEXT, Table, Value, declare_columns
 from thornshelf.core import Dispatcher
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 
 HEALTH_NAMES = {Health.UP: "up", Health.DRAINING: "draining", Health.REMOVED: "gone"}
 MAX_AGE_S = 1e6  # load reports that are older count as none
--- a/thornshelf/control/shown_names.py
+++ b/thornshelf/control/shown_names.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from thornshelf.core.task import TaskState
-from thornshelf.placement.interface import Reason
+from thornshelf.placement import Reason
 
 # By the name of a configuration class: its fields whose shown name is another. Two classes are called Limits, that of
 # the placement's settings and that of admission; they have no field in common.
--- a/thornshelf/core/actions.py
+++ b/thornshelf/core/actions.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Mapping
 from typing import TYPE_CHECKING, Any
 
+from thornshelf import placement as api
 from thornshelf.core.messages import HealthCheckCompleted
 from thornshelf.core.task import TaskState
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 from thornshelf.translation.failures import FailureReason
 
 if TYPE_CHECKING:
--- a/thornshelf/core/answers.py
+++ b/thornshelf/core/answers.py
@@ -7,7 +7,7 @@
 
 from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.task import TaskRecord, TaskState
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 
 if TYPE_CHECKING:
--- a/thornshelf/core/attempts.py
+++ b/thornshelf/core/attempts.py
@@ -5,10 +5,10 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
+from thornshelf import placement as api
 from thornshelf.core.messages import Attempt, TaskFinished, TaskStarted
 from thornshelf.core.task import AttemptTimedOut, TaskRecord, TaskState
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Idempotency, Outcome, Reason
+from thornshelf.placement import Idempotency, Outcome, Reason
 from thornshelf.translation.failures import FailureReason, failure_cause
 
 if TYPE_CHECKING:
--- a/thornshelf/core/client_connection.py
+++ b/thornshelf/core/client_connection.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.translation.missing_fields import LifetimeHint
 
--- a/thornshelf/core/deadlines.py
+++ b/thornshelf/core/deadlines.py
@@ -6,7 +6,7 @@
 
 from thornshelf.core.messages import TaskRequest
 from thornshelf.core.task import TaskRecord, TaskState
-from thornshelf.placement.interface import Settings
+from thornshelf.placement import Settings
 
 if TYPE_CHECKING:
     from thornshelf.core.parts import DispatcherParts
--- a/thornshelf/core/dispatcher.py
+++ b/thornshelf/core/dispatcher.py
@@ -14,6 +14,7 @@
 from collections.abc import Callable, Iterator, Mapping
 from typing import TYPE_CHECKING, Any
 
+from thornshelf import placement as api
 from thornshelf.core.actions import action_handlers
 from thornshelf.core.answers import Answers
 from thornshelf.core.attempts import Attempts
@@ -54,8 +55,7 @@
 from thornshelf.core.task import AttemptTimedOut, TaskRecord, TaskState
 from thornshelf.core.task_table import TaskPages, TaskTable
 from thornshelf.loop import Loop
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.placement.placer import Placer
 from thornshelf.translation.failures import FailureCause
 
--- a/thornshelf/core/dispatcher_port.py
+++ b/thornshelf/core/dispatcher_port.py
@@ -12,7 +12,7 @@
 from thornshelf.core.ports import LogFunction
 from thornshelf.core.task import TaskRecord
 from thornshelf.loop import Loop
-from thornshelf.placement.interface import Outcome, Reason, TaskClass
+from thornshelf.placement import Outcome, Reason, TaskClass
 from thornshelf.translation.failures import FailureCause
 
 
--- a/thornshelf/core/endpoint_registry.py
+++ b/thornshelf/core/endpoint_registry.py
@@ -5,10 +5,10 @@
 import zlib
 from collections.abc import Callable, Iterator
 
+from thornshelf import placement
 from thornshelf.core.messages import Attempt, EndpointListUpdate, NodeEndpoint
 from thornshelf.core.ports import NodeConnection
-from thornshelf.placement import interface as placement
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 
 MACHINE_ID_MASK = 0xFFFFFFFF  # a node's number has 32 bits
 
--- a/thornshelf/core/idempotency.py
+++ b/thornshelf/core/idempotency.py
@@ -13,7 +13,7 @@
 from thornshelf.core.messages import Attempt, TaskRequest, TaskStarted, TaskStatusReply
 from thornshelf.core.status_queries import DEADLINE_MARGIN_US, StatusQueries
 from thornshelf.core.task import TaskRecord, TaskState, UncertainAttempt
-from thornshelf.placement.interface import Idempotency, Outcome, Reason
+from thornshelf.placement import Idempotency, Outcome, Reason
 from thornshelf.translation.failures import (
     ExecutionGuarantee,
     FailureCause,
--- a/thornshelf/core/messages.py
+++ b/thornshelf/core/messages.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
-from thornshelf.placement.interface import Health, LoadReport, Outcome, Reason, TaskUpdateKind
+from thornshelf.placement import Health, LoadReport, Outcome, Reason, TaskUpdateKind
 from thornshelf.translation.capabilities import NodeCapabilities
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.translation.missing_fields import DeclaredFields
--- a/thornshelf/core/parts.py
+++ b/thornshelf/core/parts.py
@@ -10,6 +10,7 @@
 from collections.abc import Mapping
 from typing import Any, Protocol
 
+from thornshelf import placement as api
 from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.endpoint_registry import EndpointRegistry
 from thornshelf.core.idempotency import IdempotencyTable
@@ -20,8 +21,7 @@
 from thornshelf.core.task import AttemptTimedOut, TaskRecord
 from thornshelf.core.task_table import TaskTable
 from thornshelf.loop import Loop
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Outcome, Reason, Settings, TaskClass
+from thornshelf.placement import Outcome, Reason, Settings, TaskClass
 from thornshelf.translation.failures import FailureCause, FailureReason
 from thornshelf.translation.translator import Translator
 
--- a/thornshelf/core/placement_driver.py
+++ b/thornshelf/core/placement_driver.py
@@ -5,10 +5,10 @@
 import traceback
 from collections.abc import Sequence
 
+from thornshelf import placement as api
 from thornshelf.core.ports import LogFunction
 from thornshelf.errors import PlacementFaultError
 from thornshelf.loop import Loop
-from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
 ROUNDING_US = 2  # added to a time of the decision module: its fraction may have been rounded down
--- a/thornshelf/core/ports.py
+++ b/thornshelf/core/ports.py
@@ -11,7 +11,7 @@
 
 if TYPE_CHECKING:
     from thornshelf.core.messages import Attempt, HealthCheckCompleted
-    from thornshelf.placement.interface import Outcome, Reason
+    from thornshelf.placement import Outcome, Reason
 
 QueuedItem = TypeVar("QueuedItem")
 LogFunction = Callable[[int, str, dict[str, object], str], None]
--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -12,7 +12,7 @@
 from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.ports import LogFunction
 from thornshelf.loop import Loop
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 
 ANY_CLIENT_AFTER_US = (
--- a/thornshelf/core/requests.py
+++ b/thornshelf/core/requests.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
+from thornshelf import placement as api
 from thornshelf.core.messages import CancelTask, ClientDisconnected, TaskRequest
 from thornshelf.core.task import TaskRecord, TaskState
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 
 if TYPE_CHECKING:
     from thornshelf.core.parts import DispatcherParts
--- a/thornshelf/core/running_tasks.py
+++ b/thornshelf/core/running_tasks.py
@@ -4,11 +4,11 @@
 
 from typing import TYPE_CHECKING
 
+from thornshelf import placement as api
 from thornshelf.core.client_connection import AnswerMetadata
 from thornshelf.core.messages import TaskFinished, TaskProgress
 from thornshelf.core.task import TaskRecord, TaskState
-from thornshelf.placement import interface as api
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 
 if TYPE_CHECKING:
     from thornshelf.core.parts import DispatcherParts
--- a/thornshelf/core/scheduler.py
+++ b/thornshelf/core/scheduler.py
@@ -4,10 +4,10 @@
 
 from typing import TYPE_CHECKING
 
+from thornshelf import placement as api
 from thornshelf.core.deadlines import shortest_deadline_us
 from thornshelf.core.ports import RequestQueue
 from thornshelf.core.task import TaskRecord
-from thornshelf.placement import interface as api
 from thornshelf.retries.deadline_queue import DeadlineQueue, DeadlineQueueConfig
 from thornshelf.translation.failures import FailureCause, FailureReason, failure_cause
 
--- a/thornshelf/core/state_transfer.py
+++ b/thornshelf/core/state_transfer.py
@@ -14,7 +14,7 @@
 from thornshelf.core.messages import TaskRequest
 from thornshelf.core.releases import DisconnectedClient, PendingRelease
 from thornshelf.core.task import TaskState
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 
 PENDING_RELEASE_KEY = "owed"  # the task's id; only records of pending releases have this key
 
--- a/thornshelf/core/status_queries.py
+++ b/thornshelf/core/status_queries.py
@@ -10,7 +10,7 @@
 
 from thornshelf.core.messages import TaskFinished, TaskStarted, TaskStatusReply
 from thornshelf.core.task import TaskRecord, TaskState, UncertainAttempt
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 from thornshelf.translation.failures import FailureReason, failure_cause
 from thornshelf.translation.uncertain_attempts import Resolution
 
--- a/thornshelf/core/task.py
+++ b/thornshelf/core/task.py
@@ -9,7 +9,7 @@
 from thornshelf.core.client_connection import ClientConnection
 from thornshelf.core.messages import Attempt, TaskRequest
 from thornshelf.loop import Timer
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 from thornshelf.translation.uncertain_attempts import UncertainKey
 
--- a/thornshelf/discovery/endpoint_events.py
+++ b/thornshelf/discovery/endpoint_events.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from thornshelf.core import EndpointListUpdate, NodeEndpoint
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 from thornshelf.wire.errors import WireError
 
 MAX_UNIX_MS = 1 << 50  # a start time is not taken to be later than this
--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -13,7 +13,7 @@
 from thornshelf.frontends.grpc_messages import GrpcCodecV1
 from thornshelf.frontends.request_times import DEADLINE_MARGIN_US, lifetime_hint_us, wait_us
 from thornshelf.loop import Timer
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.wire import grpc, http2
 from thornshelf.wire.errors import WireError
--- a/thornshelf/frontends/grpc_messages.py
+++ b/thornshelf/frontends/grpc_messages.py
@@ -8,7 +8,7 @@
 from typing import Any, ClassVar
 
 from thornshelf.core import AnswerMetadata
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, FailureReason, WireFormat
 from thornshelf.wire import placement_pb2, placement_v2_pb2
 
--- a/thornshelf/frontends/grpc_streams.py
+++ b/thornshelf/frontends/grpc_streams.py
@@ -16,7 +16,7 @@
     not_fully_sent,
     pending_releases,
 )
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.wire import grpc, http2
 from thornshelf.wire.errors import WireError
--- a/thornshelf/frontends/json_lines.py
+++ b/thornshelf/frontends/json_lines.py
@@ -26,7 +26,7 @@
     pending_releases,
 )
 from thornshelf.loop import Loop, Stream, Wait
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.wire import jsonl
 from thornshelf.wire.errors import WireError
--- a/thornshelf/frontends/sent_releases.py
+++ b/thornshelf/frontends/sent_releases.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 
 MAX_UNACKNOWLEDGED_RELEASES = 4096  # of a client that acknowledges releases; the oldest are discarded first
--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -42,7 +42,7 @@
     RecordStatus,
 )
 from thornshelf.nodes.grpc import GrpcLinkV2
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 from thornshelf.service import Service
 from thornshelf.subsetting import Subset
 from thornshelf.translation.missing_fields import LifetimeHint
--- a/thornshelf/lab/scale/quantities.py
+++ b/thornshelf/lab/scale/quantities.py
@@ -16,6 +16,7 @@
 
 import psutil
 
+from thornshelf import placement as api
 from thornshelf.configuration import read_config
 from thornshelf.control.core_tables import CoreTables
 from thornshelf.control.history import ErrorCounters, History
@@ -28,7 +29,6 @@
 from thornshelf.lab.membership import SECOND, Network, run_settled, run_until_settled
 from thornshelf.lab.scale.layout import Layout
 from thornshelf.loop import Loop
-from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 
 DECISIONS = 240
--- a/thornshelf/graceful_restart.py
+++ b/thornshelf/lifecycle/graceful_restart.py
@@ -11,12 +11,12 @@
 from collections.abc import Generator
 from dataclasses import dataclass
 
-from thornshelf import socket_handover
 from thornshelf.components import Host
 from thornshelf.core.state_transfer import export_state, import_record, reconnect_nodes
 from thornshelf.errors import StartupError
+from thornshelf.lifecycle import socket_handover
+from thornshelf.lifecycle.socket_handover import InheritedSockets
 from thornshelf.loop import Wait
-from thornshelf.socket_handover import InheritedSockets
 
 _DRAIN_MARGIN_US = 2_000_000  # clients with open requests are waited for so long beyond the longest deadline
 _LINGER_US = 50_000  # the time for the last bytes to be sent
--- a/thornshelf/nodes/binary.py
+++ b/thornshelf/nodes/binary.py
@@ -7,7 +7,7 @@
 from thornshelf.nodes.load_report import decode_load_report
 from thornshelf.nodes.node_connection import BaseNodeConnection
 from thornshelf.nodes.node_link import NodeLink
-from thornshelf.placement.interface import Outcome, Reason, TaskUpdateKind
+from thornshelf.placement import Outcome, Reason, TaskUpdateKind
 from thornshelf.wire import binary
 from thornshelf.wire.errors import WireError
 
--- a/thornshelf/nodes/grpc.py
+++ b/thornshelf/nodes/grpc.py
@@ -13,7 +13,7 @@
 from thornshelf.nodes.load_report import decode_load_report
 from thornshelf.nodes.node_connection import HEALTH_CHECK_TIMEOUT_US, BaseNodeConnection
 from thornshelf.nodes.node_link import NodeLink
-from thornshelf.placement.interface import Outcome, Reason, TaskUpdateKind
+from thornshelf.placement import Outcome, Reason, TaskUpdateKind
 from thornshelf.translation.capabilities import NodeCapabilities
 from thornshelf.translation.failures import (
     FailureCause,
--- a/thornshelf/nodes/load_report.py
+++ b/thornshelf/nodes/load_report.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from thornshelf.placement.interface import LoadReport
+from thornshelf.placement import LoadReport
 
 FIELD_NAMES = {
     "active": "active",
--- a/thornshelf/nodes/node_connection.py
+++ b/thornshelf/nodes/node_connection.py
@@ -13,7 +13,7 @@
 from thornshelf.loop import Loop, Stream, Timer, Wait
 from thornshelf.nodes.node_link import NodeLink
 from thornshelf.nodes.reconnect import Reconnector
-from thornshelf.placement.interface import LoadReport, Outcome, Reason
+from thornshelf.placement import LoadReport, Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 from thornshelf.wire.errors import DisconnectReason
 from thornshelf.wire.pending_write import PendingWrite
--- a/thornshelf/nodes/ports.py
+++ b/thornshelf/nodes/ports.py
@@ -11,7 +11,7 @@
 
 from thornshelf.core import Dispatcher
 from thornshelf.loop import Loop, Stream, Wait
-from thornshelf.placement.interface import Outcome
+from thornshelf.placement import Outcome
 from thornshelf.wire.errors import DisconnectReason
 
 
--- a/thornshelf/nodes/reconnect.py
+++ b/thornshelf/nodes/reconnect.py
@@ -9,8 +9,8 @@
 from thornshelf.core import NodeLost
 from thornshelf.loop import Stream, Task, Timer, Wait
 from thornshelf.loop.stream import connect
+from thornshelf.placement import Outcome
 from thornshelf.placement.connect_pacing import initial_connect_delay_s, reconnect_delay_s
-from thornshelf.placement.interface import Outcome
 from thornshelf.wire.errors import DisconnectCause, DisconnectReason
 from thornshelf.wire.rfc5424 import NOTICE
 
--- a/thornshelf/placement/simulator/decoder.py
+++ b/thornshelf/placement/simulator/decoder.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from thornshelf import placement as api
 from thornshelf.errors import WireError
-from thornshelf.placement import interface as api
 from thornshelf.placement.simulator.values import (
     ABSENT,
     parse_choice,
--- a/thornshelf/placement/simulator/encoder.py
+++ b/thornshelf/placement/simulator/encoder.py
@@ -4,7 +4,7 @@
 
 import base64
 
-from thornshelf.placement import interface as api
+from thornshelf import placement as api
 from thornshelf.placement.simulator.values import ABSENT
 
 END_OF_REPLY = "DONE"
--- a/thornshelf/placement/simulator/instances.py
+++ b/thornshelf/placement/simulator/instances.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from thornshelf import placement as api
 from thornshelf.errors import WireError
-from thornshelf.placement import interface as api
 from thornshelf.placement.placer import Placer
 from thornshelf.placement.simulator.decoder import (
     EVENT_MESSAGES,
--- a/thornshelf/placement/simulator/session.py
+++ b/thornshelf/placement/simulator/session.py
@@ -4,8 +4,8 @@
 
 from typing import IO
 
+from thornshelf import placement as api
 from thornshelf.errors import WireError
-from thornshelf.placement import interface as api
 from thornshelf.placement.simulator.decoder import decode_endpoint
 from thornshelf.placement.simulator.encoder import END_OF_REPLY
 from thornshelf.placement.simulator.instances import InstanceTable
--- a/thornshelf/placement/simulator/settings.py
+++ b/thornshelf/placement/simulator/settings.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
+from thornshelf import placement as api
 from thornshelf.errors import WireError
-from thornshelf.placement import interface as api
 from thornshelf.placement.simulator.values import ABSENT, parse_choice, parse_integer, parse_number
 
 _IDEMPOTENCY = {member.value: member for member in api.Idempotency}
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -22,11 +22,11 @@
 from thornshelf.errors import InternalError
 from thornshelf.frontends.connection_budget import ConnectionBudget
 from thornshelf.frontends.json_lines import JsonLinesFrontend
-from thornshelf.graceful_shutdown import drain
+from thornshelf.lifecycle.graceful_shutdown import drain
+from thornshelf.lifecycle.signals import watch_signals
 from thornshelf.loop import Loop, Wait
 from thornshelf.nodes.binary import BinaryNodeConnection
 from thornshelf.nodes.connection_pool import ConnectionPool
-from thornshelf.signals import watch_signals
 from thornshelf.syslog import Syslog
 from thornshelf.wire.errors import WireError
 
@@ -36,8 +36,8 @@
     from thornshelf.core.task import TaskRecord
     from thornshelf.frontends.admission_filter import AdmissionFilter
     from thornshelf.frontends.grpc import GrpcFrontend
+    from thornshelf.lifecycle.socket_handover import InheritedSockets
     from thornshelf.retries.jitter import RetryAfterJitter
-    from thornshelf.socket_handover import InheritedSockets
     from thornshelf.translation.translator import Translator
 
 SPARE_NODES = 16  # descriptors for connections to nodes that are about to join
@@ -53,7 +53,7 @@
     """The sockets of a predecessor, where there is one; the module is loaded only then."""
     if "LISTEN_FDS" not in os.environ:
         return None
-    from thornshelf.socket_handover import inherit_sockets
+    from thornshelf.lifecycle.socket_handover import inherit_sockets
 
     return inherit_sockets(os.environ)
 
@@ -318,7 +318,7 @@
         self.loop.spawn(self._hand_over())
 
     def _hand_over(self) -> Generator[Wait, int, None]:
-        from thornshelf import graceful_restart
+        from thornshelf.lifecycle import graceful_restart
 
         successor = yield from graceful_restart.start_successor(self)
         if successor is None:
@@ -333,8 +333,8 @@
         inherited = self.inherited
         if inherited is None or inherited.channel is None:
             return
-        from thornshelf.graceful_restart import take_over
-        from thornshelf.socket_handover import READY_MESSAGE
+        from thornshelf.lifecycle.graceful_restart import take_over
+        from thornshelf.lifecycle.socket_handover import READY_MESSAGE
 
         inherited.channel.send(READY_MESSAGE)
         self.loop.spawn(take_over(self, inherited))
--- a/thornshelf/subsetting/subset.py
+++ b/thornshelf/subsetting/subset.py
@@ -16,7 +16,7 @@
 from heapq import heapify, heappop, heappush
 from typing import Any, Generic
 
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 from thornshelf.subsetting.config import SubsetConfig
 from thornshelf.subsetting.spare_demand import RequestCounts, SpareDemand
 from thornshelf.subsetting.zone_summary import ListedNodeT, ZoneSummary, rendezvous_rank
--- a/thornshelf/subsetting/zone_summary.py
+++ b/thornshelf/subsetting/zone_summary.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from thornshelf.placement.interface import Health
+from thornshelf.placement import Health
 
 
 class ListedNode(Protocol):
--- a/thornshelf/translation/failures.py
+++ b/thornshelf/translation/failures.py
@@ -10,7 +10,7 @@
 import enum
 from dataclasses import dataclass
 
-from thornshelf.placement.interface import Outcome, Reason
+from thornshelf.placement import Outcome, Reason
 
 MAX_TEXT_CHARS = 200  # of a peer's text; the rest is cut off
 
