--- a/thornshelf/frontends/sent_releases.py
+++ b/thornshelf/frontends/sent_releases.py
@@ -2,31 +2,33 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Protocol
+from typing import TYPE_CHECKING
 
 from thornshelf.placement.interface import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
 
-MAX_UNACKNOWLEDGED_RELEASES = 4096  # of a client that acknowledges releases; the oldest are discarded first
+if TYPE_CHECKING:
+    from thornshelf.loop import Chunk
+    from thornshelf.wire.http2 import OutgoingMessage
 
+MAX_UNACKNOWLEDGED_RELEASES = 4096  # of a client that acknowledges releases; the oldest are discarded first
 
-class PendingWrite(Protocol):
-    """A message that has been queued on a connection."""
 
-    @property
-    def fully_sent(self) -> bool:
-        """Whether all of it was handed to the operating system."""
+class SentRelease:
+    """A release, and the write that carries it.
 
+    A plain class, as every dispatcher loads this module at its start, and a dataclass takes a millisecond to make.
+    """
 
-@dataclass(eq=False, slots=True)
-class SentRelease:
-    """A release, and the write that carries it."""
+    __slots__ = ("detail", "outcome", "reason", "write")
 
-    write: PendingWrite
-    outcome: Outcome
-    reason: Reason
-    detail: FailureCause | None
+    def __init__(
+        self, write: Chunk | OutgoingMessage, outcome: Outcome, reason: Reason, detail: FailureCause | None
+    ) -> None:
+        self.write = write
+        self.outcome = outcome
+        self.reason = reason
+        self.detail = detail
 
 
 def pending_releases(
