--- a/thornshelf/components/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -7,9 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
-from dataclasses import dataclass
 from importlib import import_module
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from thornshelf.configuration import Config
 
@@ -76,8 +75,7 @@
         """Called when the loop has stopped."""
 
 
-@dataclass(frozen=True, slots=True)
-class _ComponentModule:
+class _ComponentModule(NamedTuple):
     """Whether a configuration asks for a component, and the module that makes it."""
 
     is_enabled: Callable[[Config], bool]
--- a/thornshelf/configuration/descriptors.py
+++ b/thornshelf/configuration/descriptors.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from thornshelf.configuration.model import Config
 
@@ -12,8 +12,7 @@
 _CLIENT_DIVISOR = 3  # clients get one in so many in any case, as the protocol lets them hold at most that
 
 
-@dataclass(frozen=True, slots=True)
-class DescriptorLimits:
+class DescriptorLimits(NamedTuple):
     """Descriptors for connections.
 
     ``total`` of them are shared by clients and nodes, and ``client_floor`` of these are for clients however many
--- a/thornshelf/configuration/model.py
+++ b/thornshelf/configuration/model.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field, replace
 from pathlib import Path
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 if TYPE_CHECKING:
     from thornshelf import placement as api
@@ -78,8 +78,7 @@
     dispatchers: int
 
 
-@dataclass(frozen=True, slots=True)
-class ReloadedConfig:
+class ReloadedConfig(NamedTuple):
     """A configuration after a reload.
 
     ``restart_keys`` are the keys that have changed in the files and take effect only after a restart.
--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -223,7 +223,17 @@
     "no-heal": no_heal, "trust-liar": trust_liar, "replay": replay, "silent-gap": hidden_gap,
 }  # fmt: skip
 
-if __name__ == "__main__":
+
+def main() -> None:
+    """Inject the faults that the command line names, and serve."""
     for fault_name in sys.argv[1].split(","):
         INJECTED_FAULTS[fault_name]()
-    Service(read_config(os.environ, sys.argv[2])).run()
+
+    def read() -> Config:
+        return read_config(os.environ, sys.argv[2])
+
+    Service(read(), reread=read).run()
+
+
+if __name__ == "__main__":
+    main()
--- a/thornshelf/placement/simulator/settings.py
+++ b/thornshelf/placement/simulator/settings.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from thornshelf import placement as api
 from thornshelf.errors import WireError
@@ -23,8 +23,7 @@
 _ANY_MACHINE_KIND = -1.0
 
 
-@dataclass(frozen=True, slots=True)
-class DecodedSettings:
+class DecodedSettings(NamedTuple):
     """The settings of one placer, and the columns in which its load reports are sent."""
 
     settings: api.Settings
@@ -181,8 +180,7 @@
     )
 
 
-@dataclass(frozen=True, slots=True)
-class _ClassLists:
+class _ClassLists(NamedTuple):
     """The settings that are sent as one list over all task classes, in the order of the classes."""
 
     machine_kinds: tuple[float, ...]
--- a/thornshelf/wire/errors.py
+++ b/thornshelf/wire/errors.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import enum
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from thornshelf.errors import WireError
 
@@ -18,8 +18,7 @@
     UNUSABLE = enum.auto()  # anything else: the text says what
 
 
-@dataclass(eq=False, frozen=True, slots=True)
-class DisconnectReason:
+class DisconnectReason(NamedTuple):
     """Why a connection ended; ``text`` is the sentence of the log line."""
 
     cause: DisconnectCause
