--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -85,11 +85,19 @@
         self.seen: list[tuple[str, int]] = []
         self.running: set[int] = set()
         self.streams: list[Stream] = []
+        self.sock = self._bind()
         self.rise()
 
+    def _bind(self) -> socket.socket:
+        """A socket at the node's address that does not listen."""
+        sock = socket.socket()
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        sock.bind((self.host, self.port))
+        return sock
+
     def rise(self) -> None:
         """Listen, at the same address if it has listened before."""
-        self.sock = socket.create_server((self.host, self.port))
+        self.sock.listen()
         self.sock.setblocking(False)
         self.port = self.sock.getsockname()[1]
         self._accepting = self.loop.spawn(self._accept())
@@ -112,6 +120,7 @@
         self.loop.cancel(self._accepting)
         self.loop.unregister(self.sock.fileno())
         self.sock.close()
+        self.sock = self._bind()  # connections are refused, and no other socket gets the port meanwhile
         self.break_streams()
 
     def break_streams(self) -> None:
