--- a/thornshelf/core/__init__.py
+++ b/thornshelf/core/__init__.py
@@ -1,4 +1,4 @@
-"""The core: requests, attempts and final answers of tasks; it knows no wire form."""
+"""The dispatcher core: requests, attempts, running tasks and final answers, independent of any wire format."""
 
 from thornshelf.core.client_connection import AnswerMetadata, ClientConnection
 from thornshelf.core.dispatcher import Dispatcher
--- a/thornshelf/core/actions.py
+++ b/thornshelf/core/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the decision module: a handler for each type of action."""
+"""Maps each type of decision module action to the handler that carries it out."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 
 def action_handlers(core: DispatcherParts) -> ActionHandlers:
-    """The handler of each type of action; it takes the action."""
-    handlers = _Handlers(core)
+    """Return the handler of each action type, called with the action."""
+    handlers = _ActionHandlers(core)
     return {
         api.StartAttempt: core.attempts.start,
         api.CancelAttempt: core.attempts.cancel,
@@ -30,21 +30,21 @@
         api.SetTimer: handlers.set_timer,
         api.SendGossip: handlers.send_gossip,
         api.Log: handlers.log,
-        # Updates of the endpoint list come without a request, and nodes close idle connections by themselves.
+        # Updates of the endpoint list arrive unrequested, and nodes close idle connections on their own.
         api.WatchEndpoints: handlers.ignore,
         api.ReloadEndpoints: handlers.ignore,
         api.CloseIdleConnections: handlers.ignore,
     }
 
 
-class _Handlers:
-    """The actions that belong to no other part of the core."""
+class _ActionHandlers:
+    """Handlers of the actions that no other part of the core carries out."""
 
     def __init__(self, core: DispatcherParts) -> None:
         self._core = core
 
     def reject(self, action: api.Reject) -> None:
-        """Reject an open task, with a Retry-After where the settings allow one."""
+        """Reject an open task, with a Retry-After if the settings allow one."""
         core = self._core
         task = core.tasks.by_number.get(action.request_id)
         if task is None or task.state is not TaskState.OPEN:
@@ -64,7 +64,7 @@
             self._core.answers.fail(task, task.last_failure)
 
     def check_health(self, action: api.CheckHealth) -> None:
-        """Check a node's health, unless a peer does it for all: its result arrives in the inbox, too."""
+        """Check a node's health, unless a peer checks it: the peer's results arrive in the inbox as well."""
         core = self._core
         machine = action.machine
         if core.gossip is not None and core.gossip.is_checked_by_peer(machine):
@@ -80,7 +80,7 @@
         self._core.placement.set_timer(action.at, action.token)
 
     def send_gossip(self, action: api.SendGossip) -> None:
-        """Send a message to the other dispatchers, where there are any."""
+        """Send a message to the other dispatchers, if a fleet is configured."""
         if self._core.gossip is not None:
             self._core.gossip.broadcast(action.data)
 
@@ -89,4 +89,4 @@
         self._core.log(6, "placement-note", {}, action.text)
 
     def ignore(self, action: api.Action) -> None:
-        """Nothing is to be done."""
+        """Do nothing: the action needs no handling."""
--- a/thornshelf/core/answers.py
+++ b/thornshelf/core/answers.py
@@ -1,4 +1,4 @@
-"""One final answer for each request, and the release that follows the end of its task."""
+"""Sends the one final answer of each request, and a release when its running task ends."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class Answers:
-    """Answers requests, and counts those that are open and those that were answered.
+    """Sends answers and counts them.
 
-    ``open_count``: requests that still wait for their answer, by id: a task with two subscribers counts twice.
+    ``open_count`` is the number of requests without a final answer; a task with two subscribers counts twice.
     """
 
     def __init__(self, core: DispatcherParts) -> None:
@@ -28,27 +28,27 @@
     def reject(
         self, task: TaskRecord, retry_after_us: int | None, detail: FailureCause | None = None
     ) -> None:
-        """Answer that the task was rejected: nothing of it ran. A task that is not open is left alone."""
+        """Answer an open task's requests that they were rejected and nothing ran; do nothing if it is not open."""
         if task.state is TaskState.OPEN:
             self.close(task)
             for uid, client in task.each_subscriber():
-                self._count(task, uid, client, "refused", detail)
+                self._record_answer(task, uid, client, "refused", detail)
                 client.send_rejected(uid, retry_after_us, detail)
             self._core.discard(task)
 
     def fail(self, task: TaskRecord, detail: FailureCause | None = None) -> None:
-        """Answer that the task failed: it may have run. A task that is not open is left alone."""
+        """Answer an open task's requests that they failed and the task may have run; do nothing if it is not open."""
         if task.state is TaskState.OPEN:
             self.close(task)
             for uid, client in task.each_subscriber():
-                self._count(task, uid, client, "failed", detail)
+                self._record_answer(task, uid, client, "failed", detail)
                 client.send_failed(uid, detail)
             self._core.discard(task)
 
     def send_running(
         self, task: TaskRecord, subscribers: Mapping[int, ClientConnection], metadata: AnswerMetadata | None
     ) -> None:
-        """Answer these subscribers of a task that it runs."""
+        """Tell these subscribers that the task runs."""
         for uid, client in subscribers.items():
             self.open_count -= 1
             self._core.releases.request_answered(client, uid)
@@ -59,7 +59,7 @@
                 self._core.releases.task_placed(client)
 
     def close(self, task: TaskRecord) -> None:
-        """Mark a task as answered: it is no longer open for its clients, nor in the queue."""
+        """Mark a task as answered and take it off the queue; its requests are no longer open."""
         task.state = TaskState.ANSWERED
         if task.queue_ticket is not None:
             self._core.queue.remove(task.queue_ticket)
@@ -69,7 +69,7 @@
             self._core.releases.request_answered(client, uid)
 
     def unsubscribe(self, task: TaskRecord, uid: int) -> None:
-        """Remove one of several subscribers of a task, who gets no answer."""
+        """Remove one of several subscribers of a task without an answer."""
         client = task.subscribers.pop(uid)
         self._core.releases.request_answered(client, uid)
         if task.state is TaskState.OPEN:
@@ -85,11 +85,11 @@
         reason: Reason,
         detail: FailureCause | None,
     ) -> None:
-        """Notify a client, or another that can be trusted with it, that a running task is over."""
+        """Notify a client, or another trusted one if it is disconnected, that a running task has ended."""
         self.counters["released"] += 1
         self._core.releases.notify(client, uid, outcome, reason, detail)
 
-    def _count(
+    def _record_answer(
         self,
         task: TaskRecord,
         uid: int,
--- a/thornshelf/core/attempts.py
+++ b/thornshelf/core/attempts.py
@@ -1,4 +1,4 @@
-"""The one attempt of a task that may be in flight: its start, its end, and the report of its outcome."""
+"""Starts, withdraws and ends attempts; a task has at most one attempt in flight."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 if TYPE_CHECKING:
     from thornshelf.core.parts import DispatcherParts
 
-MAX_ENDED_PER_TURN = 16  # ended attempts: the decision module places each of their tasks anew
-RETRY_BUDGET_TEXT = "the retry budget is spent"
+MAX_ENDED_ATTEMPTS_PER_TURN = 16  # the decision module may place the task of each of them again
+RETRY_BUDGET_EXHAUSTED_TEXT = "the retry budget is spent"
 
 
 class Attempts:
     """Starts attempts, and ends each of them with exactly one outcome.
 
-    ``ended``: attempts that are over, whose tasks are placed anew a few a turn.
+    ``ended`` queues attempts that are over; each turn processes a limited number of them.
     """
 
     def __init__(self, core: DispatcherParts) -> None:
         self._core = core
         self.ended: deque[TaskFinished | AttemptTimedOut] = deque()
 
-    # the start
+    # starting
 
     def start(self, action: api.StartAttempt) -> None:
-        """Send a task to a node, as the decision module asks; one that may not be sent ends at once as NOT_SENT."""
+        """Send an attempt that the decision module requests; one that can't be sent ends at once as NOT_SENT."""
         core = self._core
         task = core.tasks.by_number.get(action.request_id)
         if task is None:
@@ -40,9 +40,9 @@
         node = core.endpoints.nodes.get(machine)
         attempt = self._create(task, action)
         if task.state is TaskState.OPEN and not task.is_awaited():
-            # Guards against an attempt for a client that has disconnected: the item that says so is still queued.
+            # The client has disconnected, but the inbox item that reports this is still queued.
             core.requests.abandon(task)
-        if node is None or not self._may_start(task, attempt):
+        if node is None or not self._can_send(task, attempt):
             self.report_outcome(task, attempt, Outcome.NOT_SENT)
             return
         task.attempt = attempt
@@ -54,7 +54,7 @@
         node.send_attempt(attempt)
 
     def _create(self, task: TaskRecord, action: api.StartAttempt) -> Attempt:
-        """The next attempt of a task; it counts as made, whether it is sent or not."""
+        """Create the next attempt of a task; it counts as made even if it is not sent."""
         core = self._core
         request = task.request
         task_class = core.task_classes[request.task_class]
@@ -78,12 +78,12 @@
             is_awaited=task.is_awaited,
         )
 
-    def _may_start(self, task: TaskRecord, attempt: Attempt) -> bool:
-        """Whether an attempt may be sent; charges the retry budgets where it may."""
+    def _can_send(self, task: TaskRecord, attempt: Attempt) -> bool:
+        """Return whether an attempt may be sent, and charge the retry budgets if so."""
         core = self._core
         return (
             task.state is TaskState.OPEN
-            and task.attempt is None  # never two in flight
+            and task.attempt is None  # at most one attempt in flight
             and attempt.number < core.settings.limits.max_attempts
             and attempt.deadline_us > core.loop.now
             and core.endpoints.is_up(attempt.machine)
@@ -91,7 +91,7 @@
         )
 
     def _within_retry_budget(self, task: TaskRecord, attempt: Attempt) -> bool:
-        """Whether the retry budgets allow the attempt; without a translator there are none."""
+        """Return whether the retry budgets allow the attempt; there are none without a translator."""
         translator = self._core.translator
         if translator is None:
             return True
@@ -102,24 +102,26 @@
             return True
         if translator.allow_retry(service, now, attempt.priority):
             return True
-        task.last_failure = failure_cause(FailureReason.OVERLOADED, RETRY_BUDGET_TEXT)
+        task.last_failure = failure_cause(FailureReason.OVERLOADED, RETRY_BUDGET_EXHAUSTED_TEXT)
         return False
 
-    # what nodes report
+    # reports of nodes
 
     def started(self, item: TaskStarted) -> None:
-        """A node reports that the task of an attempt runs."""
+        """Handle a node's report that the task of an attempt runs."""
         core = self._core
         task = core.tasks.by_uid.get(item.uid)
         attempt = task.attempt if task is not None else None
         if task is None or attempt is None or attempt.machine != item.machine:
             values: dict[str, object] = {"uid": f"{item.uid:016x}"}
-            core.log(6, "answer-unmatched", values, "a node answered, and no attempt there is in flight")
+            core.log(
+                6, "answer-unmatched", values, "a node reported a start, but no attempt is in flight there"
+            )
             if core.idempotency is not None:
                 core.idempotency.late_start(item)
             return
         if core.idempotency is not None:
-            core.idempotency.cancel_query(task)  # the node reports by itself what it is being asked
+            core.idempotency.cancel_query(task)  # the report answers the status query
         task.cancel_timer()
         task.attempt = None
         if task.state is not TaskState.OPEN:
@@ -130,25 +132,25 @@
         core.running_tasks.mark_running(task, item.machine, item.description, attempt.metadata)
 
     def process_ended(self) -> None:
-        """End some of the attempts that are over, in their order."""
-        for _ in range(min(len(self.ended), MAX_ENDED_PER_TURN)):
+        """End the oldest queued attempts, up to the limit of a turn."""
+        for _ in range(min(len(self.ended), MAX_ENDED_ATTEMPTS_PER_TURN)):
             item = self.ended.popleft()
             if isinstance(item, AttemptTimedOut):
                 self.timed_out(item.task, item.attempt)
                 continue
             task = self._core.tasks.by_uid.get(item.uid)
             if task is not None and task.attempt is not None:
-                self._finished(task, task.attempt, item)
+                self._attempt_finished(task, task.attempt, item)
 
-    def _finished(self, task: TaskRecord, attempt: Attempt, item: TaskFinished) -> None:
-        """A node, or its connection, reports how an attempt ended."""
+    def _attempt_finished(self, task: TaskRecord, attempt: Attempt, item: TaskFinished) -> None:
+        """Handle a report of a node or its connection that an attempt has ended."""
         core = self._core
         idempotency = core.idempotency
         if attempt.machine != item.machine:
             return
         if idempotency is not None and task.uncertain is not None:
             if idempotency.may_have_run(item.outcome):
-                return  # nothing new: the node is being asked about it
+                return  # nothing new: a status query about the attempt is pending
             idempotency.cancel_query(task)
         task.cancel_timer()
         node = core.endpoints.nodes.get(item.machine)
@@ -164,7 +166,7 @@
         core.discard(task)
 
     def _record_failure(self, task: TaskRecord, item: TaskFinished) -> None:
-        """Keep why an attempt ended for the final answer, and for the node's profile where it is new there."""
+        """Store the cause of a failed attempt for the final answer, and record an unannounced rejection."""
         core = self._core
         translator = core.translator
         if translator is None:
@@ -174,21 +176,21 @@
             task.last_failure = detail
             if translator.record_rejection(item.machine, detail):
                 values: dict[str, object] = {"machine": item.machine, "reason": detail.reason.name}
-                text = "its capabilities do not say that it requires this"
+                text = "the node rejected a task for a reason that its capabilities do not announce"
                 core.log(4, "rejection-unexpected", values, text)
         elif item.reason is not Reason.UNSPECIFIED:
             task.last_failure = failure_cause(FailureReason(item.reason.value))
 
-    # the end
+    # ending
 
     def timed_out(self, task: TaskRecord, attempt: Attempt) -> None:
-        """Withdraw an attempt that had no answer within its time, unless it has ended or its node is being asked."""
+        """Withdraw an attempt whose time is over, unless it has ended or a status query about it is pending."""
         if task.attempt is attempt and task.uncertain is None:
             self.withdraw(task, attempt, Outcome.TIMED_OUT)
             self._core.discard(task)
 
     def cancel(self, action: api.CancelAttempt) -> None:
-        """Withdraw an attempt, as the decision module asks."""
+        """Withdraw an attempt on request of the decision module."""
         task = self._core.tasks.by_number.get(action.request_id)
         if task is None or task.attempt is None or task.attempt.number != action.attempt:
             return
@@ -196,7 +198,7 @@
         self._core.discard(task)
 
     def withdraw(self, task: TaskRecord, attempt: Attempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt; one of which nothing was sent ends as NOT_SENT, others with ``outcome``."""
+        """Withdraw an attempt in flight; it ends as NOT_SENT if nothing of it was sent, else with ``outcome``."""
         core = self._core
         idempotency = core.idempotency
         task.cancel_timer()
@@ -205,7 +207,7 @@
         if idempotency is not None:
             idempotency.cancel_query(task)
         if was_queried and node is not None:
-            node.cancel_task(task.node_uid)  # it may run: the connection that it was sent on is closed
+            node.cancel_task(task.node_uid)  # the task may run, and the connection it was sent on is closed
         never_sent = not was_queried and node is not None and node.withdraw_attempt(attempt)
         if (
             idempotency is not None
@@ -225,7 +227,7 @@
         reason: Reason = Reason.UNSPECIFIED,
         load_report: api.LoadReport | None = None,
     ) -> None:
-        """Report to the decision module, to peers and to the history how an attempt ended."""
+        """Report how an attempt ended to the decision module, peers and the history."""
         core = self._core
         machine = attempt.machine
         latency_s = (core.loop.now - attempt.sent_us) / 1e6
--- a/thornshelf/core/client_connection.py
+++ b/thornshelf/core/client_connection.py
@@ -1,6 +1,6 @@
-"""The port that a client's connection offers to the core, and what an answer carries beside the node's description.
+"""The protocol of client connections, and the metadata of answers.
 
-Frontends implement the protocol structurally. Times are microseconds on the loop's clock.
+Frontends implement the protocol structurally. Times are in microseconds on the loop's clock.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerMetadata:
-    """What an answer carries beside the node's description, in wire forms that have fields for it.
+    """Additional fields of an answer, for wire formats that have them.
 
-    ``assumed_hint``: the lifetime that was assumed where the client gave none; ``joined_running_task``: the task was
-    requested under another id before.
+    ``assumed_hint`` is the lifetime hint that was assumed because the client gave none; ``joined_running_task`` is
+    true if the task already ran for a request under another id.
     """
 
     assumed_hint: LifetimeHint | None = None
@@ -26,7 +26,7 @@
 
 
 class ClientConnection(Protocol):
-    """Where the answers of a request go: one connection or stream of a client."""
+    """One connection or stream of a client, which receives the answers to its requests."""
 
     @property
     def is_connected(self) -> bool:
@@ -34,38 +34,38 @@
 
     @property
     def accepts_any_release(self) -> bool:
-        """Whether releases of tasks that were requested on another connection may be sent here."""
+        """Whether releases of tasks that were requested on other connections may be sent here."""
 
     @property
     def wire_form(self) -> WireFormat:
-        """The wire form that the client speaks."""
+        """The wire format that the client uses."""
 
     @property
     def peer(self) -> str:
-        """The client's host."""
+        """The host of the client."""
 
     def awaits_answer(self, uid: int) -> bool:
-        """Whether the client has neither cancelled this request nor disconnected."""
+        """Return whether the client has neither cancelled this request nor disconnected."""
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Answer a request: its task runs, and the node describes it so."""
+        """Answer a request: its task runs; ``description`` comes from the node."""
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Answer a request: it was rejected, nothing of it ran, and a retry does no harm."""
+        """Answer a request: it was rejected, nothing of its task ran, and a retry is safe."""
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Answer a request: it failed, and it may have run."""
+        """Answer a request: it failed, and its task may have run."""
 
     def reject_duplicate(self, uid: int) -> None:
-        """End the connection, in the way of its wire form: it sent two open requests under one id."""
+        """Handle a second open request under the same id as the wire format prescribes: end the connection."""
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Notify the client that a running task is over."""
+        """Notify the client that a running task has ended."""
 
     def send_migrate(self, uid: int) -> None:
-        """Notify the client that a running task was stopped, and should be requested again."""
+        """Notify the client that a running task was stopped and should be requested again."""
 
     def task_cancelled(self, uid: int) -> None:
-        """Discard the state of a task that the client has cancelled on any connection; nothing is sent."""
+        """Drop the state of a task that the client cancelled, possibly on another connection; send nothing."""
--- a/thornshelf/core/dispatcher.py
+++ b/thornshelf/core/dispatcher.py
@@ -1,11 +1,11 @@
-"""The dispatcher's turn: what has happened goes to the decision module, and its actions are carried out.
+"""The dispatcher: in each turn it passes events to the decision module and carries out the returned actions.
 
-Socket code only puts items into ``inbox``, and updates of the endpoint list into ``update_endpoints``. Nothing but
-the turn hands events to the decision module.
+Socket code only appends items to ``inbox`` and passes updates of the endpoint list to ``update_endpoints``. Events
+reach the decision module only from within a turn.
 
-A turn is bounded: the endpoint list first, then what has happened, then, for as long as the turn may last, new
-requests, a few at a time, the earliest deadline first. What is left over waits for the next turns, and what can't be
-placed in its time any more is rejected as soon as that is known.
+A turn has bounded work, in this order: updates of the endpoint list, a limited number of inbox items and of ended
+attempts, and then new requests in batches, earliest deadline first, until the turn's time is used up. The rest waits
+for the next turn. A request that can no longer be placed before its deadline is rejected at once.
 """
 
 from __future__ import annotations
@@ -65,19 +65,21 @@
     from thornshelf.retries.jitter import RetryAfterJitter
     from thornshelf.translation.translator import Translator
 
-MAX_ITEMS_PER_TURN = 256  # of what has happened
-ENDPOINT_LIST_TIMEOUT_US = 250_000  # requests wait no longer than this for the first update after the start
+MAX_INBOX_ITEMS_PER_TURN = 256
+ENDPOINT_LIST_TIMEOUT_US = 250_000  # longest wait for the first endpoint list update after startup
 
 
 class Dispatcher:
-    """Owns the decision module and all tasks; embed it with frontends and a way to make node connections.
+    """Owns the decision module and all tasks, and runs one turn of work per pass of the event loop.
 
-    ``seed``: of the decision module's random numbers; ``translator``: where the operator has configured translation;
-    ``queue``, ``jitter``: as ``RequestScheduler`` takes them; ``unix_offset_us``: as ``PlacementDriver`` takes it.
+    ``seed`` seeds the random numbers of the decision module, and ``make_node`` creates the connection to a node.
+    ``translator`` is None unless the operator has configured translation. ``RequestScheduler`` documents ``queue``
+    and ``jitter``, and ``PlacementDriver`` documents ``unix_offset_us``.
 
-    Set by the program after construction, where it is configured: ``descriptor_ledger`` and ``node_connections``
-    (limits for the node connections), ``gossip``, ``history``, and ``is_endpoint_list_stale``, which holds requests
-    back for a moment after the start.
+    The embedding program may set these attributes after construction: ``descriptor_ledger`` and ``node_connections``
+    limit the connections to nodes, ``gossip`` reaches the other dispatchers, ``history`` records task events, and
+    while ``is_endpoint_list_stale`` returns true after startup, requests are held back, for
+    ``ENDPOINT_LIST_TIMEOUT_US`` at most.
     """
 
     descriptor_ledger: DescriptorLedger | None = None
@@ -102,7 +104,7 @@
         self.settings = settings
         self.log = log
         self.translator = translator
-        self.task_classes = {one.name: one for one in settings.classes}
+        self.task_classes = {task_class.name: task_class for task_class in settings.classes}
         self.placer = Placer(settings, seed)
         self.inbox: deque[InboxItem | AttemptTimedOut] = deque()
         self.placement = PlacementDriver(loop, self.placer, log, unix_offset_us)
@@ -130,7 +132,7 @@
             make_node=lambda machine, endpoint: make_node(machine, endpoint, self),
             to_seconds=self.unix_seconds,
             running_at=self.running_at,
-            on_tasks_lost=self.running_tasks.lose,
+            on_tasks_lost=self.running_tasks.end_lost_tasks,
             on_attempt_recalled=self._attempt_recalled,
             on_discarded=self._endpoint_discarded,
         )
@@ -138,7 +140,7 @@
     def _make_idempotency_table(self) -> IdempotencyTable | None:
         if self.translator is None:
             return None
-        # Imported late: a dispatcher without a translator stays small.
+        # Imported only when needed, to keep a dispatcher without a translator small.
         from thornshelf.core.idempotency import IdempotencyTable
 
         return IdempotencyTable(self, self.translator)
@@ -160,14 +162,14 @@
             GossipReceived: self._gossip_received,
         }
 
-    # one turn
+    # turns
 
     def update_endpoints(self, update: EndpointListUpdate) -> None:
-        """Queue an update of the endpoint list, which goes before all else: drains don't wait behind other work."""
+        """Queue an update of the endpoint list; the next turn applies it first, so that drains are not delayed."""
         self._endpoint_updates.append(update)
 
     def run_turn(self) -> bool:
-        """Hand what has happened to the decision module, within bounds; true where work is left for another turn."""
+        """Process a bounded amount of pending work; return whether some is left for another turn."""
         self._apply_endpoint_updates()
         self._process_inbox()
         self.attempts.process_ended()
@@ -179,7 +181,7 @@
         return self._has_pending_events or bool(self.queue)
 
     def apply_decisions(self) -> None:
-        """Carry out what the decision module answers to the pending events."""
+        """Pass the pending events to the decision module and carry out the actions that it returns."""
         for action in self.placement.decide():
             self.apply_action(action)
 
@@ -197,12 +199,12 @@
             self.placement.events.append(self.endpoints.apply(update))
 
     def _process_inbox(self) -> None:
-        for _ in range(min(len(self.inbox), MAX_ITEMS_PER_TURN)):
+        for _ in range(min(len(self.inbox), MAX_INBOX_ITEMS_PER_TURN)):
             item = self.inbox.popleft()
             self._inbox_handlers[type(item)](item)
 
     def _awaits_endpoint_list(self) -> bool:
-        """Whether requests still wait for an update of the endpoint list, which may be old after the start."""
+        """Return whether requests must still wait because the endpoint list may be stale after startup."""
         if self.is_endpoint_list_stale is None:
             return False
         if self.is_endpoint_list_stale() and self.loop.now - self._start_us < ENDPOINT_LIST_TIMEOUT_US:
@@ -210,7 +212,7 @@
         self.is_endpoint_list_stale = None
         return False
 
-    # items of the inbox that belong to no part of their own
+    # inbox items that no other part handles
 
     def _client_connected(self, item: ClientConnected) -> None:
         self.releases.client_connected(item.client)
@@ -220,7 +222,7 @@
             self.idempotency.status_received(item)
 
     def _handshake_completed(self, item: HandshakeCompleted) -> None:
-        """Record a node's capabilities before anything is sent on the connection that they came on."""
+        """Record a node's capabilities before anything is sent on the connection that announced them."""
         endpoint = self.endpoints.entries.get(item.machine)
         node = self.endpoints.nodes.get(item.machine)
         if self.translator is None or endpoint is None or node is None:
@@ -242,7 +244,7 @@
         self.placement.events.append(result)
 
     def _node_lost(self, item: NodeLost) -> None:
-        self.running_tasks.lose(item.machine, None)
+        self.running_tasks.end_lost_tasks(item.machine, None)
 
     def _gossip_received(self, item: GossipReceived) -> None:
         self.placement.events.append(api.GossipMessage(item.sender, item.data))
@@ -254,72 +256,72 @@
         if self.translator is not None:
             self.translator.remove_node(machine, name)
 
-    # tasks, for frontends, control and state transfer
+    # access to tasks, for frontends, the control socket and state transfer
 
     @property
     def open_count(self) -> int:
-        """How many requests still wait for their answer."""
+        """The number of requests that have no final answer yet."""
         return self.answers.open_count
 
     @property
     def queue(self) -> RequestQueue[TaskRecord]:
-        """The requests that wait for the decision module."""
+        """The requests that wait to be placed."""
         return self.scheduler.queue
 
     @property
     def task_count(self) -> int:
-        """How many tasks are known."""
+        """The number of known tasks."""
         return len(self.tasks.by_number)
 
     @property
     def tasks_by_uid(self) -> Mapping[int, TaskRecord]:
-        """All known tasks, by each id under which they are known."""
+        """All known tasks by task id; a task with several ids appears under each."""
         return self.tasks.by_uid
 
     @property
     def tasks_by_number(self) -> Mapping[int, TaskRecord]:
-        """All known tasks, by the decision module's number."""
+        """All known tasks by the number that identifies them to the decision module."""
         return self.tasks.by_number
 
     @property
     def tasks_by_machine(self) -> Mapping[int, Mapping[int, TaskRecord]]:
-        """By node, the tasks that were sent there or run there, by number."""
+        """For each node, the tasks that were sent to it or run on it, by number."""
         return self.tasks.by_machine
 
     def all_tasks(self) -> list[TaskRecord]:
-        """All known tasks."""
+        """Return a list of all known tasks."""
         return list(self.tasks.by_number.values())
 
     def find_task(self, uid: int) -> TaskRecord | None:
-        """A task by any id under which it is known."""
+        """Return the task with this id, or None."""
         return self.tasks.by_uid.get(uid)
 
     def find_by_number(self, number: int) -> TaskRecord | None:
-        """A task by the decision module's number."""
+        """Return the task with this decision module number, or None."""
         return self.tasks.by_number.get(number)
 
     def page_tasks(self) -> TaskPages:
-        """All known tasks, kept from now on so that they can be read a page at a time."""
+        """Return all known tasks in a mapping that can also be read page by page; it stays up to date."""
         return self.tasks.paged()
 
     def running_at(self, machine: int) -> Iterator[int]:
-        """The ids, as the node knows them, of the tasks that run on a node."""
+        """Yield the ids, as the node knows them, of the tasks that run on a node."""
         return self.tasks.running_at(machine)
 
     def create_task(self, request: TaskRequest) -> TaskRecord:
-        """Add a record for a request; its ids are indexed by ``index_task``."""
+        """Create and return the record of a new task; call ``index_task`` to make it findable by its ids."""
         return self.tasks.create(request, self.loop.now)
 
     def index_task(self, task: TaskRecord, *uids: int) -> None:
-        """Find a task by these ids from now on."""
+        """Make a task findable by these ids."""
         self.tasks.index(task, *uids)
 
     def adopt_task(self, task: TaskRecord, node_name: str) -> None:
-        """Take over a task that runs on a node already."""
+        """Take over a task that already runs on the named node."""
         self.running_tasks.adopt(task, node_name)
 
     def discard(self, task: TaskRecord) -> None:
-        """Discard a task that is answered, and neither runs nor has an attempt in flight; others are left alone."""
+        """Forget a task if it is answered, does not run and has no attempt in flight."""
         if task.state is not TaskState.ANSWERED or task.attempt is not None:
             return
         if self.tasks.by_number.get(task.number) is not task:
@@ -330,36 +332,36 @@
         self.tasks.remove(task)
 
     def record_event(self, task: TaskRecord, uid: int, event: str, machine: int = 0, *detail: object) -> None:
-        """Record an event of a task, where a history is kept."""
+        """Record an event of a task if a history is configured."""
         if self.history is not None:
             self.history.record(self.loop.now, uid, task.request.idempotency_key, event, machine, *detail)
 
     def validation_error(self, task_class: str, tenant: str | None) -> str | None:
-        """What a request names that the settings don't, as text; None where it can be taken."""
+        """Return an error text for a class or tenant that the settings don't define, or None for a valid request."""
         return self.requests.validation_error(task_class, tenant)
 
     def unix_seconds(self, at_us: int) -> float:
-        """A time of the loop's clock on the decision module's."""
+        """Convert a time on the loop's clock to Unix seconds, as the decision module uses them."""
         return self.placement.unix_seconds(at_us)
 
-    # what the idempotency table asks (``thornshelf.core.idempotency.DispatcherPort``)
+    # for the idempotency table (``thornshelf.core.dispatcher_port.DispatcherPort``)
 
     def enqueue(self, task: TaskRecord) -> None:
-        """Queue a task for the decision module."""
+        """Queue a task to be placed."""
         self.scheduler.enqueue(task)
 
     def reject(
         self, task: TaskRecord, retry_after_us: int | None, detail: FailureCause | None = None
     ) -> None:
-        """Answer that a task was rejected: nothing of it ran."""
+        """Answer that the requests of a task were rejected and nothing of it ran."""
         self.answers.reject(task, retry_after_us, detail)
 
     def fail(self, task: TaskRecord, detail: FailureCause | None = None) -> None:
-        """Answer that a task failed: it may have run."""
+        """Answer that the requests of a task failed and it may have run."""
         self.answers.fail(task, detail)
 
     def merge(self, task: TaskRecord, known: TaskRecord) -> None:
-        """Make the subscribers of a task those of another record, which serves it already."""
+        """Move the subscribers of ``task`` to ``known``, the record that already serves the same task."""
         self.tasks.merge(task, known)
 
     def unsubscribe(self, task: TaskRecord, uid: int) -> None:
@@ -369,15 +371,17 @@
     def send_running(
         self, task: TaskRecord, subscribers: Mapping[int, ClientConnection], metadata: AnswerMetadata | None
     ) -> None:
-        """Answer these subscribers of a task that it runs."""
+        """Tell these subscribers that the task runs."""
         self.answers.send_running(task, subscribers, metadata)
 
-    def adopt_found(self, task: TaskRecord, machine: int, node_uid: int, description: bytes) -> None:
-        """Answer a request whose task is found to run already, under another id."""
-        self.running_tasks.adopt_found(task, machine, node_uid, description)
+    def adopt_already_running(
+        self, task: TaskRecord, machine: int, node_uid: int, description: bytes
+    ) -> None:
+        """Answer a request whose task already runs under another id, and follow that task."""
+        self.running_tasks.adopt_already_running(task, machine, node_uid, description)
 
     def report_outcome(
         self, task: TaskRecord, attempt: Attempt, outcome: Outcome, reason: Reason = Reason.UNSPECIFIED
     ) -> None:
-        """Report how an attempt ended."""
+        """Report how an attempt ended to the decision module, peers and the history."""
         self.attempts.report_outcome(task, attempt, outcome, reason)
--- a/thornshelf/core/dispatcher_port.py
+++ b/thornshelf/core/dispatcher_port.py
@@ -1,4 +1,4 @@
-"""What the idempotency table and its status queries need of the dispatcher that has them."""
+"""The protocol through which the idempotency table and its status queries use the dispatcher."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DispatcherPort(Protocol):
-    """The part of a dispatcher that is used here."""
+    """The dispatcher members that the idempotency table and status queries use."""
 
     loop: Loop
     endpoints: EndpointRegistry
@@ -30,25 +30,25 @@
         """Write one log line."""
 
     def find_task(self, uid: int) -> TaskRecord | None:
-        """A task by any id under which it is known."""
+        """Return the task with this id, or None."""
 
     def running_at(self, machine: int) -> Iterator[int]:
-        """The ids, as the node knows them, of the tasks that run on a node."""
+        """Yield the ids, as the node knows them, of the tasks that run on a node."""
 
     def enqueue(self, task: TaskRecord) -> None:
-        """Let the decision module place a task."""
+        """Queue a task to be placed."""
 
     def reject(self, task: TaskRecord, retry_after_us: int | None, cause: FailureCause | None = None) -> None:
-        """Send the final answer that nothing of the task ran."""
+        """Send the final answer that the request was rejected and nothing of the task ran."""
 
     def fail(self, task: TaskRecord, cause: FailureCause | None = None) -> None:
-        """Send the final answer that the task may have run."""
+        """Send the final answer that the request failed and the task may have run."""
 
     def discard(self, task: TaskRecord) -> None:
-        """Discard a task that is over."""
+        """Forget a task that is answered, does not run and has no attempt in flight."""
 
     def merge(self, task: TaskRecord, known: TaskRecord) -> None:
-        """Make the subscriber of a request one of a task that is served already."""
+        """Move the subscribers of one task record to another one."""
 
     def unsubscribe(self, task: TaskRecord, uid: int) -> None:
         """Remove one of several subscribers of a task."""
@@ -58,10 +58,12 @@
     ) -> None:
         """Send the final answer that the task runs."""
 
-    def adopt_found(self, task: TaskRecord, machine: int, node_uid: int, description: bytes) -> None:
-        """Adopt a task that is found to run already, under another id."""
+    def adopt_already_running(
+        self, task: TaskRecord, machine: int, node_uid: int, description: bytes
+    ) -> None:
+        """Answer a request whose task already runs under another id, and follow that task."""
 
     def report_outcome(
         self, task: TaskRecord, attempt: Attempt, outcome: Outcome, reason: Reason = Reason.UNSPECIFIED
     ) -> None:
-        """Report the end of an attempt to the decision module."""
+        """Report how an attempt ended to the decision module, peers and the history."""
--- a/thornshelf/core/endpoint_registry.py
+++ b/thornshelf/core/endpoint_registry.py
@@ -1,4 +1,4 @@
-"""The nodes of the endpoint list: their numbers for the decision module, their entries and their connections."""
+"""Tracks the nodes of the endpoint list: their numeric ids, their list entries and their connections."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 from thornshelf.core.ports import NodeConnection
 from thornshelf.placement import Health
 
-MACHINE_ID_MASK = 0xFFFFFFFF  # a node's number has 32 bits
+MACHINE_ID_MASK = 0xFFFFFFFF  # node ids have 32 bits
 
 
 class EndpointRegistry:
-    """All nodes by number, with ``entries`` of the endpoint list and ``nodes``, the connections.
+    """All listed nodes by numeric id: ``entries`` has their list entries and ``nodes`` their connections.
 
-    What it finds out about tasks is reported by the calls that it is given: ``on_tasks_lost`` with a node and the
-    time before which its tasks are lost (None for all), ``on_attempt_recalled`` with an attempt that had not left
-    when its node began to drain, and ``on_discarded`` with the number and the name of a node that is not listed now.
+    Consequences for tasks are reported through callbacks. ``on_tasks_lost`` gets a node and a time in microseconds:
+    tasks that started there before it are lost, or all tasks if it is None. ``on_attempt_recalled`` gets an attempt
+    that was unsent when its node began to drain. ``on_discarded`` gets the id and name of a node that is no longer
+    listed.
     """
 
     def __init__(
@@ -32,9 +33,7 @@
     ) -> None:
         self.nodes: dict[int, NodeConnection] = {}
         self.entries: dict[int, NodeEndpoint] = {}
-        self.on_unknown_endpoint: Callable[[str], None] | None = (
-            None  # gets a name that no list has given yet
-        )
+        self.on_unknown_endpoint: Callable[[str], None] | None = None  # called with each new endpoint name
         self._machine_by_name: dict[str, int] = {}
         self._name_by_machine: dict[int, str] = {}
         self._make_node = make_node
@@ -45,7 +44,7 @@
         self._on_discarded = on_discarded
 
     def machine_id(self, name: str) -> int:
-        """A node's number; an unknown name gets one."""
+        """Return the id of the node with this name, assigning one to a new name."""
         if (machine := self._machine_by_name.get(name)) is None:
             machine = self._free_machine_id(name)
             self._machine_by_name[name] = machine
@@ -55,7 +54,7 @@
         return machine
 
     def has_work(self, name: str) -> bool:
-        """Whether a task runs on a node, or a message to it has not been sent yet."""
+        """Return whether tasks run on a node, or data waits to be sent to it."""
         machine = self._machine_by_name.get(name)
         if machine is None:
             return False
@@ -65,23 +64,23 @@
         return node is not None and node.has_pending_data
 
     def up_machines(self) -> list[int]:
-        """The nodes that accept attempts, by the endpoint list."""
+        """Return the ids of the nodes that accept attempts according to the endpoint list."""
         return [machine for machine, entry in self.entries.items() if entry.health is Health.UP]
 
     def is_up(self, machine: int) -> bool:
-        """Whether a node accepts attempts, by the endpoint list."""
+        """Return whether a node accepts attempts according to the endpoint list."""
         entry = self.entries.get(machine)
         return entry is not None and entry.health is Health.UP
 
     def apply(self, update: EndpointListUpdate) -> placement.EndpointUpdate:
-        """Apply an update of the endpoint list; returns it as an event of the decision module."""
+        """Apply an update of the endpoint list, and return it as an event for the decision module."""
         listed = set()
         endpoints = []
         for entry in update.endpoints:
             machine = self.machine_id(entry.name)
             listed.add(machine)
             self._apply_entry(machine, entry)
-            endpoints.append(self._to_placement(machine, entry))
+            endpoints.append(self._placement_endpoint(machine, entry))
         if update.complete:
             for machine in sorted(self.nodes.keys() - listed):
                 self._remove_node(machine)
@@ -89,9 +88,9 @@
         return placement.EndpointUpdate(update.complete, update.version, tuple(endpoints))
 
     def discard(self, machine: int) -> None:
-        """Discard all that is known of a node that is no longer listed.
+        """Remove all state of a node that is no longer listed.
 
-        Nodes are replaced all day long, so nothing may be retained for each of them.
+        Nodes are replaced all the time, so state that stayed behind would grow without bound.
         """
         self.entries.pop(machine, None)
         if (name := self._name_by_machine.pop(machine, None)) is not None:
@@ -99,7 +98,7 @@
             self._on_discarded(machine, name)
 
     def _free_machine_id(self, name: str) -> int:
-        """The hex digits at the end of the name, as in the simulator, otherwise a checksum; the next free number."""
+        """Derive an unused id from a name: from its hexadecimal suffix if it has one, otherwise from a checksum."""
         try:
             machine = int(name.rpartition("-")[2], 16) & MACHINE_ID_MASK
         except ValueError:
@@ -108,7 +107,7 @@
             machine = (machine + 1) & MACHINE_ID_MASK
         return machine
 
-    def _to_placement(self, machine: int, entry: NodeEndpoint) -> placement.Endpoint:
+    def _placement_endpoint(self, machine: int, entry: NodeEndpoint) -> placement.Endpoint:
         started_s = 0.0 if entry.started_us is None else self._to_seconds(entry.started_us)
         return placement.Endpoint(
             machine, entry.health, entry.kind, entry.zone, entry.cell, 0.0, 0.0, entry.weight, started_s
@@ -127,18 +126,18 @@
         if machine not in self.nodes:
             self._add_node(machine, entry)
         if entry.health is Health.DRAINING:
-            # Draining is measured to the first byte sent: what is still buffered must not be sent.
+            # Withdraw attempts that are still buffered: a draining node must not receive any byte of a new one.
             for attempt in self.nodes[machine].drain():
                 self._on_attempt_recalled(machine, attempt)
         else:
             self.nodes[machine].resume()
 
     def _apply_change(self, machine: int, previous: NodeEndpoint, entry: NodeEndpoint) -> None:
-        """Apply what is new of a known node: another address, or another process."""
+        """Apply a changed entry of a known node: a new address or a new process."""
         if previous.address != entry.address:
             self._remove_node(machine)
         elif entry.started_us is not None:
-            # A process that was started again under the same name runs none of the earlier tasks.
+            # A restarted process runs none of the tasks of its predecessor.
             self.nodes[machine].process_restarted(entry.started_us)
             self._on_tasks_lost(machine, entry.started_us)
 
--- a/thornshelf/core/idempotency.py
+++ b/thornshelf/core/idempotency.py
@@ -1,8 +1,8 @@
-"""Deduplication of requests by idempotency key: a non-idempotent task is never started twice.
+"""Deduplicates requests by idempotency key, so that a non-idempotent task is never started twice.
 
-A request whose key is in use joins the task that is served under that key. A request whose key belongs to an
-uncertain attempt waits until the node of that attempt has replied. The states of the keys are in
-``translation.uncertain_attempts``; this module acts on them. Used only with a translation layer.
+A request whose key is in use joins the task with that key. A request whose key belongs to an uncertain attempt waits
+for the reply of that attempt's node. ``translation.uncertain_attempts`` holds the states of the keys, and this module
+acts on them. It is used only if translation is configured.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class IdempotencyTable:
-    """The deduplicated tasks of one dispatcher."""
+    """Joins requests that share an idempotency key, and resolves uncertain attempts."""
 
     def __init__(self, dispatcher: DispatcherPort, translator: Translator) -> None:
         self.dispatcher = dispatcher
@@ -37,14 +37,14 @@
         self._queries = StatusQueries(dispatcher, translator)
 
     def deduplicates(self, request: TaskRequest) -> bool:
-        """Whether a request has an idempotency key, and a second start of its task would do harm."""
+        """Return whether a request has an idempotency key and a class that must not run twice."""
         task_class = self.dispatcher.task_classes[request.task_class]
         return bool(request.idempotency_key) and task_class.idempotency is not Idempotency.ALWAYS
 
     # requests
 
     def register(self, task: TaskRecord) -> bool:
-        """Register a new request that is deduplicated; returns whether the decision module may place it now."""
+        """Register a new deduplicated request; return whether it may be placed now."""
         request = task.request
         now = self.dispatcher.loop.now
         keys = self.translator.idempotency_keys
@@ -69,7 +69,7 @@
         return False
 
     def register_adopted(self, task: TaskRecord) -> None:
-        """Register a task that runs on a node, as its client says; an active key stays with its task."""
+        """Register a running task that was adopted, unless its key is active for another task."""
         known = self.translator.idempotency_keys.lookup(
             task.request.idempotency_key, self.dispatcher.loop.now
         )
@@ -77,7 +77,7 @@
             self._activate(task)
 
     def release_key(self, task: TaskRecord) -> None:
-        """The task is forgotten: its key is uncertain if an attempt may have run, and otherwise free again."""
+        """Release the key of a task that is being forgotten; it becomes uncertain if an attempt may have run."""
         if not task.deduplicated:
             return
         key = task.request.idempotency_key
@@ -94,10 +94,10 @@
         self.translator.idempotency_keys.mark_active(task.request.idempotency_key, task.request.uid)
 
     def _join(self, task: TaskRecord, known: TaskRecord | None) -> None:
-        """Subscribe a request to the task that has its key: one start, and one end for both."""
+        """Subscribe a request to the task with the same key."""
         uid, client = next(task.each_subscriber())
         if known is None or known.state in (TaskState.CANCELLING, TaskState.ANSWERED):
-            # The task is about to end: nothing new may start before its end is known.
+            # No second start before the end of the task is confirmed.
             self.translator.counters["joined: ending"] += 1
             cause = _uncertain_cause("a task of this name is just ending")
             self.dispatcher.reject(task, None, cause)
@@ -119,10 +119,10 @@
             return
         deadline_us = task.request.deadline_us
         if deadline_us < known.request.deadline_us:
-            self.dispatcher.loop.at(deadline_us, lambda: self._joined_deadline(known, uid))
+            self.dispatcher.loop.at(deadline_us, lambda: self._joined_deadline_exceeded(known, uid))
 
-    def _joined_deadline(self, known: TaskRecord, uid: int) -> None:
-        """Fail a joined request whose own deadline comes before that of the task that it has joined."""
+    def _joined_deadline_exceeded(self, known: TaskRecord, uid: int) -> None:
+        """Fail a joined request if its own deadline passes before the task runs."""
         client = known.subscribers.get(uid)
         if known.state is not TaskState.OPEN or client is None:
             return
@@ -134,13 +134,13 @@
 
     @staticmethod
     def may_have_run(outcome: Outcome) -> bool:
-        """Whether an attempt that ended like this may have run."""
+        """Return whether an attempt with this outcome may have run."""
         return execution_guarantee(outcome) is ExecutionGuarantee.MAY_HAVE_RUN
 
     def resolve_uncertain(self, task: TaskRecord, attempt: Attempt, outcome: Outcome, reason: Reason) -> bool:
-        """Query the node of an attempt that has ended and may have run; returns whether its reply is awaited.
+        """Query the node of an ended attempt that may have run, if possible; return whether a query was sent.
 
-        The attempt counts as in flight until then, so that no other one is made.
+        The attempt stays in flight until the query is resolved, so that no other attempt is made.
         """
         if not task.deduplicated or not self.may_have_run(outcome):
             return False
@@ -154,19 +154,19 @@
         return True
 
     def cancel_query(self, task: TaskRecord) -> None:
-        """Forget the query about a task, if there is one."""
+        """Cancel the status query about a task, if one is pending."""
         self._queries.cancel(task)
 
     def status_received(self, reply: TaskStatusReply) -> None:
-        """Apply a node's reply to a query."""
+        """Handle a node's reply to a status query."""
         self._queries.status_received(reply)
 
     def reconcile(self, machine: int) -> None:
-        """Query a node that is connected again about all tasks that are expected to run there."""
+        """Query a reconnected node about all tasks that should run there."""
         self._queries.reconcile(machine)
 
     def late_start(self, item: TaskStarted) -> None:
-        """Apply a node's report of a start for which no attempt is in flight."""
+        """Handle a node's report of a start without an attempt in flight."""
         self._queries.late_start(item)
 
 
--- a/thornshelf/core/messages.py
+++ b/thornshelf/core/messages.py
@@ -1,7 +1,7 @@
-"""Messages of the core: the items of its inbox, which frontends and nodes put there, and what goes out with a task.
+"""Message types of the core: attempts sent to nodes, and the inbox items that frontends, nodes and peers add.
 
-Times are microseconds on the loop's clock. ``Outcome``, ``Reason``, ``TaskUpdateKind``, ``Health`` and ``LoadReport``
-are the decision module's types.
+Times are in microseconds on the loop's clock. ``Outcome``, ``Reason``, ``TaskUpdateKind``, ``Health`` and
+``LoadReport`` are types of the decision module.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from thornshelf.translation.failures import FailureCause, WireFormat
 from thornshelf.translation.missing_fields import DeclaredFields
 
-# what goes out
+# to nodes
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
     """One attempt to start a task on a node.
 
-    ``request``: all that the client stated, for wire forms that have fields for it; ``metadata``: what the node was
-    sent beyond that; ``is_awaited``: whether a client still waits for the task.
+    ``request`` is the client's request, for wire formats that forward more of it; ``metadata`` describes fields that
+    were added on the client's behalf; ``is_awaited`` returns whether a client still waits for the task.
     """
 
     uid: int
@@ -46,7 +46,7 @@
 
 @dataclass(eq=False, slots=True)
 class TaskRequest:
-    """A task to be placed, or, with ``running_on``, one that runs on the node of that name already."""
+    """A request to place a task; with ``running_on``, the task already runs on the node of that name."""
 
     client: ClientConnection
     uid: int
@@ -63,29 +63,29 @@
 
     @property
     def declared_fields(self) -> DeclaredFields:
-        """What the client states in the fields that nodes may require."""
+        """The values that the client declared for fields that nodes may require."""
         return DeclaredFields(self.lifetime_hint_us, self.tenant, self.idempotency_key, self.service)
 
 
 @dataclass(frozen=True, slots=True)
 class CancelTask:
-    """A client cancels a request, or ends a task that runs."""
+    """A client cancels an open request or ends a running task."""
 
     uid: int
 
 
 @dataclass(frozen=True, slots=True)
 class ClientConnected:
-    """A client's connection is open."""
+    """A client's connection was opened."""
 
     client: ClientConnection
 
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """A client's connection is closed, which cancels its open requests.
+    """A client's connection was closed, which cancels its open requests.
 
-    ``pending_releases``: releases that were not sent: the task's id, its outcome, reason and detail.
+    ``pending_releases`` lists the unsent releases, each as task id, outcome, reason and detail.
     """
 
     client: ClientConnection
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskStarted:
-    """A node reports that the task of an attempt runs; ``description``: how its client reaches it."""
+    """A node reports that the task of an attempt runs; ``description`` tells the client how to reach it."""
 
     machine: int
     uid: int
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskFinished:
-    """An attempt, or a running task, has ended; ``detail``: the node's own, where its wire form carries one."""
+    """An attempt or a running task has ended; ``detail`` is the cause from the node, if its wire format has one."""
 
     machine: int
     uid: int
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskProgress:
-    """A node reports a figure of a running task, or of an attempt."""
+    """A node reports a measured value of an attempt or a running task."""
 
     machine: int
     uid: int
@@ -130,8 +130,8 @@
 class TaskStatusReply:
     """A node's reply to a query by idempotency key.
 
-    ``status_code``: its number in thornshelf.v2; ``queried_uid``: the id that the query named; ``uid``: the id under
-    which the task runs or ran.
+    ``status_code`` is the numeric status of thornshelf.v2, ``queried_uid`` the task id in the query, and ``uid`` the
+    id under which the task runs or ran.
     """
 
     machine: int
@@ -146,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandshakeCompleted:
-    """The wire form that a node speaks is known, and in the newer generation its capabilities, or later ones."""
+    """A node's wire format is known; ``hello`` has its capabilities, which generation v2 announces and may update."""
 
     machine: int
     wire_form: WireFormat
@@ -166,7 +166,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeLost:
-    """A node's process is proved dead: the tasks that ran there have ended."""
+    """A node's process is known to be dead, so its tasks have ended."""
 
     machine: int
 
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message of another dispatcher to the decision module."""
+    """A message from another dispatcher's decision module."""
 
     sender: int
     data: bytes
@@ -184,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEndpoint:
-    """One entry of the endpoint list; ``started_us``: when its process started, None where that is long ago."""
+    """One entry of the endpoint list; ``started_us`` is when its process started, None if that is long ago."""
 
     name: str
     address: str
--- a/thornshelf/core/parts.py
+++ b/thornshelf/core/parts.py
@@ -1,7 +1,8 @@
-"""What the parts of the dispatcher use of each other.
+"""Protocols through which the parts of the dispatcher use each other.
 
-Each part owns one kind of state and reaches the others through the dispatcher. These protocols name what is used, so
-that no part has to import the dispatcher, which imports them all. Only type checkers load this module.
+Each part owns one kind of state and reaches the others through the dispatcher. The protocols declare the members
+that are used, so that no part has to import the dispatcher, which imports all of them. Only type checkers load this
+module.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class AnswersPart(Protocol):
-    """Answers requests, and counts the answers: ``thornshelf.core.answers.Answers``."""
+    """Sends final answers and counts them; implemented by ``thornshelf.core.answers.Answers``."""
 
     counters: dict[str, int]
     open_count: int
@@ -35,18 +36,18 @@
     def reject(
         self, task: TaskRecord, retry_after_us: int | None, detail: FailureCause | None = None
     ) -> None:
-        """Answer that the task was rejected: nothing of it ran."""
+        """Answer that the request was rejected and nothing of the task ran."""
 
     def fail(self, task: TaskRecord, detail: FailureCause | None = None) -> None:
-        """Answer that the task failed: it may have run."""
+        """Answer that the request failed and the task may have run."""
 
     def send_running(
         self, task: TaskRecord, subscribers: Mapping[int, ClientConnection], metadata: AnswerMetadata | None
     ) -> None:
-        """Answer these subscribers of a task that it runs."""
+        """Tell these subscribers that the task runs."""
 
     def close(self, task: TaskRecord) -> None:
-        """Mark a task as answered."""
+        """Mark a task as answered and take it off the queue."""
 
     def unsubscribe(self, task: TaskRecord, uid: int) -> None:
         """Remove one of several subscribers of a task."""
@@ -63,73 +64,73 @@
 
 
 class AttemptsPart(Protocol):
-    """The attempts in flight: ``thornshelf.core.attempts.Attempts``."""
+    """Manages attempts in flight; implemented by ``thornshelf.core.attempts.Attempts``."""
 
     ended: deque[TaskFinished | AttemptTimedOut]
 
     def start(self, action: api.StartAttempt) -> None:
-        """Send a task to a node."""
+        """Send an attempt to a node."""
 
     def cancel(self, action: api.CancelAttempt) -> None:
-        """Withdraw an attempt, as the decision module asks."""
+        """Withdraw an attempt on request of the decision module."""
 
     def withdraw(self, task: TaskRecord, attempt: Attempt, outcome: Outcome) -> None:
-        """Stop waiting for an attempt."""
+        """Withdraw an attempt in flight and report its outcome."""
 
 
 class DeadlinesPart(Protocol):
-    """The deadlines of requests: ``thornshelf.core.deadlines.Deadlines``."""
+    """Enforces request deadlines; implemented by ``thornshelf.core.deadlines.Deadlines``."""
 
     def limit(self, request: TaskRequest) -> None:
-        """Shorten a deadline that lies too far ahead."""
+        """Shorten a deadline that is too far in the future."""
 
     def arm(self, task: TaskRecord) -> None:
-        """Set the timer of a task's deadline."""
+        """Set a timer that fails a task at its deadline."""
 
 
 class RequestsPart(Protocol):
-    """The requests of clients: ``thornshelf.core.requests.Requests``."""
+    """Handles client requests; implemented by ``thornshelf.core.requests.Requests``."""
 
     def abandon(self, task: TaskRecord, counter: str = "given_up") -> None:
-        """Close a task that no client waits for any more."""
+        """Close an open task without sending an answer."""
 
 
 class RunningTasksPart(Protocol):
-    """The tasks that run: ``thornshelf.core.running_tasks.RunningTasks``."""
+    """Follows running tasks; implemented by ``thornshelf.core.running_tasks.RunningTasks``."""
 
     def adopt(self, task: TaskRecord, node_name: str) -> None:
-        """Take over a task that runs on a node already."""
+        """Take over a task that already runs on the named node."""
 
     def mark_running(
         self, task: TaskRecord, machine: int, description: bytes, metadata: AnswerMetadata | None
     ) -> None:
-        """Answer all subscribers of a task that it runs."""
+        """Mark a task as running and tell all its subscribers."""
 
     def cancel(self, task: TaskRecord) -> None:
         """End a running task on its node."""
 
     def migrate(self, action: api.Migrate) -> None:
-        """Stop a running task, as the decision module asks."""
+        """Stop a running task on request of the decision module, to be requested again."""
 
 
 class SchedulerPart(Protocol):
-    """The requests that wait for the decision module: ``thornshelf.core.scheduler.RequestScheduler``."""
+    """Queues requests to be placed; implemented by ``thornshelf.core.scheduler.RequestScheduler``."""
 
     def enqueue(self, task: TaskRecord) -> None:
-        """Queue a task for the decision module."""
+        """Queue a task to be placed."""
 
     def placement_request(self, task: TaskRecord) -> api.PlacementRequest:
-        """The task's request, as the decision module takes it."""
+        """Return the task's request as an event for the decision module."""
 
     def retry_after_us(self, task: TaskRecord, wait_us: int | None, reason: FailureReason) -> int | None:
-        """The Retry-After of a rejection."""
+        """Return the Retry-After of a rejection in microseconds, or None."""
 
     def rejection_detail(self, task: TaskRecord) -> FailureCause | None:
-        """Why a task is rejected."""
+        """Return why a task is rejected, or None."""
 
 
 class DispatcherParts(Protocol):
-    """The dispatcher, as its parts see it."""
+    """The dispatcher members that its parts use."""
 
     loop: Loop
     settings: Settings
@@ -149,41 +150,41 @@
 
     @property
     def open_count(self) -> int:
-        """How many requests still wait for their answer."""
+        """The number of requests that have no final answer yet."""
 
     @property
     def queue(self) -> RequestQueue[TaskRecord]:
-        """The requests that wait for the decision module."""
+        """The requests that wait to be placed."""
 
     @property
     def answers(self) -> AnswersPart:
-        """Answers to requests."""
+        """Sends final answers."""
 
     @property
     def attempts(self) -> AttemptsPart:
-        """The attempts in flight."""
+        """Manages attempts in flight."""
 
     @property
     def deadlines(self) -> DeadlinesPart:
-        """The deadlines of requests."""
+        """Enforces request deadlines."""
 
     @property
     def requests(self) -> RequestsPart:
-        """The requests of clients."""
+        """Handles client requests."""
 
     @property
     def running_tasks(self) -> RunningTasksPart:
-        """The tasks that run."""
+        """Follows running tasks."""
 
     @property
     def scheduler(self) -> SchedulerPart:
-        """The requests that wait for the decision module."""
+        """Queues requests to be placed."""
 
     def apply_decisions(self) -> None:
-        """Carry out what the decision module answers to the pending events."""
+        """Pass the pending events to the decision module and carry out the actions that it returns."""
 
     def discard(self, task: TaskRecord) -> None:
-        """Discard a task that is answered, and neither runs nor has an attempt in flight."""
+        """Forget a task that is answered, does not run and has no attempt in flight."""
 
     def record_event(self, task: TaskRecord, uid: int, event: str, machine: int = 0, *detail: object) -> None:
-        """Record an event of a task, where a history is kept."""
+        """Record an event of a task if a history is configured."""
--- a/thornshelf/core/placement_driver.py
+++ b/thornshelf/core/placement_driver.py
@@ -1,4 +1,4 @@
-"""Hands batches of events to the decision module, on its clock, and contains its faults."""
+"""Passes batches of events to the decision module, converts between clocks, and catches its exceptions."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from thornshelf.loop import Loop
 from thornshelf.placement.placer import Placer
 
-ROUNDING_US = 2  # added to a time of the decision module: its fraction may have been rounded down
+ROUNDING_MARGIN_US = 2  # covers the rounding of the decision module's fractional seconds
 
 
 class PlacementDriver:
-    """Owns the placer and the events that it has not been given yet.
+    """Owns the placer and the events that are pending for it.
 
-    ``unix_offset_us``: what a time of the loop's clock lacks to Unix time, in microseconds.
+    ``unix_offset_us`` is added to a time on the loop's clock to get Unix time, in microseconds.
     """
 
     def __init__(self, loop: Loop, placer: Placer, log: LogFunction, unix_offset_us: int) -> None:
@@ -28,17 +28,18 @@
         self._unix_offset_us = unix_offset_us
 
     def unix_seconds(self, at_us: int) -> float:
-        """A time on the decision module's clock: Unix time, so that all dispatchers divide quotas by one clock."""
+        """Convert a loop time to Unix seconds, the clock that all dispatchers share to divide quotas."""
         return (at_us + self._unix_offset_us) / 1e6
 
     def loop_us(self, at_s: float) -> int:
-        """A time of the decision module on the loop's clock; never earlier, however its fraction was rounded."""
-        return int(at_s * 1e6) - self._unix_offset_us + ROUNDING_US
+        """Convert Unix seconds to a loop time that is never earlier, however the seconds were rounded."""
+        return int(at_s * 1e6) - self._unix_offset_us + ROUNDING_MARGIN_US
 
     def decide(self) -> Sequence[api.Action]:
-        """The actions for all pending events; a fault of the placer costs neither the process nor other tasks.
+        """Pass all pending events to the placer and return its actions.
 
-        A task that gets no answer because of such a fault is failed at its deadline.
+        An exception in the placer is logged, and the actions it returned so far are used. Tasks that get no answer
+        because of it fail at their deadline.
         """
         if not self.events:
             return ()
@@ -53,5 +54,5 @@
             return self.placer.actions
 
     def set_timer(self, at_s: float, token: int) -> None:
-        """Give the placer a ``TimerFired`` event at or after a time on its clock."""
+        """Set a timer that adds a ``TimerFired`` event for the placer at ``at_s`` Unix seconds or later."""
         self._loop.at(self.loop_us(at_s), lambda: self.events.append(api.TimerFired(token)))
--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -1,7 +1,7 @@
-"""Notifies clients that a running task has ended, which is called a release.
+"""Sends releases: notifications to clients that a running task has ended.
 
-Running tasks outlive connections, and a release is due within 1 s: it goes to the task's own connection, otherwise to
-another one of the same client, and soon to any connection that can be trusted with it.
+Running tasks outlive connections, and a release is due within 1 s. It goes to the connection that requested the task,
+otherwise to another connection from the same host, and after ``ANY_CLIENT_AFTER_US`` to any trusted connection.
 """
 
 from __future__ import annotations
@@ -15,14 +15,12 @@
 from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause, WireFormat
 
-ANY_CLIENT_AFTER_US = (
-    300_000  # a release waits so long for its own client before any trusted connection gets it
-)
-PENDING_TTL_US = 60_000_000  # a release that no client came for is dropped after this time
+ANY_CLIENT_AFTER_US = 300_000  # wait for the task's own client before any trusted connection is used
+PENDING_TTL_US = 60_000_000  # pending releases are dropped after this time
 
 
 class PendingRelease(NamedTuple):
-    """A release that waits for a connection since ``since_us``; ``peer`` is the host of the task's client."""
+    """A release that has waited for a connection since ``since_us``; ``peer`` is the host of the task's client."""
 
     since_us: int
     peer: str
@@ -33,9 +31,9 @@
 
 
 class DisconnectedClient:
-    """The client of a task that a predecessor handed over: only its host is known.
+    """Stands for the client of a task that a predecessor handed over; only its host is known.
 
-    Its connection is never open: nothing is sent on it, and releases go to other connections.
+    It is never connected, so nothing is sent to it, and releases go to other connections.
     """
 
     is_connected = False
@@ -46,7 +44,7 @@
         self.peer = peer
 
     def awaits_answer(self, uid: int) -> bool:
-        """Never: the requests of this connection were answered by the predecessor."""
+        """Return false: the predecessor answered the requests of this connection."""
         return False
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
@@ -64,56 +62,56 @@
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Never called: releases go to connections that are open."""
+        """Do nothing: releases go to open connections, so this is never called."""
 
     def send_migrate(self, uid: int) -> None:
         """Discard the message."""
 
     def task_cancelled(self, uid: int) -> None:
-        """Do nothing: nothing is stored for this connection."""
+        """Do nothing: no state is kept for this connection."""
 
 
 class ReleaseNotifier:
-    """The open client connections with their open requests, and the releases that wait for a connection.
+    """Tracks open client connections, and keeps releases until a connection can take them.
 
-    ``open_requests`` has, for each open connection, the ids of its requests that have no answer yet.
+    ``open_requests`` holds, for each open connection, the ids of its requests that have no answer yet.
     """
 
     def __init__(self, loop: Loop, log: LogFunction) -> None:
         self.loop = loop
         self.log = log
         self.open_requests: dict[ClientConnection, set[int]] = {}
-        self._placed_clients: dict[ClientConnection, None] = {}  # a task was placed for them; the latest last
-        self._requesting_clients: dict[ClientConnection, None] = {}  # they requested a task; the latest last
+        self._placed_clients: dict[ClientConnection, None] = {}  # have had a task placed; latest last
+        self._requesting_clients: dict[ClientConnection, None] = {}  # have requested a task; latest last
         self._pending: deque[PendingRelease] = deque()
 
     @property
     def pending(self) -> tuple[PendingRelease, ...]:
-        """The releases that wait for a connection, the oldest first."""
+        """The releases that wait for a connection, oldest first."""
         return tuple(self._pending)
 
     def client_connected(self, client: ClientConnection) -> None:
-        """A client's connection is open."""
+        """Add a new client connection, and send it any pending releases that it can take."""
         self.open_requests.setdefault(client, set())
         self.send_pending()
 
     def client_disconnected(self, client: ClientConnection) -> list[int]:
-        """A client's connection is closed; returns its open requests in ascending order."""
+        """Remove a closed client connection; return the ids of its open requests in ascending order."""
         self._placed_clients.pop(client, None)
         self._requesting_clients.pop(client, None)
         return sorted(self.open_requests.pop(client, ()))
 
     def request_received(self, client: ClientConnection) -> None:
-        """A client has requested a task."""
+        """Record that a client has requested a task."""
         self._mark_active(client, self._requesting_clients)
 
     def request_answered(self, client: ClientConnection, uid: int) -> None:
-        """A request of a client is no longer open."""
+        """Record that a request is no longer open."""
         if (requests := self.open_requests.get(client)) is not None:
             requests.discard(uid)
 
     def task_placed(self, client: ClientConnection) -> None:
-        """A task was placed for a client."""
+        """Record that a task was placed for a client."""
         self._mark_active(client, self._placed_clients)
 
     def notify(
@@ -124,59 +122,60 @@
         reason: Reason,
         cause: FailureCause | None,
     ) -> None:
-        """Send a release on the task's own connection, or keep it until another one can take it."""
+        """Send a release on the task's own connection, or keep it until another connection can take it."""
         if client in self.open_requests and client.is_connected:
             client.send_release(uid, outcome, reason, cause)
             return
         self._pending.append(PendingRelease(self.loop.now, client.peer, uid, outcome, reason, cause))
-        self._drop_stale()
+        self._drop_expired()
         self._schedule()
 
     def add_pending(self, peer: str, uid: int, outcome: Outcome, reason: Reason) -> None:
-        """Take over a pending release of a predecessor."""
+        """Take over a pending release from a predecessor."""
         self._pending.append(PendingRelease(self.loop.now, peer, uid, outcome, reason, None))
         self._schedule()
 
     def take_pending(self) -> tuple[PendingRelease, ...]:
-        """Remove and return all pending releases, to hand them to a successor."""
+        """Remove and return all pending releases, for the handover to a successor."""
         pending = self.pending
         self._pending.clear()
         return pending
 
     def send_pending(self) -> None:
-        """Send the pending releases for which there is a connection by now."""
+        """Send the pending releases for which a connection is available now."""
         for _ in range(len(self._pending)):
             release = self._pending.popleft()
             any_client = self.loop.now >= release.since_us + ANY_CLIENT_AFTER_US
-            client = self._recipient(release.peer, any_client)
+            client = self._find_recipient(release.peer, any_client)
             if client is not None:
                 client.send_release(release.uid, release.outcome, release.reason, release.cause)
             else:
                 self._pending.append(release)
 
     def _schedule(self) -> None:
-        """Try at once, and again when any trusted connection will do."""
+        """Try to send pending releases now, and again when any trusted connection may take them."""
         self.send_pending()
         self.loop.after(ANY_CLIENT_AFTER_US, self.send_pending)
 
-    def _drop_stale(self) -> None:
+    def _drop_expired(self) -> None:
         while self._pending[0].since_us < self.loop.now - PENDING_TTL_US:
             release = self._pending.popleft()
             self.log(
                 4,
                 "release-dropped",
                 {"uid": f"{release.uid:016x}"},
-                "no client connected that could take this release in time",
+                "no client that could receive the release connected in time",
             )
 
-    def _recipient(self, peer: str, any_client: bool) -> ClientConnection | None:
-        """The connection that gets a release of a task whose client has the host ``peer``.
+    def _find_recipient(self, peer: str, any_client: bool) -> ClientConnection | None:
+        """Return the connection that receives a release for the host ``peer``, or None.
 
-        It is the latest one of that host for which a task was placed. With ``any_client`` it is the latest one of any
-        host for which a task was placed, otherwise one that requested a task, otherwise any of the same host.
+        It is the latest connection from that host for which a task was placed. With ``any_client`` the host does not
+        matter: it is the latest connection for which a task was placed, else the latest that requested a task, else
+        the latest from the host ``peer``.
 
-        Guards against unknown clients: bad clients open connections from the same hosts and request nothing useful,
-        and a release that is sent to them is lost.
+        Connections that never requested a task come last, because misbehaving clients on the same hosts open
+        connections too, and a release that is sent to them is lost.
         """
         if not any_client:
             return _latest(self._placed_clients, peer)
@@ -186,7 +185,7 @@
         return _latest(self.open_requests, peer)
 
     def _mark_active(self, client: ClientConnection, clients: dict[ClientConnection, None]) -> None:
-        """Make a connection the latest one of a table; it may be sent releases from now on."""
+        """Move a connection to the end of a table, and send it any pending releases that it can take."""
         if client in self.open_requests and client.accepts_any_release:
             clients.pop(client, None)
             clients[client] = None
@@ -194,7 +193,7 @@
 
 
 def _latest(clients: dict[ClientConnection, Any], peer: str | None = None) -> ClientConnection | None:
-    """The last connection, of one host if given, that is open and accepts releases of tasks of other connections."""
+    """Return the latest open connection that accepts any release, optionally only from one host, or None."""
     for client in reversed(clients):
         if client.accepts_any_release and client.is_connected and (peer is None or client.peer == peer):
             return client
--- a/thornshelf/core/requests.py
+++ b/thornshelf/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients: their receipt, their cancellation, and what follows when their client disconnects."""
+"""Handles client requests: new requests, cancellations, and clients that disconnect."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 class Requests:
-    """Opens tasks for requests, and closes those that no client waits for any more."""
+    """Opens tasks for requests, and closes tasks that no client waits for any more."""
 
     def __init__(self, core: DispatcherParts) -> None:
         self._core = core
-        self._tenants = {one.name for one in core.settings.tenants}
+        self._tenants = {tenant.name for tenant in core.settings.tenants}
 
     def validation_error(self, task_class: str, tenant: str | None) -> str | None:
-        """What a request names that the settings don't, as text; None where it can be taken.
+        """Return an error text for a class or tenant that the settings don't define, or None for a valid request.
 
-        Such names must not reach the decision module, whose tables would keep them for good.
+        Unknown names must not reach the decision module, whose tables would keep them forever.
         """
         if task_class not in self._core.task_classes:
             return f"class is not known: {task_class!r:.40}"
@@ -32,7 +32,7 @@
         return None
 
     def receive(self, request: TaskRequest) -> None:
-        """Open a task for a request, or adopt the running task that it names."""
+        """Open a task for a request, or adopt the running task that the request names."""
         core = self._core
         max_open = core.settings.limits.max_open_requests
         if request.running_on is None and 0 < max_open <= core.open_count:
@@ -40,7 +40,7 @@
             return
         known = core.tasks.by_uid.get(request.uid)
         if known is not None:
-            self._receive_known(known, request)
+            self._receive_duplicate(known, request)
             return
         core.deadlines.limit(request)
         task = core.tasks.create(request, core.loop.now)
@@ -49,10 +49,10 @@
         if request.running_on is not None:
             core.running_tasks.adopt(task, request.running_on)
         else:
-            self._open(task)
+            self._open_task(task)
 
     def cancel(self, item: CancelTask) -> None:
-        """A client cancels a request, or ends a task that runs."""
+        """Cancel an open request, or end a running task, on request of its client."""
         uid = item.uid
         core = self._core
         task = core.tasks.by_uid.get(uid)
@@ -63,23 +63,23 @@
         core.record_event(task, uid, "given-up", task.machine)
         client = task.subscribers[uid]
         if task.state is not TaskState.OPEN and client.is_connected:
-            # A client may end a task on any connection; the one that it was requested on keeps state of it, too.
+            # The client may use any connection to end a task; the one that requested it must drop its state as well.
             client.task_cancelled(uid)
         if len(task.subscribers) > 1:
-            core.answers.unsubscribe(task, uid)  # another client still wants the task
+            core.answers.unsubscribe(task, uid)  # other subscribers still want the task
         elif task.state is TaskState.OPEN:
             self.abandon(task)
         else:
             core.running_tasks.cancel(task)
 
     def client_disconnected(self, item: ClientDisconnected) -> None:
-        """Cancel the client's open requests, and send the releases that did not leave to another connection."""
+        """Cancel the client's open requests, and redirect its unsent releases to another connection."""
         core = self._core
         for uid in core.releases.client_disconnected(item.client):
             task = core.tasks.by_uid.get(uid)
             if task is None or task.state is not TaskState.OPEN:
                 continue
-            core.record_event(task, uid, "given-up", 0, "its connection closed")
+            core.record_event(task, uid, "given-up", 0, "client disconnected")
             if len(task.subscribers) > 1:
                 core.answers.unsubscribe(task, uid)
             else:
@@ -88,9 +88,9 @@
             core.answers.send_release(item.client, uid, outcome, reason, detail)
 
     def abandon(self, task: TaskRecord, counter: str = "given_up") -> None:
-        """Close an open task without an answer, and withdraw the attempt that is in flight.
+        """Close an open task without sending an answer, and withdraw its attempt in flight.
 
-        ``counter``: the counter of answers that this one belongs to.
+        ``counter`` names the counter in ``Answers.counters`` to increment.
         """
         core = self._core
         core.answers.counters[counter] += 1
@@ -102,25 +102,25 @@
             core.idempotency.cancel_query(task)
         core.discard(task)
 
-    def _receive_known(self, known: TaskRecord, request: TaskRequest) -> None:
-        """A request under an id that is in use: the task that is known keeps its one answer."""
+    def _receive_duplicate(self, known: TaskRecord, request: TaskRequest) -> None:
+        """Handle a request whose id is already in use; the known task keeps its only answer."""
         uid = request.uid
         client = request.client
         if request.running_on is not None and known.state is TaskState.RUNNING:
-            # Guards against a client that does not own the running task: a connected owner keeps its release.
+            # A connected owner keeps the release; a disconnected one is replaced only from the same host.
             owner = known.subscribers.get(uid)
             if owner is None or (not owner.is_connected and owner.peer == client.peer):
                 known.subscribers[uid] = client
             return
         values: dict[str, object] = {"uid": f"{uid:016x}"}
-        self._core.log(4, "request-duplicated", values, "a request came under an id that is in use")
+        self._core.log(4, "request-duplicated", values, "the id of the request is already in use")
         if known.subscribers.get(uid) is client:
             client.reject_duplicate(uid)
         else:
             client.send_failed(uid)
 
-    def _open(self, task: TaskRecord) -> None:
-        """Count a new task as open, and queue it unless another task has its idempotency key."""
+    def _open_task(self, task: TaskRecord) -> None:
+        """Register a new task as open and queue it, unless its idempotency key decides otherwise."""
         core = self._core
         request = task.request
         core.answers.counters["taken"] += 1
--- a/thornshelf/core/running_tasks.py
+++ b/thornshelf/core/running_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run on nodes: those that were placed, adopted or found running, and how each of them ends."""
+"""Follows tasks that run on nodes, from their start or adoption to their end."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 if TYPE_CHECKING:
     from thornshelf.core.parts import DispatcherParts
 
-CANCEL_TIMEOUT_US = 2_000_000  # a node that does not confirm a cancellation is not waited for longer
-UNKNOWN_NODE_TIMEOUT_US = 2_000_000  # so long may an adopted task's node be missing from the endpoint list
+CANCEL_TIMEOUT_US = 2_000_000  # longest wait for a node to confirm a cancellation
+UNKNOWN_NODE_TIMEOUT_US = 2_000_000  # longest wait for the endpoint list to name an adopted task's node
 
 
 class RunningTasks:
-    """Follows running tasks to their end."""
+    """Starts, adopts, cancels and ends running tasks, and notifies their clients."""
 
     def __init__(self, core: DispatcherParts) -> None:
         self._core = core
 
-    # tasks that come to run
+    # starting
 
     def adopt(self, task: TaskRecord, node_name: str) -> None:
-        """Take over a task that runs on a node already: it wants no answer, but a release when it ends."""
+        """Take over a task that already runs on a node; its client gets no answer, only a release at its end."""
         core = self._core
         machine = core.endpoints.machine_id(node_name)
         task.machine = machine
@@ -42,12 +42,14 @@
         if node is not None:
             node.watch_task(task.node_uid)
         else:
-            # The update of the endpoint list that names the node may still be on its way.
+            # The endpoint list update that names the node may not have arrived yet.
             uid = task.node_uid
-            core.loop.after(UNKNOWN_NODE_TIMEOUT_US, lambda: self._check_listed(uid, machine))
+            core.loop.after(UNKNOWN_NODE_TIMEOUT_US, lambda: self._end_if_unlisted(uid, machine))
 
-    def adopt_found(self, task: TaskRecord, machine: int, node_uid: int, description: bytes) -> None:
-        """Answer a request whose task is found to run already, under another id."""
+    def adopt_already_running(
+        self, task: TaskRecord, machine: int, node_uid: int, description: bytes
+    ) -> None:
+        """Answer a request whose task already runs under another id, and follow that task."""
         core = self._core
         task.node_uid = node_uid
         task.attempt_count = 1
@@ -61,7 +63,7 @@
     def mark_running(
         self, task: TaskRecord, machine: int, description: bytes, metadata: AnswerMetadata | None
     ) -> None:
-        """Answer all subscribers of a task that it runs; one without a connected client is cancelled."""
+        """Mark a task as running and tell all its subscribers; cancel it if no client is connected any more."""
         core = self._core
         task.machine = machine
         task.running_since_us = core.loop.now
@@ -72,11 +74,11 @@
         if not task.deduplicated:
             task.node_description = None
         if not task.has_connected_client:
-            # The connection closed in this very turn, which cancels the request: no client would hear of the task.
+            # The connection closed during this turn, which cancels the request; no client would learn of the task.
             self.cancel(task)
 
     def progress(self, item: TaskProgress) -> None:
-        """Pass on what a node reports of a running task, or of an attempt."""
+        """Pass a value that a node measured on a running task or an attempt to the decision module."""
         core = self._core
         task = core.tasks.by_uid.get(item.uid)
         if task is None:
@@ -87,12 +89,12 @@
             number = attempt.number if attempt is not None else task.attempt_count - 1
             core.placement.events.append(api.TaskUpdate(task.number, machine, number, item.fact, item.level))
 
-    # tasks that end
+    # ending
 
     def finished(self, item: TaskFinished) -> None:
-        """Notify the clients of a running task that it is over; the end of an attempt waits for its turn.
+        """End a running task and notify its clients at once, or queue the end of an attempt.
 
-        Guards against releases that wait behind many tasks which are placed anew: releases are due at once.
+        Ended attempts are processed a few per turn, and releases must not wait behind them.
         """
         core = self._core
         task = core.tasks.by_uid.get(item.uid)
@@ -117,7 +119,7 @@
                 core.answers.send_release(client, uid, item.outcome, item.reason, item.detail)
 
     def cancel(self, task: TaskRecord) -> None:
-        """End a running task on its node; its clients know, so no release is due."""
+        """End a running task on its node without sending a release."""
         core = self._core
         task.state = TaskState.CANCELLING
         node = core.endpoints.nodes.get(task.machine)
@@ -128,7 +130,7 @@
             core.inbox.append(TaskFinished(task.machine, task.node_uid, Outcome.CANCELLED))
 
     def migrate(self, action: api.Migrate) -> None:
-        """Stop a running task, as the decision module asks, so that its clients request it again."""
+        """Stop a running task on request of the decision module, and tell its clients to request it again."""
         task = self._core.tasks.by_number.get(action.request_id)
         if task is None or task.state is not TaskState.RUNNING:
             return
@@ -136,20 +138,22 @@
             client.send_migrate(uid)
         self.cancel(task)
 
-    def lose(self, machine: int, before_us: int | None) -> None:
-        """End the tasks that ran on a node before a time, as its process started anew then.
+    def end_lost_tasks(self, machine: int, before_us: int | None) -> None:
+        """End the tasks that started on a node before ``before_us``, when its process was restarted.
 
-        Without a time the node's process is dead: all tasks that run or are in flight there end.
+        With None the process is dead, and all tasks that run or are in flight there end.
         """
         core = self._core
         before = core.loop.now + 1 if before_us is None else before_us
         for task in core.tasks.at_machine(machine):
             attempt = task.attempt
             if attempt is not None and attempt.machine == machine:
-                if before_us is None:  # else the node knows to which of its processes the attempt was sent
+                if (
+                    before_us is None
+                ):  # otherwise the node connection knows which process received the attempt
                     node = core.endpoints.nodes.get(machine)
                     if node is not None:
-                        # Guards against a second copy: the attempt may be newer, and wait for a connection.
+                        # The attempt may still wait for a connection; sent later, it would start a second copy.
                         node.withdraw_attempt(attempt)
                     core.inbox.append(TaskFinished(machine, task.node_uid, Outcome.BROKEN))
             elif attempt is None and task.machine == machine and task.running_since_us < before:
@@ -173,14 +177,14 @@
         )
 
     def _cancel_unconfirmed(self, task: TaskRecord) -> None:
-        task.possibly_running_at = task.machine  # for all that is known it still runs
+        task.possibly_running_at = task.machine  # without confirmation, the task may still run
         self._core.inbox.append(TaskFinished(task.machine, task.node_uid, Outcome.CANCELLED))
 
-    def _check_listed(self, uid: int, machine: int) -> None:
-        """End an adopted task whose node no endpoint list has named."""
+    def _end_if_unlisted(self, uid: int, machine: int) -> None:
+        """End an adopted task if the endpoint list still does not name its node."""
         core = self._core
         if machine not in core.endpoints.nodes:
             values: dict[str, object] = {"uid": f"{uid:016x}", "machine": machine}
-            core.log(5, "node-unknown", values, "no endpoint list names the node of an adopted task")
+            core.log(5, "node-unknown", values, "the endpoint list does not name the node of an adopted task")
             core.endpoints.discard(machine)
             core.inbox.append(TaskFinished(machine, uid, Outcome.BROKEN))
--- a/thornshelf/core/scheduler.py
+++ b/thornshelf/core/scheduler.py
@@ -1,4 +1,4 @@
-"""The queue between requests and the decision module: which requests are placed in a turn, and which expire in it."""
+"""Queues requests, and decides which of them are placed or rejected as expired in each turn."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     from thornshelf.core.parts import DispatcherParts
     from thornshelf.retries.jitter import RetryAfterJitter
 
-PLACEMENT_TIME_PER_TURN_US = 10_000  # requests go to the decision module for so long in a turn
-PLACEMENT_BATCH_SIZE = 4  # requests that go there together, between two looks at the clock
-COST_SMOOTHING = 0.1  # weight of a turn in the moving average of what a request costs
-# A request with less time left than both of these is rejected: two turns, so that the rejection is not late, or this
-# fraction of the shortest deadline, so that classes with short deadlines are placed at all.
+PLACEMENT_TIME_PER_TURN_US = 10_000  # time per turn for placing requests
+PLACEMENT_BATCH_SIZE = 4  # requests per call of the decision module; the clock is checked after each
+COST_SMOOTHING = 0.1  # weight of the latest turn in the moving average of the cost per request
+# A request is rejected with less time left than the smaller of these two: about two turns, so that the rejection is
+# sent in time, or a fraction of the shortest class deadline, so that classes with short deadlines are placed at all.
 MIN_REMAINING_US = 50_000
 MIN_REMAINING_FRACTION = 0.125
 MIN_QUEUE_CAPACITY = 256
 MAX_QUEUE_CAPACITY = 16_384
-QUEUE_RETRY_AFTER_US = 1_000_000  # the Retry-After of a request that expires in the queue
+QUEUE_RETRY_AFTER_US = 1_000_000  # Retry-After of requests that expire in the queue
 EXPIRED_TEXT = "more came than can be placed in its time"
 
 
 class RequestScheduler:
-    """Owns the queue of requests, and measures what placing one costs.
+    """Owns the queue of requests, and measures the cost of placing a request.
 
-    ``queue``: where none is given, requests are placed by deadline, or as the translator's configuration says.
-    ``jitter``: spreads the Retry-After of rejections; None where the operator has not asked for it.
+    Without a ``queue``, requests are ordered by deadline, or as the translator's configuration says. ``jitter``
+    spreads the Retry-After of rejections, and is None unless the operator has configured it.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._shortest_deadline_us = shortest_deadline_us(core.settings)
         self._mean_cost_us = 0.0
         translator = core.translator
-        # A queue that the operator has configured has its own limit on a turn and its own capacity.
+        # A queue that the operator has configured limits batches and capacity itself.
         self._has_own_limits = True
         if queue is not None:
             self.queue = queue
@@ -56,7 +56,7 @@
             self._jitter = translator.jitter
 
     def enqueue(self, task: TaskRecord) -> None:
-        """Queue a task for the decision module, or reject it where no node can take it at all."""
+        """Queue a task to be placed, or reject it if no node that is up can take it."""
         detail = self._rejection_by_all(task)
         if detail is not None:
             self._core.answers.reject(task, None, detail)
@@ -68,10 +68,10 @@
         )
 
     def reject_expired(self) -> None:
-        """Reject the requests that can't be placed in their time any more."""
+        """Reject the requests that can no longer be placed before their deadline."""
         core = self._core
         if not self._has_own_limits and self._mean_cost_us:
-            # No more wait than can be placed within the shortest deadline: the last of the order have to retry.
+            # Keep no more requests than can be placed within the shortest deadline; reject the last in order.
             capacity = int(self._shortest_deadline_us / self._mean_cost_us)
             self.queue.max_waiting = max(MIN_QUEUE_CAPACITY, min(MAX_QUEUE_CAPACITY, capacity))
         for task in self.queue.pop_expired(core.loop.now):
@@ -84,7 +84,7 @@
             core.answers.reject(task, retry_after_us, failure_cause(FailureReason.OVERLOADED, EXPIRED_TEXT))
 
     def place_waiting(self) -> None:
-        """Give waiting requests to the decision module, batch by batch, for as long as the turn may last."""
+        """Place waiting requests in batches until the turn's time for it is used up."""
         loop = self._core.loop
         began_us = loop.turn_elapsed_us()
         placed = 0
@@ -98,14 +98,14 @@
                 self._core.placement.events.append(self.placement_request(task))
             self._core.apply_decisions()
             if self._has_own_limits or loop.has_backlog:
-                break  # a configured queue limits the turn itself; and releases may wait to be read
+                break  # a configured queue sets its own batch per turn; with a backlog, releases may be unread
         if placed:
             self._mean_cost_us += COST_SMOOTHING * (
                 (loop.turn_elapsed_us() - began_us) / placed - self._mean_cost_us
             )
 
     def placement_request(self, task: TaskRecord) -> api.PlacementRequest:
-        """The task's request, as the decision module takes it."""
+        """Return the task's request as an event for the decision module."""
         request = task.request
         translator = self._core.translator
         is_eligible = None
@@ -126,16 +126,16 @@
         )
 
     def retry_after_us(self, task: TaskRecord, wait_us: int | None, reason: FailureReason) -> int | None:
-        """The Retry-After of a rejection, with jitter where the operator has configured it."""
+        """Return the Retry-After of a rejection, with jitter if the operator has configured it."""
         if self._jitter is None or wait_us is None:
             return wait_us
         if reason is FailureReason.HINT_NEEDED:
-            return wait_us  # the task must change before a retry, so a crowd that retries is not expected
+            return wait_us  # clients must change the request first, so retries are not synchronized
         priority = self._core.task_classes[task.request.task_class].priority
         return self._jitter.retry_after_us(wait_us, self._core.loop.now, priority)
 
     def rejection_detail(self, task: TaskRecord) -> FailureCause | None:
-        """Why a task is rejected: the last cause that a node gave, else that no node can take the task."""
+        """Return why a task is rejected: the last cause from a node, else the cause that rules out all nodes."""
         return task.last_failure or self._rejection_by_all(task)
 
     def _rejection_by_all(self, task: TaskRecord) -> FailureCause | None:
--- a/thornshelf/core/state_transfer.py
+++ b/thornshelf/core/state_transfer.py
@@ -1,7 +1,7 @@
-"""Hands the running tasks and pending releases of a dispatcher that ends to its successor.
+"""Transfers running tasks and pending releases from a dispatcher that shuts down to its successor.
 
-Each record is one JSON object, in the form that ``export_state`` writes. The two processes may run different versions
-of the program, so the keys of these objects are a stable format, and only this module knows them.
+Each record is one JSON object, as ``export_state`` returns it. The two processes may run different versions of the
+program, so the keys of these objects are a stable format; only this module uses them.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from thornshelf.core.task import TaskState
 from thornshelf.placement import Outcome, Reason
 
-PENDING_RELEASE_KEY = "owed"  # the task's id; only records of pending releases have this key
+PENDING_RELEASE_KEY = "owed"  # holds the task id; only records of pending releases have this key
 
 
 @dataclass(frozen=True, slots=True)
 class RunningTaskRecord:
-    """One subscriber of a running task, as it is handed to a successor."""
+    """The record of one subscriber of a running task."""
 
     uid: int
     task_class: str
@@ -36,7 +36,7 @@
     peer: str
 
     def encode(self) -> dict[str, object]:
-        """The record as a JSON object."""
+        """Return the record as a JSON object."""
         return {
             "uid": self.uid,
             "class": self.task_class,
@@ -53,7 +53,7 @@
 
     @classmethod
     def decode(cls, value: Mapping[str, Any]) -> RunningTaskRecord:
-        """The record of a JSON object; raises KeyError, TypeError or ValueError for any other."""
+        """Decode a JSON object; raise KeyError, TypeError or ValueError if it is invalid."""
         return cls(
             uid=int(value["uid"]),
             task_class=str(value["class"]),
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingReleaseRecord:
-    """A release that has not been sent, as it is handed to a successor."""
+    """The record of a release that has not been sent."""
 
     uid: int
     peer: str
@@ -79,7 +79,7 @@
     reason: Reason
 
     def encode(self) -> dict[str, object]:
-        """The record as a JSON object."""
+        """Return the record as a JSON object."""
         return {
             PENDING_RELEASE_KEY: self.uid,
             "peer": self.peer,
@@ -89,7 +89,7 @@
 
     @classmethod
     def decode(cls, value: Mapping[str, Any]) -> PendingReleaseRecord:
-        """The record of a JSON object; raises KeyError, TypeError or ValueError for any other."""
+        """Decode a JSON object; raise KeyError, TypeError or ValueError if it is invalid."""
         return cls(
             uid=int(value[PENDING_RELEASE_KEY]),
             peer=str(value["peer"]),
@@ -102,9 +102,9 @@
 
 
 def export_state(core: Dispatcher) -> list[dict[str, object]]:
-    """All pending releases and running tasks, as ``import_record`` takes them.
+    """Remove all pending releases and running tasks, and return their records for ``import_record``.
 
-    They belong to the successor from now on: this dispatcher forgets them, and ignores what nodes report about them.
+    They belong to the successor from now on; this dispatcher ignores later reports of nodes about them.
     """
     records = [_release_record(release).encode() for release in core.releases.take_pending()]
     for task in core.all_tasks():
@@ -133,7 +133,7 @@
 
 
 def import_record(core: Dispatcher, value: Mapping[str, Any]) -> bool:
-    """Take over one record of a predecessor; returns False if it can't be decoded, or its task is known already."""
+    """Take over one record; return False if it can't be decoded, its class is unknown or its task is known."""
     try:
         record = _decode(value)
     except (KeyError, TypeError, ValueError):
@@ -148,10 +148,9 @@
 
 
 def reconnect_nodes(core: Dispatcher) -> None:
-    """Make new connections to the nodes of running tasks, after the predecessor has ended.
+    """Reconnect to the nodes of running tasks after the predecessor has ended.
 
-    Guards against ends that were reported to the predecessor as it closed: a node reports them again on the next
-    connection.
+    A node reports again, on the new connection, ends that it reported to the predecessor while that was closing.
     """
     for machine, node in core.endpoints.nodes.items():
         if next(core.running_at(machine), None) is not None:
@@ -172,7 +171,7 @@
     client = DisconnectedClient(record.peer)
     running = core.find_task(record.node_uid)
     if running is not None and running.state is TaskState.RUNNING:
-        running.subscribers[record.uid] = client  # another id of the same task
+        running.subscribers[record.uid] = client  # another id of a task that is already known
         core.index_task(running, record.uid)
         return
     request = TaskRequest(
--- a/thornshelf/core/status_queries.py
+++ b/thornshelf/core/status_queries.py
@@ -1,7 +1,7 @@
-"""Queries to nodes about tasks of which it is uncertain whether they run.
+"""Queries nodes about uncertain attempts: attempts that may have run although no answer arrived.
 
-An attempt whose connection broke, or that timed out, may have run. Where its node can be queried by the task's
-idempotency key, the attempt stays in flight until the node has replied, so that no other attempt is made meanwhile.
+An attempt may have run if its connection broke or it timed out. If its node can be queried by the task's idempotency
+key, the attempt stays in flight until the node has replied, so that no other attempt is made in the meantime.
 """
 
 from __future__ import annotations
@@ -18,39 +18,35 @@
     from thornshelf.core.dispatcher_port import DispatcherPort
     from thornshelf.translation.translator import Translator
 
-STATUS_QUERY_RETRY_US = (
-    100_000  # a node that has not decided about an attempt yet is queried again after this time
-)
-DEADLINE_MARGIN_US = (
-    20_000  # a query ends so long before the deadline, so that the answer is still sent in time
-)
+STATUS_QUERY_RETRY_US = 100_000  # interval of queries while the node has not decided about the attempt
+DEADLINE_MARGIN_US = 20_000  # a query ends this long before the deadline, to leave time for the answer
 
 
 class StatusQueries:
-    """The queries of one dispatcher that wait for a node's reply."""
+    """Sends status queries and applies the replies of nodes."""
 
     def __init__(self, dispatcher: DispatcherPort, translator: Translator) -> None:
         self.dispatcher = dispatcher
         self.translator = translator
-        self._tasks: dict[int, TaskRecord] = {}  # those that wait for a reply, by idempotency key
+        self._tasks: dict[int, TaskRecord] = {}  # tasks with a pending query, by idempotency key
 
     def can_query(self, machine: int) -> bool:
-        """Whether a node is connected and replies to queries by idempotency key."""
+        """Return whether a node is known and replies to queries by idempotency key."""
         return machine in self.dispatcher.endpoints.nodes and self.translator.can_query(machine)
 
     def query(self, task: TaskRecord, uncertain: UncertainAttempt, uid: int) -> None:
-        """Query the node of an uncertain attempt, which knows the task under the id ``uid``."""
+        """Query the node of an uncertain attempt; ``uid`` is the task id that the node knows."""
         task.uncertain = uncertain
         self._tasks[task.request.idempotency_key] = task
         until = min(
             self.dispatcher.loop.now + self.translator.config.query_timeout_us,
             task.request.deadline_us - DEADLINE_MARGIN_US,
         )
-        uncertain.timer = self.dispatcher.loop.at(until, lambda: self._timed_out(task, uncertain))
+        uncertain.timer = self.dispatcher.loop.at(until, lambda: self._query_timed_out(task, uncertain))
         self.dispatcher.endpoints.nodes[uncertain.machine].query_task(task.request.idempotency_key, uid)
 
     def cancel(self, task: TaskRecord) -> None:
-        """Forget a query whose task was answered, cancelled or resolved otherwise."""
+        """Cancel the pending query of a task that was answered, cancelled or resolved otherwise."""
         uncertain = task.uncertain
         if uncertain is None:
             return
@@ -60,10 +56,11 @@
         if self._tasks.get(task.request.idempotency_key) is task:
             del self._tasks[task.request.idempotency_key]
         if uncertain.previous is not None and task.attempt is None and task.state is not TaskState.RUNNING:
-            task.possibly_running_at = uncertain.machine  # the attempt under an earlier id is still uncertain
+            # The attempt of the earlier request is still uncertain.
+            task.possibly_running_at = uncertain.machine
 
     def status_received(self, reply: TaskStatusReply) -> None:
-        """Apply a node's reply to the task that waits for it, otherwise to the running task that it names."""
+        """Apply a reply to the task with a pending query, otherwise to the running task that the reply names."""
         task = self._tasks.get(reply.idempotency_key)
         if task is None or task.uncertain is None or task.uncertain.machine != reply.machine:
             self._reconcile_task(reply)
@@ -71,21 +68,21 @@
         uncertain = task.uncertain
         match self.translator.resolve_status(reply.machine, reply.status_code):
             case Resolution.NEVER_RAN:
-                self._never_ran(task, uncertain)
+                self._resolve_never_ran(task, uncertain)
             case Resolution.RUNNING:
-                self._ran(task, uncertain, reply, ended=False)
+                self._resolve_started(task, uncertain, reply, ended=False)
             case Resolution.ENDED:
-                self._ran(task, uncertain, reply, ended=True)
+                self._resolve_started(task, uncertain, reply, ended=True)
             case Resolution.PENDING:
-                self.dispatcher.loop.after(STATUS_QUERY_RETRY_US, lambda: self._repeat(task, uncertain))
+                self.dispatcher.loop.after(STATUS_QUERY_RETRY_US, lambda: self._query_again(task, uncertain))
             case Resolution.UNRESOLVED:
                 self._leave_unresolved(task, uncertain)
 
     def reconcile(self, machine: int) -> None:
-        """Query a node that is connected again about all tasks that are expected to run there.
+        """Query a reconnected node about all tasks that should run there.
 
-        Guards against ends that were reported on the connection that broke, and against a process that was replaced
-        by one without any task, at the same address and before the endpoint list shows it.
+        Finds tasks whose end was reported on the broken connection, and tasks that were lost because a new process
+        took over the address before the endpoint list shows it.
         """
         if not self.can_query(machine):
             return
@@ -96,10 +93,10 @@
                 node.query_task(task.request.idempotency_key, uid)
 
     def late_start(self, item: TaskStarted) -> None:
-        """A node reports a start for which no attempt is in flight: cancel the task there.
+        """Cancel a task on a node that reported its start without an attempt in flight.
 
-        It is left alone while the node is being queried about it, because the reply will resolve it, and if it is
-        the running task itself, reported twice.
+        Nothing is done while a query about it is pending, because the reply resolves it, or if the node reports the
+        start of a running task a second time.
         """
         if self._is_queried(item):
             return
@@ -116,12 +113,12 @@
             4,
             "late-start",
             {"uid": f"{item.uid:016x}"},
-            "the task started after its attempt was given up, so its node is told to cancel it",
+            "the task started after its attempt was withdrawn, so its node is told to cancel it",
         )
         node.cancel_task(item.uid)
 
     def _is_queried(self, item: TaskStarted) -> bool:
-        """Whether the node that reports a start is being queried about this very attempt."""
+        """Return whether a query about the reported start is pending at the node that reports it."""
         for task in self._tasks.values():
             uncertain = task.uncertain
             if uncertain is None or uncertain.machine != item.machine:
@@ -130,13 +127,13 @@
                 return True
         return False
 
-    def _timed_out(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
+    def _query_timed_out(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
         if task.uncertain is uncertain:
             self.translator.counters["asked: no answer"] += 1
             self._leave_unresolved(task, uncertain)
 
     def _leave_unresolved(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
-        """No reply resolves the attempt: report the end that was seen, or fail the request."""
+        """Give up on a query: report the attempt's observed outcome, or fail the request."""
         attempt = task.attempt
         self.cancel(task)
         if uncertain.previous is None and attempt is not None:
@@ -149,7 +146,7 @@
             self.dispatcher.fail(task, failure_cause(FailureReason.IN_DOUBT, text))
 
     def _reconcile_task(self, reply: TaskStatusReply) -> None:
-        """End a running task whose node replies that it has ended, or does not know it."""
+        """End a running task if its node replies that it has ended or never ran."""
         task = self.dispatcher.find_task(reply.queried_uid)
         if task is None or task.state is not TaskState.RUNNING or task.machine != reply.machine:
             return
@@ -164,30 +161,30 @@
             case Resolution.NEVER_RAN:
                 self.dispatcher.inbox.append(TaskFinished(reply.machine, task.node_uid, Outcome.BROKEN))
             case _:
-                pass  # it runs, or nothing is known
+                pass  # the task still runs, or the reply is inconclusive
 
-    def _repeat(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
+    def _query_again(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
         node = self.dispatcher.endpoints.nodes.get(uncertain.machine)
         if task.uncertain is uncertain and node is not None:
             node.query_task(task.request.idempotency_key, _queried_uid(task, uncertain))
 
-    def _never_ran(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
+    def _resolve_never_ran(self, task: TaskRecord, uncertain: UncertainAttempt) -> None:
         attempt = task.attempt
-        uncertain.previous = None  # nothing is uncertain any more
+        uncertain.previous = None  # the reply has resolved it
         self.cancel(task)
         task.never_ran_at = uncertain.machine
         if attempt is not None:
             task.attempt = None
-            # The decision module counts it as not connected: that is a failure of the node, and allows a retry.
+            # NOT_CONNECTED counts as a failure of the node and allows a retry.
             self.dispatcher.report_outcome(task, attempt, Outcome.NOT_CONNECTED)
             self.dispatcher.discard(task)
         elif task.state is TaskState.OPEN:
             self.dispatcher.enqueue(task)
 
-    def _ran(
+    def _resolve_started(
         self, task: TaskRecord, uncertain: UncertainAttempt, reply: TaskStatusReply, ended: bool
     ) -> None:
-        """The task runs or ran: continue as if its node had reported so by itself."""
+        """Continue as if the node had reported the start, and the end if ``ended``, unasked."""
         if not reply.description:
             self._leave_unresolved(task, uncertain)
             return
@@ -196,7 +193,7 @@
         self.cancel(task)
         if attempt is None:
             node_uid = reply.uid or task.request.uid
-            self.dispatcher.adopt_found(task, reply.machine, node_uid, reply.description)
+            self.dispatcher.adopt_already_running(task, reply.machine, node_uid, reply.description)
         else:
             if not ended:
                 self.dispatcher.endpoints.nodes[reply.machine].watch_task(task.node_uid)
@@ -208,5 +205,5 @@
 
 
 def _queried_uid(task: TaskRecord, uncertain: UncertainAttempt) -> int:
-    """The id under which the queried node knows the task: that of an earlier request, where it was one's attempt."""
+    """Return the id under which the queried node knows the task, which may be that of an earlier request."""
     return task.node_uid if uncertain.previous is None else uncertain.previous.uid
--- a/thornshelf/core/task.py
+++ b/thornshelf/core/task.py
@@ -1,4 +1,4 @@
-"""The record of one task: its state, its attempt, and the clients that subscribe to it."""
+"""The record of one task: its state, its attempt in flight and the clients that subscribe to it."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class TaskState(enum.Enum):
-    """The state of a task; one that is ANSWERED may still have an attempt in flight."""
+    """The state of a task; an ANSWERED task may still have an attempt in flight."""
 
     OPEN = 0
     RUNNING = 1
-    CANCELLING = 2  # ended by its client or to be migrated: no release is due
+    CANCELLING = 2  # being ended by its client or for a migration; no release is due
     ANSWERED = 3
 
 
 class UncertainAttempt:
-    """An attempt whose node is being asked, by the task's idempotency key, whether it ran.
+    """An attempt that may have run, with a pending query to its node.
 
-    ``outcome`` and ``reason`` are reported to the decision module where no reply settles it; ``previous`` is the
-    uncertain attempt that an earlier id left behind, where it is not this task's own.
+    ``outcome`` and ``reason`` are reported to the decision module if no reply resolves the query. ``previous`` is set
+    if the attempt was made for an earlier request with the same idempotency key.
     """
 
     __slots__ = ("machine", "outcome", "previous", "reason", "timer")
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimedOut:
-    """An inbox item: an attempt has had no answer within its time."""
+    """An inbox item: an attempt got no answer in time."""
 
     task: TaskRecord
     attempt: Attempt
@@ -53,18 +53,18 @@
 class TaskRecord:
     """One task of this dispatcher.
 
-    ``number``: the decision module's name for the task.
-    ``subscribers``: the clients that are notified of it, each under an id of its own: more than one where a task that
-    must not be started twice was requested again under another id. Nodes know the task by ``node_uid``.
-    ``attempt``: the one in flight; ``attempt_count``: attempts made so far.
-    ``machine``: the node where the task runs; ``indexed_machines``: all nodes by which the task table finds it.
-    ``deduplicated``: its idempotency key is in the table of tasks that must not be started twice.
-    ``possibly_running_at``: the node of an attempt that may have run, and is not followed any more.
-    ``never_ran_at``: the node that replied about an attempt that it never ran.
-    ``uncertain``: the attempt whose node is being asked.
-    ``node_description``: kept for clients that join later, where the task is deduplicated.
-    ``last_failure``: the last cause that a node gave.
-    ``queue_ticket``: the task's place in the request queue, while it waits there.
+    ``number``: identifies the task to the decision module.
+    ``subscribers``: the clients to notify, by task id; a deduplicated task may be requested under several ids.
+    ``node_uid``: the id under which nodes know the task.
+    ``attempt``: the attempt in flight; ``attempt_count``: the number of attempts made so far.
+    ``machine``: the node where the task runs; ``indexed_machines``: all nodes under which the task table lists it.
+    ``deduplicated``: whether its idempotency key is registered in the idempotency table.
+    ``possibly_running_at``: the node of an attempt that may have run and is no longer followed.
+    ``never_ran_at``: the node that replied that an attempt never ran.
+    ``uncertain``: the uncertain attempt with a pending status query.
+    ``node_description``: the node's answer, kept for clients that join a deduplicated task later.
+    ``last_failure``: the last failure cause from a node.
+    ``queue_ticket``: the ticket in the request queue while the task waits there.
     """
 
     __slots__ = (
@@ -116,11 +116,11 @@
         return any(client.is_connected for client in self.subscribers.values())
 
     def is_awaited(self) -> bool:
-        """Whether any subscribed client still waits for the answer."""
+        """Return whether any subscribed client still waits for the answer."""
         return any(client.awaits_answer(uid) for uid, client in self.subscribers.items())
 
     def each_subscriber(self) -> Iterator[tuple[int, ClientConnection]]:
-        """The subscribers of this moment, each with its id."""
+        """Iterate over a snapshot of the subscribers as pairs of task id and client."""
         return iter(list(self.subscribers.items()))
 
     @property
@@ -129,7 +129,7 @@
         return {self.node_uid, self.request.uid, *self.subscribers}
 
     def cancel_timer(self) -> None:
-        """Cancel the timer of the attempt in flight, or of a cancellation, where one is set."""
+        """Cancel the timer of the attempt in flight or of a cancellation, if one is set."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
--- a/thornshelf/core/task_table.py
+++ b/thornshelf/core/task_table.py
@@ -1,4 +1,4 @@
-"""The tasks of one dispatcher, found by id, by number and by node."""
+"""Indexes the tasks of one dispatcher by id, by number and by node."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 
 class TaskPages(dict[int, TaskRecord]):
-    """Tasks by number, also in pages of neighbouring numbers, for readers that take one page at a time.
+    """Tasks by number, also grouped into pages of consecutive numbers.
 
-    Guards against listing 100,000 tasks in one go: that alone takes 6 to 9 ms of a turn.
+    Readers take one page at a time, because listing 100,000 tasks at once would block a turn for several
+    milliseconds.
     """
 
-    PAGE_BITS = 9  # 512 numbers a page
+    PAGE_BITS = 9  # 512 numbers per page
 
     def __init__(self, tasks: Mapping[int, TaskRecord]) -> None:
         super().__init__()
@@ -37,8 +38,8 @@
 class TaskTable:
     """All known tasks.
 
-    ``by_uid``: by each id under which a task is known; ``by_number``: by the number that the decision module knows
-    it by; ``by_machine``: by node and number, those that were sent to a node or run there.
+    ``by_uid`` has each task under all its ids, ``by_number`` under its decision module number, and ``by_machine``
+    lists, by node and number, the tasks that were sent to a node or run on it.
     """
 
     def __init__(self) -> None:
@@ -48,39 +49,40 @@
         self._last_number = 0
 
     def create(self, request: TaskRequest, now_us: int) -> TaskRecord:
-        """Add a record for a request under the next number; its ids are indexed by ``index``."""
+        """Create the record of a task under the next number; call ``index`` to make it findable by its ids."""
         self._last_number += 1
         task = TaskRecord(request, self._last_number, now_us)
         self.by_number[task.number] = task
         return task
 
     def index(self, task: TaskRecord, *uids: int) -> None:
-        """Find a task by these ids from now on."""
+        """Make a task findable by these ids."""
         for uid in uids:
             self.by_uid[uid] = task
 
     def index_machine(self, task: TaskRecord, machine: int) -> None:
-        """Find a task by this node from now on, until it is removed.
+        """List a task under a node until the task is removed.
 
-        Guards against a scan of all tasks for each node that starts, drains or is removed: hundreds do at once.
+        The index avoids a scan of all tasks for each node that starts, drains or is removed; hundreds may do so at
+        once.
         """
         task.indexed_machines.add(machine)
         self.by_machine.setdefault(machine, {})[task.number] = task
 
     def at_machine(self, machine: int) -> list[TaskRecord]:
-        """The tasks that were sent to a node or run there."""
+        """Return the tasks that were sent to a node or run on it."""
         return list(self.by_machine.get(machine, {}).values())
 
     def running_at(self, machine: int) -> Iterator[int]:
-        """The ids, as the node knows them, of the tasks that run on a node."""
+        """Yield the ids, as the node knows them, of the tasks that run on a node."""
         for task in self.by_machine.get(machine, {}).values():
             if task.machine == machine and task.state is TaskState.RUNNING:
                 yield task.node_uid
 
     def merge(self, task: TaskRecord, known: TaskRecord) -> None:
-        """Make the subscribers of one record those of another, which serves the same task already.
+        """Move the subscribers of ``task`` to ``known``, the record that already serves the same task.
 
-        The record is void afterwards; its state is ANSWERED, so that its timer finds nothing to do.
+        The record ``task`` must not be used afterwards; its state is ANSWERED, so that its timers do nothing.
         """
         for uid, client in task.each_subscriber():
             known.subscribers[uid] = client
@@ -90,12 +92,12 @@
         task.state = TaskState.ANSWERED
 
     def unindex(self, task: TaskRecord, uid: int) -> None:
-        """Find a task no longer by an id that it does not go by any more."""
+        """Remove an id from the index if the task no longer uses it."""
         if uid not in task.uids:
             self.by_uid.pop(uid, None)
 
     def remove(self, task: TaskRecord) -> None:
-        """Discard a task under all its ids, its number and its nodes."""
+        """Remove a task from the table."""
         for uid in task.uids:
             if self.by_uid.get(uid) is task:
                 del self.by_uid[uid]
@@ -103,7 +105,7 @@
         self._unindex_machines(task)
 
     def paged(self) -> TaskPages:
-        """All tasks, kept from now on so that they can be read a page at a time."""
+        """Return all tasks in a mapping that can also be read page by page; it stays up to date."""
         pages = TaskPages(self.by_number)
         self.by_number = pages
         return pages
--- a/thornshelf/retries/__init__.py
+++ b/thornshelf/retries/__init__.py
@@ -1,1 +1,1 @@
-"""Retry policy: retry budgets, jitter for Retry-After waits, and the queue of waiting requests. No I/O."""
+"""Retry budgets, jitter for Retry-After waits, and a deadline-ordered queue of requests; free of I/O."""
--- a/thornshelf/retries/budget.py
+++ b/thornshelf/retries/budget.py
@@ -1,7 +1,7 @@
-"""Retry budgets: how many retries may be made, as a fraction of first attempts, per service and for the fleet.
+"""Retry budgets, which limit retries to a fraction of first attempts, per service and for the fleet.
 
-Each budget is a token bucket. While most attempts succeed, a budget never limits anything. When most attempts fail,
-every task would otherwise be attempted several times, and the retries would take the nodes' time from first attempts.
+Each budget is a token bucket. It has no effect while most attempts succeed. When most attempts fail, it keeps retries
+from taking the nodes' capacity away from first attempts.
 
 Tokens are counted in whole thousandths and time in whole microseconds, so that the arithmetic is exact. A clock that
 stands still, steps back or jumps ahead never adds more than a bucket's capacity.
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryBudgetConfig:
-    """Limits of one kind of budget, in thousandths of a token; a retry costs one token.
+    """The parameters of a token bucket, in thousandths of a token; a retry costs one token.
 
-    ``earned_per_attempt_milli`` is added for each first attempt, ``earned_per_s_milli`` for each second that passes,
-    and ``capacity_milli`` is the most that a bucket holds.
+    A bucket earns ``earned_per_attempt_milli`` per first attempt and ``earned_per_s_milli`` per second, and holds at
+    most ``capacity_milli``.
     """
 
     earned_per_attempt_milli: int = 200
@@ -31,29 +31,29 @@
 
 
 class TokenBucket:
-    """The budget of one service or of the fleet; it starts full."""
+    """The token bucket of one service or of the fleet; it starts full."""
 
-    __slots__ = ("remainder", "tokens_milli", "updated_us")
+    __slots__ = ("earned_remainder", "tokens_milli", "updated_us")
 
     def __init__(self, config: RetryBudgetConfig, now_us: int) -> None:
         self.tokens_milli = config.capacity_milli
         self.updated_us = now_us
-        self.remainder = 0  # earned since the last refill, in thousandths of a token times microseconds
+        self.earned_remainder = 0  # not yet added to tokens_milli, in units of 1 / US_PER_S
 
     def refill(self, config: RetryBudgetConfig, now_us: int) -> None:
-        """Add what the time since the last call has earned; less than a thousandth is carried over."""
+        """Add the tokens earned since the last refill; a fraction of a thousandth is carried over."""
         elapsed_us = max(0, now_us - self.updated_us)
         self.updated_us = max(self.updated_us, now_us)
-        earned = self.remainder + elapsed_us * config.earned_per_s_milli
+        earned = self.earned_remainder + elapsed_us * config.earned_per_s_milli
         self.tokens_milli = min(config.capacity_milli, self.tokens_milli + earned // US_PER_S)
-        self.remainder = earned % US_PER_S
+        self.earned_remainder = earned % US_PER_S
 
     def earn(self, config: RetryBudgetConfig) -> None:
-        """Add what one first attempt earns."""
+        """Add the tokens earned by one first attempt."""
         self.tokens_milli = min(config.capacity_milli, self.tokens_milli + config.earned_per_attempt_milli)
 
     def can_spend(self, config: RetryBudgetConfig, priority: int) -> bool:
-        """Whether one token may be spent; a priority above 0 may overdraw the bucket by its capacity."""
+        """Return whether one token may be spent; a priority above 0 may overdraw the bucket by its capacity."""
         minimum = MILLI_PER_TOKEN if priority <= 0 else MILLI_PER_TOKEN - config.capacity_milli
         return self.tokens_milli >= minimum
 
@@ -63,10 +63,10 @@
 
 
 class RetryBudget:
-    """The budget of the fleet, and those of the services that made attempts recently.
+    """The budgets of the fleet and of the services that made attempts recently.
 
-    At most ``max_services`` services are tracked. The one that has been idle longest is evicted first, because its
-    bucket is full again by then. ``denied`` counts the retries that were not allowed.
+    At most ``max_services`` services are tracked. The least recently used one is evicted first, because its bucket is
+    the most likely to be full again. ``denied`` counts the retries that were not allowed.
     """
 
     def __init__(
@@ -93,10 +93,10 @@
         self._service_bucket(service, now_us).earn(self.service_config)
 
     def try_spend(self, service: int, now_us: int, priority: int = 0) -> bool:
-        """Whether a retry may be sent; if so, one token of the service and one of the fleet are spent.
+        """Spend one token of the service and one of the fleet for a retry; return whether both budgets allow it.
 
-        A priority above 0 may overdraw both budgets. The overdraft is bounded by a bucket's capacity, so that one
-        tenant can't use up the whole fleet by priority alone.
+        A priority above 0 may overdraw both budgets, each at most by its capacity, so that one tenant can't use up
+        the whole fleet by priority alone.
         """
         self._fleet.refill(self.fleet_config, now_us)
         service_bucket = self._service_bucket(service, now_us)
@@ -109,7 +109,7 @@
         return True
 
     def _service_bucket(self, service: int, now_us: int) -> TokenBucket:
-        """The refilled bucket of a service; a service that is not tracked gets a full one."""
+        """Return the refilled bucket of a service, creating a full one for an untracked service."""
         bucket = self._services.get(service)
         if bucket is not None:
             self._services.move_to_end(service)
--- a/thornshelf/retries/deadline_queue.py
+++ b/thornshelf/retries/deadline_queue.py
@@ -1,7 +1,7 @@
 """A queue of waiting requests, ordered by priority and then by deadline.
 
-The decision module takes a bounded batch per turn; the other requests wait here. A request that can no longer start
-before its deadline is given back as expired as soon as that is known, not when its deadline passes.
+Requests leave it in bounded batches. A request that can no longer start before its deadline is returned as expired as
+soon as that is known, not when its deadline passes.
 """
 
 from __future__ import annotations
@@ -12,13 +12,17 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-COMPACTION_SLACK = 64  # stale heap entries that are tolerated, beyond twice the requests that wait
+COMPACTION_SLACK = 64  # heap entries allowed beyond twice the number of waiting requests before compaction
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlineQueueConfig:
-    """``batch_size``: requests per batch; ``min_remaining_us``: with less time left a request can't start any more;
-    ``max_waiting``: requests that may wait, beyond which the last ones in order are given back as expired."""
+    """Limits of the queue.
+
+    ``batch_size``: the maximum number of requests per batch.
+    ``min_remaining_us``: a request with less time left than this expires.
+    ``max_waiting``: the maximum number of waiting requests; beyond it, the last ones in order expire.
+    """
 
     batch_size: int = 16
     min_remaining_us: int = 20_000
@@ -35,10 +39,10 @@
 
 
 class DeadlineQueue(Generic[T]):
-    """Waiting requests: the highest priority first, and among equal ones the nearest deadline first.
+    """Orders waiting requests by descending priority, then by ascending deadline.
 
     Both heaps hold plain tuples, which compare fast. A removed request stays in them until it is popped or the heaps
-    are compacted; ``_waiting`` alone says which requests wait.
+    are compacted; only ``_waiting`` determines which requests wait.
     """
 
     def __init__(self, config: DeadlineQueueConfig) -> None:
@@ -55,7 +59,7 @@
     def put(
         self, item: T, priority: int, deadline_us: int, tenant: str | None = None, now_us: int = 0
     ) -> int:
-        """Add a request; the returned ticket removes it. Tenants are not distinguished by this queue."""
+        """Add a request and return a ticket to remove it; ``tenant`` and ``now_us`` are ignored."""
         ticket = next(self._tickets)
         self._waiting[ticket] = _Waiting(item, deadline_us, priority)
         heapq.heappush(self._order, (-priority, deadline_us, ticket))
@@ -63,7 +67,7 @@
         return ticket
 
     def remove(self, ticket: int) -> None:
-        """Remove a request, for example because its client cancelled it; an unknown ticket is ignored."""
+        """Remove a request, for example because its client cancelled it; ignore an unknown ticket."""
         self._waiting.pop(ticket, None)
 
     def pop_expired(self, now_us: int) -> list[T]:
@@ -79,7 +83,7 @@
         return expired
 
     def pop_batch(self, now_us: int = 0) -> list[T]:
-        """Remove and return the next requests for the decision module, at most ``batch_size``."""
+        """Remove and return the next requests to place, at most ``batch_size``."""
         batch: list[T] = []
         while self._order and len(batch) < self.config.batch_size:
             ticket = heapq.heappop(self._order)[2]
@@ -90,15 +94,15 @@
         return batch
 
     def _pop_last(self, count: int) -> list[T]:
-        """Remove the last requests in order: those of least priority, and of these the ones with most time left.
+        """Remove and return the last requests in order: lowest priority first, then latest deadline first.
 
-        They lose least by being rejected, because they have the most time to retry.
+        They lose the least by being rejected, because they have the most time to retry.
         """
-        order = [(-one.priority, one.deadline_us, ticket) for ticket, one in self._waiting.items()]
+        order = [(-entry.priority, entry.deadline_us, ticket) for ticket, entry in self._waiting.items()]
         return [self._waiting.pop(ticket).item for _, _, ticket in heapq.nlargest(count, order)]
 
     def _compact(self) -> None:
-        """Drop the heap entries of requests that no longer wait."""
+        """Remove the heap entries of requests that no longer wait."""
         self._order = [entry for entry in self._order if entry[2] in self._waiting]
         self._deadlines = [entry for entry in self._deadlines if entry[1] in self._waiting]
         heapq.heapify(self._order)
--- a/thornshelf/retries/jitter.py
+++ b/thornshelf/retries/jitter.py
@@ -1,7 +1,7 @@
 """Jitter for Retry-After waits, so that clients rejected at the same moment do not all return at the same moment.
 
-Return times are handed out as evenly spaced slots, so that no more clients return per second than the fleet is known
-to accept. Nothing is delayed by this: the rejection is sent at once and only states the wait.
+Return times are assigned in evenly spaced slots, so that the number of clients that return per second is limited. The
+rejections themselves are not delayed; they only state the wait.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 @dataclass(frozen=True, slots=True)
 class JitterConfig:
-    """``returns_per_s``: clients that may return per second; ``max_wait_us``: the longest wait that is stated."""
+    """Limits: ``returns_per_s`` clients that return per second, and ``max_wait_us`` as the longest stated wait."""
 
     returns_per_s: int = 200
     max_wait_us: int = 3_000_000
 
 
 class RetryAfterJitter:
-    """Chooses the Retry-After wait of each rejected request."""
+    """Assigns a Retry-After wait to each rejected request."""
 
     def __init__(self, config: JitterConfig) -> None:
         self.config = config
-        self._next_slot_us = 0  # the earliest return time that is still free
-        self._overflow_phase = 0  # 0 or 1: half a slot is added in every second round
+        self._next_slot_us = 0  # the earliest free return time
+        self._overflow_phase = 0  # 0 or 1; with 1, return times are shifted by half a slot
 
     def retry_after_us(self, base_us: int, now_us: int, priority: int = 0) -> int:
-        """A wait in microseconds of at least ``base_us``, but never more than ``max_wait_us``.
+        """Return a wait in microseconds of at least ``base_us``, but never more than ``max_wait_us``.
 
-        When all slots up to the longest wait are taken, the same range is handed out again, shifted by half a slot
-        in every second round, so that the returns stay even. A priority above 0 gets the base wait.
+        When all slots up to the longest wait are taken, the same range is assigned again, shifted by half a slot in
+        every second round, so that returns stay evenly spread. A priority above 0 gets the base wait.
         """
         max_wait_us = max(self.config.max_wait_us, 0)
         if base_us >= max_wait_us:
