--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -1,4 +1,4 @@
-"""One suite over both wire forms: the events of each task at its client have to be the same."""
+"""Clients see the same events for each task, whichever wire formats the client and the nodes use."""
 
 from __future__ import annotations
 
@@ -9,23 +9,18 @@
 from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior
 from thornshelf.wire import placement_pb2 as pb
 
-FORMS = [(JSON, BINARY), (GRPC, GRPC), (JSON, GRPC), (GRPC, BINARY)]
+WIRE_FORMATS = [(JSON, BINARY), (GRPC, GRPC), (JSON, GRPC), (GRPC, BINARY)]
 PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
 ONCE_ONLY = "ledger-batch"
 
-# behaviour of the node, class, events at the client, and how many attempts the nodes received
+# behavior of the node, task class, events at the client, number of attempts that the nodes received
 CASES: list[tuple[NodeBehavior, str, list[tuple[Any, ...]], int]] = [
     (NodeBehavior.RUN, "lookup", [PLACED], 1),
     (NodeBehavior.RUN, ONCE_ONLY, [PLACED], 1),
     (NodeBehavior.END, "lookup", [PLACED, ("released", pb.ENDED)], 1),
     (NodeBehavior.EVICT, ONCE_ONLY, [PLACED, ("released", pb.RESET)], 1),
-    (
-        NodeBehavior.TWICE,
-        "lookup",
-        [PLACED],
-        1,
-    ),  # a second answer, and one for no attempt, are ignored
-    (NodeBehavior.STRAY, "lookup", [PLACED], 1),
+    (NodeBehavior.TWICE, "lookup", [PLACED], 1),  # a second answer is ignored
+    (NodeBehavior.STRAY, "lookup", [PLACED], 1),  # an answer without an attempt is ignored
     (NodeBehavior.FULL_TWICE, ONCE_ONLY, [REFUSED], 2),
     (NodeBehavior.FULL, "lookup", [REFUSED], 2),
     (NodeBehavior.FULL, ONCE_ONLY, [REFUSED], 2),
@@ -35,13 +30,13 @@
     (NodeBehavior.RESET, "lookup", [REFUSED], 2),
     (NodeBehavior.RESET, ONCE_ONLY, [FAILED], 1),
     (NodeBehavior.CUT, "lookup", [REFUSED], 2),
-    (NodeBehavior.CUT, ONCE_ONLY, [FAILED], 1),  # it may have run: never started twice
+    (NodeBehavior.CUT, ONCE_ONLY, [FAILED], 1),  # it may have run, so it is not started again
 ]
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 @pytest.mark.parametrize(("behavior", "task_class", "expected", "offers"), CASES)
-def test_outcomes_are_the_same_on_both_wires(
+def test_outcomes_are_the_same_for_all_wire_formats(
     front: str,
     node: str,
     behavior: NodeBehavior,
@@ -57,9 +52,9 @@
     assert first_events == expected
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 @pytest.mark.parametrize("task_class", ["lookup", ONCE_ONLY])
-def test_a_deadline_is_answered_in_time_and_the_attempt_cancelled(
+def test_a_request_is_answered_by_its_deadline_and_its_attempt_cancelled(
     front: str, node: str, task_class: str
 ) -> None:
     cluster = FakeCluster(front, node)
@@ -67,11 +62,11 @@
     cluster.client.ask(5, NodeBehavior.SILENT, task_class, left="250")
     assert cluster.wait_for_events(5) == [FAILED]
     assert cluster.loop.now - requested_us < 2_000_000
-    cluster.run_until(lambda: any(("release", 5) in one.seen for one in cluster.nodes))
+    cluster.run_until(lambda: any(("release", 5) in fake_node.seen for fake_node in cluster.nodes))
     assert cluster.offer_count(5) == 1
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_a_client_cancels_running_and_open_tasks(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     cluster.client.ask(5, NodeBehavior.RUN)
@@ -85,7 +80,7 @@
     assert cluster.client.heard == {5: [PLACED]}  # a client that ends a task gets no release
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_closing_a_connection_cancels_open_tasks_and_keeps_running_ones(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     cluster.client.ask(5, NodeBehavior.RUN)
@@ -93,20 +88,20 @@
     cluster.client.ask(6, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     cluster.client.stream.close()
-    cluster.run_until(lambda: any(("release", 6) in one.seen for one in cluster.nodes))
-    assert not any(("release", 5) in one.seen for one in cluster.nodes)
+    cluster.run_until(lambda: any(("release", 6) in fake_node.seen for fake_node in cluster.nodes))
+    assert not any(("release", 5) in fake_node.seen for fake_node in cluster.nodes)
     other = cluster.client = cluster.connect_client(front)
-    other.give_up(5)  # a running task belongs to no connection
-    cluster.run_until(lambda: any(("release", 5) in one.seen for one in cluster.nodes))
+    other.give_up(5)  # a running task can be cancelled on any connection
+    cluster.run_until(lambda: any(("release", 5) in fake_node.seen for fake_node in cluster.nodes))
 
 
 @pytest.mark.parametrize("node", [BINARY, GRPC])
-def test_one_client_mixes_both_forms(node: str) -> None:
+def test_one_client_uses_both_wire_formats(node: str) -> None:
     cluster = FakeCluster(JSON, node)
     lines, calls = cluster.client, cluster.connect_client(GRPC)
     lines.ask(5, NodeBehavior.RUN)
     cluster.run_until(lambda: 5 in lines.heard)
-    calls.ask(5, NodeBehavior.RUN)  # an id in use: its one answer was given in the other form
+    calls.ask(5, NodeBehavior.RUN)  # the id is in use, and its only answer was sent in the other format
     calls.ask(6, NodeBehavior.RUN)
     cluster.run_until(lambda: 6 in calls.heard)
     calls.give_up(5)
@@ -116,37 +111,37 @@
     cluster.run_until(lambda: 7 in lines.heard)
     lines.stream.close()
     cluster.run_for()
-    for one in cluster.nodes:
-        one.die()  # the release of 7 goes to the connection that the client still has
+    for fake_node in cluster.nodes:
+        fake_node.die()  # the release of 7 goes to the client's remaining connection
     cluster.run_until(lambda: 7 in calls.heard)
     assert lines.heard == {5: [PLACED], 7: [PLACED]}
     assert calls.heard == {5: [FAILED], 6: [PLACED], 7: [("released", pb.RESET)]}
     assert [cluster.offer_count(uid) for uid in (5, 6, 7)] == [1, 1, 1]
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_the_tasks_of_a_dead_node_are_released(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     cluster.wait_for_events(5)
-    for one in cluster.nodes:
-        one.die()
+    for fake_node in cluster.nodes:
+        fake_node.die()
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb.RESET)
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
-def test_a_broken_connection_alone_releases_nothing(front: str, node: str) -> None:
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
+def test_a_broken_node_connection_releases_no_task(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     cluster.wait_for_events(5)
-    holder = next(one for one in cluster.nodes if one.seen)
-    holder.break_streams()
-    cluster.run_until(lambda: len(holder.streams) == 2)  # it is connected to again, to receive the task's end
+    running_node = next(fake_node for fake_node in cluster.nodes if fake_node.seen)
+    running_node.break_streams()
+    cluster.run_until(lambda: len(running_node.streams) == 2)  # reconnected, to receive the end of the task
     cluster.run_for()
     assert cluster.client.heard[5] == [PLACED]
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_no_attempt_is_sent_to_a_draining_node(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     for index in (0, 1):
@@ -156,11 +151,11 @@
     assert cluster.offer_count(5) == 0
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
-def test_a_task_handed_over_is_not_answered_but_released(front: str, node: str) -> None:
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
+def test_a_handed_over_task_is_released_but_not_answered(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     cluster.client.ask(5, NodeBehavior.RUN, at="s-00000001")
-    cluster.run_until(lambda: bool(cluster.nodes[0].streams))  # to receive its end
+    cluster.run_until(lambda: bool(cluster.nodes[0].streams))  # connected, to receive the end of the task
     cluster.run_for()
     assert cluster.client.heard == {}
     assert cluster.offer_count(5) == 0
@@ -169,8 +164,8 @@
     assert cluster.client.heard[5][0][0] in ("released", "failed")
 
 
-@pytest.mark.parametrize(("front", "node"), FORMS)
-def test_bad_input_fails_its_message_alone(front: str, node: str) -> None:
+@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
+def test_an_invalid_request_fails_without_affecting_others(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
     cluster.client.ask(5, NodeBehavior.RUN, "no-such-class")
     cluster.client.ask(6, NodeBehavior.RUN, left="nan")
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""Nothing is sent for a client that has disconnected, wherever its request waits and whatever frees it."""
+"""No attempt is sent for a client that has cancelled or disconnected, wherever its request waits."""
 
 from __future__ import annotations
 
@@ -13,112 +13,112 @@
 from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior
 from thornshelf.loop import Loop, Stream, Wait
 from thornshelf.loop.loop import IN
-from thornshelf.loop.stream import connect as usual_connect
+from thornshelf.loop.stream import connect as original_connect
 from thornshelf.nodes import reconnect
 from thornshelf.placement import Outcome, TaskUpdateKind
 from thornshelf.wire import jsonl
 
 PLACED = ("placed", DESCRIPTION)
 WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
-LEAVES = pytest.mark.parametrize("leaves", ["closes", "resets", "gives up"])
+ABANDON_MODES = pytest.mark.parametrize("how", ["close", "reset", "cancel"])
 
 
-def leave(client: Any, how: str, uid: int = 5) -> None:
-    """How a client leaves that wants its task no more; the kernel has it before the next turn."""
-    if how == "gives up":
+def abandon_request(client: Any, how: str, uid: int = 5) -> None:
+    """Cancel a request, or close or reset its connection; the kernel has the data before the next turn."""
+    if how == "cancel":
         client.give_up(uid)
     client.stream.flush()
-    if how == "resets":
+    if how == "reset":
         client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
-    if how != "gives up":
+    if how != "cancel":
         client.stream.close()
 
 
-def fill_inbox(world: FakeCluster) -> None:
-    """Fill the inbox, so that what a client does next waits for a later turn."""
-    core = world.service.core
+def fill_inbox(cluster: FakeCluster) -> None:
+    """Fill the inbox, so that the next message of a client is processed in a later turn."""
+    core = cluster.service.core
     core.inbox.extend(TaskProgress(1, 0xFFFF + n, TaskUpdateKind.STARTED, 1.0) for n in range(600))
 
 
-def pending(world: FakeCluster) -> int:
-    return sum(len(node.pending) for node in world.service.core.endpoints.nodes.values())  # type: ignore[attr-defined,misc]
+def unsent_count(cluster: FakeCluster) -> int:
+    return sum(len(node.pending) for node in cluster.service.core.endpoints.nodes.values())  # type: ignore[attr-defined,misc]
 
 
 @WIRES
 @pytest.mark.parametrize(
-    ("leaves", "count"), [("closes", 1), ("closes", 100), ("resets", 1), ("resets", 100), ("gives up", 1)]
+    ("how", "count"), [("close", 1), ("close", 100), ("reset", 1), ("reset", 100), ("cancel", 1)]
 )
-def test_a_request_whose_client_has_left_before_it_is_read_is_not_forwarded(
-    front: str, node: str, leaves: str, count: int
+def test_a_request_abandoned_before_it_is_read_is_not_forwarded(
+    front: str, node: str, how: str, count: int
 ) -> None:
-    """Guards against an attempt in the turn whose poll reported the close: the end of data was read a turn later."""
-    world = FakeCluster(front, node)
-    world.run_until(lambda: all(one.streams for one in world.nodes))
-    world.run_for(20)
+    """Guards against an attempt in the turn whose poll reports the close, before the end of data is read."""
+    cluster = FakeCluster(front, node)
+    cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
+    cluster.run_for(20)
     for uid in range(5, 5 + count):
-        world.client.ask(uid, NodeBehavior.RUN)
-    world.client.stream.flush()
-    leave(world.client, leaves)
-    world.run_for(100)
-    assert sum(map(world.offer_count, range(5, 5 + count))) == 0
-    assert world.service.core.open_count == 0
+        cluster.client.ask(uid, NodeBehavior.RUN)
+    cluster.client.stream.flush()
+    abandon_request(cluster.client, how)
+    cluster.run_for(100)
+    assert sum(map(cluster.offer_count, range(5, 5 + count))) == 0
+    assert cluster.service.core.open_count == 0
 
 
 @WIRES
-@LEAVES
+@ABANDON_MODES
 @pytest.mark.parametrize("crowded", [False, True])
-def test_what_waits_for_a_connection_is_not_sent_once_its_client_has_left(
-    front: str, node: str, leaves: str, crowded: bool, monkeypatch: pytest.MonkeyPatch
+def test_an_attempt_waiting_for_a_connection_is_not_sent_once_abandoned(
+    front: str, node: str, how: str, crowded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The connection is established in the very turn in which the client leaves."""
-    up = False
+    """The connection to the node is established in the same turn in which the client disconnects."""
+    can_connect = False
 
-    def slow(*arguments: Any) -> Generator[Wait, int, Stream | int]:
-        while not up:
+    def delayed_connect(*arguments: Any) -> Generator[Wait, int, Stream | int]:
+        while not can_connect:
             yield Wait(until=arguments[0].now + 1000)
-        return (yield from usual_connect(*arguments))
-
-    monkeypatch.setattr(reconnect, "connect", slow)
-    world = FakeCluster(front, node)
-    world.client.ask(5, NodeBehavior.RUN)
-    world.run_until(lambda: pending(world) == 1)
-    up = True
-    leave(world.client, leaves)
+        return (yield from original_connect(*arguments))
+
+    monkeypatch.setattr(reconnect, "connect", delayed_connect)
+    cluster = FakeCluster(front, node)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.run_until(lambda: unsent_count(cluster) == 1)
+    can_connect = True
+    abandon_request(cluster.client, how)
     if crowded:
-        fill_inbox(world)
-    world.run_until(lambda: all(one.streams for one in world.nodes))
-    world.run_for(100)
-    assert world.offer_count(5) == 0
-    assert world.service.core.open_count == 0
+        fill_inbox(cluster)
+    cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
+    cluster.run_for(100)
+    assert cluster.offer_count(5) == 0
+    assert cluster.service.core.open_count == 0
 
 
 @WIRES
-@LEAVES
-def test_a_rejected_request_is_not_sent_elsewhere_once_its_client_has_left(
-    front: str, node: str, leaves: str
+@ABANDON_MODES
+def test_a_rejected_attempt_is_not_retried_once_its_request_is_abandoned(
+    front: str, node: str, how: str
 ) -> None:
-    """The rejection is processed first, and the client's disconnect waits behind a full inbox."""
-    world = FakeCluster(front, node)
-    world.run_until(lambda: all(one.streams for one in world.nodes))
-    world.client.ask(5, NodeBehavior.SILENT)
-    world.run_until(lambda: world.offer_count(5) == 1)
-    core = world.service.core
+    """The rejection is processed first, while the disconnect of the client waits behind a full inbox."""
+    cluster = FakeCluster(front, node)
+    cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
+    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    core = cluster.service.core
     machine = core.tasks_by_uid[5].attempt.machine  # type: ignore[union-attr]
     core.inbox.append(TaskFinished(machine, 5, Outcome.REFUSED))
-    fill_inbox(world)
-    leave(world.client, leaves)
-    world.run_for(100)
-    assert world.offer_count(5) == 1
+    fill_inbox(cluster)
+    abandon_request(cluster.client, how)
+    cluster.run_for(100)
+    assert cluster.offer_count(5) == 1
     assert core.open_count == 0
     assert not core.tasks_by_uid
 
 
-def test_a_request_that_waits_its_turn_is_dropped_with_its_client() -> None:
+def test_a_queued_request_is_dropped_when_its_client_disconnects() -> None:
     rig = Rig()
     rig.core.is_endpoint_list_stale = lambda: True
     rig.submit(1, 20)
     rig.loop.turn(True)
-    rig.client.is_disconnected = True  # and no inbox item has reported it yet
+    rig.client.is_disconnected = True  # not yet reported by an inbox item
     rig.core.is_endpoint_list_stale = None
     rig.run_until_idle()
     assert not rig.attempts
@@ -128,8 +128,8 @@
     assert not rig.core.placer.requests
 
 
-def test_what_is_unwritten_can_be_withdrawn_in_the_turn_that_frees_capacity() -> None:
-    """Guards against a byte that is written before all that was read in the same turn is processed."""
+def test_unwritten_data_can_be_withdrawn_in_the_turn_that_frees_capacity() -> None:
+    """Guards against writing data before everything that was read in the same turn is processed."""
     loop = Loop()
     ours, theirs = socket.socketpair()
     stream = Stream(loop, ours, "peer")
@@ -166,31 +166,31 @@
     loop.close()
 
 
-def test_a_task_that_is_handed_over_by_a_client_that_closes_is_adopted() -> None:
-    """It wants no answer, and its release goes to a client that is connected."""
-    world = FakeCluster()
-    other = world.connect_client(JSON)
+def test_a_task_handed_over_by_a_client_that_disconnects_is_adopted() -> None:
+    """A handed-over task gets no answer, and its release goes to a connected client."""
+    cluster = FakeCluster()
+    other = cluster.connect_client(JSON)
     other.ask(6, NodeBehavior.RUN)
-    world.run_until(lambda: 6 in other.heard)
-    world.client.ask(5, NodeBehavior.RUN, at="s-00000001")
-    leave(world.client, "closes")
-    world.run_until(lambda: 5 in world.service.core.tasks_by_uid)
-    world.service.core.inbox.append(TaskFinished(1, 5, Outcome.OK))
-    world.run_until(lambda: 5 in other.heard)
+    cluster.run_until(lambda: 6 in other.heard)
+    cluster.client.ask(5, NodeBehavior.RUN, at="s-00000001")
+    abandon_request(cluster.client, "close")
+    cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid)
+    cluster.service.core.inbox.append(TaskFinished(1, 5, Outcome.OK))
+    cluster.run_until(lambda: 5 in other.heard)
 
 
 @WIRES
-def test_a_release_that_crosses_its_client_s_close_goes_to_another_connection(front: str, node: str) -> None:
-    """Guards against a lost release: the end is processed first, and the client disconnects before it is sent."""
-    world = FakeCluster(front, node)
-    other = world.connect_client(front)
-    for client, uid in ((world.client, 5), (other, 6)):
+def test_a_release_goes_to_another_connection_if_its_client_is_disconnecting(front: str, node: str) -> None:
+    """Guards against a lost release: its client disconnects after the end is processed and before it is sent."""
+    cluster = FakeCluster(front, node)
+    other = cluster.connect_client(front)
+    for client, uid in ((cluster.client, 5), (other, 6)):
         client.ask(uid, NodeBehavior.RUN)
-        world.run_until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
-    core = world.service.core
+        cluster.run_until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
+    core = cluster.service.core
     core.inbox.append(TaskFinished(core.tasks_by_uid[5].machine, 5, Outcome.OK))
-    leave(world.client, "closes")
-    world.run_until(lambda: 5 in other.heard)
+    abandon_request(cluster.client, "close")
+    cluster.run_until(lambda: 5 in other.heard)
 
 
 def record_peer_close(loop: Loop, sock: socket.socket) -> list[int]:
@@ -199,8 +199,10 @@
     return reported
 
 
-@pytest.mark.parametrize("close", [lambda one: one.close(), lambda one: one.shutdown(socket.SHUT_WR)])
-def test_a_close_is_reported_once_before_anything_is_read(close: Callable[[socket.socket], None]) -> None:
+@pytest.mark.parametrize("close", [lambda sock: sock.close(), lambda sock: sock.shutdown(socket.SHUT_WR)])
+def test_a_peer_close_is_reported_once_before_anything_is_read(
+    close: Callable[[socket.socket], None],
+) -> None:
     loop = Loop()
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
@@ -225,7 +227,7 @@
 
 
 def request_line(uid: int, at: str = "") -> bytes:
-    """The line of a request; with ``at`` of a task that runs already and wants no answer."""
+    """Encode a request; with ``at``, its task already runs and gets no answer."""
     meta = {
         "class": "lookup",
         "left": "8000",
@@ -237,33 +239,33 @@
     return jsonl.encode_line("launch", uid, meta, body=b"v=0\r\n")
 
 
-def test_what_a_closed_client_asked_for_is_not_parsed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a flood that closes after hundreds of requests: each took 70 us, for an answer to nobody.
+def test_requests_of_a_closed_connection_are_not_parsed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against parsing hundreds of requests of a closed connection, whose answers nobody would get.
 
-    What wants no answer is processed all the same: a running task, and the cancellation of another.
+    Messages without an answer are still processed: a running task and the cancellation of another one.
     """
-    world = FakeCluster()
-    parsed, usual = list[bytes](), jsonl.parse_line
+    cluster = FakeCluster()
+    parsed, original = list[bytes](), jsonl.parse_line
 
-    def counted(text: bytes) -> jsonl.Line:
+    def record_and_parse(text: bytes) -> jsonl.Line:
         parsed.append(text)
-        return usual(text)
+        return original(text)
 
-    monkeypatch.setattr(jsonl, "parse_line", counted)
-    world.client.ask(3, NodeBehavior.RUN)
-    world.wait_for_events(3)
+    monkeypatch.setattr(jsonl, "parse_line", record_and_parse)
+    cluster.client.ask(3, NodeBehavior.RUN)
+    cluster.wait_for_events(3)
     parsed.clear()
     lines = [request_line(uid) for uid in range(100, 300)]
     lines[150:150] = [request_line(5, ";at:s-00000001"), jsonl.encode_line("stop", 3, reason=16)]
-    world.client.send(b"".join(lines))
-    leave(world.client, "closes")
-    world.run_until(lambda: [task.request.uid for task in world.service.core.all_tasks()] == [5])
+    cluster.client.send(b"".join(lines))
+    abandon_request(cluster.client, "close")
+    cluster.run_until(lambda: [task.request.uid for task in cluster.service.core.all_tasks()] == [5])
     assert len(parsed) == 2
-    assert not any(kind == "offer" and uid >= 100 for node in world.nodes for kind, uid in node.seen)
+    assert not any(kind == "offer" and uid >= 100 for node in cluster.nodes for kind, uid in node.seen)
 
 
 @pytest.mark.parametrize(
-    ("line", "sure"),
+    ("line", "skipped"),
     [
         (request_line(5), True),
         (request_line(5).replace(b'":"', b'" : "'), True),
@@ -275,6 +277,6 @@
     ],
     ids=["request", "with spaces", "with at", "escaped", "another kind", "quoted in a body", "check"],
 )
-def test_only_a_line_that_surely_wants_an_answer_is_skipped(line: bytes, sure: bool) -> None:
-    """All else is parsed, whatever it holds."""
-    assert jsonl.is_plain_launch(line) is sure
+def test_only_lines_that_certainly_are_plain_requests_are_skipped(line: bytes, skipped: bool) -> None:
+    """All other lines are parsed, whatever they contain."""
+    assert jsonl.is_plain_launch(line) is skipped
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The platform's frontend and nodes on loopback: what only they have, and the ordinary events of sockets."""
+"""The JSON lines frontend and binary nodes over loopback sockets, with ordinary socket failures."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def raw(cluster: FakeCluster) -> socket.socket:
-    """A blocking client socket."""
+    """Connect a blocking client socket."""
     sock = socket.create_connection(cluster.service.json_frontend.listener.address)
     sock.settimeout(5.0)
     return sock
@@ -36,7 +36,7 @@
     return json.dumps(value).encode() + b"\n"
 
 
-def test_a_test_is_passed() -> None:
+def test_a_health_check_of_the_frontend_is_answered() -> None:
     cluster = FakeCluster()
     cluster.client.send(b'{"kind":"check","uid":"0000000000000001","meta":{},"reason":0}\n')
     assert cluster.wait_for_events(1) == [("checked", 1)]
@@ -53,7 +53,7 @@
     assert [entry[1] for entry in cluster.logged] == ["bad-line"]
 
 
-def test_an_endless_line_closes_its_connection_alone() -> None:
+def test_an_oversized_line_closes_only_its_own_connection() -> None:
     cluster = FakeCluster()
     other = cluster.connect_client(JSON)
     cluster.client.send(b"x" * (jsonl.MAX_MESSAGE + 1))
@@ -80,7 +80,7 @@
 
 
 def test_a_full_descriptor_table_closes_an_idle_connection_and_keeps_busy_ones() -> None:
-    """Guards against running out of descriptors: idle clients are evicted, those with open requests are not."""
+    """Guards against running out of descriptors: idle clients are evicted, clients with open requests are not."""
     cluster = FakeCluster()
     cluster.client.ask(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
@@ -96,7 +96,7 @@
     assert budget.client_count == 2
 
 
-def test_a_new_node_at_the_address_of_a_removed_one() -> None:
+def test_a_new_node_may_reuse_the_address_of_a_removed_one() -> None:
     cluster = FakeCluster(nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
@@ -109,7 +109,7 @@
 
 
 def test_the_tasks_of_a_restarted_process_are_released() -> None:
-    """The list shows a later start under the same name: the tasks there have ended."""
+    """The endpoint list has a later start time for the same name, so earlier tasks there have ended."""
     cluster = FakeCluster(nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     cluster.wait_for_events(5)
@@ -119,8 +119,8 @@
     assert cluster.wait_for_events(5, 2)[1][0] == "released"
 
 
-def test_a_node_is_connected_to_before_it_has_a_task() -> None:
-    """What it reports of tasks that are handed over goes to an open connection, and else is lost."""
+def test_nodes_are_connected_before_they_have_a_task() -> None:
+    """Guards against lost reports about handed-over tasks, which a node sends only on an open connection."""
     cluster = FakeCluster(nodes=1)
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))
     cluster.client.ask(5, NodeBehavior.RUN, at="s-00000001")
@@ -138,22 +138,22 @@
 @pytest.mark.parametrize(
     ("described", "events"), [(True, [PLACED, ("released", pb.ENDED)]), (False, [FAILED])]
 )
-def test_a_task_whose_time_is_over_as_it_starts(described: bool, events: list[tuple[Any, ...]]) -> None:
-    """The node's release with cause 16 is answer and end in one, if it has a description; else a reset."""
+def test_a_task_that_ends_as_it_starts(described: bool, events: list[tuple[Any, ...]]) -> None:
+    """A release with cause 16 is both answer and end if it has a description, and otherwise a reset."""
     cluster = FakeCluster()
     cluster.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     values = {binary.CAUSE: b"\x10", binary.REPORT: b"x0:3;x1:4"}
     if described:
         values[binary.DESCRIPTION] = DESCRIPTION
-    holder = next(one for one in cluster.nodes if one.seen)
-    holder.streams[0].send(binary.encode(binary.RELEASE, 5, values))
+    node = next(node for node in cluster.nodes if node.seen)
+    node.streams[0].send(binary.encode(binary.RELEASE, 5, values))
     assert cluster.wait_for_events(5, len(events)) == events
     assert cluster.offer_count(5) == 1
 
 
-def test_a_lack_of_own_descriptors_proves_nothing_of_a_node(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against releasing what still runs: only a refused connect proves a process dead."""
+def test_descriptor_exhaustion_does_not_count_as_a_dead_node(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against releasing running tasks: only a refused connection proves that a process is dead."""
     cluster = FakeCluster(nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     cluster.wait_for_events(5)
@@ -169,13 +169,12 @@
     cluster.run_until(lambda: len(cluster.nodes[0].streams) == 2)
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_a_task_never_ran_if_the_node_refuses_the_connection() -> None:
     cluster = FakeCluster(nodes=1)
     cluster.nodes[0].die()
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-    assert cluster.wait_for_events(5) == [
-        REFUSED
-    ]  # a task that must not run twice may be rejected only where it never ran
+    # A task that must not run twice may only be rejected if it never ran.
+    assert cluster.wait_for_events(5) == [REFUSED]
 
 
 def test_delayed_answers_and_answers_for_unknown_tasks_are_ignored() -> None:
@@ -209,7 +208,7 @@
     cluster.update_lifecycle(0, "terminated")
     cluster.run_for(10)
     returned = cluster.connect_client(JSON)
-    # a client that never got the answer reads the release's cause as a rejection or failure
+    # A client that never got the answer interprets the cause of the release as a rejection or failure.
     cluster.run_until(lambda: 5 in returned.heard)
 
 
@@ -231,10 +230,10 @@
     core.apply_action(api.Migrate(core.tasks_by_uid[5].number))
     cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen and 5 not in core.tasks_by_uid)
     cluster.run_for(10)
-    assert cluster.client.heard[5] == [PLACED]  # the migration itself is no answer or release
+    assert cluster.client.heard[5] == [PLACED]  # a migration is neither an answer nor a release
 
 
-def test_one_attempt_is_in_flight_whatever_the_placement_module_requests() -> None:
+def test_at_most_one_attempt_is_in_flight_whatever_the_placer_requests() -> None:
     cluster = FakeCluster()
     cluster.client.ask(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
@@ -245,12 +244,12 @@
     assert cluster.offer_count(5) == 1
 
 
-def test_an_exception_in_the_placement_module_ends_neither_the_process_nor_the_answer(
+def test_an_exception_in_the_placer_ends_neither_the_process_nor_other_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     cluster = FakeCluster()
     core = cluster.service.core
-    usual = core.placer.handle
+    original_handle = core.placer.handle
 
     def fault(now: float, events: Any) -> Any:
         core.placer.actions.clear()
@@ -259,14 +258,14 @@
     monkeypatch.setattr(core.placer, "handle", fault)
     cluster.client.ask(5, NodeBehavior.RUN, left="100")
     assert cluster.wait_for_events(5) == [FAILED]
-    monkeypatch.setattr(core.placer, "handle", usual)
+    monkeypatch.setattr(core.placer, "handle", original_handle)
     cluster.client.ask(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
     assert {"placement-failed", "deadline-exceeded"} <= {entry[1] for entry in cluster.logged}
 
 
 def test_a_task_that_starts_for_a_closed_connection_is_cancelled() -> None:
-    """Guards against a running task that no client knows of: its client would request it again and start it twice."""
+    """Guards against a running task unknown to any client, which its client would request and start again."""
     cluster = FakeCluster(nodes=1)
     cluster.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
@@ -277,7 +276,7 @@
     assert cluster.client.heard == {}
 
 
-def test_no_more_open_requests_than_the_settings_allow() -> None:
+def test_open_requests_beyond_the_limit_are_rejected() -> None:
     cluster = FakeCluster()
     core = cluster.service.core
     core.settings = replace(core.settings, limits=replace(core.settings.limits, max_open_requests=1))
@@ -286,18 +285,18 @@
     assert cluster.wait_for_events(6) == [("refused", None)]
 
 
-def test_sigterm_with_open_requests_answers_them_first() -> None:
+def test_shutdown_answers_open_requests_first() -> None:
     cluster = FakeCluster()
     cluster.client.ask(5, NodeBehavior.SILENT, left="1200")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.service.shut_down()
-    cluster.loop.run()  # ends by itself, within the longest deadline
+    cluster.loop.run()  # returns within the longest deadline
     assert cluster.service.core.open_count == 0
     assert cluster.service.core.counters["failed"] == 1
 
 
-class SlowLink(NodeLink):
-    """A connection on which nothing was sent yet."""
+class UnsentLink(NodeLink):
+    """A connection whose attempts with even ids are still unsent."""
 
     def send_attempt(self, attempt: Attempt) -> None:
         pass
@@ -310,14 +309,14 @@
 
 
 def test_attempts_buffered_for_a_draining_node_are_withdrawn() -> None:
-    """Drains are measured to the first byte sent."""
+    """A draining node must not receive the first byte of a new attempt."""
     cluster = FakeCluster(nodes=1)
     core = cluster.service.core
     cluster.run_for(5)
     node: Any = core.endpoints.nodes[1]
     ours, theirs = socket.socketpair(socket.AF_UNIX)
     with theirs:
-        node.link = SlowLink(node, Stream(cluster.loop, ours, "node"))
+        node.link = UnsentLink(node, Stream(cluster.loop, ours, "node"))
         for uid in (4, 5):
             node.send_attempt(
                 Attempt(uid, 0, "lookup", uid, b"", cluster.loop.now, cluster.loop.now + 10**7, 1)
@@ -327,7 +326,7 @@
     ours.close()
 
 
-def test_the_records_of_releases_and_attempts_stay_bounded() -> None:
+def test_state_of_finished_tasks_is_bounded() -> None:
     cluster = FakeCluster(nodes=1)
     for uid in range(1, 100):
         cluster.client.ask(uid, NodeBehavior.END)
@@ -347,9 +346,8 @@
     index = next(i for i, node in enumerate(cluster.nodes) if node.offers(5))
     old = cluster.nodes[index].streams[0]
     at_ms = time.time_ns() // 1_000_000 + 1
-    cluster.update_endpoint(
-        cluster.endpoint(index, started=at_ms - 3_600_000)
-    )  # the one that it is connected to
+    # A start time before the connection was made: still the same process.
+    cluster.update_endpoint(cluster.endpoint(index, started=at_ms - 3_600_000))
     cluster.run_for(10)
     assert cluster.offer_count(5) == 1
     assert old.open
@@ -361,18 +359,18 @@
 def test_an_attempt_is_cancelled_before_its_task_is_retried_elsewhere(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against two copies at once: two tasks that time out in one turn change places."""
+    """Guards against two copies at once when two tasks that time out in one turn swap nodes."""
     cluster = FakeCluster()
     core, written = cluster.service.core, list[tuple[int, int, int]]()
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
-    usual = Stream._write
+    original_write = Stream._write
 
     def write(stream: Stream) -> bool:
         reader = binary.MessageReader()
         reader.feed(b"".join(chunk.data for chunk in stream._out if stream.peer.endswith(ports)))
         while (message := reader.next()) is not None:
             written.append((int(stream.peer.rpartition(":")[2]), message.type, message.uid))
-        return usual(stream)
+        return original_write(stream)
 
     def handle(now: float, events: Any) -> list[api.Action]:
         offers: list[api.Action] = []
@@ -392,7 +390,7 @@
     monkeypatch.setattr(Stream, "_write", write)
     cluster.client.ask(5, NodeBehavior.SILENT)
     cluster.client.ask(6, NodeBehavior.SILENT)
-    cluster.run_until(lambda: all(len(one.seen) >= 3 for one in cluster.nodes))
+    cluster.run_until(lambda: all(len(node.seen) >= 3 for node in cluster.nodes))
     here, there = (node.port for node in cluster.nodes)
     for uid, first, second in ((5, here, there), (6, there, here)):
         cancelled, retried = (first, binary.RELEASE, uid), (second, binary.SET_UP, uid)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retry budgets, jitter of Retry-After waits and the queue of requests, with time as a value."""
+"""Retry budgets, Retry-After jitter and the deadline queue, with times passed as values."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from thornshelf.retries.jitter import JitterConfig, RetryAfterJitter
 
 SERVICES = 4
-SMALL = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=0, capacity_milli=3_000)
-WIDE = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=0, capacity_milli=1_000_000)
-FIXED = settings(derandomize=True, max_examples=100, deadline=None)
+SMALL_BUDGET = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=0, capacity_milli=3_000)
+LARGE_BUDGET = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=0, capacity_milli=1_000_000)
+DETERMINISTIC = settings(derandomize=True, max_examples=100, deadline=None)
 
 
 @pytest.fixture
 def budget() -> RetryBudget:
-    """A small budget per service, and one of the fleet that never limits."""
-    return RetryBudget(SMALL, WIDE)
+    """A small budget per service, and a fleet budget that is never exhausted."""
+    return RetryBudget(SMALL_BUDGET, LARGE_BUDGET)
 
 
-def test_a_service_has_its_fraction_of_retries_and_no_more(budget: RetryBudget) -> None:
+def test_retries_of_a_service_are_limited_to_a_fraction_of_first_attempts(budget: RetryBudget) -> None:
     assert [budget.try_spend(7, 0) for _ in range(4)] == [True, True, True, False]
     assert budget.try_spend(8, 0)  # another service has its own budget
     for _ in range(5):
@@ -31,8 +31,8 @@
     assert budget.denied == 2
 
 
-def test_the_budget_of_the_fleet_limits_all_services_together() -> None:
-    budget = RetryBudget(WIDE, SMALL)
+def test_fleet_budget_limits_all_services_together() -> None:
+    budget = RetryBudget(LARGE_BUDGET, SMALL_BUDGET)
     assert sum(budget.try_spend(service, 0) for service in range(100)) == 3
 
 
@@ -41,8 +41,8 @@
     assert not budget.try_spend(7, 0)
 
 
-def test_time_earns_tokens_and_a_jump_of_the_clock_earns_no_burst() -> None:
-    budget = RetryBudget(RetryBudgetConfig(0, 500, 2_000), WIDE)
+def test_a_clock_jump_earns_no_more_than_the_capacity() -> None:
+    budget = RetryBudget(RetryBudgetConfig(0, 500, 2_000), LARGE_BUDGET)
     while budget.try_spend(7, 0):
         pass
     assert not budget.try_spend(7, 1_999_999)
@@ -52,19 +52,19 @@
 
 
 def test_the_number_of_services_is_bounded() -> None:
-    budget = RetryBudget(SMALL, WIDE, max_services=10)
+    budget = RetryBudget(SMALL_BUDGET, LARGE_BUDGET, max_services=10)
     for service in range(1000):
         budget.record_first_attempt(service, 0)
     assert len(budget) == 10
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.lists(st.tuples(st.integers(0, SERVICES - 1), st.integers(0, 400_000), st.booleans()), max_size=200)
 )
 def test_no_more_retries_than_were_earned(steps: list[tuple[int, int, bool]]) -> None:
     config = RetryBudgetConfig(earned_per_attempt_milli=200, earned_per_s_milli=1_000, capacity_milli=5_000)
-    budget = RetryBudget(config, WIDE)
+    budget = RetryBudget(config, LARGE_BUDGET)
     now_us = 0
     first_attempts = [0] * SERVICES
     retries = [0] * SERVICES
@@ -79,22 +79,22 @@
         assert retries[service] <= 5 + first_attempts[service] * 0.2 + now_us / 1e6
 
 
-def test_waits_spread_a_crowd_over_the_longest_wait() -> None:
+def test_waits_of_simultaneous_rejections_are_spread_up_to_the_longest_wait() -> None:
     jitter = RetryAfterJitter(JitterConfig(returns_per_s=100, max_wait_us=3_000_000))
     waits = [jitter.retry_after_us(1_000_000, 0) for _ in range(200)]
     assert min(waits) == 1_000_000
     assert max(waits) <= 3_000_000
     assert len(set(waits)) == 200
-    most = max(
+    most_per_window = max(
         sum(start <= wait < start + 100_000 for wait in waits) for start in range(0, 3_000_000, 50_000)
     )
-    assert most <= 11
+    assert most_per_window <= 11
     crowd = [jitter.retry_after_us(1_000_000, 0) for _ in range(1000)]
     assert all(1_000_000 <= wait <= 3_000_000 for wait in crowd)
     assert jitter.retry_after_us(1_000_000, 0, priority=1) == 1_000_000
     assert jitter.retry_after_us(5_000_000, 0) == 3_000_000
     later_us = 20_000_000
-    assert jitter.retry_after_us(1_000_000, later_us) == 1_000_000  # an idle time leaves no trace
+    assert jitter.retry_after_us(1_000_000, later_us) == 1_000_000  # all assigned slots have passed
 
 
 def test_requests_are_taken_by_priority_and_then_by_deadline() -> None:
@@ -110,7 +110,7 @@
     assert queue.pop_batch() == []
 
 
-def test_a_request_that_can_not_start_in_time_expires_at_once() -> None:
+def test_a_request_that_cannot_start_in_time_expires_at_once() -> None:
     queue = DeadlineQueue[int](DeadlineQueueConfig(batch_size=1, min_remaining_us=10, max_waiting=3))
     for number, deadline_us in enumerate((100, 300, 200)):
         queue.put(number, 0, deadline_us)
@@ -129,9 +129,9 @@
     assert queue.pop_batch() == ["a", "b"]
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 1000), st.booleans()), max_size=150))
-def test_the_queue_against_a_sorted_list(steps: list[tuple[int, int, bool]]) -> None:
+def test_the_queue_order_matches_a_sorted_list(steps: list[tuple[int, int, bool]]) -> None:
     queue = DeadlineQueue[int](DeadlineQueueConfig(batch_size=3, min_remaining_us=0))
     model = dict[int, tuple[int, int, int]]()
     for number, (priority, deadline_us, removed) in enumerate(steps):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Turns are bounded, however much comes at once: the endpoint list, then what has happened, then some requests."""
+"""Turns do a bounded amount of work in a fixed order, however much work is pending."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 from thornshelf.placement import Health, Outcome
 
 NODES = 1024
-TERMS = settings(SAFE, placers=1024, fleet=0.2, retry_after=True, max_retry_after_s=3.0)
+SETTINGS = settings(SAFE, placers=1024, fleet=0.2, retry_after=True, max_retry_after_s=3.0)
 
 
 class Clock:
-    """Time that goes on only where work is done."""
+    """A clock that the tests advance by hand."""
 
     def __init__(self) -> None:
         self.ns = 5_000_000_000
@@ -43,7 +43,7 @@
 
 
 class RecordingClient:
-    """Records the answers that it is sent."""
+    """Records the answers that are sent to it."""
 
     is_connected, accepts_any_release, wire_form, peer = True, True, None, "127.0.0.1"
 
@@ -68,7 +68,7 @@
 
 
 class FakeNode:
-    """Starts each task at once, or does not answer; fails the test on an attempt while it drains."""
+    """Starts each task at once, or never answers; fails the test if it gets an attempt while draining."""
 
     def __init__(self, machine: int, rig: Rig) -> None:
         self.machine, self.rig, self.draining = machine, rig, False
@@ -98,9 +98,9 @@
 
 
 class Rig:
-    """A dispatcher with fake nodes, on a clock that moves by ``cost_us`` for each request that is placed.
+    """A dispatcher with fake nodes, on a clock that advances by ``cost_us`` for each placed request.
 
-    ``unresponsive``: the nodes don't answer.
+    With ``unresponsive``, the nodes don't answer attempts.
     """
 
     def __init__(self, cost_us: int = 0, unresponsive: bool = False) -> None:
@@ -112,15 +112,15 @@
         def make_node(machine: int, entry: NodeEndpoint, core: Dispatcher) -> Any:
             return FakeNode(machine, self)
 
-        self.core = Dispatcher(self.loop, TERMS, 1, make_node, lambda *_: None)
+        self.core = Dispatcher(self.loop, SETTINGS, 1, make_node, lambda *_: None)
         self.handled: list[int] = []
-        usual = self.core.placer.handle
+        original_handle = self.core.placer.handle
 
         def handle(now: float, events: Any) -> Any:
-            requests = sum(isinstance(one, api.PlacementRequest) for one in events)
+            requests = sum(isinstance(event, api.PlacementRequest) for event in events)
             self.handled.append(requests)
             self.clock.ns += requests * cost_us * 1000
-            return usual(now, events)
+            return original_handle(now, events)
 
         self.core.placer.handle = handle  # type: ignore[method-assign]
         self.core.update_endpoints(EndpointListUpdate(True, 1, entries()))
@@ -134,13 +134,13 @@
             self.core.inbox.append(request)
 
     def run_until_idle(self) -> None:
-        """Turn the loop until no work is left."""
+        """Run turns until no work is left."""
         while self.loop.turn(True):
             pass
 
 
-def test_a_turn_places_no_more_requests_than_it_has_time_for() -> None:
-    """Guards against turns of seconds after a mass resubmission: every answer of that time came too late."""
+def test_placement_time_per_turn_is_limited() -> None:
+    """Guards against turns of several seconds after a mass resubmission, during which all answers are late."""
     rig = Rig(cost_us=1000)
     rig.submit(1, 3000)
     longest = 0
@@ -149,25 +149,25 @@
         if not rig.loop.turn(True):
             break
         longest = max(longest, sum(rig.handled[before:]))
-    assert 0 < longest <= 25  # of 1 ms each
+    assert 0 < longest <= 25  # each takes 1 ms
     assert sorted(uid for _, uid, _ in rig.client.answers) == list(range(1, 3001))
     assert "failed" not in {answer for answer, _, _ in rig.client.answers}
 
 
-def test_a_drain_takes_effect_in_the_next_turn_however_much_waits() -> None:
+def test_a_drain_takes_effect_in_the_next_turn_despite_waiting_requests() -> None:
     rig = Rig(cost_us=1000)
     rig.submit(1, 4000)
     rig.loop.turn(True)
     rig.core.update_endpoints(EndpointListUpdate(False, 2, entries(Health.DRAINING, range(NODES // 2))))
     attempts_so_far = len(rig.attempts)
-    while rig.loop.turn(True):  # the nodes fail the test on an attempt while they drain
+    while rig.loop.turn(True):  # the nodes fail the test if they get an attempt while draining
         pass
     assert len(rig.attempts) > attempts_so_far
     assert min(rig.attempts[attempts_so_far:]) > NODES // 2
 
 
-def test_nothing_is_sent_by_an_endpoint_list_that_may_be_stale() -> None:
-    """Guards against attempts at nodes that began to drain while the process was starting."""
+def test_no_attempt_is_sent_while_the_endpoint_list_may_be_stale() -> None:
+    """Guards against attempts at nodes that began to drain during startup."""
     rig = Rig()
     stale = True
     rig.core.is_endpoint_list_stale = lambda: stale
@@ -182,7 +182,7 @@
     assert min(rig.attempts) > NODES // 2
 
 
-def test_a_silent_endpoint_source_delays_requests_for_a_moment_only() -> None:
+def test_a_missing_endpoint_list_update_delays_requests_only_briefly() -> None:
     rig = Rig()
     rig.core.is_endpoint_list_stale = lambda: True
     rig.submit(1, 20)
@@ -193,7 +193,7 @@
     assert len(rig.attempts) == 20
 
 
-def test_what_cannot_be_placed_in_its_time_is_rejected_while_there_is_time() -> None:
+def test_requests_that_cannot_be_placed_in_time_are_rejected_before_their_deadline() -> None:
     rig = Rig(cost_us=20_000)
     rig.submit(1, 2000)
     rig.run_until_idle()
@@ -208,19 +208,19 @@
     rig.submit(1, 200, left_us=6_000_000)
     rig.submit(1000, 5, left_us=1_000_000)
     placed: list[int] = []
-    usual = rig.core.placer.handle
+    original_handle = rig.core.placer.handle
 
     def handle(now: float, events: Any) -> Any:
-        placed.extend(one.task for one in events if isinstance(one, api.PlacementRequest))
-        return usual(now, events)
+        placed.extend(event.task for event in events if isinstance(event, api.PlacementRequest))
+        return original_handle(now, events)
 
     rig.core.placer.handle = handle  # type: ignore[method-assign]
     rig.run_until_idle()
     assert set(placed[:5]) == set(range(1000, 1005))
 
 
-def test_tasks_whose_attempts_end_together_are_placed_anew_by_slices() -> None:
-    """Guards against one turn that places anew all attempts that were in flight in a zone which is lost."""
+def test_ended_attempts_are_retried_a_few_per_turn() -> None:
+    """Guards against a turn that retries all attempts of a lost zone at once."""
     rig = Rig(unresponsive=True)
     rig.submit(1, 600)
     rig.run_until_idle()
@@ -235,8 +235,8 @@
         assert len(rig.attempts) - before <= 16
 
 
-def test_an_answer_counts_that_arrives_in_the_turn_in_which_the_attempt_timed_out() -> None:
-    """Guards against a second copy: nothing is in flight at the node any more that could be withdrawn."""
+def test_an_answer_in_the_turn_of_the_attempt_timeout_is_accepted() -> None:
+    """Guards against a second copy: the node has started the task, so the attempt can't be withdrawn."""
     rig = Rig(unresponsive=True)
     rig.submit(1, 1)
     rig.run_until_idle()
@@ -250,8 +250,8 @@
     assert len(rig.attempts) == 1
 
 
-def test_a_release_does_not_wait_behind_tasks_that_are_placed_anew() -> None:
-    """Guards against releases later than 1 s where a zone is lost: they waited for 16 ended attempts a turn."""
+def test_a_release_does_not_wait_behind_ended_attempts() -> None:
+    """Guards against releases later than 1 s after a zone is lost, because they wait behind ended attempts."""
     rig = Rig()
     rig.submit(1, 50)
     rig.run_until_idle()
@@ -267,8 +267,8 @@
     assert [answer for answer, _, _ in rig.client.answers].count("released") == 50
 
 
-def test_placement_leaves_time_for_reading_where_much_is_to_be_read() -> None:
-    """Guards against releases that wait in the system: one slice of requests a turn until all has been read."""
+def test_placement_is_limited_to_one_batch_per_turn_while_reads_are_pending() -> None:
+    """Guards against releases that wait unread: with a backlog in the loop, a turn places only one batch."""
     rig = Rig(cost_us=1000)
     rig.submit(1, 4000)
 
@@ -290,18 +290,18 @@
         assert sum(rig.handled[before:]) == 4
 
 
-def test_a_node_that_is_removed_ends_its_own_tasks_and_no_others() -> None:
+def test_removing_a_node_ends_only_its_own_tasks() -> None:
     rig = Rig()
     rig.submit(1, 600)
     rig.run_until_idle()
     scans = []
 
-    class Watched(dict):  # type: ignore[type-arg]
+    class ScanCountingDict(dict):  # type: ignore[type-arg]
         def values(self) -> Any:
             scans.append(1)
             return super().values()
 
-    rig.core.tasks.by_number = Watched(rig.core.tasks.by_number)
+    rig.core.tasks.by_number = ScanCountingDict(rig.core.tasks.by_number)
     rig.core.update_endpoints(EndpointListUpdate(False, 2, entries(Health.REMOVED, range(500))))
     rig.run_until_idle()
     ended = sum(machine <= 500 for machine in rig.attempts)
@@ -311,10 +311,7 @@
 
 
 def test_an_attempt_that_was_sent_to_a_new_process_stays_in_flight() -> None:
-    """Guards against a second copy: it was decided before that process started, and waited for a connection.
-
-    On the bench (split, 241809376776) such tasks were placed elsewhere with nothing withdrawn.
-    """
+    """Guards against a second copy: the attempt was created before the process started, but sent to that process."""
     rig = Rig(unresponsive=True)
     rig.submit(1, 1)
     rig.run_until_idle()
@@ -329,7 +326,7 @@
 
 
 def test_an_attempt_at_a_dead_node_is_withdrawn_before_its_task_is_placed_elsewhere() -> None:
-    """Guards against a second copy: the loss is reported a turn later, and an attempt made in between waits there."""
+    """Guards against a second copy: an attempt made before the loss is reported still waits at the dead node."""
     rig = Rig(unresponsive=True)
     rig.submit(1, 1)
     rig.run_until_idle()
@@ -340,8 +337,8 @@
     assert len(rig.attempts) == 2
 
 
-def test_coroutines_wait_for_the_next_turn_and_an_urgent_one_goes_first() -> None:
-    """Guards against an endpoint list that is read after a thousand connections were."""
+def test_coroutine_time_per_turn_is_limited_and_urgent_ones_run_first() -> None:
+    """Guards against an endpoint list that is read only after a thousand connections."""
     loop, clock = a_loop()
     done: list[str] = []
 
@@ -360,5 +357,5 @@
     while loop._ready or loop._tasks:
         before = len(done)
         loop.turn(True)
-        assert len(done) - before <= 16  # of 2 ms each
+        assert len(done) - before <= 16  # each takes 2 ms
     assert len(done) == 201
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -1,4 +1,4 @@
-"""Uncertain attempts, idempotency keys and releases: nothing is lost or started twice, with injected faults."""
+"""Uncertain attempts, idempotency keys and releases: with injected faults, nothing is lost or started twice."""
 
 from __future__ import annotations
 
@@ -34,35 +34,31 @@
 
 @CLIENTS
 @pytest.mark.parametrize(
-    ("conduct", "expected", "ran"),
+    ("behavior", "expected", "starts"),
     [
-        (
-            NodeBehavior.CUT,
-            [PLACED],
-            1,
-        ),  # cut midway through the binding: it runs, and a query finds that
+        (NodeBehavior.CUT, [PLACED], 1),  # cut in the middle of the answer; a query finds the task running
         (NodeBehavior.CUT_AFTER, [PLACED], 1),
-        (NodeBehavior.CUT_BEFORE, [REJECTED], 0),  # each node answers that it never ran
+        (NodeBehavior.CUT_BEFORE, [REJECTED], 0),  # each node replies that the task never ran
     ],
 )
 def test_an_uncertain_attempt_is_resolved_before_the_deadline(
-    front: str, conduct: NodeBehavior, expected: list[tuple[Any, ...]], ran: int
+    front: str, behavior: NodeBehavior, expected: list[tuple[Any, ...]], starts: int
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, conduct, ONCE_ONLY)
+    cluster.client.ask(5, behavior, ONCE_ONLY)
     events = cluster.wait_for_events(5)
     cluster.run_for(100)
-    assert [one[0] for one in events] == [one[0] for one in expected]
-    assert start_count(cluster, 5) == ran
+    assert [event[0] for event in events] == [event[0] for event in expected]
+    assert start_count(cluster, 5) == starts
     assert len(cluster.client.heard[5]) == 1
 
 
 def test_without_status_queries_an_uncertain_attempt_fails() -> None:
-    def mute(node: FakeNode) -> None:
+    def disable_replies(node: FakeNode) -> None:
         node.manners.answers = False
 
     for cluster in (
-        FakeCluster(JSON, GRPC2, manners=mute),
+        FakeCluster(JSON, GRPC2, manners=disable_replies),
         FakeCluster(JSON, BINARY, terms=TranslationConfig()),
     ):
         cluster.client.ask(5, NodeBehavior.CUT, ONCE_ONLY)
@@ -75,8 +71,8 @@
 
 
 @pytest.mark.parametrize("second", [JSON, GRPC, GRPC2])
-def test_a_cut_attempt_is_found_by_a_retry_over_another_frontend(second: str) -> None:
-    """The client goes as its binding is cut; the same task comes under a new id, and is found to run."""
+def test_a_retry_over_another_frontend_finds_a_cut_attempt_running(second: str) -> None:
+    """The client disconnects as its answer is cut; a request under a new id finds the task running."""
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(second)
     cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
@@ -89,13 +85,13 @@
     other.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
     cluster.run_until(lambda: 6 in other.heard)
     cluster.run_for(100)
-    # It was cancelled as its client disconnected: the events are that it ran, and that it has ended.
-    kinds = [one[0] for one in other.heard[6]]
+    # The disconnect cancelled the task, so the second client may see its end as well.
+    kinds = [event[0] for event in other.heard[6]]
     assert kinds in (["placed"], ["placed", "released"])
     assert start_count(cluster, 5) == 1
 
 
-def test_requests_with_one_key_from_several_clients_share_a_task() -> None:
+def test_requests_of_several_clients_with_one_key_share_a_task() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(GRPC2)
     cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
@@ -110,11 +106,11 @@
     assert (cluster.client.heard[5], other.heard[6]) == ([PLACED], [PLACED])
     assert start_count(cluster, 5) == 1
     third = cluster.connect_client(GRPC)
-    third.ask(7, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")  # it is running by now
+    third.ask(7, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")  # the task runs by now
     cluster.run_until(lambda: 7 in third.heard)
     assert third.heard[7] == [PLACED]
     assert third.said[7][0].binding.description == DESCRIPTION
-    cluster.client.give_up(5)  # one of three: the task of the others continues
+    cluster.client.give_up(5)  # one of three clients; the task continues for the others
     cluster.run_for(50)
     assert 5 in running_node.running
     running_node.over(5, pb2.ENDED)
@@ -159,16 +155,15 @@
     order, say = node.waiting[5]
     cluster.client.give_up(5)
     cluster.run_until(lambda: ("release", 5) in node.seen)
-    node.begin(order, say)  # it starts the attempt all the same
+    node.begin(order, say)  # the node starts the attempt despite the cancellation
     cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
     cluster.run_for(50)
     assert 5 not in node.running
     assert counters(cluster)["late yes"] == 1
     assert cluster.client.heard == {}
-    cluster.client.ask(
-        6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}"
-    )  # the key is uncertain: the node answers that it ran
-    assert [one[0] for one in cluster.wait_for_events(6, 2)] == ["placed", "released"]
+    # The key is uncertain, and the node replies that its task ran.
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, key=f"{5:016x}")
+    assert [event[0] for event in cluster.wait_for_events(6, 2)] == ["placed", "released"]
     assert len(node.ran) == 1
 
 
@@ -183,22 +178,22 @@
     cluster.run_until(lambda: ("question", 5) in node.seen)
     assert cluster.wait_for_events(6) == [PLACED]
     assert len(node.runs) == 1
-    node.begin(order, say)  # ...and then the node starts the attempt that it denied
+    node.begin(order, say)  # the node starts the attempt after replying that it never ran
     cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
     assert counters(cluster)["late yes"] == 1
     assert 6 in node.running
 
 
-def test_a_node_with_broken_promises_is_not_trusted_any_more() -> None:
+def test_late_starts_after_never_ran_replies_are_counted_against_the_node() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=2)
     for uid in (5, 6):
         cluster.client.ask(uid, NodeBehavior.LATE, ONCE_ONLY)
-    cluster.run_until(lambda: sum(len(one.waiting) for one in cluster.nodes) == 2)
+    cluster.run_until(lambda: sum(len(node.waiting) for node in cluster.nodes) == 2)
     cluster.run_for(20)
     for node in cluster.nodes:
         node.manners.standings = {5: pb2.NEVER, 6: pb2.NEVER}
     pending = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
-    for node in {one[0] for one in pending.values()}:
+    for node in {entry[0] for entry in pending.values()}:
         node.break_streams()
     cluster.run_until(lambda: counters(cluster).get("asked: never ran", 0) >= 2)
     for uid, (node, order, _) in pending.items():
@@ -210,8 +205,8 @@
     assert sum(broken) >= 1
 
 
-def test_a_reply_after_the_timeout_of_the_attempt() -> None:
-    """The class's patience is half its deadline; the node is asked then, and says that it waits."""
+def test_a_timed_out_attempt_is_resolved_by_a_query() -> None:
+    """A timed-out attempt is cancelled and queried, and the node replies that it never ran."""
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
     cluster.client.ask(5, NodeBehavior.LATE, ONCE_ONLY)
     node, core = cluster.nodes[0], cluster.service.core
@@ -223,7 +218,7 @@
     core.attempts.timed_out(task, attempt)
     cluster.run_until(lambda: ("question", 5) in node.seen)
     assert ("release", 5) in node.seen
-    events = cluster.wait_for_events(5)  # it was cancelled before the query: it never ran
+    events = cluster.wait_for_events(5)  # cancelled before the query, so it never ran
     assert events[0][0] == "refused"
     assert start_count(cluster, 5) == 0
     node.begin(*pending_attempt)
@@ -259,7 +254,7 @@
     cluster = FakeCluster(JSON, GRPC2)
     for uid in (5, 6, 7):
         cluster.client.ask(uid, NodeBehavior.END, ONCE_ONLY, key=f"{5:016x}")
-        assert [one[0] for one in cluster.wait_for_events(uid, 2)] == ["placed", "released"]
+        assert [event[0] for event in cluster.wait_for_events(uid, 2)] == ["placed", "released"]
     assert len(cluster.service.core.translator.idempotency_keys) == 0  # type: ignore[union-attr]
 
 
@@ -274,12 +269,12 @@
 # running tasks and releases
 
 
-def test_an_end_lost_with_a_broken_connection_is_queried() -> None:
+def test_a_task_end_lost_with_a_broken_connection_is_found_by_a_query() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     node = cluster.nodes[0]
-    node.over(5, pb2.ENDED)  # and the report of its end is lost
+    node.over(5, pb2.ENDED)  # the report of this end is lost
     node.break_streams()
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.ENDED)
 
@@ -308,7 +303,7 @@
     running_node[6].voices[-1].end(6, 16, pb2.ENDED)
     assert cluster.wait_for_events(6, 2)[1][0] == "released"
     cluster.run_for(50)  # the acknowledgement has arrived
-    cluster.client.take = lambda _: None  # it reads the release, and breaks before acknowledging it
+    cluster.client.take = lambda _: None  # receives the release without acknowledging it
     running_node[5].over(5, pb2.ENDED)
     running_node[5].voices[-1].end(5, 16, pb2.ENDED)
     cluster.run_for(50)
--- a/thornshelf/retries/budget.py
+++ b/thornshelf/retries/budget.py
@@ -38,7 +38,7 @@
     def __init__(self, config: RetryBudgetConfig, now_us: int) -> None:
         self.tokens_milli = config.capacity_milli
         self.updated_us = now_us
-        self.earned_remainder = 0  # not yet added to tokens_milli, in units of 1 / US_PER_S
+        self.earned_remainder = 0  # fraction of tokens_milli not yet added, times US_PER_S
 
     def refill(self, config: RetryBudgetConfig, now_us: int) -> None:
         """Add the tokens earned since the last refill; a fraction of a thousandth is carried over."""
