--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -146,8 +146,8 @@
     values = {binary.CAUSE: b"\x10", binary.REPORT: b"x0:3;x1:4"}
     if described:
         values[binary.DESCRIPTION] = DESCRIPTION
-    node = next(node for node in cluster.nodes if node.seen)
-    node.streams[0].send(binary.encode(binary.RELEASE, 5, values))
+    attempted_node = next(node for node in cluster.nodes if node.seen)
+    attempted_node.streams[0].send(binary.encode(binary.RELEASE, 5, values))
     assert cluster.wait_for_events(5, len(events)) == events
     assert cluster.offer_count(5) == 1
 
@@ -390,7 +390,7 @@
     monkeypatch.setattr(Stream, "_write", write)
     cluster.client.ask(5, NodeBehavior.SILENT)
     cluster.client.ask(6, NodeBehavior.SILENT)
-    cluster.run_until(lambda: all(len(node.seen) >= 3 for node in cluster.nodes))
+    cluster.run_until(lambda: all(len(fake_node.seen) >= 3 for fake_node in cluster.nodes))
     here, there = (node.port for node in cluster.nodes)
     for uid, first, second in ((5, here, there), (6, there, here)):
         cancelled, retried = (first, binary.RELEASE, uid), (second, binary.SET_UP, uid)
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -188,7 +188,7 @@
     cluster = FakeCluster(JSON, GRPC2, nodes=2)
     for uid in (5, 6):
         cluster.client.ask(uid, NodeBehavior.LATE, ONCE_ONLY)
-    cluster.run_until(lambda: sum(len(node.waiting) for node in cluster.nodes) == 2)
+    cluster.run_until(lambda: sum(len(fake_node.waiting) for fake_node in cluster.nodes) == 2)
     cluster.run_for(20)
     for node in cluster.nodes:
         node.manners.standings = {5: pb2.NEVER, 6: pb2.NEVER}
--- a/thornshelf/core/attempts.py
+++ b/thornshelf/core/attempts.py
@@ -184,7 +184,7 @@
     # ending
 
     def timed_out(self, task: TaskRecord, attempt: Attempt) -> None:
-        """Withdraw an attempt whose time is over, unless it has ended or a status query about it is pending."""
+        """Withdraw an attempt whose time limit has passed, unless it has ended or a status query is pending."""
         if task.attempt is attempt and task.uncertain is None:
             self.withdraw(task, attempt, Outcome.TIMED_OUT)
             self._core.discard(task)
--- a/thornshelf/core/dispatcher.py
+++ b/thornshelf/core/dispatcher.py
@@ -133,7 +133,7 @@
             to_seconds=self.unix_seconds,
             running_at=self.running_at,
             on_tasks_lost=self.running_tasks.end_lost_tasks,
-            on_attempt_recalled=self._attempt_recalled,
+            on_attempt_withdrawn=self._attempt_withdrawn,
             on_discarded=self._endpoint_discarded,
         )
 
@@ -249,7 +249,7 @@
     def _gossip_received(self, item: GossipReceived) -> None:
         self.placement.events.append(api.GossipMessage(item.sender, item.data))
 
-    def _attempt_recalled(self, machine: int, attempt: Attempt) -> None:
+    def _attempt_withdrawn(self, machine: int, attempt: Attempt) -> None:
         self.inbox.append(TaskFinished(machine, attempt.uid, Outcome.NOT_SENT))
 
     def _endpoint_discarded(self, machine: int, name: str) -> None:
--- a/thornshelf/core/endpoint_registry.py
+++ b/thornshelf/core/endpoint_registry.py
@@ -17,9 +17,9 @@
     """All listed nodes by numeric id: ``entries`` has their list entries and ``nodes`` their connections.
 
     Consequences for tasks are reported through callbacks. ``on_tasks_lost`` gets a node and a time in microseconds:
-    tasks that started there before it are lost, or all tasks if it is None. ``on_attempt_recalled`` gets an attempt
-    that was unsent when its node began to drain. ``on_discarded`` gets the id and name of a node that is no longer
-    listed.
+    tasks that started there before it are lost, or all tasks if it is None. ``on_attempt_withdrawn`` gets an unsent
+    attempt that was withdrawn because its node drains. ``on_discarded`` gets the id and name of a node that is no
+    longer listed.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         to_seconds: Callable[[int], float],
         running_at: Callable[[int], Iterator[int]],
         on_tasks_lost: Callable[[int, int | None], None],
-        on_attempt_recalled: Callable[[int, Attempt], None],
+        on_attempt_withdrawn: Callable[[int, Attempt], None],
         on_discarded: Callable[[int, str], None],
     ) -> None:
         self.nodes: dict[int, NodeConnection] = {}
@@ -40,7 +40,7 @@
         self._to_seconds = to_seconds
         self._running_at = running_at
         self._on_tasks_lost = on_tasks_lost
-        self._on_attempt_recalled = on_attempt_recalled
+        self._on_attempt_withdrawn = on_attempt_withdrawn
         self._on_discarded = on_discarded
 
     def machine_id(self, name: str) -> int:
@@ -128,7 +128,7 @@
         if entry.health is Health.DRAINING:
             # Withdraw attempts that are still buffered: a draining node must not receive any byte of a new one.
             for attempt in self.nodes[machine].drain():
-                self._on_attempt_recalled(machine, attempt)
+                self._on_attempt_withdrawn(machine, attempt)
         else:
             self.nodes[machine].resume()
 
--- a/thornshelf/core/placement_driver.py
+++ b/thornshelf/core/placement_driver.py
@@ -38,8 +38,8 @@
     def decide(self) -> Sequence[api.Action]:
         """Pass all pending events to the placer and return its actions.
 
-        An exception in the placer is logged, and the actions it returned so far are used. Tasks that get no answer
-        because of it fail at their deadline.
+        An exception in the placer is logged, and the actions that it produced so far are returned. Tasks that get no
+        answer because of it fail at their deadline.
         """
         if not self.events:
             return ()
--- a/thornshelf/retries/budget.py
+++ b/thornshelf/retries/budget.py
@@ -58,7 +58,7 @@
         return self.tokens_milli >= minimum
 
     def spend(self) -> None:
-        """Take one token."""
+        """Remove one token."""
         self.tokens_milli -= MILLI_PER_TOKEN
 
 
--- a/thornshelf/retries/jitter.py
+++ b/thornshelf/retries/jitter.py
@@ -13,7 +13,11 @@
 
 @dataclass(frozen=True, slots=True)
 class JitterConfig:
-    """Limits: ``returns_per_s`` clients that return per second, and ``max_wait_us`` as the longest stated wait."""
+    """Limits of the jitter.
+
+    ``returns_per_s``: the number of clients that may return per second.
+    ``max_wait_us``: the longest wait to state.
+    """
 
     returns_per_s: int = 200
     max_wait_us: int = 3_000_000
