--- a/thornshelf/membership/__init__.py
+++ b/thornshelf/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the dispatchers: SWIM with Lifeguard. No I/O: time, datagrams and randomness are values."""
+"""Group membership of the dispatchers, by SWIM with Lifeguard. Sans-I/O: callers pass in time and randomness."""
--- a/thornshelf/membership/local_member.py
+++ b/thornshelf/membership/local_member.py
@@ -1,4 +1,4 @@
-"""This very member's record, and its defence: refute what others report, outbid a former process, or give way."""
+"""The local member's record: refutes false reports, overrides a former process, or yields to a later one."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from thornshelf.membership.member_table import replace_record
 from thornshelf.membership.states import MemberRecord, RecordStatus
 
-MAX_RIVALS = 64
+MAX_OVERRIDDEN_INSTANCES = 64
 
 
 class LocalMember:
-    """The local member.
+    """The local member and its record.
 
-    ``instance_id``: a random number of this process. ``superseded``: a live process of the same name that was started
-    later has taken over.
+    ``instance_id``: a random number that identifies this process. ``superseded``: whether a live process of the same
+    name that started later has taken over.
     """
 
     def __init__(self, config: MembershipConfig, instance_id: int, incarnation: int, start_us: int) -> None:
@@ -23,10 +23,15 @@
             config.name, config.address, incarnation, instance_id, int(RecordStatus.ALIVE), 0
         )
         self.superseded = False
-        self._outbid: dict[int, int] = {}  # by instance id of a rival: the incarnation that outbid it
+        self._overridden_at: dict[
+            int, int
+        ] = {}  # by instance id of another process: the incarnation that overrode it
 
     def refute(self, record: MemberRecord, now_us: int) -> bool:
-        """Answer a record of this member; returns whether it took a new incarnation, which others must receive."""
+        """Process a received record about this member.
+
+        Returns whether a new incarnation was taken, which has to be gossiped.
+        """
         if self.superseded or self.record.status == RecordStatus.LEFT:
             return False
         if record.incarnation >= MAX_INCARNATION - 1:
@@ -36,24 +41,24 @@
                 return False
         elif (record.incarnation, record.instance_id) <= (self.record.incarnation, self.record.instance_id):
             return False
-        elif record.status == RecordStatus.ALIVE and self._gives_way_to(record, now_us):
+        elif record.status == RecordStatus.ALIVE and self._is_superseded_by(record, now_us):
             self.superseded = True
             return False
         self._take_incarnation(record.incarnation + 1, now_us)
         if record.instance_id != self.record.instance_id:
-            if len(self._outbid) >= MAX_RIVALS:
-                self._outbid.clear()
-            self._outbid[record.instance_id] = self.record.incarnation
+            if len(self._overridden_at) >= MAX_OVERRIDDEN_INSTANCES:
+                self._overridden_at.clear()
+            self._overridden_at[record.instance_id] = self.record.incarnation
         return True
 
-    def _gives_way_to(self, record: MemberRecord, now_us: int) -> bool:
-        """Whether a live process of this name was started later.
+    def _is_superseded_by(self, record: MemberRecord, now_us: int) -> bool:
+        """Returns whether the record belongs to a live process of this name that started later.
 
-        The record of a former process is outbid once and never comes back. One that outbids the answer comes from a
-        live process. Which of the two started later is decided by how long each has run, as wall clocks may be set.
+        The record of an ended process is overridden once and never changes. Only a live process can override this
+        member's record in turn. The later start is determined by uptimes, because wall clocks may be changed.
         """
-        outbid = self._outbid.get(record.instance_id)
-        if outbid is None or record.incarnation <= outbid:
+        overridden_at = self._overridden_at.get(record.instance_id)
+        if overridden_at is None or record.incarnation <= overridden_at:
             return False
         return (record.uptime_ms, record.instance_id) < (self._uptime_ms(now_us), self.record.instance_id)
 
@@ -64,5 +69,5 @@
         return (now_us - self._start_us) // 1000
 
     def leave(self) -> None:
-        """Announce a graceful shutdown in the record."""
+        """Mark this member as left in its record."""
         self.record = replace_record(self.record, status=int(RecordStatus.LEFT))
--- a/thornshelf/membership/member_table.py
+++ b/thornshelf/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The table of other members: the prevailing record and the state of each, and addresses to reconnect to."""
+"""The table of other members: the prevailing record and state of each, and former addresses to reconnect to."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     RecordStatus,
 )
 
-MAX_LOCAL_HEALTH_MULTIPLIER = 3  # beyond, a partition would take too long to be detected
-# By so much an incarnation that others report may exceed the known one, so that a false report gains no more. What a
-# member states of itself has no such limit.
+MAX_LOCAL_HEALTH_MULTIPLIER = 3  # a higher one would delay the detection of a partition too long
+# Limits by how much a reported incarnation may exceed the known one, so that false reports cannot exhaust the range.
+# A member's own record is not limited.
 MAX_INCARNATION_JUMP = 1 << 20
-MAX_CONFIRMATIONS = 4  # more independent suspicions change nothing
-SAMPLE_ATTEMPTS = 4  # random draws for each member of a sample
+MAX_CONFIRMATIONS = 4  # further independent suspicions are not counted
+SAMPLE_ATTEMPTS = 4  # random draws per member of a sample
 # Names of counters, as the shell shows them.
 INCARNATION_JUMPS = "jump"
 TABLE_FULL = "no-room"
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """The state of a member has changed. ``before`` is None for a new member, ``after`` for an evicted one."""
+    """A change of a member's state. ``before`` is None for a new member, ``after`` is None for an evicted one."""
 
     name: str
     before: MemberState | None
@@ -40,9 +40,9 @@
 
 
 class MemberTable:
-    """All other members.
+    """All other members, with their records and states.
 
-    ``on_record_change`` is called with the name of a member whose record others may not know yet.
+    ``on_record_change`` is called with the name of each member whose record has changed and has to be gossiped.
     """
 
     def __init__(
@@ -57,21 +57,21 @@
         self.members: dict[str, Member] = {}
         self.counters: Counter[str] = Counter()
         self.changes: list[MemberChange] = []
-        self.local_health_multiplier = 0  # Lifeguard's: 0 is healthy; above, others get more time to answer
+        self.local_health_multiplier = 0  # of Lifeguard: 0 is healthy; more extends all timeouts
         self.live_names: list[str] = []
-        self.address_book: dict[str, None] = {}  # former addresses of members, the latest last
-        self._live_index: dict[str, int] = {}  # the place of each live member in ``live_names``
+        self.former_addresses: dict[str, None] = {}  # ordered, the latest last
+        self._live_index: dict[str, int] = {}  # the index of each live member in ``live_names``
         self._live_address_counts: Counter[str] = Counter()
         self._awaiting_refutation: dict[str, None] = {}
-        self._departed: dict[str, None] = {}  # dead or left, and retained
+        self._departed: dict[str, None] = {}  # dead or left, ordered by time
 
     def state_of(self, name: str) -> MemberState | None:
-        """The state of a member; None where it is not known."""
+        """Returns the state of a member, or None if it is unknown."""
         member = self.members.get(name)
         return None if member is None else member.state
 
     def sample(self, count: int, without: str = "") -> list[str]:
-        """Names of up to ``count`` random live members."""
+        """Returns the names of up to ``count`` random live members other than ``without``."""
         if count >= len(self.live_names):
             names = [name for name in self.live_names if name != without]
             self._random.shuffle(names)
@@ -86,22 +86,25 @@
         return names
 
     def live_addresses(self) -> Collection[str]:
-        """The addresses of the live members."""
+        """Returns the addresses of the live members."""
         return self._live_address_counts.keys()
 
     def departed(self) -> Iterator[Member]:
-        """The members that are dead or have left, and are retained."""
+        """Yields the retained members that are dead or have left."""
         for name in self._departed:
             yield self.members[name]
 
     def next_deadline_us(self) -> int | None:
-        """When the next time to refute is over; None where none runs."""
+        """Returns the earliest refutation deadline, or None if no member has to refute anything."""
         if not self._awaiting_refutation:
             return None
         return min(self.members[name].refutation_deadline_us for name in self._awaiting_refutation)
 
     def update_from_sender(self, record: MemberRecord, now_us: int) -> bool:
-        """Take a known member's record of itself; returns False where it has to be sent what is gossiped about it."""
+        """Apply the record that a known member sent of itself.
+
+        Returns False if the record is outdated: then the member has to be sent what is gossiped about it.
+        """
         member = self.members[record.name]
         if record.precedence > member.record.precedence:
             self._set_record(member, record)
@@ -114,7 +117,7 @@
         return True
 
     def add(self, record: MemberRecord, now_us: int) -> bool:
-        """Add a member that has acknowledged a ping; returns False where the table is full."""
+        """Add a member that has acknowledged a ping; returns False if the table is full."""
         if not self._make_space():
             return False
         alive = replace_record(record, status=int(RecordStatus.ALIVE))
@@ -127,7 +130,7 @@
         return True
 
     def update_from_gossip(self, record: MemberRecord, now_us: int) -> None:
-        """Take another member's report on a known member."""
+        """Apply another member's report on a known member."""
         member = self.members[record.name]
         if record.incarnation > member.record.incarnation + MAX_INCARNATION_JUMP:
             self.counters[INCARNATION_JUMPS] += 1
@@ -152,7 +155,7 @@
         self._set_deadline(member, now_us)
 
     def probe_failed(self, name: str, now_us: int) -> None:
-        """A live member acknowledged neither the direct probe nor the indirect ones."""
+        """Suspect a live member that acknowledged neither the direct probe nor the indirect ones."""
         member = self.members.get(name)
         if member is None or not member.is_live:
             return
@@ -166,7 +169,7 @@
             self._confirm_suspicion(member, self.config.name, now_us)
 
     def _report(self, member: Member, status: RecordStatus) -> MemberRecord:
-        """The record with which this member reports another as suspect or dead."""
+        """Returns the record with which this member reports another as suspect or dead."""
         return replace_record(member.record, status=int(status), reported_by=self.config.name)
 
     def _confirm_suspicion(self, member: Member, reported_by: str, now_us: int) -> None:
@@ -177,7 +180,7 @@
             self._set_deadline(member, now_us)
 
     def tick(self, now_us: int) -> None:
-        """Declare members dead whose time to refute is over, and evict those that were retained long enough."""
+        """Declare members dead whose refutation deadline has passed, and evict those whose retention has ended."""
         expired = [
             name for name in self._awaiting_refutation if self.members[name].refutation_deadline_us <= now_us
         ]
@@ -195,29 +198,29 @@
             self.evict(name)
 
     def extend_deadlines(self, stall_us: int) -> None:
-        """Extend the time to refute by the time for which this member itself was stalled.
+        """Extend all refutation deadlines by the time for which this process was stalled.
 
-        Guards against a process that was stopped and declares all others dead as it resumes: their acknowledgements
-        and refutations lie unread in its socket.
+        Otherwise a process that was stopped would declare the others dead as it resumes, while their acknowledgements
+        and refutations are still unread in its socket buffer.
         """
         for name in self._awaiting_refutation:
             self.members[name].refutation_deadline_us += stall_us
         self.raise_health_multiplier()
 
     def raise_health_multiplier(self) -> None:
-        """Note a sign that this member itself is unhealthy."""
+        """Record a sign that this member itself is unhealthy."""
         self.local_health_multiplier = min(MAX_LOCAL_HEALTH_MULTIPLIER, self.local_health_multiplier + 1)
 
     def lower_health_multiplier(self) -> None:
-        """Note a sign that this member itself is healthy."""
+        """Record a sign that this member itself is healthy."""
         self.local_health_multiplier = max(0, self.local_health_multiplier - 1)
 
     def is_expiring(self, member: Member, now_us: int) -> bool:
-        """Whether a departed member is compared no more, as the others evict it at different times."""
+        """Returns whether push-pull rounds omit a departed member, as others may have evicted it already."""
         return not member.is_live and now_us - member.state_since_us >= self.config.dead_retention_us // 2
 
     def evict(self, name: str) -> None:
-        """Remove a member. Only its address is kept, unless it has left."""
+        """Remove a member. Its address is kept for reconnecting, unless it has left."""
         self._remove_live(name)
         member = self.members.pop(name)
         self._awaiting_refutation.pop(name, None)
@@ -274,7 +277,7 @@
             self.live_names.append(name)
 
     def _remove_live(self, name: str) -> None:
-        """Remove a member from the live ones; the last one takes its place in the list."""
+        """Remove a member from the live ones in constant time: the last name takes its place in the list."""
         if (index := self._live_index.pop(name, None)) is not None:
             self._count_address(self.members[name].record.address, -1)
             last = self.live_names.pop()
@@ -283,13 +286,13 @@
                 self._live_index[last] = index
 
     def _keep_address(self, address: str) -> None:
-        self.address_book.pop(address, None)
-        self.address_book[address] = None
-        if len(self.address_book) > self.config.max_known_addresses:
-            del self.address_book[next(iter(self.address_book))]
+        self.former_addresses.pop(address, None)
+        self.former_addresses[address] = None
+        if len(self.former_addresses) > self.config.max_known_addresses:
+            del self.former_addresses[next(iter(self.former_addresses))]
 
     def _make_space(self) -> bool:
-        """Evict the member that departed first, if the table is full."""
+        """If the table is full, evict the member that departed first; returns whether there is space."""
         if len(self.members) < self.config.max_members:
             return True
         if (oldest := next(iter(self._departed), None)) is None:
@@ -300,5 +303,5 @@
 
 
 def replace_record(record: MemberRecord, **changes: int | str) -> MemberRecord:
-    """A copy of a record with some fields changed."""
+    """Returns a copy of a record with some fields changed."""
     return msgspec.structs.replace(record, **changes)
--- a/thornshelf/membership/message_handler.py
+++ b/thornshelf/membership/message_handler.py
@@ -1,4 +1,4 @@
-"""What each kind of message does: the receiving half of the membership protocol."""
+"""The receiving side of the membership protocol: processes and answers each kind of message."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from thornshelf.membership.push_pull import PushPull
 from thornshelf.membership.states import LIVE_STATES, Member, MemberRecord, MemberState, RecordStatus
 
-CORRECTION_INTERVAL_US = 200_000  # a member that is out of date is corrected no more often
-JOIN_REPLY_MEMBERS = 8  # known members in a reply to a join; push-pull rounds bring the others
-SENDERS_PER_MEMBER = 4  # replay windows, as members restart under other instance ids
+CORRECTION_INTERVAL_US = 200_000  # minimum time between two corrections of a member that is out of date
+JOIN_REPLY_MEMBERS = 8  # members listed in a reply to a join; push-pull rounds transfer the others
+SENDERS_PER_MEMBER = 4  # replay windows per member, which has a new instance id after each restart
 UPTIME_BYTES = 8
-UNKNOWN_MEMBERS = "strangers"  # the name of the counter, as the shell shows it
+UNKNOWN_MEMBERS = "strangers"  # counter name shown by the shell
 
 
 class UserMessage(NamedTuple):
@@ -31,10 +31,10 @@
 
 
 class MessageHandler:
-    """Takes the messages of other members, and answers them.
+    """Processes the messages of other members, and answers them.
 
-    ``superseded`` is set once another process of this name has taken over. ``uptime_lag_us``: how much longer than
-    this process the longest running member has run.
+    ``superseded`` is set once another process has taken over this name. ``uptime_lag_us``: by how much the uptime of
+    the longest running member known exceeds that of this process.
     """
 
     def __init__(
@@ -64,19 +64,19 @@
         self.uptime_lag_us = 0
 
     def take_received_entries(self) -> list[MapEntry]:
-        """The new entries of other writers since the last call."""
+        """Returns the new map entries of other writers since the last call."""
         entries = self._received_entries
         self._received_entries = []
         return entries
 
     def take_user_messages(self) -> list[UserMessage]:
-        """The queries and replies of other members since the last call."""
+        """Returns the queries and replies received from other members since the last call."""
         messages = self._user_messages
         self._user_messages = []
         return messages
 
     def handle(self, message: Message, now_us: int) -> None:
-        """Take a valid datagram. Raises ``ReplayedDatagramError`` for one that is not for this process."""
+        """Process an authentic message. Raises ``ReplayedDatagramError`` if it is repeated or for another process."""
         self._now_us = now_us
         sender = message.sender
         if sender.name == self._name:
@@ -84,37 +84,37 @@
             return
         is_for_anyone = message.kind is MessageKind.JOIN and not message.recipient_instance_id
         if message.recipient_instance_id != self._local.record.instance_id and not is_for_anyone:
-            # It is for a process that has ended. If it is no replay, its sender has to learn of this one.
-            self._correct(sender)
-            raise ReplayedDatagramError(f"meant for another process: of {sender.name}")
+            # It was meant for a former process. Unless it is a replay, its sender has to learn of this one.
+            self._send_correction(sender)
+            raise ReplayedDatagramError(f"sent by {sender.name} to another process of this name")
         self._replay_windows.accept(sender.name, sender.instance_id, message.counter)
-        known = self._table.state_of(sender.name)
-        if known is None and not self._probes.admit(message, self._now_us):
-            self._answer_unknown_sender(message)
+        state_before = self._table.state_of(sender.name)
+        if state_before is None and not self._probes.admit(message, self._now_us):
+            self._handle_unknown_sender(message)
             return
         member = self._table.members[sender.name]
         if not self._table.update_from_sender(sender, self._now_us):
-            self._correct(sender)
+            self._send_correction(sender)
             if sender.instance_id != member.record.instance_id:
-                # The process has to take a newer incarnation first, or it has ended.
-                self._answer_unknown_sender(message)
+                # The sender has ended meanwhile, or has to take a newer incarnation before it counts as this member.
+                self._handle_unknown_sender(message)
                 return
         if message.kind is not MessageKind.JOIN:
             self._merge(message)
-        self._answer(message, member, known)
+        self._handle_member_message(message, member, state_before)
 
     def _handle_same_name(self, message: Message) -> None:
-        """Take a datagram of another process of this member's name."""
+        """Process a message of a process that uses this member's name."""
         sender = message.sender
         if sender.instance_id != self._local.record.instance_id:
             self._handle_local_record(sender)
-            # Only a join is answered, as the two processes would answer each other's replies forever.
+            # Only a join is answered: otherwise the two processes would answer each other's replies forever.
             if message.kind is MessageKind.JOIN:
                 reply = OutgoingMessage(MessageKind.JOIN_REPLY)
                 self._sender.send(sender.address, sender.instance_id, reply, self._now_us)
 
     def _merge(self, message: Message) -> None:
-        """Take over the records and entries of a message."""
+        """Merge the records and entries of a message."""
         before = len(self._state.buffer) + len(self._probes.candidates)
         for record in message.records:
             if record.name == self._name:
@@ -142,19 +142,21 @@
         self._received_entries.append(entry)
 
     def _handle_local_record(self, record: MemberRecord) -> None:
-        """Refute what is reported of this member, or note that another process of its name has taken over."""
+        """Refute a report on this member, or record that another process of its name has taken over."""
         if self._local.refute(record, self._now_us):
             if record.status in (RecordStatus.SUSPECT, RecordStatus.DEAD):
-                self._table.raise_health_multiplier()  # others missed its answers, so it may be unhealthy
+                self._table.raise_health_multiplier()  # others got no answer, so this member may be unhealthy
             self._state.update_record(self._local.record)
             self._sender.gossip(RecordKey(self._name), self._now_us)
         elif self._local.superseded and self.superseded is None:
-            self.superseded = DuplicateNameError(f"a process at {record.address} uses the name {self._name}")
+            self.superseded = DuplicateNameError(
+                f"a process at {record.address} also uses the name {self._name}"
+            )
 
-    def _answer_unknown_sender(self, message: Message) -> None:
-        """Answer a sender that is no member here.
+    def _handle_unknown_sender(self, message: Message) -> None:
+        """Answer a sender that is not a known member.
 
-        Of its records only those of this very member are taken, as these can only make it refute.
+        Of its records only those about this member are processed: they can cause nothing but a refutation.
         """
         sender = message.sender
         for record in message.records if message.recipient_instance_id else []:
@@ -175,17 +177,19 @@
                 return
         self._sender.send(sender.address, sender.instance_id, reply, self._now_us)
 
-    def _answer(self, message: Message, member: Member, known: MemberState | None) -> None:
-        """Answer a member's message; ``known``: its state before the message arrived."""
+    def _handle_member_message(
+        self, message: Message, member: Member, state_before: MemberState | None
+    ) -> None:
+        """Process and answer a member's message; ``state_before``: its state before the message arrived."""
         match message.kind:
             case MessageKind.JOIN:
                 self._reply_to_join(member)
             case MessageKind.JOIN_REPLY:
-                self._join_reply_received(message, member, known)
+                self._join_reply_received(message, member, state_before)
             case MessageKind.PING if message.target == self._name:
                 self._probes.ping_received(member, message.sequence, self._now_us)
             case MessageKind.PING:
-                self._correct(message.sender)  # the address belonged to another member before
+                self._send_correction(message.sender)  # the address belonged to the target before
             case MessageKind.ACK:
                 self._probes.ack_received(member, message, self._now_us)
             case MessageKind.NACK:
@@ -201,7 +205,7 @@
             case MessageKind.GOSSIP:
                 self._push_pull.gossip_received(self._now_us)
             case MessageKind.LEAVE:
-                pass  # the sender's own record has the status, and was taken already
+                pass  # the sender's own record carries the status, and was applied already
             case MessageKind.QUERY | MessageKind.QUERY_REPLY:
                 self._user_messages.append(UserMessage(member.record.name, message.kind, message.payload))
 
@@ -210,14 +214,16 @@
         keys = [RecordKey(name) for name in names if name != member.record.name]
         self._send(member, OutgoingMessage(MessageKind.JOIN_REPLY, keys=keys, payload=self._encode_uptime()))
 
-    def _join_reply_received(self, message: Message, member: Member, known: MemberState | None) -> None:
+    def _join_reply_received(
+        self, message: Message, member: Member, state_before: MemberState | None
+    ) -> None:
         uptime_us = int.from_bytes(message.payload[:UPTIME_BYTES], "big") * 1000
         self.uptime_lag_us = max(self.uptime_lag_us, uptime_us - (self._now_us - self._start_us))
-        if known not in LIVE_STATES:
+        if state_before not in LIVE_STATES:
             self._push_pull.send_digest(member, self._now_us)
 
-    def _correct(self, sender: MemberRecord) -> None:
-        """Send a sender that is out of date what is gossiped about it, and this member's own record."""
+    def _send_correction(self, sender: MemberRecord) -> None:
+        """Send an outdated sender the record that is gossiped about it, along with this member's own."""
         member = self._table.members.get(sender.name)
         if member is not None:
             if self._now_us - member.last_corrected_us < CORRECTION_INTERVAL_US:
@@ -229,7 +235,7 @@
         self._sender.send(sender.address, sender.instance_id, reply, self._now_us)
 
     def _encode_uptime(self) -> bytes:
-        """How long this process has run, in milliseconds."""
+        """Encode the uptime of this process in milliseconds."""
         return ((self._now_us - self._start_us) // 1000).to_bytes(UPTIME_BYTES, "big")
 
     def _send(self, member: Member, message: OutgoingMessage) -> None:
--- a/thornshelf/membership/protocol.py
+++ b/thornshelf/membership/protocol.py
@@ -1,8 +1,8 @@
-"""The membership protocol of one member: datagrams and time in, datagrams and changes out. No I/O.
+"""The membership protocol of one member. Sans-I/O: the caller passes in datagrams and the time, and sends the output.
 
-SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018). The failure detector is in
-``prober``, states and suspicion in ``member_table``, dissemination by piggyback in ``datagram_sender``, push-pull
-rounds, which find what was missed, in ``push_pull``, and what each kind of message does in ``message_handler``.
+Implements SWIM (Das, Gupta, Motivala 2002) with Lifeguard (Dadgar, Phillips, Currey 2018). ``prober`` is the failure
+detector, ``member_table`` keeps states and suspicions, ``datagram_sender`` piggybacks rumors on outgoing datagrams,
+``push_pull`` repairs what gossip has missed, and ``message_handler`` processes each kind of message.
 """
 
 from __future__ import annotations
@@ -29,20 +29,20 @@
 from thornshelf.membership.reconnect import reconnect_addresses
 from thornshelf.membership.states import MemberState
 
-GOSSIP_BATCH_US = 50_000  # refutations of so long are gossiped together
+GOSSIP_BATCH_US = 50_000  # refutations that arrive within this time are gossiped together
 LEAVE_FANOUT = 2 * GOSSIP_FANOUT
 EXPIRY_INTERVAL_US = 1_000_000
-SUPERSEDED_TICK_US = 1_000_000
+SUPERSEDED_TICK_INTERVAL_US = 1_000_000
 
 
 class MembershipProtocol:
-    """One member.
+    """One member of the fleet.
 
-    The caller takes away after each call what has accumulated: ``take_outgoing`` gives the datagrams to send,
-    ``take_changes`` the changes of members, ``take_received_entries`` the entries of other writers, and
-    ``take_user_messages`` the queries and their replies. ``rejected_datagrams`` is for its log.
+    After each call the caller collects the accumulated output: ``take_outgoing`` returns the datagrams to send,
+    ``take_changes`` the state changes of members, ``take_received_entries`` the map entries of other writers, and
+    ``take_user_messages`` the queries and their replies. ``rejected_datagrams`` collects errors for the caller's log.
 
-    ``instance_id`` is a random number of this process.
+    ``instance_id`` is a random number that identifies this process. Times are microseconds of a monotonic clock.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
             config, self.state, self.sender, self._probes, self._push_pull, self.publisher, now_us
         )
         self._changes: list[MemberChange] = []
-        self._urgent_keys: dict[RecordKey, None] = {}  # refutations, which are gossiped soon
+        self._urgent_keys: dict[RecordKey, None] = {}  # refuted records, gossiped with the next batch
         self._last_tick_us = now_us
         self._next_gossip_us = now_us
         self._next_reconnect_us = now_us
         self._next_expiry_us = now_us
 
-    # what the caller does
+    # API of the caller
 
     @property
     def name(self) -> str:
@@ -85,67 +85,67 @@
 
     @property
     def superseded(self) -> DuplicateNameError | None:
-        """Set once another process of this name has taken over; then nothing is sent any more."""
+        """Set once another process has taken over this name; from then on nothing is sent."""
         return self._handler.superseded
 
     @property
     def uptime_lag_us(self) -> int:
-        """How much longer than this process the longest running member has run, as far as is known."""
+        """By how much the uptime of the longest running member known exceeds that of this process."""
         return self._handler.uptime_lag_us
 
     @property
     def live_count(self) -> int:
-        """The number of live members, this one among them."""
+        """The number of live members, including this one."""
         return self.state.live_count
 
     def live_names(self) -> list[str]:
-        """The sorted names of all live members, this one among them."""
+        """Returns the sorted names of all live members, including this one."""
         return sorted([*self.table.live_names, self.name])
 
     def states(self) -> dict[str, MemberState]:
-        """The state of each known member, this one among them."""
+        """Returns the state of each known member, including this one."""
         return {self.name: MemberState.ALIVE} | {
             name: member.state for name, member in self.table.members.items()
         }
 
     def take_outgoing(self) -> list[OutgoingDatagram]:
-        """The datagrams that were built since the last call."""
+        """Returns the datagrams built since the last call."""
         return self.sender.take_outgoing()
 
     def take_changes(self) -> list[MemberChange]:
-        """The changes of members' states since the last call."""
+        """Returns the state changes of members since the last call."""
         changes = self._changes
         self._changes = []
         return changes
 
     def take_received_entries(self) -> list[MapEntry]:
-        """The new entries of other writers since the last call."""
+        """Returns the new map entries of other writers since the last call."""
         return self._handler.take_received_entries()
 
     def take_user_messages(self) -> list[UserMessage]:
-        """The queries and replies of other members since the last call."""
+        """Returns the queries and replies received from other members since the last call."""
         return self._handler.take_user_messages()
 
     def publish(self, kind: str, part: int, value: bytes, min_interval_us: int | None = None) -> None:
-        """Publish an entry to all members; only its last value counts.
+        """Publish an entry to all members; a later value replaces one that was not written yet.
 
-        It is written as often as the traffic budget allows. With ``min_interval_us`` it is urgent: it is written and
-        gossiped at once, but no more often than in that interval.
+        Writes are paced by the traffic budget. With ``min_interval_us`` the entry is urgent: it is written and
+        gossiped immediately, at most once per that interval.
         """
         self.publisher.publish(kind, part, value, min_interval_us, self.now_us)
 
     def send_user_message(self, name: str, kind: MessageKind, content: bytes) -> None:
-        """Send a query or a chunk of its reply; to a member that is not known any more it is lost."""
+        """Send a query or a chunk of a reply; it is dropped if the member is no longer known."""
         if (member := self.table.members.get(name)) is not None:
             self.sender.send_to_member(member, OutgoingMessage(kind, payload=content), self.now_us)
 
     def tick(self, now_us: int) -> int:
-        """Do what is due; returns when the next thing is due."""
+        """Run all due timers; returns the time at which the next one is due."""
         last_tick_us = self._last_tick_us
         self._last_tick_us = now_us
         self.now_us = now_us
         if self.superseded is not None:
-            return now_us + SUPERSEDED_TICK_US
+            return now_us + SUPERSEDED_TICK_INTERVAL_US
         self._compensate_stall(last_tick_us)
         self.table.tick(now_us)
         self._probes.tick(now_us)
@@ -162,7 +162,7 @@
         return self._earliest_due_us()
 
     def receive(self, data: bytes, now_us: int) -> None:
-        """Take a datagram; an invalid one is counted by its reason, and kept in ``rejected_datagrams``."""
+        """Process a datagram; an invalid one is counted by reason and added to ``rejected_datagrams``."""
         self.now_us = max(self.now_us, now_us)
         if self.superseded is not None:
             return
@@ -174,7 +174,7 @@
         self._apply_changes()
 
     def leave(self) -> None:
-        """Announce a graceful shutdown to some members, so that the others need not detect it."""
+        """Announce a graceful shutdown to some members, which gossip it, so that no failure has to be detected."""
         self.local.leave()
         self.state.update_record(self.local.record)
         message = OutgoingMessage(MessageKind.LEAVE)
@@ -182,10 +182,12 @@
             self.sender.send_to_member(self.table.members[name], message, self.now_us)
 
     def next_due_us(self) -> int:
-        """When ``tick`` has something to do next."""
-        return self._earliest_due_us() if self.superseded is None else self.now_us + SUPERSEDED_TICK_US
+        """Returns when ``tick`` is due next."""
+        return (
+            self._earliest_due_us() if self.superseded is None else self.now_us + SUPERSEDED_TICK_INTERVAL_US
+        )
 
-    # time
+    # timers
 
     def _earliest_due_us(self) -> int:
         due_us = min(self._probes.next_due_us(), self._next_reconnect_us, self._push_pull.next_round_us)
@@ -197,7 +199,7 @@
         return due_us
 
     def _compensate_stall(self, last_tick_us: int) -> None:
-        """Suspect nobody for a time in which this process itself did not run."""
+        """Extend all deadlines by the time for which this process was stalled, so that it suspects nobody for it."""
         elapsed_us = self.now_us - last_tick_us
         expected_us = max(0, self._earliest_due_us() - last_tick_us)
         if elapsed_us > self.config.stall_threshold_us + expected_us:
@@ -219,10 +221,10 @@
         for address in reconnect_addresses(self.config, self.table, self._random):
             self.sender.send(address, 0, message, self.now_us)
 
-    # changes
+    # state changes
 
     def _apply_changes(self) -> None:
-        """Follow up on changes of members' states."""
+        """React to state changes of members."""
         changes = self.table.changes
         self.table.changes = []
         self._changes += changes
@@ -230,12 +232,13 @@
             if change.before is None:
                 self._member_added(change.name)
             elif change.after is MemberState.ALIVE:
-                # A refutation has to reach all members before their time for it is over, so each passes it on soon.
+                # A refutation has to reach all members before their deadlines, so it is gossiped with priority.
                 self._urgent_keys[RecordKey(change.name)] = None
-            elif change.after is MemberState.SUSPECT and self._is_drawn():
-                self._probes.prober.probe_soon(change.name)  # independent confirmations shorten the timeout
-            elif change.after is MemberState.UNCONFIRMED_DEAD and self._is_drawn():
-                # It may not know the report yet.
+            elif change.after is MemberState.SUSPECT and self._is_randomly_selected():
+                # Independent confirmations shorten the suspicion timeout.
+                self._probes.prober.probe_soon(change.name)
+            elif change.after is MemberState.UNCONFIRMED_DEAD and self._is_randomly_selected():
+                # The ping carries the report, which the member may not have received yet.
                 self._probes.ping(self.table.members[change.name], self.now_us)
             if change.after is None:
                 self.state.discard_evicted(change.name)
@@ -243,8 +246,9 @@
     def _member_added(self, name: str) -> None:
         self._probes.prober.add_member(name)
         if len(self.table.live_names) <= GOSSIP_FANOUT:
-            self._push_pull.send_digest(self.table.members[name], self.now_us)  # it knows the other members
+            # The new member may know others that this one does not.
+            self._push_pull.send_digest(self.table.members[name], self.now_us)
 
-    def _is_drawn(self) -> bool:
-        """A random decision that on average ``GOSSIP_FANOUT`` members of the fleet take."""
+    def _is_randomly_selected(self) -> bool:
+        """Returns a random decision that on average ``GOSSIP_FANOUT`` members of the fleet answer with True."""
         return self._random.randrange(self.live_count) < GOSSIP_FANOUT
--- a/thornshelf/membership/reconnect.py
+++ b/thornshelf/membership/reconnect.py
@@ -1,4 +1,4 @@
-"""Which members that are away, or seeds that were never reached, are contacted next."""
+"""Selects the departed members and missing seeds that are contacted next."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 def reconnect_addresses(
     config: MembershipConfig, table: MemberTable, random_source: random.Random
 ) -> list[str]:
-    """Addresses to contact: one of a dead or evicted member, or of a seed, so that a partition of any length heals.
+    """Returns one random address of a missing seed, or of a dead or evicted member, so that any partition heals.
 
-    Without any live member all missing seeds are contacted.
+    Without any live member, the addresses of up to ``MAX_SEEDS_AT_ONCE`` missing seeds are returned, too.
     """
     live = table.live_addresses()
     seeds = [address for address in config.seeds if address not in live and address != config.address]
     dead = [one.record.address for one in table.departed() if one.state is MemberState.DEAD]
-    former = [address for address in [*dead, *table.address_book] if address not in live]
+    former = [address for address in [*dead, *table.former_addresses] if address not in live]
     if not table.live_names:
         return seeds[:MAX_SEEDS_AT_ONCE] + ([random_source.choice(former)] if former else [])
     groups = [seeds, former] if seeds and former else [seeds or former]
--- a/thornshelf/membership/states.py
+++ b/thornshelf/membership/states.py
@@ -1,10 +1,10 @@
-"""The records that members gossip about each other, the states that they draw from them, and every transition.
+"""The records that members gossip about each other, the states derived from them, and the table of transitions.
 
-A *record* is what travels. Records of one member are ordered by incarnation, then by instance id, then by status, and
-the greatest prevails, in whatever order and however often they arrive.
-A *state* is what one member itself takes for true. It follows records, but never at once where somebody else reports
-that a member is dead or has left: the member concerned first gets time to refute that. So a false report costs a
-refutation, and never a member.
+A *record* is what is transmitted. The records of one member are ordered by incarnation, instance id and status. The
+greatest prevails, so the outcome does not depend on the order of arrival or on duplicates.
+A *state* is one member's own view of another. It follows the records, except that a report by a third party that a
+member is dead or has left takes effect only after a grace period in which that member can refute it. A false report
+therefore costs one refutation and cannot remove a live member.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 
 import msgspec
 
-NEVER_US = -1_000_000_000  # long before any time of the loop's clock
+NEVER_US = -1_000_000_000  # earlier than any time of the loop's clock
 
 
 class RecordStatus(enum.IntEnum):
-    """The status in a record; at one incarnation the greater value prevails."""
+    """The status in a record. Within one incarnation and instance the greater value prevails."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,31 +27,33 @@
 
 
 class MemberState(enum.Enum):
-    """The state of a member as this one sees it. The values are shown to operators and logged."""
+    """The state of a member in the view of this one. The values are logged and shown to operators."""
 
     ALIVE = "alive"
-    SUSPECT = "suspect"  # a probe failed here or elsewhere; the suspicion timeout runs
-    UNCONFIRMED_DEAD = "doomed"  # others report it as dead or departed; a short time to refute that runs
-    DEAD = "dead"  # retained, and contacted again now and then
-    LEFT = "left"  # shut down gracefully: retained, and not contacted
+    SUSPECT = "suspect"  # a probe failed, here or at another member; the suspicion timeout is running
+    UNCONFIRMED_DEAD = (
+        "doomed"  # others report it as dead or left; its grace period to refute that is running
+    )
+    DEAD = "dead"  # retained, and contacted again periodically
+    LEFT = "left"  # shut down gracefully: retained, but not contacted
 
 
 LIVE_STATES = frozenset((MemberState.ALIVE, MemberState.SUSPECT, MemberState.UNCONFIRMED_DEAD))
 
 
 class MemberEvent(enum.Enum):
-    """What may happen to a member, as this one sees it."""
+    """An event that may change the state of a member."""
 
     PROBE_FAILED = "neither the direct nor the indirect probes of this member were acknowledged"
     REPORTED_SUSPECT = "another member suspects it"
     REPORTED_DEAD = "another member reports that it is dead"
     REPORTED_LEFT = "another member reports that it has left"
-    LEAVE_ANNOUNCED = "it announces that it leaves"
-    REFUTED = "it is alive, with a newer incarnation"
-    REFUTATION_TIMEOUT = "the time to refute is over"
+    LEAVE_ANNOUNCED = "it announced a graceful shutdown"
+    REFUTED = "it is alive with a newer incarnation"
+    REFUTATION_TIMEOUT = "the time to refute has expired"
 
 
-# Every state under every event, also where the state stays as it is, so that a test can check for completeness.
+# Lists every combination of state and event, including those that change nothing; a test checks for completeness.
 TRANSITIONS: dict[tuple[MemberState, MemberEvent], MemberState] = {
     (MemberState.ALIVE, MemberEvent.PROBE_FAILED): MemberState.SUSPECT,
     (MemberState.ALIVE, MemberEvent.REPORTED_SUSPECT): MemberState.SUSPECT,
@@ -59,9 +61,9 @@
     (MemberState.ALIVE, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
     (MemberState.ALIVE, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
     (MemberState.ALIVE, MemberEvent.REFUTED): MemberState.ALIVE,
-    (MemberState.ALIVE, MemberEvent.REFUTATION_TIMEOUT): MemberState.ALIVE,  # of a refuted suspicion
+    (MemberState.ALIVE, MemberEvent.REFUTATION_TIMEOUT): MemberState.ALIVE,  # the suspicion was refuted
     (MemberState.SUSPECT, MemberEvent.PROBE_FAILED): MemberState.SUSPECT,
-    (MemberState.SUSPECT, MemberEvent.REPORTED_SUSPECT): MemberState.SUSPECT,  # a confirmation
+    (MemberState.SUSPECT, MemberEvent.REPORTED_SUSPECT): MemberState.SUSPECT,  # confirms the suspicion
     (MemberState.SUSPECT, MemberEvent.REPORTED_DEAD): MemberState.UNCONFIRMED_DEAD,
     (MemberState.SUSPECT, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
     (MemberState.SUSPECT, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
@@ -73,7 +75,7 @@
     (MemberState.UNCONFIRMED_DEAD, MemberEvent.REPORTED_LEFT): MemberState.UNCONFIRMED_DEAD,
     (MemberState.UNCONFIRMED_DEAD, MemberEvent.LEAVE_ANNOUNCED): MemberState.LEFT,
     (MemberState.UNCONFIRMED_DEAD, MemberEvent.REFUTED): MemberState.ALIVE,
-    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REFUTATION_TIMEOUT): MemberState.DEAD,  # LEFT, if reported so
+    (MemberState.UNCONFIRMED_DEAD, MemberEvent.REFUTATION_TIMEOUT): MemberState.DEAD,  # LEFT if reported so
     (MemberState.DEAD, MemberEvent.PROBE_FAILED): MemberState.DEAD,
     (MemberState.DEAD, MemberEvent.REPORTED_SUSPECT): MemberState.DEAD,
     (MemberState.DEAD, MemberEvent.REPORTED_DEAD): MemberState.DEAD,
@@ -98,47 +100,47 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What members gossip about one member."""
+    """What members gossip about one member. The field order is the wire format."""
 
     name: str
-    address: str  # host:port at which it is reached
+    address: str  # host:port at which other members reach it
     incarnation: int
-    instance_id: int  # a random number of its process, which tells its restarts apart
-    status: int  # a value of RecordStatus; kept as an integer, as push-pull rounds hash its form
-    uptime_ms: int  # how long its process had run when it took this incarnation, by a monotonic clock
-    reported_by: str = ""  # who suspects it first; independent suspicions confirm each other
+    instance_id: int  # random per process, to distinguish restarts
+    status: int  # a RecordStatus, as an integer because push-pull rounds hash its repr
+    uptime_ms: int  # uptime of its process when it took this incarnation, by a monotonic clock
+    reported_by: str = ""  # the member that suspects it; independent suspicions confirm each other
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """The record with the greater precedence prevails."""
+        """The sort key of a member's records; the record with the greatest one prevails."""
         return self.incarnation, self.instance_id, self.status
 
 
 def prevailing_record(first: MemberRecord | None, second: MemberRecord) -> MemberRecord:
-    """The record with the greater precedence; of equal ones the first."""
+    """Returns the record with the greater precedence, ``first`` if they are equal."""
     return second if first is None or second.precedence > first.precedence else first
 
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """Another member, as this one sees it. Times are microseconds of the loop's clock."""
+    """Another member in the view of this one. Times are microseconds of the loop's clock."""
 
     record: MemberRecord
     state: MemberState = MemberState.ALIVE
     state_since_us: int = 0
     refutation_deadline_us: int = 0
-    last_seen_us: int = -1  # when its last datagram arrived, -1 for never
-    live_since_us: int = 0  # since when it has been live without interruption
+    last_seen_us: int = -1  # when its last datagram arrived; -1 for never
+    live_since_us: int = 0  # start of its current uninterrupted live period
     suspected_by: frozenset[str] = frozenset()  # members that suspect it independently of each other
-    last_corrected_us: int = NEVER_US  # when it last was sent the record that is gossiped about it
+    last_corrected_us: int = NEVER_US  # when it was last sent the record that is gossiped about it
 
     @property
     def is_live(self) -> bool:
-        """Whether it counts as a member that is up."""
+        """Whether the member counts as live."""
         return self.state in LIVE_STATES
 
     def apply(self, event: MemberEvent, now_us: int) -> bool:
-        """Take the transition for an event; returns whether the state has changed."""
+        """Apply the transition for an event; returns whether the state changed."""
         state = TRANSITIONS[self.state, event]
         reported_left = self.record.status == RecordStatus.LEFT
         if (
