--- a/thornshelf/membership/keys.py
+++ b/thornshelf/membership/keys.py
@@ -1,4 +1,4 @@
-"""Keys of what members disseminate and compare: records of members, and entries of the replicated map."""
+"""Keys of the data that members replicate: records of members, and entries of the replicated map."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RecordKey(NamedTuple):
-    """Names the record of one member.
+    """The key of a member's record.
 
-    Its ``repr`` is hashed in push-pull rounds, so all members of all versions have to agree on it.
+    Push-pull rounds hash its ``repr``, which therefore is part of the protocol and the same in all versions.
     """
 
     name: str
@@ -18,7 +18,7 @@
 
 
 class EntryKey(NamedTuple):
-    """Names one entry of the replicated map. Its ``repr`` is hashed in push-pull rounds, as that of a record is."""
+    """The key of an entry of the replicated map. Its ``repr`` is part of the protocol, too."""
 
     writer: str
     kind: str
