--- a/thornshelf/membership/datagram_sender.py
+++ b/thornshelf/membership/datagram_sender.py
@@ -1,4 +1,4 @@
-"""Builds the datagrams that this member sends, and fills the space that is left in each with rumors (piggyback)."""
+"""Builds outgoing datagrams, and fills the remaining space of each with rumors (piggybacking)."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from thornshelf.membership.keys import RecordKey, RumorKey
 from thornshelf.membership.states import Member, MemberRecord, MemberState, RecordStatus
 
-MESSAGE_OVERHEAD_BYTES = 48  # of the numbers and lengths in a message, at most
-MAX_GOSSIP_DATAGRAMS = 4  # that answer one push-pull request
-GOSSIP_FANOUT = 3  # random members that rumors are sent to which cannot wait for a probe
+MESSAGE_OVERHEAD_BYTES = 48  # upper bound for the numbers and lengths in a message
+MAX_GOSSIP_DATAGRAMS = 4  # in reply to one push-pull request
+GOSSIP_FANOUT = 3  # random members to which urgent rumors are sent immediately
 
 
 @dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """What a datagram is to hold besides this member's own record and the rumors.
+    """The content of a datagram other than this member's own record and the piggybacked rumors.
 
-    ``keys``: records and entries to send, as many as fit. ``sequence``: of a ping, repeated in its acknowledgement.
+    ``keys``: records and entries to send, as many as fit. ``sequence``: of a ping; copied to its acknowledgement.
     """
 
     kind: MessageKind
@@ -34,14 +34,14 @@
 
 
 class OutgoingDatagram(NamedTuple):
-    """A datagram, and the host:port that it goes to."""
+    """A datagram and its destination, host:port."""
 
     address: str
     data: bytes
 
 
 class DatagramSender:
-    """The datagrams that wait to be sent."""
+    """Builds datagrams and queues them in ``outgoing``."""
 
     def __init__(self, config: MembershipConfig, state: FleetState) -> None:
         self.sealer = Sealer(config.fleet, config.key)
@@ -53,15 +53,15 @@
         self._encoded_local: tuple[MemberRecord, bytes] | None = None
 
     def take_outgoing(self) -> list[OutgoingDatagram]:
-        """The datagrams that were built since the last call."""
+        """Returns the datagrams built since the last call."""
         outgoing = self.outgoing
         self.outgoing = []
         return outgoing
 
     def send_to_member(self, member: Member, message: OutgoingMessage, now_us: int) -> list[RumorKey]:
-        """Send to a known member; returns the keys for which there was no space.
+        """Send to a known member; returns the keys that did not fit.
 
-        Where its record or state is not alive, that record goes first, so that the member can refute it.
+        If its record or state is not alive, the record is included first, so that the member can refute it.
         """
         record = member.record
         is_alive = record.status == RecordStatus.ALIVE and member.state is MemberState.ALIVE
@@ -76,10 +76,10 @@
         now_us: int,
         first: RecordKey | None = None,
     ) -> list[RumorKey]:
-        """Send to an address; returns the keys for which there was no space.
+        """Send to an address; returns the keys that did not fit.
 
-        ``instance_id``: of the process that it is meant for, 0 for any. ``first``: the rumor that goes before all
-        others, behind the message's own keys.
+        ``instance_id``: of the recipient's process, 0 for any. ``first``: a rumor that is included before all others,
+        after the keys of the message.
         """
         self._now_us = now_us
         local_record = self._encode_local_record()
@@ -123,7 +123,7 @@
         self.outgoing.append(OutgoingDatagram(address, self.sealer.seal(self.sealer.encode(body))))
 
     def send_keys(self, member: Member, keys: Sequence[RumorKey], now_us: int) -> None:
-        """Send records and entries to a member, in a bounded number of datagrams."""
+        """Send records and entries to a member in at most ``MAX_GOSSIP_DATAGRAMS``; others are omitted."""
         remaining = list(keys)
         for _ in range(MAX_GOSSIP_DATAGRAMS):
             if not remaining:
@@ -133,13 +133,13 @@
             )
 
     def gossip(self, key: RumorKey, now_us: int) -> None:
-        """Send a record or an entry to a few random members at once."""
+        """Send a record or an entry to ``GOSSIP_FANOUT`` random members immediately."""
         message = OutgoingMessage(MessageKind.GOSSIP, keys=[key])
         for name in self._state.table.sample(GOSSIP_FANOUT):
             self.send_to_member(self._state.table.members[name], message, now_us)
 
     def _encode(self, key: RumorKey) -> bytes | None:
-        """The bytes of a record or an entry; None where it is not known any more."""
+        """Returns the encoded record or entry, or None if it is no longer known."""
         if isinstance(key, RecordKey):
             if key.name == self._state.local.record.name:
                 return self._encode_local_record()
--- a/thornshelf/membership/dissemination.py
+++ b/thornshelf/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""The dissemination buffer: rumors that are piggybacked on other datagrams, each a bounded number of times."""
+"""The buffer of rumors that are piggybacked on outgoing datagrams, each a limited number of times."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from heapq import nsmallest
 from typing import Generic, TypeVar
 
-MAX_RUMORS = 8_192  # beyond, those sent most often are dropped: push-pull rounds repair that
+MAX_RUMORS = 8_192  # above it, the most transmitted ones are dropped; push-pull rounds repair that
 DROPPED_AT_ONCE = MAX_RUMORS // 8
-MAX_RUMORS_TRIED = 24  # for one datagram
+MAX_RUMORS_TRIED = 24  # per datagram
 
 Key = TypeVar("Key", bound=Hashable)
 
 
 class DisseminationBuffer(Generic[Key]):
-    """Keys of records and entries that other members may not know yet, by how often they were sent."""
+    """Keys of records and entries to disseminate, with the number of transmissions of each."""
 
     def __init__(self) -> None:
         self._transmissions: dict[Key, int] = {}
-        # The newest rumor has the lowest rank, so that a flood of old ones does not delay it.
+        # The newest rumor has the lowest rank, so that a backlog of older ones does not delay it.
         self._ranks: dict[Key, int] = {}
         self._next_rank = 0
 
@@ -26,7 +26,7 @@
         return len(self._transmissions)
 
     def add(self, key: Key) -> None:
-        """Something new is known under this key: its transmissions count from zero."""
+        """Add or renew a rumor: its transmissions are counted from zero."""
         self._transmissions.pop(key, None)
         if len(self._transmissions) >= MAX_RUMORS:
             self._drop_excess()
@@ -57,11 +57,11 @@
         encode: Callable[[Key], bytes | None],
         first: Key | None = None,
     ) -> list[tuple[Key, bytes]]:
-        """Select rumors that fit into ``max_bytes``, the least sent first, and count their transmission.
+        """Select rumors that fit into ``max_bytes``, the least transmitted first, and count their transmission.
 
-        Returns pairs of a key and its bytes. A rumor is dropped once it was sent ``retransmit_limit`` times.
-        ``encode`` gives its bytes, None where there is nothing to send any more. ``first`` goes before all others,
-        whether it is a rumor or not.
+        Returns pairs of a key and its encoding. A rumor is dropped after ``retransmit_limit`` transmissions.
+        ``encode`` returns None for a rumor that no longer exists. ``first`` is selected before all others, even if it
+        is not in the buffer.
         """
         selected: list[tuple[Key, bytes]] = []
         if first is not None and (data := encode(first)) is not None and len(data) <= max_bytes:
--- a/thornshelf/membership/join_candidates.py
+++ b/thornshelf/membership/join_candidates.py
@@ -1,8 +1,8 @@
-"""Names that are not known yet: each has to acknowledge a ping of this very member before it becomes a member here.
+"""Join candidates: unknown names, each of which has to acknowledge a ping of this member before it becomes a member.
 
-Guards against a member that invents others by the thousand, or sends in their names: none is accepted, nor
-gossiped on, on another member's report. Candidates that sent a datagram themselves are pinged before those that were
-only reported.
+No candidate is accepted or gossiped on another member's report alone. This limits the harm of a malicious member that
+reports invented members or impersonates them. Candidates that sent a datagram themselves are pinged before those that
+were only reported.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 from thornshelf.membership.states import MemberRecord, prevailing_record
 
 MAX_CANDIDATES = 512
-MAX_CANDIDATES_PER_SOURCE = 64  # reported by one member
+MAX_CANDIDATES_PER_SOURCE = 64  # reported by the same member
 PINGS_PER_S = 100
-PINGS_PER_BATCH = PINGS_PER_S // 10  # the pings of a tenth of a second may go together
-MAX_ATTEMPTS = 4  # the last one indirectly, in case the link to this member works one way only
+PINGS_PER_BATCH = PINGS_PER_S // 10  # the pings of a tenth of a second are sent together
+MAX_ATTEMPTS = 4  # the last one is indirect, in case the link works in one direction only
 RETRY_INTERVAL_US = 300_000
-MIN_SEQUENCE = 1 << 31  # above the sequence numbers of the prober
+MIN_SEQUENCE = 1 << 31  # above the range of the prober
 MAX_SEQUENCE = 1 << 62
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A candidate, and the state of its pings."""
+    """A candidate and the state of its pings."""
 
     record: MemberRecord
-    source: str  # the member that reported it first; its own name, where it has sent a datagram itself
+    source: str  # the member that first reported it; its own name if it sent a datagram itself
     attempts: int = 0
     due_us: int = 0
     sequence: int = 0
 
     @property
     def is_reported(self) -> bool:
-        """Whether it is known by another member's report only."""
+        """Whether the candidate is known only from another member's report."""
         return self.source != self.record.name
 
 
 @dataclass(frozen=True, slots=True)
 class CandidatePing:
-    """Ping this candidate, through other members where ``indirect``."""
+    """An action: ping a candidate, through other members if ``indirect``."""
 
     record: MemberRecord
     sequence: int
@@ -49,20 +49,20 @@
 
 
 class JoinCandidates:
-    """The candidates that have not acknowledged a ping yet."""
+    """The candidates that have not acknowledged a ping yet, bounded in total and per source."""
 
     def __init__(self, random_source: random.Random) -> None:
         self._random = random_source
         self._candidates: dict[str, Candidate] = {}
         self._count_by_source: Counter[str] = Counter()
         self._name_by_sequence: dict[int, str] = {}
-        self._next_ping_us = 0  # the rate limit of all pings together
+        self._next_ping_us = 0  # rate limit of all pings
 
     def __len__(self) -> int:
         return len(self._candidates)
 
     def add(self, record: MemberRecord, source: str, now_us: int) -> bool:
-        """Add a candidate; returns False where the limits leave no space for it now."""
+        """Add or update a candidate; returns False if the limits leave no space for it."""
         known = self._candidates.get(record.name)
         if known is not None:
             self._update(known, record, source, now_us)
@@ -88,13 +88,13 @@
             candidate.due_us = now_us
 
     def next_due_us(self) -> int | None:
-        """When the next ping is due; None without candidates."""
+        """Returns when the next ping is due, or None without candidates."""
         if not self._candidates:
             return None
         return max(self._next_ping_us, min(one.due_us for one in self._candidates.values()))
 
     def due_pings(self, now_us: int) -> list[CandidatePing]:
-        """The pings that are due, as many as the rate limit allows. Drops candidates that used up their attempts."""
+        """Returns the pings due within the rate limit, and drops candidates without remaining attempts."""
         pings: list[CandidatePing] = []
         if now_us < self._next_ping_us:
             return pings
@@ -113,13 +113,13 @@
     def _ping(self, candidate: Candidate, now_us: int) -> CandidatePing:
         candidate.attempts += 1
         candidate.due_us = now_us + RETRY_INTERVAL_US
-        # Random, so that no one can forge the acknowledgement without having seen the ping.
+        # Random, so that an acknowledgement cannot be forged without having received the ping.
         candidate.sequence = self._random.randrange(MIN_SEQUENCE, MAX_SEQUENCE)
         self._name_by_sequence[candidate.sequence] = candidate.record.name
         return CandidatePing(candidate.record, candidate.sequence, candidate.attempts == MAX_ATTEMPTS)
 
     def ack_received(self, sequence: int) -> MemberRecord | None:
-        """The record of the candidate whose ping has this sequence number, which is a candidate no more."""
+        """Remove and return the candidate whose ping has this sequence number; None if there is none."""
         name = self._name_by_sequence.get(sequence)
         if name is None:
             return None
--- a/thornshelf/membership/probe_messages.py
+++ b/thornshelf/membership/probe_messages.py
@@ -1,4 +1,4 @@
-"""Carries out the decisions of the prober and of the join candidates in datagrams, and gives them the answers."""
+"""Sends the pings of the prober and of the join candidates, and passes the answers to them."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ProbeMessages:
-    """Pings, indirect pings and their answers."""
+    """Sends and processes pings, indirect pings and their answers."""
 
     def __init__(
         self,
@@ -32,13 +32,13 @@
         self.candidates = JoinCandidates(random_source)
 
     def next_due_us(self) -> int:
-        """When ``tick`` has something to do next."""
+        """Returns when ``tick`` is due next."""
         due = self.prober.next_due_us()
         candidate_due = self.candidates.next_due_us()
         return due if candidate_due is None else min(due, candidate_due)
 
     def tick(self, now_us: int) -> None:
-        """Probe members and ping candidates that are due."""
+        """Probe the members and ping the candidates that are due."""
         self._perform(self.prober.tick(now_us), now_us)
         for ping in self.candidates.due_pings(now_us):
             record = ping.record
@@ -55,7 +55,7 @@
         for action in actions:
             match action:
                 case Ping(target, sequence) if target in members:
-                    # A record that is not alive goes with the ping, so that the member can refute it at once.
+                    # A ping carries the target's record if it is not alive, so that the target can refute it.
                     self._send(members[target], MessageKind.PING, sequence, target, now_us)
                 case IndirectPing(relay, target, sequence) if relay in members:
                     self._send(members[relay], MessageKind.INDIRECT_PING, sequence, target, now_us)
@@ -67,7 +67,7 @@
         self._sender.send_to_member(member, OutgoingMessage(kind, sequence, target), now_us)
 
     def ping(self, member: Member, now_us: int) -> None:
-        """Ping a member without waiting for its answer, so that it receives what is gossiped about it."""
+        """Ping a member without awaiting its answer, so that it receives the record that is gossiped about it."""
         self._send(member, MessageKind.PING, 0, member.record.name, now_us)
 
     def ping_received(self, member: Member, sequence: int, now_us: int) -> None:
@@ -75,7 +75,7 @@
         self._send(member, MessageKind.ACK, sequence, "", now_us)
 
     def ack_received(self, member: Member, message: Message, now_us: int) -> None:
-        """Take a member's acknowledgement, also that of a candidate which it pinged for this member."""
+        """Process a member's acknowledgement, or that of a candidate which the member pinged for this one."""
         candidate = self.candidates.ack_received(message.sequence)
         if candidate is not None and candidate.name not in self._table.members:
             self._table.add(candidate, now_us)
@@ -84,11 +84,14 @@
 
     def indirect_ping_received(self, member: Member, message: Message, now_us: int) -> None:
         """Ping the target on behalf of a member."""
-        actions = self.prober.probe_for(member.record.name, message.target, message.sequence, now_us)
+        actions = self.prober.probe_on_behalf(member.record.name, message.target, message.sequence, now_us)
         self._perform(actions, now_us)
 
     def admit(self, message: Message, now_us: int) -> bool:
-        """Take a datagram of an unknown sender; returns whether it acknowledges a ping, which makes it a member."""
+        """Process a message of an unknown sender.
+
+        An acknowledgement of a ping makes it a member, any other message a candidate. Returns whether it is a member.
+        """
         sender = message.sender
         is_alive = sender.status == RecordStatus.ALIVE
         if message.kind is MessageKind.ACK:
