--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -334,7 +334,7 @@
     for writer, part, kind in product("abcdefghijkl", range(16), ("x", "y")):
         replica.merge(map_entry(writer, 1, b"v" * 100, kind, part), 0)
     assert replica.value_bytes <= 10_000
-    assert max(len(replica.ids_of(writer)) for writer in "abcdefghijkl") <= MAX_ENTRIES_PER_WRITER
+    assert max(len(replica.keys_of(writer)) for writer in "abcdefghijkl") <= MAX_ENTRIES_PER_WRITER
     for writer in "abcdefghijkl":
         replica.remove_writer(writer)
     assert replica.value_bytes == 0
--- a/thornshelf/membership/anti_entropy.py
+++ b/thornshelf/membership/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Finds what two members know differently, by hashes of buckets, and then by hashes of the keys in those that differ.
+"""Finds the differences between the data of two members: compares hashes of buckets, then hashes of single keys.
 
-Keys and stamps are hashed by their ``repr``, which all members have to agree on.
+Keys and stamps are hashed by their ``repr``, which has to be the same at all members.
 """
 
 from __future__ import annotations
@@ -12,44 +12,44 @@
 import xxhash
 
 BUCKET_COUNT = 64
-MAX_BUCKETS_PER_ROUND = 6  # the other buckets that differ are left to the next rounds
+MAX_BUCKETS_PER_ROUND = 6  # further differing buckets are left to later rounds
 STAMP_MASK = 0xFFFFFFFF
 DIGEST = struct.Struct(f">{BUCKET_COUNT}I")
-SUMMARY_HEADER_BYTES = 2  # the bucket, and whether the page holds all of it
-SUMMARY_ROW = struct.Struct(">QI")  # hashes of a key and of its stamp
+SUMMARY_HEADER_BYTES = 2  # the bucket, and whether the page is complete
+SUMMARY_ROW = struct.Struct(">QI")  # the hashes of a key and of its stamp
 KEY_HASH = struct.Struct(">Q")
 
 Key = TypeVar("Key", bound=Hashable)
 
 
 def key_hash(key: Hashable) -> int:
-    """The hash by which members name a key to each other."""
+    """Returns the hash that identifies a key on the wire."""
     return xxhash.xxh3_64_intdigest(repr(key).encode())
 
 
 class IndexedKey(NamedTuple, Generic[Key]):
-    """A key, and the hash of the stamp under which it is known."""
+    """A key, and the hash of its current stamp."""
 
     key: Key
     stamp_hash: int
 
 
 class Differences(NamedTuple, Generic[Key]):
-    """What follows from a summary: keys to send, and hashes of keys to request. Either side may have the newer."""
+    """The keys to send and the hashes of keys to request. Hashes have no order, so a key may be in both."""
 
     to_send: list[Key]
     to_request: list[int]
 
 
 class BucketIndex(Generic[Key]):
-    """Hashes over all that a member knows, updated as it changes."""
+    """An incrementally updated index of the keys and stamps that a member has, with a hash per bucket."""
 
     def __init__(self) -> None:
         self._bucket_hashes = [0] * BUCKET_COUNT
         self._buckets: list[dict[int, IndexedKey[Key]]] = [{} for _ in range(BUCKET_COUNT)]
 
     def record(self, key: Key, stamp: Hashable) -> None:
-        """A key is known under this stamp now."""
+        """Add a key, or update its stamp."""
         hashed = key_hash(key)
         bucket = hashed % BUCKET_COUNT
         stamp_hash = xxhash.xxh3_64_intdigest(repr(stamp).encode(), seed=hashed) & STAMP_MASK
@@ -60,23 +60,26 @@
         self._bucket_hashes[bucket] ^= stamp_hash
 
     def discard(self, key: Key) -> None:
-        """Compare a key no more."""
+        """Remove a key."""
         hashed = key_hash(key)
         bucket = hashed % BUCKET_COUNT
         if (old := self._buckets[bucket].pop(hashed, None)) is not None:
             self._bucket_hashes[bucket] ^= old.stamp_hash
 
     def replace_with(self, other: BucketIndex[Key]) -> None:
-        """Take over all that is in another index."""
+        """Replace the content with that of another index."""
         self._bucket_hashes = list(other._bucket_hashes)
         self._buckets = [dict(bucket) for bucket in other._buckets]
 
     def digest(self) -> bytes:
-        """A hash for each bucket."""
+        """Returns the packed hashes of all buckets."""
         return DIGEST.pack(*self._bucket_hashes)
 
     def differing_buckets(self, digest: bytes, start: int) -> list[int]:
-        """The first buckets from ``start`` on that differ from another member's digest; none of a malformed one."""
+        """Returns the buckets that differ from another member's digest, none if that is malformed.
+
+        The comparison starts at the bucket ``start`` and ends after ``MAX_BUCKETS_PER_ROUND`` differences.
+        """
         if len(digest) != DIGEST.size:
             return []
         remote = DIGEST.unpack(digest)
@@ -85,7 +88,7 @@
         return differing[:MAX_BUCKETS_PER_ROUND]
 
     def summaries(self, buckets: Iterable[int], max_bytes: int) -> list[bytes]:
-        """Pages of what is in some buckets: each starts with its bucket, and whether the page holds all of it."""
+        """Returns the content of some buckets in pages, with a header of the bucket and whether it is on one page."""
         pages = []
         rows_per_page = max(1, (max_bytes - SUMMARY_HEADER_BYTES) // SUMMARY_ROW.size)
         for bucket in buckets:
@@ -97,7 +100,7 @@
         return pages
 
     def compare_summary(self, page: bytes) -> Differences[Key]:
-        """Compare with a page of another member's summaries; a malformed page has no differences."""
+        """Compare with a page of another member's summary; a malformed page has no differences."""
         rows_bytes = len(page) - SUMMARY_HEADER_BYTES
         if rows_bytes < 0 or rows_bytes % SUMMARY_ROW.size or page[0] >= BUCKET_COUNT:
             return Differences([], [])
@@ -117,7 +120,7 @@
         return Differences(to_send, to_request)
 
     def keys_of_hashes(self, hashes: bytes) -> list[Key]:
-        """The known ones among the keys that another member requests by their hashes."""
+        """Returns the keys of packed hashes; unknown ones are ignored."""
         found = []
         for (hashed,) in KEY_HASH.iter_unpack(hashes[: len(hashes) // KEY_HASH.size * KEY_HASH.size]):
             if (indexed := self._buckets[hashed % BUCKET_COUNT].get(hashed)) is not None:
@@ -126,5 +129,5 @@
 
 
 def pack_hashes(hashes: list[int]) -> bytes:
-    """Hashes of keys, as they are requested."""
+    """Encode hashes of keys for a request."""
     return struct.pack(f">{len(hashes)}Q", *hashes)
--- a/thornshelf/membership/entry_publisher.py
+++ b/thornshelf/membership/entry_publisher.py
@@ -1,4 +1,4 @@
-"""Writes this member's entries of the replicated map, as often as the fleet's traffic budget allows."""
+"""Writes this member's entries of the replicated map, paced by the fleet's traffic budget."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from thornshelf.membership.fleet_state import FleetState
 from thornshelf.membership.keys import EntryKey
 
-ENTRY_OVERHEAD_BYTES = 40  # of an entry beside its value
+ENTRY_OVERHEAD_BYTES = 40  # size of an encoded entry without its value
 
 
 @dataclass(slots=True)
 class PendingWrite:
-    """An own entry that waits for its next version."""
+    """A new value of one of this member's entries that waits to be written."""
 
     value: bytes
     due_us: int
@@ -22,7 +22,7 @@
 
 
 class EntryPublisher:
-    """The own entries that are to be written; only the last value of each counts."""
+    """The pending writes of this member; a later value of an entry replaces an earlier one."""
 
     def __init__(self, config: MembershipConfig, state: FleetState, sender: DatagramSender) -> None:
         self._config = config
@@ -32,9 +32,9 @@
         self._written_us: dict[tuple[str, int], int] = {}
 
     def publish(self, kind: str, part: int, value: bytes, min_interval_us: int | None, now_us: int) -> None:
-        """Write a value as soon as its interval has passed: the given one, or else that of the traffic budget.
+        """Write a value once ``min_interval_us`` has passed since the last write, and gossip it immediately.
 
-        With an interval of its own it is urgent, and is gossiped at once.
+        Without ``min_interval_us`` the interval follows from the traffic budget, and the value is only piggybacked.
         """
         stored = self._state.replicated_map.get(self._state.local.record.name, kind, part)
         current = stored.entry.value if stored is not None else b""
@@ -49,7 +49,7 @@
         self.pending[kind, part] = PendingWrite(value, due_us, min_interval_us is not None)
 
     def next_due_us(self) -> int | None:
-        """When the next write is due; None without pending ones."""
+        """Returns when the next write is due, or None if none is pending."""
         if not self.pending:
             return None
         return min(write.due_us for write in self.pending.values())
@@ -65,7 +65,7 @@
                     self._sender.gossip(key, now_us)
 
     def rewrite(self, kind: str, part: int, now_us: int) -> None:
-        """Write the current value again, above a version of this entry that others have."""
+        """Write the current value again, with a stamp above the one that other members have."""
         stored = self._state.replicated_map.get(self._state.local.record.name, kind, part)
         self._write(kind, part, stored.entry.value if stored is not None else b"", now_us)
 
--- a/thornshelf/membership/fleet_state.py
+++ b/thornshelf/membership/fleet_state.py
@@ -1,4 +1,4 @@
-"""What this member knows of the fleet: records of members, and entries of the replicated map."""
+"""The replicated state of the fleet at this member: records of members, and entries of the replicated map."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FleetState:
-    """Records and entries; each change is put into the dissemination buffer and the bucket index."""
+    """Holds records and entries, and adds each change to the dissemination buffer and the bucket index."""
 
     def __init__(
         self,
@@ -35,32 +35,32 @@
 
     @property
     def live_count(self) -> int:
-        """The number of live members, this one among them."""
+        """The number of live members, including this one."""
         return len(self.table.live_names) + 1
 
     def update(self, key: RumorKey, stamp: Hashable) -> None:
-        """A record or an entry is new here under this stamp, and others may not know it yet."""
+        """Index the new stamp of a record or an entry, and disseminate it."""
         self.buffer.add(key)
         self.index.record(key, stamp)
 
     def update_record(self, record: MemberRecord) -> None:
-        """The record of a member has changed here."""
+        """Index and disseminate a member's new record."""
         self.update(RecordKey(record.name), record.precedence)
 
     def _member_record_changed(self, name: str) -> None:
         self.update_record(self.table.members[name].record)
 
     def discard_departed(self, now_us: int) -> None:
-        """Compare departed members no more that the others may have evicted already."""
+        """Omit from push-pull rounds the departed members that others may have evicted already."""
         for member in self.table.departed():
             if self.table.is_expiring(member, now_us):
                 name = member.record.name
                 self.index.discard(RecordKey(name))
-                for key in self.replicated_map.ids_of(name):
+                for key in self.replicated_map.keys_of(name):
                     self.index.discard(key)
 
     def discard_evicted(self, name: str) -> None:
-        """Remove what is left of an evicted member."""
+        """Remove the entries of an evicted member, and all its keys from the index."""
         self.index.discard(RecordKey(name))
         for key in self.replicated_map.remove_writer(name):
             self.index.discard(key)
--- a/thornshelf/membership/push_pull.py
+++ b/thornshelf/membership/push_pull.py
@@ -1,7 +1,7 @@
-"""Push-pull rounds: a member compares all that it knows with a random other one, and both fetch what they missed.
+"""Push-pull rounds (anti-entropy): a member compares its data with a random other one, and both exchange differences.
 
-The initiator sends a digest, one hash for each bucket. The other answers with summaries of buckets that differ. The
-initiator sends what it has newer, and requests the rest.
+The initiator sends a digest, one hash per bucket. The other member answers with summaries of the buckets that differ.
+The initiator sends its version of each key that differs, and requests that of the other member.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from thornshelf.membership.member_table import MemberTable
 from thornshelf.membership.states import Member, MemberRecord
 
-FOLLOW_UP_US = 250_000  # a round that brought much is followed by the next one so soon
-FOLLOW_UP_RUMORS = 8
-SUMMARY_BYTES = 1_000  # of one page
-BUCKET_STEP = 7  # by which the first bucket of a comparison moves on; prime to the number of buckets
-MAX_REQUESTED_KEYS = 120  # in one datagram
+FOLLOW_UP_US = 250_000  # delay of the next round after one that brought many rumors
+FOLLOW_UP_MIN_RUMORS = 8  # the number of rumors that counts as many
+SUMMARY_BYTES = 1_000  # per page
+BUCKET_STEP = 7  # offset of the first bucket of each comparison; coprime to the number of buckets
+MAX_REQUESTED_KEYS = 120  # per datagram
 
 
 class PushPull:
-    """The rounds of one member. ``next_round_us``: when the next one is due."""
+    """Runs the push-pull rounds of a member. ``next_round_us``: when the next one is due."""
 
     def __init__(
         self,
@@ -45,7 +45,7 @@
         self._learned = 0  # new rumors since the last round began
 
     def tick(self, now_us: int) -> None:
-        """Begin the next round, if it is due."""
+        """Start the next round if it is due."""
         if now_us < self.next_round_us:
             return
         jitter_us = self._random.randrange(self._interval_us // 2)
@@ -55,7 +55,7 @@
             self.send_digest(self._table.members[name], now_us)
 
     def send_digest(self, member: Member, now_us: int) -> None:
-        """Begin a comparison with a member."""
+        """Start a comparison with a member."""
         message = OutgoingMessage(MessageKind.PUSH_PULL_DIGEST, payload=self._index.digest())
         self._sender.send_to_member(member, message, now_us)
 
@@ -68,7 +68,7 @@
             self._sender.send_to_member(member, message, now_us)
 
     def unknown_digest_received(self, sender: MemberRecord, digest: bytes, now_us: int) -> None:
-        """Answer the digest of a sender that is no member here."""
+        """Answer the digest of a sender that is not a known member."""
         for page in self._summaries(digest):
             message = OutgoingMessage(MessageKind.PUSH_PULL_SUMMARY, payload=page)
             self._sender.send(sender.address, sender.instance_id, message, now_us)
@@ -77,7 +77,7 @@
         return self._index.summaries(self._index.differing_buckets(digest, self._first_bucket), SUMMARY_BYTES)
 
     def summary_received(self, member: Member, page: bytes, now_us: int) -> None:
-        """Send what differs from a page of a member's summary, and request it: either side may have the newer."""
+        """Send the keys that differ from a page of a member's summary, and request the member's versions."""
         differences = self._index.compare_summary(page)
         self._sender.send_keys(member, differences.to_send, now_us)
         if differences.to_request:
@@ -86,15 +86,15 @@
             self._sender.send_to_member(member, message, now_us)
 
     def request_received(self, member: Member, hashes: bytes, now_us: int) -> None:
-        """Send what a member requests."""
+        """Send the keys that a member requests."""
         self._sender.send_keys(member, self._index.keys_of_hashes(hashes), now_us)
 
     def rumors_learned(self, count: int) -> None:
-        """Count rumors that were new here."""
+        """Count rumors that were new to this member."""
         self._learned += count
 
     def gossip_received(self, now_us: int) -> None:
-        """Bring the next round forward if this one brought much, as there is probably more to fetch."""
-        if self._learned >= FOLLOW_UP_RUMORS:
+        """Advance the next round if this one brought many rumors, as there are probably more to fetch."""
+        if self._learned >= FOLLOW_UP_MIN_RUMORS:
             self._learned = 0
             self.next_round_us = min(self.next_round_us, now_us + FOLLOW_UP_US)
--- a/thornshelf/membership/replicated_map.py
+++ b/thornshelf/membership/replicated_map.py
@@ -1,7 +1,7 @@
-"""The map that all members replicate: one writer an entry, the greatest stamp prevails, bounded in memory.
+"""The map that all members replicate: each entry has one writer, the greatest stamp prevails, memory is bounded.
 
-Entries merge in any order and however often they arrive. A writer that receives an entry of its own under a greater
-stamp than its last one (its former process wrote it, or another one did) writes it again above that.
+Merging is commutative and idempotent. A writer that receives one of its own entries with a greater stamp than it has
+written, from a former process or a forger, writes the entry again with a stamp above that.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from thornshelf.membership.keys import EntryKey
 
 MAX_ENTRIES_PER_WRITER = 24
-MAX_VALUE_BYTES = 16 * 1024 * 1024  # of all values together
+MAX_VALUE_BYTES = 16 * 1024 * 1024  # total of all values
 
 
 @dataclass(frozen=True, slots=True)
 class StoredEntry:
-    """An entry, and when it was written by this member's clock."""
+    """An entry, and its time of writing by this member's clock."""
 
     entry: MapEntry
     written_us: int
 
 
 class ReplicatedMap:
-    """The entries of all members; ``local_name`` is the writer of this member's own."""
+    """The entries of all members. ``local_name`` is this member's name as a writer."""
 
     def __init__(self, local_name: str, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
         self._local_name = local_name
@@ -36,23 +36,23 @@
         self.value_bytes = 0
 
     def get(self, writer: str, kind: str, part: int = 0) -> StoredEntry | None:
-        """One entry. An empty value stands for a deleted one."""
+        """Returns an entry, or None if it is unknown. An empty value marks a deleted entry."""
         return self._by_writer.get(writer, {}).get((kind, part))
 
     def entries_of_kind(self, kind: str) -> Iterator[StoredEntry]:
-        """The entries of a kind that are not deleted, of all writers."""
+        """Yields the entries of a kind by all writers, except deleted ones."""
         for entries in self._by_writer.values():
             for (name, _), stored in entries.items():
                 if name == kind and stored.entry.value:
                     yield stored
 
     def all_entries(self) -> Iterator[StoredEntry]:
-        """Every entry."""
+        """Yields all entries, including deleted ones."""
         for entries in self._by_writer.values():
             yield from entries.values()
 
     def write(self, kind: str, part: int, value: bytes, incarnation: int, now_us: int) -> MapEntry:
-        """Write a new version of an own entry."""
+        """Write and return a new version of one of this member's entries."""
         old = self.get(self._local_name, kind, part)
         old_incarnation = 0 if old is None else old.entry.incarnation
         old_version = 0 if old is None else old.entry.version
@@ -62,7 +62,10 @@
         return entry
 
     def merge(self, entry: MapEntry, now_us: int) -> bool:
-        """Merge a received entry; returns whether it is newer. A newer one of one's own has to be overwritten."""
+        """Merge a received entry; returns whether it is newer.
+
+        If it is, and this member is its writer, the caller has to write the entry again.
+        """
         old = self.get(entry.writer, entry.kind, entry.part)
         if old is not None and entry.stamp <= old.entry.stamp:
             return False
@@ -80,8 +83,8 @@
 
     def _merge_own(self, entry: MapEntry, old: StoredEntry | None, now_us: int) -> bool:
         if entry.version >= MAX_INCARNATION - 1:
-            return False  # no honest process reaches it, and no version is left to overwrite it with
-        # The received value is not this process's: only its stamp is kept, so that the next version goes above it.
+            return False  # out of reach for honest processes; no greater version would be left
+        # Keeps the value of this process and adopts only the stamp, so that the next version exceeds it.
         value = old.entry.value if old is not None else b""
         self._put(msgspec.structs.replace(entry, age_ms=0, value=value), now_us)
         return True
@@ -92,8 +95,8 @@
         self.value_bytes += len(entry.value) - (len(old.entry.value) if old is not None else 0)
         entries[entry.kind, entry.part] = StoredEntry(entry, written_us)
 
-    def ids_of(self, writer: str) -> list[EntryKey]:
-        """The keys of what a writer has written."""
+    def keys_of(self, writer: str) -> list[EntryKey]:
+        """Returns the keys of a writer's entries."""
         return [EntryKey(writer, kind, part) for kind, part in self._by_writer.get(writer, {})]
 
     def remove_writer(self, writer: str) -> list[EntryKey]:
