--- a/thornshelf/membership/drain_gossip.py
+++ b/thornshelf/membership/drain_gossip.py
@@ -1,9 +1,9 @@
-"""Which nodes are draining or gone, from members with a working endpoint watch to those whose watch is silent.
+"""Tells members whose endpoint watch is unresponsive which nodes are draining or removed.
 
-Every start of a dispatcher numbers the events of the endpoint list anew, so that numbers of two dispatchers cannot be
-compared. What is compared is a node's name, the start of its process and its stage, which only moves forward: up,
-draining, gone. Reports of others keep new offers away from a node and do no more: tasks that run there are ended by
-this dispatcher's own endpoint list only. Two members have to report it, where there are two others.
+Each dispatcher numbers the events of the endpoint list from its own start, so numbers of two dispatchers cannot be
+compared. Instead, reports have a node's name, the start time of its process and its stage, which only advances: up,
+draining, removed. Reports only keep new offers away from a node; tasks that run there are ended only by this
+dispatcher's own endpoint list. They take effect if ``MIN_REPORTERS`` members agree (one, if there is only one other).
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 import msgspec
 from msgspec import Meta
 
-GOSSIP_LIFETIME_US = 30_000_000  # a change is gossiped for so long
-SUFFICIENT_REPORTERS = 3  # members that report the same: no more need to
+GOSSIP_LIFETIME_US = 30_000_000  # how long a change is gossiped
+SUFFICIENT_REPORTERS = 3  # further members do not repeat the same report
 MIN_REPORTERS = 2
 ROWS_PER_PAGE = 16
 MAX_PAGES = 8
@@ -30,25 +30,25 @@
     REMOVED = 2
 
 
-STAGE_NAMES = ("up", "draining", "gone")  # by value, as the shell shows them
+STAGE_NAMES = ("up", "draining", "gone")  # by value; shown by the shell
 
 
 class NodeProgress(NamedTuple):
-    """How far a node is; the greater one is the later. ``started_ms``: Unix ms, 0 for a start long ago."""
+    """The progress of a node; the greater one is later. ``started_ms``: Unix ms, 0 if it started long ago."""
 
     started_ms: int
     stage: int
 
 
 class DatedProgress(NamedTuple):
-    """A node's progress, and when this member learned of it."""
+    """A node's progress and when this member learned of it."""
 
     progress: NodeProgress
     learned_us: int
 
 
 class DrainRow(msgspec.Struct, frozen=True, array_like=True):
-    """One node's progress on the wire."""
+    """A node's progress in the wire format."""
 
     node: Annotated[str, Meta(min_length=1, max_length=64)]
     started_ms: Annotated[int, Meta(ge=0, lt=1 << 60)]
@@ -56,7 +56,7 @@
 
 
 class ReportedProgress(NamedTuple):
-    """A node's progress by one reporter, which is empty for the own endpoint list."""
+    """A node's progress according to ``reporter``, which is empty for this member's own endpoint list."""
 
     node: str
     reporter: str
@@ -66,7 +66,7 @@
 
 
 class Page(NamedTuple):
-    """One entry of the replicated map: a part of what a member reports."""
+    """Identifies one entry of the replicated map, which holds a part of a member's reports."""
 
     writer: str
     part: int
@@ -77,16 +77,17 @@
 
 
 class DrainGossip:
-    """What the own endpoint list says, what other members report, and which nodes are avoided therefore."""
+    """The progress of nodes by this member's endpoint list and by reports, and the nodes to avoid."""
 
     def __init__(self) -> None:
         self._own: dict[str, DatedProgress] = {}
-        self._others: dict[str, dict[Page, NodeProgress]] = {}  # by node
-        self._avoided: dict[str, NodeProgress] = {}  # with the own list's progress at that time
-        self._pages: list[list[str]] = []
+        self._others: dict[str, dict[Page, NodeProgress]] = {}  # by node and page
+        # By node: its progress in the own list when enough members last reported it.
+        self._avoided: dict[str, NodeProgress] = {}
+        self._pages: list[list[str]] = []  # the nodes on each published page
 
     def update_own(self, node: str, started_ms: int, stage: int, now_us: int) -> None:
-        """Take over what the own endpoint list says."""
+        """Update the progress of a node by this member's own endpoint list."""
         progress = NodeProgress(started_ms, stage)
         old = self._own.get(node)
         is_changed = old is None or old.progress != progress
@@ -94,15 +95,15 @@
             self._own[node] = DatedProgress(progress, now_us)
 
     def expire(self, now_us: int) -> None:
-        """Discard nodes that are long gone."""
+        """Discard nodes that were removed long ago."""
         for node, own in list(self._own.items()):
             if own.progress.stage == NodeStage.REMOVED and now_us - own.learned_us > 2 * GOSSIP_LIFETIME_US:
                 del self._own[node]
 
     def encode_pages(self, now_us: int) -> list[bytes]:
-        """What this member reports, by pages."""
-        due = [node for node, own in self._own.items() if self._is_published(node, own, now_us)]
-        # A node stays on its page, so that a page that has not changed is not written again.
+        """Returns the encoded reports of this member by page; an empty value is an empty page."""
+        due = [node for node, own in self._own.items() if self._should_publish(node, own, now_us)]
+        # A node stays on its page, so that unchanged pages are not written again.
         remaining = set(due)
         self._pages = [[node for node in page if node in remaining] for page in self._pages]
         for node in due:
@@ -110,8 +111,8 @@
                 self._add_to_page(node)
         return [self._encode_page(page) for page in self._pages]
 
-    def _is_published(self, node: str, own: DatedProgress, now_us: int) -> bool:
-        """Whether a node is reported: one that enough other members report is left to them."""
+    def _should_publish(self, node: str, own: DatedProgress, now_us: int) -> bool:
+        """Returns whether to report a node. One that enough other members report is omitted."""
         return (
             own.progress.stage > NodeStage.UP
             and now_us - own.learned_us < GOSSIP_LIFETIME_US
@@ -122,7 +123,7 @@
         return any(node in page for page in self._pages)
 
     def _add_to_page(self, node: str) -> None:
-        """Put a node on the first page with space, if there is one."""
+        """Add a node to the first page with space; it is omitted if all pages are full."""
         for page in self._pages:
             if len(page) < ROWS_PER_PAGE:
                 page.append(node)
@@ -135,13 +136,13 @@
         return _encoder.encode(rows) if rows else b""
 
     def _count_agreeing(self, node: str) -> int:
-        """How many other members report a node as far as the own list has it, or further."""
+        """Returns how many other members report a node to be at least as far as in the own list."""
         own = self._own[node].progress
         reports = self._others.get(node, {})
         return len({page.writer for page, progress in reports.items() if progress >= own})
 
     def receive(self, writer: str, part: int, value: bytes) -> bool:
-        """Take over a page of another member's reports; returns False where it cannot be decoded."""
+        """Replace a page of another member's reports; returns False if the value cannot be decoded."""
         try:
             rows = _decoder.decode(value) if value else []
         except msgspec.MsgspecError:
@@ -154,7 +155,7 @@
         return True
 
     def discard_member(self, writer: str) -> None:
-        """Discard the reports of a member that is gone."""
+        """Discard the reports of a departed member."""
         reports = self._others.values()
         self._discard({page for by_page in reports for page in by_page if page.writer == writer})
 
@@ -166,7 +167,7 @@
                 del self._others[node]
 
     def reporters(self, node: str) -> list[str]:
-        """The members that report a node as further than the own list has it."""
+        """Returns the sorted names of the members that report a node to be further than in the own list."""
         own = self._own.get(node)
         if own is None:
             return []
@@ -174,9 +175,9 @@
         return sorted({page.writer for page, progress in reports.items() if progress > own.progress})
 
     def nodes_to_avoid(self, watch_unresponsive: bool, live: Collection[str]) -> set[str]:
-        """The nodes that nothing new may be offered to, as enough live members report that they drain.
+        """Returns the nodes to which no new offers are made, because enough live members report that they drain.
 
-        None while the own endpoint watch works: then its list alone counts.
+        The set is empty while this member's own endpoint watch responds, as its list takes precedence.
         """
         if not watch_unresponsive:
             self._avoided.clear()
@@ -189,11 +190,11 @@
                 self._avoided[node] = own.progress
         for node, progress in list(self._avoided.items()):
             if self.own_progress(node) != progress:
-                del self._avoided[node]  # the own list has moved on
+                del self._avoided[node]  # the own list has a newer state
         return set(self._avoided)
 
     def rows(self) -> Iterator[ReportedProgress]:
-        """The progress of all nodes, by the own list and by each report."""
+        """Yields the progress of all nodes by the own list, then by each report."""
         for node, own in list(self._own.items()):
             yield ReportedProgress(node, "", *own.progress, node in self._avoided)
         for node, reports in list(self._others.items()):
@@ -201,6 +202,6 @@
                 yield ReportedProgress(node, page.writer, *progress, node in self._avoided)
 
     def own_progress(self, node: str) -> NodeProgress | None:
-        """The progress of a node by the own endpoint list."""
+        """Returns the progress of a node by the own endpoint list, or None if the list does not have it."""
         own = self._own.get(node)
         return None if own is None else own.progress
--- a/thornshelf/membership/outlier_gossip.py
+++ b/thornshelf/membership/outlier_gossip.py
@@ -1,8 +1,8 @@
-"""What members have observed of nodes, shared: which nodes are outliers, and who checks the health of which suspect.
+"""Shares observations of nodes among members, to detect outliers and to assign health checks of suspects.
 
-Observations of others only make a node a second choice. They take two reporters where there are two other members,
-decay within seconds, and concern at most a fifth of the nodes. So a member that reports healthy nodes as faulty costs
-at most the order in which a fifth of them is chosen.
+Outliers are less preferred in placement, but never excluded. A node becomes one by reports of ``MIN_REPORTERS``
+members (of one, if there is only one other). Reports decay within seconds, and at most one in ``NODES_PER_OUTLIER``
+nodes is an outlier. So false reports can only change the order of preference of these few nodes.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from msgspec import Meta
 
 HALF_LIFE_US = 4_000_000
-MIN_WEIGHT = 0.5  # an observation with less weight counts no more
+MIN_WEIGHT = 0.5  # an observation is ignored below this weight
 MAX_WEIGHT = 8.0
-MAX_ROWS = 16  # of one member
-NODES_PER_OUTLIER = 5  # one node in so many may be an outlier
+MAX_ROWS = 16  # per member
+NODES_PER_OUTLIER = 5  # at most one in this number of nodes is an outlier
 MIN_REPORTERS = 2
-HEALTH_CHECKERS = 2  # members that check the health of a suspect for all
-HEALTHY_REPORT_US = 3_000_000  # a checker's report that a node is healthy is valid for so long
-HEALTHY_REPORT_SLACK_US = 500_000
-SUFFICIENT_REPORTERS = 3  # members that report the same: no more need to
+HEALTH_CHECKERS = 2  # members that check a suspect on behalf of all
+HEALTHY_REPORT_US = 3_000_000  # validity of a report that a node is healthy
+HEALTHY_REPORT_SLACK_US = 500_000  # by which a report may precede the delegation of the check
+SUFFICIENT_REPORTERS = 3  # further members do not repeat the same report
 
 
 class Observation(enum.IntEnum):
-    """What was observed of a node. The values are those on the wire."""
+    """An observation of a node. The values are those on the wire."""
 
     CONNECTION_REFUSED = 0
     NO_RESPONSE = 1  # to an offer or a health check
@@ -38,7 +38,7 @@
     HEALTHY = 3  # by a health check
 
 
-# As the shell shows them.
+# The names shown by the shell.
 OBSERVATION_NAMES = {
     Observation.CONNECTION_REFUSED: "refused",
     Observation.NO_RESPONSE: "silent",
@@ -48,11 +48,11 @@
 
 
 class ObservationRow(msgspec.Struct, frozen=True, array_like=True):
-    """One node, as one member has observed it."""
+    """A member's observation of one node, in the wire format."""
 
     node: Annotated[str, Meta(min_length=1, max_length=64)]
     observation: Annotated[int, Meta(ge=0, le=3)]
-    weight: Annotated[float, Meta(ge=0.0, le=MAX_WEIGHT)]  # at the moment of writing
+    weight: Annotated[float, Meta(ge=0.0, le=MAX_WEIGHT)]  # at the time of writing
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -68,16 +68,16 @@
     observed_us: int
 
     def weight_at(self, now_us: int) -> float:
-        """Its weight now."""
+        """Returns the decayed weight at this time."""
         return self.weight * math.exp2(-max(0, now_us - self.observed_us) / HALF_LIFE_US)
 
     def is_fault_at(self, now_us: int) -> bool:
-        """Whether it is a fault, and still counts."""
+        """Returns whether this is a fault whose weight is not negligible yet."""
         return self.observation is not Observation.HEALTHY and self.weight_at(now_us) >= MIN_WEIGHT
 
 
 class ReportedObservation(NamedTuple):
-    """An observation, and the member that made it."""
+    """An observation of a node and the member that made it."""
 
     node: str
     reporter: str
@@ -85,7 +85,10 @@
 
 
 def health_checkers(node: str, live: Iterable[str], count: int = HEALTH_CHECKERS) -> list[str]:
-    """The members that check a suspect for all, by rendezvous hashing: when one goes, only its own nodes move."""
+    """Returns the members that check a suspect on behalf of all.
+
+    Rendezvous hashing: when a member departs, only the suspects that it checked are reassigned.
+    """
 
     def weight(name: str) -> int:
         return xxhash.xxh3_64_intdigest(f"{node}|{name}".encode())
@@ -94,16 +97,16 @@
 
 
 class OutlierGossip:
-    """The observations of this member, called ``name``, and those of the others."""
+    """The observations of this member, called ``name``, and those of other members."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._own: dict[str, DecayingObservation] = {}  # by node
         self._others: dict[str, dict[str, DecayingObservation]] = {}  # by node, by member
-        self._published: set[str] = set()  # nodes of the own observations that were published last
+        self._published: set[str] = set()  # nodes in the last published observations
 
     def observe(self, node: str, observation: Observation, now_us: int) -> None:
-        """Note an observation of this member. A healthy node only matters after a fault."""
+        """Record an observation of this member. ``HEALTHY`` is ignored for a node without an earlier fault."""
         old = self._own.get(node)
         if observation is Observation.HEALTHY:
             if old is not None:
@@ -114,11 +117,11 @@
         self._own[node] = DecayingObservation(observation, min(MAX_WEIGHT, weight), now_us)
 
     def encode(self, now_us: int) -> bytes:
-        """This member's observations as they are published; empty where there are none."""
+        """Returns the encoded observations to publish, empty if there are none."""
         for node, own in list(self._own.items()):
             if own.weight_at(now_us) < MIN_WEIGHT:
                 del self._own[node]
-        due = {node: own for node, own in self._own.items() if self._is_published(node, own, now_us)}
+        due = {node: own for node, own in self._own.items() if self._should_publish(node, own, now_us)}
         heaviest = sorted(due.items(), key=lambda item: (-item[1].weight_at(now_us), item[0]))[:MAX_ROWS]
         self._published = {node for node, _ in heaviest}
         rows = [
@@ -127,8 +130,8 @@
         ]
         return _encoder.encode(rows) if rows else b""
 
-    def _is_published(self, node: str, own: DecayingObservation, now_us: int) -> bool:
-        """Whether an own observation is published: a fault that enough members report is left to them."""
+    def _should_publish(self, node: str, own: DecayingObservation, now_us: int) -> bool:
+        """Returns whether to publish an observation. A fault that enough other members report is omitted."""
         return (
             own.observation is Observation.HEALTHY
             or node in self._published
@@ -136,7 +139,7 @@
         )
 
     def receive(self, writer: str, value: bytes, written_us: int) -> bool:
-        """Take over all that another member observes now; returns False where it cannot be decoded."""
+        """Replace the observations of another member; returns False if the value cannot be decoded."""
         try:
             rows = _decoder.decode(value) if value else []
         except msgspec.MsgspecError:
@@ -148,25 +151,25 @@
         return True
 
     def discard_member(self, writer: str) -> None:
-        """Discard the observations of a member that is gone."""
+        """Discard the observations of a departed member."""
         for node, by_member in list(self._others.items()):
             if by_member.pop(writer, None) is not None and not by_member:
                 del self._others[node]
 
     def weight(self, node: str, now_us: int) -> float:
-        """The weight of all faults of a node that others have observed."""
+        """Returns the total weight of the faults of a node that other members observed."""
         observations = self._others.get(node, {}).values()
         return sum(
             one.weight_at(now_us) for one in observations if one.observation is not Observation.HEALTHY
         )
 
     def reporters(self, node: str, now_us: int) -> list[str]:
-        """The other members that report a fault of a node."""
+        """Returns the sorted names of the other members that report a fault of a node."""
         by_member = self._others.get(node, {})
         return sorted(name for name, one in by_member.items() if one.is_fault_at(now_us))
 
     def rows(self) -> Iterator[ReportedObservation]:
-        """All observations, this member's first."""
+        """Yields all observations, those of this member first."""
         for node, own in list(self._own.items()):
             yield ReportedObservation(node, self._name, own)
         for node, by_member in list(self._others.items()):
@@ -174,7 +177,7 @@
                 yield ReportedObservation(node, name, observation)
 
     def outliers(self, nodes: Collection[str], live: Collection[str], now_us: int) -> set[str]:
-        """The nodes that are a second choice, as enough live members report faults of them."""
+        """Returns the nodes with faults reported by enough live members, the heaviest within the limit."""
         min_reporters = min(MIN_REPORTERS, max(1, len(live) - 1))
         found = []
         for node in self._others:
@@ -183,9 +186,10 @@
         return {node for _, node in sorted(found)[: len(nodes) // NODES_PER_OUTLIER]}
 
     def nodes_to_check(self, nodes: Collection[str], live: Collection[str], now_us: int) -> list[str]:
-        """The suspects, this member's own and others', whose health this member checks for all.
+        """Returns the suspects that this member checks on behalf of all.
 
-        Their number is bounded as that of outliers is; this member's own suspects go first.
+        These are nodes with faults observed by any member. Their number is bounded like that of outliers; those that
+        this member suspects itself come first.
         """
         found = []
         for node in self._others.keys() | self._own.keys():
@@ -197,7 +201,7 @@
         return [node for _, _, node in sorted(found)[: max(1, len(nodes) // NODES_PER_OUTLIER)]]
 
     def reported_healthy(self, node: str, live: Collection[str], now_us: int, since_us: int) -> bool:
-        """Whether a member that checks a node for all has found it healthy since a time, or just before."""
+        """Returns whether a health checker of a node reported it as healthy since ``since_us``, or just before."""
         earliest_us = max(now_us - HEALTHY_REPORT_US, since_us - HEALTHY_REPORT_SLACK_US)
         by_member = self._others.get(node, {})
         return any(
--- a/thornshelf/membership/policies.py
+++ b/thornshelf/membership/policies.py
@@ -1,7 +1,6 @@
-"""What a dispatcher does with its membership: its quota, outliers, nodes to avoid, health checks, and its gossip.
+"""The uses of the membership: quotas, outliers, nodes to avoid, shared health checks, and gossip of placers.
 
-Decides only; ``review`` returns what has changed, and the component carries it out. Names of nodes are those of the
-endpoint list.
+Sans-I/O: ``review`` returns the changes, and the caller applies them. Nodes have the names of the endpoint list.
 """
 
 from __future__ import annotations
@@ -21,19 +20,19 @@
 from thornshelf.membership.quota_division import Quota, QuotaConfig, QuotaDivision
 from thornshelf.membership.states import LIVE_STATES, MemberState
 
-# Kinds of entries of the replicated map, as they are on the wire.
+# The kinds of entries in the replicated map. The values are those on the wire.
 PLACER_GOSSIP = "peers"
 OBSERVATIONS = "seen"
 DRAINS = "list"
 
-OBSERVATIONS_INTERVAL_US = 1_000_000  # between two versions; published weights decay by themselves
+OBSERVATIONS_INTERVAL_US = 1_000_000  # between two versions; receivers decay the weights
 DRAINS_INTERVAL_US = 200_000
-HEALTH_CHECK_TIMEOUT_US = 700_000  # of a health check that another member does
-MIN_MEMBERS_FOR_HEALTH_CHECKS = 3  # below, each member checks all suspects itself
+HEALTH_CHECK_TIMEOUT_US = 700_000  # of a delegated health check
+MIN_MEMBERS_FOR_HEALTH_CHECKS = 3  # in a smaller fleet, each member checks all suspects
 
 
 class Policy(enum.StrEnum):
-    """What can be enabled, by the operator's keys under ``fleet.uses``."""
+    """A use of the membership that can be enabled. The values are those of the operator's key ``fleet.uses``."""
 
     QUOTAS = "allowances"
     OUTLIERS = "evidence"
@@ -43,7 +42,7 @@
 
 
 class HealthCheckReport(NamedTuple):
-    """The result of a health check that other members did; no report in time counts as unhealthy."""
+    """The result of a delegated health check. Without a report before the timeout, the node counts as unhealthy."""
 
     node: str
     is_healthy: bool
@@ -51,11 +50,11 @@
 
 @dataclass(slots=True)
 class PolicyChanges:
-    """What is to be carried out now. None: as before."""
+    """The changes to apply. None means unchanged."""
 
     quota: Quota | None = None
     outliers: set[str] | None = None
-    avoided_nodes: set[str] | None = None  # nothing new goes to these, by the reports of other members
+    avoided_nodes: set[str] | None = None  # get no new offers, by reports of other members
     nodes_to_check: list[str] = field(default_factory=list)
     check_results: list[HealthCheckReport] = field(default_factory=list)
 
@@ -63,8 +62,8 @@
 class FleetPolicies:
     """The policies of one dispatcher.
 
-    ``enabled``: values of ``Policy``. ``configured``: the number of dispatchers by the settings. ``quota_hold_us``:
-    how long a member that is away still counts in quotas.
+    ``enabled``: values of ``Policy``. ``configured``: the configured number of dispatchers. ``quota_hold_us``: how
+    long a departed member still counts in quotas.
     """
 
     def __init__(
@@ -84,12 +83,12 @@
         self._quota: Quota | None = None
         self._outliers: set[str] = set()
         self._avoided_nodes: set[str] = set()
-        self._delegated_since_us: dict[str, int] = {}  # suspects that other members check
-        self._has_new_observations = False  # that were not published yet
+        self._delegated_since_us: dict[str, int] = {}  # health checks that other members do, by node
+        self._has_new_observations = False  # since the last publication
 
     @property
     def quota(self) -> Quota | None:
-        """This member's quota by the live members; None where the configured number of dispatchers is in force."""
+        """This member's quota by the live members; None if the configured number of dispatchers applies."""
         return None if self._is_superseded else self._quota
 
     @property
@@ -97,7 +96,7 @@
         return self.membership.superseded is not None
 
     def member_changed(self, change: MemberChange) -> None:
-        """Take the change of a member's state."""
+        """Process a change of a member's state."""
         if change.after is MemberState.LEFT:
             self.quota_division.member_left(change.name)
         if change.after not in LIVE_STATES:
@@ -105,24 +104,24 @@
             self.drain_gossip.discard_member(change.name)
 
     def entry_received(self, entry: MapEntry, now_us: int) -> None:
-        """Take another member's entry. Those of the kind ``PLACER_GOSSIP`` are the component's own matter."""
+        """Process another member's entry. The kind ``PLACER_GOSSIP`` is ignored here and left to the caller."""
         if entry.kind == OBSERVATIONS:
             self.outlier_gossip.receive(entry.writer, entry.value, now_us - entry.age_ms * 1000)
         elif entry.kind == DRAINS:
             self.drain_gossip.receive(entry.writer, entry.part, entry.value)
 
     def observe(self, node: str, observation: Observation, now_us: int) -> None:
-        """Note how an attempt or a health check at a node has ended."""
+        """Record the outcome of an attempt or a health check at a node."""
         self.outlier_gossip.observe(node, observation, now_us)
         self._has_new_observations = True
 
     def publish_placer_gossip(self, data: bytes) -> None:
-        """Publish what the decision module sends to its peers."""
+        """Publish the gossip of the decision module to its peers."""
         if Policy.PLACER_GOSSIP in self._enabled:
             self.membership.publish(PLACER_GOSSIP, 0, data)
 
     def delegate_health_check(self, node: str, now_us: int) -> bool:
-        """Whether other members check this suspect for all: then ``review`` returns the result."""
+        """Returns whether other members check this suspect; if so, ``review`` returns the result later."""
         is_shared = Policy.HEALTH_CHECKS in self._enabled and not self._is_superseded
         if not is_shared or self.membership.live_count < MIN_MEMBERS_FOR_HEALTH_CHECKS:
             return False
@@ -132,9 +131,10 @@
         return True
 
     def review(self, nodes: Collection[str], watch_unresponsive: bool, now_us: int) -> PolicyChanges:
-        """What has changed since the last call, and which health checks are due.
+        """Returns the changes since the last call and the health checks to do, and publishes this member's entries.
 
-        ``nodes``: those in service. ``watch_unresponsive``: this dispatcher's own endpoint watch does not answer.
+        ``nodes``: the nodes in service. ``watch_unresponsive``: whether this dispatcher's endpoint watch does not
+        respond.
         """
         changes = PolicyChanges()
         live = [self.membership.name] if self._is_superseded else self.membership.live_names()
@@ -150,7 +150,7 @@
     def _review_quota(self, changes: PolicyChanges, live: Collection[str], now_us: int) -> None:
         division = self.quota_division
         if self.membership.local.record.incarnation > 1:
-            division.mark_rejoined()  # it had to outbid the record of a former process
+            division.mark_rejoined()  # it had to override the record of a former process
         if self.membership.uptime_lag_us > division.config.startup_us:
             division.mark_joining()
         if Policy.QUOTAS in self._enabled and not self._is_superseded:
@@ -181,7 +181,7 @@
             changes.avoided_nodes = set(avoided)
 
     def _review_delegated(self, changes: PolicyChanges, live: Collection[str], now_us: int) -> None:
-        """Take the results of health checks that other members do."""
+        """Collect the results of delegated health checks."""
         for node, since_us in list(self._delegated_since_us.items()):
             is_healthy = self.outlier_gossip.reported_healthy(node, live, now_us, since_us)
             if is_healthy or now_us - since_us >= HEALTH_CHECK_TIMEOUT_US:
@@ -202,5 +202,5 @@
 
 
 def member_number(name: str) -> int:
-    """A member's number for the decision module: the same at all members, and stable as others come and go."""
+    """Returns a member's number for the decision module, which depends only on its name."""
     return xxhash.xxh32_intdigest(name.encode())
