--- a/thornshelf/membership/query_gatherer.py
+++ b/thornshelf/membership/query_gatherer.py
@@ -1,6 +1,6 @@
-"""The querier's half of a scatter-gather query: requests the chunks of all members' replies, and collects their rows.
+"""The querier of a scatter-gather query: requests the chunks of all members' replies, and collects their rows.
 
-A member that does not reply, or not completely, is named with the reason, so that no rows are missing unnoticed.
+Each member whose reply is missing or incomplete is reported with the reason.
 """
 
 from __future__ import annotations
@@ -25,10 +25,10 @@
     Rows,
 )
 
-MAX_BLOCK_BYTES = 1024 * 1024  # of one block, decompressed: guards against a malicious member
+MAX_BLOCK_BYTES = 1024 * 1024  # per decompressed block, against decompression bombs
 INITIAL_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 400_000
-MAX_ATTEMPTS = 6  # without anything new, which takes some 1.8 s; then the member counts as silent
+MAX_ATTEMPTS = 6  # without a new chunk, about 1.8 s; then the member is given up
 
 _encoder = msgspec.msgpack.Encoder()
 _chunk_decoder: msgspec.msgpack.Decoder[ReplyChunk] = msgspec.msgpack.Decoder(ReplyChunk)
@@ -36,7 +36,7 @@
 
 
 class RowBatch(NamedTuple):
-    """Rows of one moment that a member has replied with."""
+    """Rows of a member's reply that it read at one time."""
 
     member: str
     unix_ms: int
@@ -45,23 +45,23 @@
 
 @dataclass(slots=True)
 class MemberReply:
-    """One member's reply, as far as it has arrived."""
+    """The state of one member's reply."""
 
     next_chunk: int = 0
-    out_of_order: dict[int, ReplyChunk] = field(default_factory=dict)  # chunks after the next one
-    buffer: bytearray = field(default_factory=bytearray)  # of the stream, what is no complete block yet
+    out_of_order: dict[int, ReplyChunk] = field(default_factory=dict)  # chunks after the next one, by index
+    buffer: bytearray = field(default_factory=bytearray)  # the start of an incomplete block
     row_count: int = 0
-    attempts: int = 0
+    attempts: int = 0  # requests repeated without a new chunk
     retry_us: int = 0
     last_requested: int = -1
     is_finished: bool = False
 
     def take_blocks(self, column_count: int) -> Iterator[Block]:
-        """The complete blocks in the buffer. Raises ``WireError`` where one is malformed or too large."""
+        """Remove and yield the buffered complete blocks. Raises ``WireError`` if one is malformed or too large."""
         while len(self.buffer) >= BLOCK_LENGTH_BYTES:
             end = BLOCK_LENGTH_BYTES + int.from_bytes(self.buffer[:BLOCK_LENGTH_BYTES], "big")
             if end - BLOCK_LENGTH_BYTES > MAX_REPLY_BYTES:
-                raise WireError("a block is longer than a reply")
+                raise WireError("a block exceeds the maximum length of a reply")
             if len(self.buffer) < end:
                 break
             block = _decode_block(bytes(self.buffer[BLOCK_LENGTH_BYTES:end]), column_count)
@@ -74,21 +74,21 @@
     try:
         encoded = decompressor.decompress(data, MAX_BLOCK_BYTES)
         if not decompressor.eof:
-            raise WireError("a block is cut off, or too large")
+            raise WireError("a block is truncated or too large")
         block = _block_decoder.decode(encoded)
     except (zlib.error, msgspec.MsgspecError, UnicodeDecodeError) as fault:
         raise WireError("a block cannot be decoded") from fault
     if any(len(row) != column_count for row in block.rows):
-        raise WireError("a row has another number of columns")
+        raise WireError("the number of columns in a row differs from the query")
     return block
 
 
 class QueryGatherer:
     """One query to some members.
 
-    ``outgoing`` collects what is to be sent, ``batches`` the rows that have arrived; the caller takes both away.
-    ``incomplete`` gives the reason for each member that has not replied, or not with all rows. ``paused``: the reader
-    takes no more for now, so nothing is requested, and no member counts as silent.
+    ``outgoing`` collects the messages to send, and ``batches`` the received rows; the caller removes both.
+    ``incomplete`` has the reason for each member whose reply is missing or incomplete. ``paused``: set by the caller
+    while its reader is blocked; then nothing is requested, and no member times out.
     """
 
     def __init__(
@@ -111,12 +111,12 @@
 
     @property
     def query_id(self) -> int:
-        """The number that tells this query from others of this member."""
+        """The number that identifies this query among those of this member."""
         return self._query.query_id
 
     @property
     def finished(self) -> bool:
-        """Whether all members have replied completely, or were given up."""
+        """Whether each member has replied completely or was given up."""
         return all(reply.is_finished for reply in self._replies.values())
 
     @property
@@ -127,7 +127,7 @@
         ]
 
     def _request(self, name: str, reply: MemberReply, now_us: int) -> None:
-        """Request a member's next chunk, with exponential backoff until something new arrives."""
+        """Request a member's next chunk. Retries back off exponentially until a new chunk arrives."""
         reply.last_requested = reply.next_chunk
         reply.retry_us = now_us + min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << reply.attempts)
         query = msgspec.structs.replace(self._query, next_chunk=reply.next_chunk)
@@ -148,13 +148,13 @@
         self.incomplete[name] = reason
 
     def member_lost(self, name: str, reason: str) -> None:
-        """Give up a member that is taken for dead now."""
+        """Give up a member that is no longer live."""
         reply = self._replies.get(name)
         if reply is not None and not reply.is_finished:
             self._give_up(name, f"{reason}, after {reply.row_count} rows" if reply.row_count else reason)
 
     def receive(self, sender: str, data: bytes, now_us: int) -> None:
-        """Take a chunk. A malformed one is ignored; malformed blocks cost no more than that member's reply."""
+        """Process a chunk. A malformed chunk is ignored; a malformed block ends this member's reply."""
         reply = self._replies.get(sender)
         if reply is None or reply.is_finished:
             return
@@ -191,7 +191,7 @@
             self._send_cancel(sender)
 
     def tick(self, now_us: int) -> int | None:
-        """Repeat requests that were not answered; returns when the next is due, None where none is."""
+        """Repeat requests that timed out; returns when the next one is due, or None if all replies have ended."""
         due_us: int | None = None
         for name, reply in self._replies.items():
             if reply.is_finished:
--- a/thornshelf/membership/scatter_gather.py
+++ b/thornshelf/membership/scatter_gather.py
@@ -1,9 +1,9 @@
-"""Scatter-gather queries over the datagrams of the membership protocol: their format, their limits, and the replies.
+"""Scatter-gather queries over the datagrams of the membership protocol: the wire format, limits, and the responder.
 
-The querier's half is in ``query_gatherer``. A reply is a stream of blocks (rows of one moment, compressed), sent in
-chunks that fit a datagram. The querier requests the chunk that it needs next, which also acknowledges all before it;
-lost ones are sent again. Neither side waits forever, buffers more than a window of chunks, or sends more than
-``MAX_REPLY_BYTES``. No I/O.
+The querier is in ``query_gatherer``. A reply is a stream of blocks (compressed rows read at one time), sent in chunks
+that fit a datagram. The querier requests the next chunk that it needs, which acknowledges all earlier ones; lost
+chunks are retransmitted. All waiting is bounded by timeouts, buffers by a window of chunks, and a reply by
+``MAX_REPLY_BYTES``. Sans-I/O.
 """
 
 from __future__ import annotations
@@ -18,24 +18,24 @@
 
 from thornshelf.membership.datagrams import UnsignedNumber
 
-MAX_CHUNK_BYTES = 820  # of a reply in one datagram
+MAX_CHUNK_BYTES = 820  # so that a chunk fits a datagram
 SEND_WINDOW = 12  # chunks in flight
 BLOCK_ROWS = 100
-BLOCK_LENGTH_BYTES = 4  # before each block in the stream
+BLOCK_LENGTH_BYTES = 4  # of the length prefix of each block
 BLOCK_COMPRESSION_LEVEL = 1
-MAX_REPLY_BYTES = 512 * 1024  # of one member, compressed
-MAX_OPEN_QUERIES = 16  # that one member answers at a time
-IDLE_TIMEOUT_US = 6_000_000  # a query is dropped if nothing of it was requested for so long
+MAX_REPLY_BYTES = 512 * 1024  # per member, compressed
+MAX_OPEN_QUERIES = 16  # concurrent ones at one member
+IDLE_TIMEOUT_US = 6_000_000  # a query is dropped after this time without a request
 BLOCKS_PER_TURN = 8
 MAX_REASON_LENGTH = 120
 
 Cell = str | int | float | None
 Rows = list[list[Cell]]
-MemberMessage = tuple[str, bytes]  # a member, and the content of a datagram to it
+MemberMessage = tuple[str, bytes]  # the name of a member, and the content of a datagram to it
 
 
 class Query(msgspec.Struct, frozen=True, array_like=True):
-    """A query, and the chunk of its reply that is needed next. ``cancel``: none is, it may be dropped."""
+    """A query, or a request for the chunk ``next_chunk`` of its reply. ``cancel``: no more chunks are needed."""
 
     query_id: UnsignedNumber
     table: Annotated[str, Meta(max_length=64)]
@@ -46,7 +46,7 @@
 
 
 class ReplyChunk(msgspec.Struct, frozen=True, array_like=True):
-    """A chunk of a reply. ``incomplete_reason``: why there is no reply, or not all of it."""
+    """A chunk of a reply. ``incomplete_reason``: why the reply is missing or incomplete, empty if it is complete."""
 
     query_id: UnsignedNumber
     index: Annotated[int, Meta(ge=0, le=1 << 20)]
@@ -56,7 +56,7 @@
 
 
 class Block(NamedTuple):
-    """Rows of one moment."""
+    """Rows that were read at one time."""
 
     unix_ms: int
     rows: Rows
@@ -67,7 +67,7 @@
 
 
 def decline(query: bytes, reason: str) -> bytes | None:
-    """The reply of a member that does not answer queries; None to a malformed one."""
+    """Returns the reply of a member that does not answer queries, or None if the query is malformed."""
     try:
         decoded = _query_decoder.decode(query)
     except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -81,37 +81,40 @@
 
 
 class RowSource(Protocol):
-    """Where the rows of a reply come from. ``truncated``: there were more than may be sent."""
+    """The source of the rows of a reply.
+
+    ``exhausted``: whether all rows were read. ``truncated``: whether there were more rows than may be sent.
+    """
 
     exhausted: bool
     truncated: bool
 
     def read_rows(self, spent: Callable[[], int], until: int, max_rows: int) -> Rows:
-        """The next rows, until ``spent()`` has reached ``until``."""
+        """Returns up to ``max_rows`` further rows; stops early once ``spent()`` reaches ``until``."""
 
 
 @dataclass(slots=True)
 class ReplyStream:
-    """The reply to one query, as far as it is made."""
+    """The state of the reply to one query."""
 
     source: RowSource
     last_request_us: int
-    next_requested: int = 0
+    next_requested: int = 0  # the chunk that the querier needs next
     next_to_send: int = 0
     first_buffered: int = 0  # the index of the first chunk in ``chunks``
     chunks: list[bytes] = field(default_factory=list)
-    unsplit: bytes = b""  # what does not fill a chunk yet
+    unsplit: bytes = b""  # data that does not fill a chunk yet
     total_bytes: int = 0
     incomplete_reason: str = ""
-    is_complete: bool = False  # the last chunk was made
+    is_complete: bool = False  # all blocks were added
 
     @property
     def end_of_buffer(self) -> int:
-        """The index of the chunk that is made next."""
+        """The index of the next chunk to be added to the buffer."""
         return self.first_buffered + len(self.chunks)
 
     def acknowledge(self, next_chunk: int) -> None:
-        """Drop the chunks before the requested one, and send all from there again, as they may be lost."""
+        """Drop the chunks before the requested one, and resend from there, as the later ones may be lost."""
         if self.first_buffered <= next_chunk <= self.next_to_send:
             self.next_requested = next_chunk
             self.next_to_send = next_chunk
@@ -119,7 +122,7 @@
             self.first_buffered = next_chunk
 
     def add_block(self, block: bytes) -> None:
-        """Append a block, or end the reply if it gets too long."""
+        """Append a block, or end the reply if it would become too long."""
         if self.total_bytes + len(block) > MAX_REPLY_BYTES:
             self.incomplete_reason = "it told only its first rows: the answer is too long"
             self.is_complete = True
@@ -128,7 +131,7 @@
             self.unsplit += len(block).to_bytes(BLOCK_LENGTH_BYTES, "big") + block
 
     def split(self, query_id: int) -> None:
-        """Make chunks of what is not split yet; the last one only once the reply is complete."""
+        """Split the remaining data into chunks; a partial chunk is made only at the end of the reply."""
         while len(self.unsplit) > MAX_CHUNK_BYTES or (self.is_complete and self.unsplit):
             data = self.unsplit[:MAX_CHUNK_BYTES]
             self.unsplit = self.unsplit[MAX_CHUNK_BYTES:]
@@ -143,9 +146,9 @@
 
 
 class QueryResponder:
-    """The queries that this member answers. ``outgoing`` collects what is to be sent.
+    """Answers the queries of other members. ``outgoing`` collects the messages to send.
 
-    ``open_table`` gives the rows of a table, by its name, columns and filters, or the reason why there are none.
+    ``open_table`` returns the rows of a table by its name, columns and filters, or the reason why there are none.
     """
 
     def __init__(self, open_table: Callable[[str, list[str], dict[str, Cell]], RowSource | str]) -> None:
@@ -157,7 +160,7 @@
         return len(self._open)
 
     def receive(self, querier: str, data: bytes, now_us: int) -> None:
-        """Take a query, or a request for more of its reply. A malformed one is ignored."""
+        """Process a query, or a request for a further chunk. A malformed message is ignored."""
         try:
             query = _query_decoder.decode(data)
         except (msgspec.MsgspecError, UnicodeDecodeError):
@@ -177,7 +180,7 @@
         stream.acknowledge(query.next_chunk)
 
     def _open_source(self, query: Query) -> RowSource | str:
-        """The rows for a new query, or the reason why there are none."""
+        """Returns the rows for a new query, or the reason why there are none."""
         if query.next_chunk:
             return "it does not know the question: it was started anew"
         if len(self._open) >= MAX_OPEN_QUERIES:
@@ -185,7 +188,10 @@
         return self._open_table(query.table, query.columns, query.filters)
 
     def serve(self, now_us: int, unix_ms: int, spent: Callable[[], int], until: int) -> bool:
-        """Make and send the requested chunks, until ``spent()`` reaches ``until``; returns whether there is more."""
+        """Build and send the requested chunks until ``spent()`` reaches ``until``.
+
+        Returns whether it stopped there with work remaining. Queries that were idle for too long are dropped.
+        """
         for (querier, query_id), stream in list(self._open.items()):
             if now_us - stream.last_request_us > IDLE_TIMEOUT_US:
                 del self._open[querier, query_id]
