--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The membership protocol: every transition, records in any order, invalid datagrams, and fleets in virtual time."""
+"""The membership protocol: transitions, merging in any order, invalid datagrams, and fleets in simulated time."""
 
 from __future__ import annotations
 
@@ -46,33 +46,33 @@
 )
 
 
-def names(count: int) -> list[str]:
+def member_names(count: int) -> list[str]:
     return [f"m{number:02d}" for number in range(count)]
 
 
 def start_fleet(count: int, seed: int = 1, **config: Any) -> Network:
-    """A network whose members know each other."""
+    """Returns a network whose members know each other."""
     network = Network(seed, **config)
-    assert run_until_settled(network, names(count), 30 * SECOND) is not None
+    assert run_until_settled(network, member_names(count), 30 * SECOND) is not None
     network.run(network.now + 2 * SECOND)
     return network
 
 
 @pytest.fixture
 def network() -> Network:
-    """A network of twelve members that know each other."""
+    """Returns a network of twelve members that know each other."""
     return start_fleet(12)
 
 
 class Failure(NamedTuple):
-    """A member that another one has declared dead or departed."""
+    """A member that ``observer`` declared dead or departed."""
 
     observer: str
     name: str
 
 
 def record_failures(network: Network) -> list[Failure]:
-    """A list of the failures that members detect from now on."""
+    """Returns a list that collects the failures which members detect from now on."""
     failures: list[Failure] = []
 
     def on_change(observer: str, change: MemberChange) -> None:
@@ -91,7 +91,7 @@
 
 
 def test_a_report_of_others_leaves_time_to_refute() -> None:
-    """Guards against a malicious member with the fleet's key that reports healthy members as dead."""
+    """Guards against a malicious member that reports healthy members as dead."""
     for state in LIVE_STATES:
         for event in (
             MemberEvent.REPORTED_SUSPECT,
@@ -117,7 +117,7 @@
 @given(st.lists(RECORDS, min_size=1, max_size=8), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200, deadline=None)
 def test_the_same_record_prevails_in_any_order_and_however_often(
-    records: list[MemberRecord], chance: random.Random
+    records: list[MemberRecord], rng: random.Random
 ) -> None:
     def merge(order: list[MemberRecord]) -> tuple[int, int, int]:
         prevailing: MemberRecord | None = None
@@ -127,18 +127,16 @@
         return prevailing.precedence
 
     shuffled = records * 2
-    chance.shuffle(shuffled)
+    rng.shuffle(shuffled)
     assert merge(shuffled) == merge(records)
 
 
 @given(st.lists(RECORDS, min_size=1, max_size=8), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_tables_that_received_the_same_records_agree(
-    records: list[MemberRecord], chance: random.Random
-) -> None:
-    """Whatever the order, once the times to refute are over."""
+def test_tables_that_received_the_same_records_agree(records: list[MemberRecord], rng: random.Random) -> None:
+    """The order of arrival does not matter once all refutation deadlines have passed."""
     states = []
-    for order in (records, chance.sample(records, len(records))):
+    for order in (records, rng.sample(records, len(records))):
         table = MemberTable(MembershipConfig("f", "me", "me:1"), random.Random(1), lambda name: None)
         table.add(MemberRecord("x", "a:1", 0, 1, 0, 0), 0)
         for record in order:
@@ -161,19 +159,19 @@
     assert config.suspicion_timeout_us(1024, 4, 0) > times[3]
 
 
-def test_a_refutation_outbids_every_report() -> None:
+def test_a_refutation_overrides_every_report() -> None:
     local = LocalMember(MembershipConfig("f", "me", "me:1"), 7, 1, 0)
     reported_dead = MemberRecord("me", "me:1", 1, 7, int(RecordStatus.DEAD), 0)
     assert local.refute(reported_dead, SECOND)
     assert local.record.incarnation == 2
     assert local.record.status == RecordStatus.ALIVE
-    assert not local.refute(reported_dead, SECOND)  # it is outdated by now
-    # Only the member itself takes incarnations, so one that it does not know is outbid as well.
+    assert not local.refute(reported_dead, SECOND)  # outdated by the new incarnation
+    # Only the member itself increments its incarnation, so it also overrides one that it did not take.
     assert local.refute(MemberRecord("me", "me:1", 500, 7, int(RecordStatus.ALIVE), 0), SECOND)
     assert local.record.incarnation == 501
 
 
-def test_a_former_process_is_outbid_once_and_of_two_live_ones_the_older_gives_way() -> None:
+def test_a_former_process_is_overridden_once_and_the_older_of_two_live_ones_yields() -> None:
     config = MembershipConfig("f", "me", "me:1")
     older, newer = LocalMember(config, 5, 10, 0), LocalMember(config, 9, 1, 100 * SECOND)
     now = 101 * SECOND
@@ -191,7 +189,7 @@
 
 
 def seal_ping(sealer: Sealer, sender: str = "a", counter: int = 1, **changes: Any) -> bytes:
-    """A valid datagram of a member."""
+    """Returns a valid datagram of a member."""
     record = ReceivedRecord(sender, f"{sender}:1", 1, 5, 0, 0)
     return sealer.seal(sealer.encode(Message(MessageKind.PING, record, 9, counter, **changes)))
 
@@ -319,9 +317,9 @@
 
 @given(st.lists(ENTRIES, max_size=10), st.randoms(use_true_random=False))
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_entries_merge_to_the_same_in_any_order(entries: list[MapEntry], chance: random.Random) -> None:
+def test_entries_merge_to_the_same_in_any_order(entries: list[MapEntry], rng: random.Random) -> None:
     maps = [ReplicatedMap("me"), ReplicatedMap("me")]
-    for replica, order in zip(maps, (entries, chance.sample(entries, len(entries)) * 2), strict=True):
+    for replica, order in zip(maps, (entries, rng.sample(entries, len(entries)) * 2), strict=True):
         for entry in order:
             replica.merge(entry, 0)
     assert [{stored.entry for stored in replica.all_entries()} for replica in maps] == [
@@ -360,17 +358,17 @@
 def test_all_members_find_each_other_and_detect_a_crash(network: Network) -> None:
     failures = record_failures(network)
     network.kill("m07")
-    took = network.until_agreed(10 * SECOND)
-    assert took is not None
-    assert took < 5 * SECOND
+    elapsed_us = network.until_agreed(10 * SECOND)
+    assert elapsed_us is not None
+    assert elapsed_us < 5 * SECOND
     assert {name for _, name in failures} == {"m07"}
 
 
 def test_a_graceful_leave_is_known_at_once_and_the_departed_member_is_not_contacted(network: Network) -> None:
     network.leave("m03")
-    took = network.until_agreed(5 * SECOND)
-    assert took is not None
-    assert took < 2 * SECOND
+    elapsed_us = network.until_agreed(5 * SECOND)
+    assert elapsed_us is not None
+    assert elapsed_us < 2 * SECOND
     contacted: list[str] = []
     network.on_send = lambda sender, receiver, data: contacted.append(receiver)
     network.run(network.now + 10 * SECOND)
@@ -378,16 +376,18 @@
     assert network.members["m01"].states()["m03"] is MemberState.LEFT
 
 
-@pytest.mark.parametrize("away", [1, 4, 20])
-def test_a_process_that_was_stopped_declares_nobody_dead_as_it_resumes(network: Network, away: int) -> None:
-    """Guards against a process that resumes, finds all its deadlines over and suspects the others."""
+@pytest.mark.parametrize("stopped_s", [1, 4, 20])
+def test_a_process_that_was_stopped_declares_nobody_dead_as_it_resumes(
+    network: Network, stopped_s: int
+) -> None:
+    """Guards against a process that resumes after all deadlines have passed, and suspects the others."""
     failures = record_failures(network)
     network.stopped.add("m05")
-    network.run(network.now + away * SECOND)
+    network.run(network.now + stopped_s * SECOND)
     network.stopped.clear()
-    took = network.until_agreed(10 * SECOND)
-    assert took is not None
-    assert took < 5 * SECOND
+    elapsed_us = network.until_agreed(10 * SECOND)
+    assert elapsed_us is not None
+    assert elapsed_us < 5 * SECOND
     assert not [name for observer, name in failures if observer == "m05"]
     assert {name for _, name in failures} <= {"m05"}
 
@@ -396,7 +396,7 @@
     network = Network(3)
     network.start("seed")
     network.run(network.now + SECOND)
-    for name in names(10):
+    for name in member_names(10):
         network.start(name, ["seed"])
     network.run(network.now + SECOND // 4)
     network.kill("seed")
@@ -405,27 +405,27 @@
 
 def test_seeds_that_were_down_at_a_start_are_found_later() -> None:
     network = Network(4)
-    for name in names(4)[2:]:
-        network.start(name, names(4)[:2])
+    for name in member_names(4)[2:]:
+        network.start(name, member_names(4)[:2])
     network.run(network.now + 20 * SECOND)
     assert all(member.live_count == 1 for member in network.members.values())
-    for name in names(4)[:2]:
-        network.start(name, names(4)[:2])
+    for name in member_names(4)[:2]:
+        network.start(name, member_names(4)[:2])
     assert network.until_agreed(10 * SECOND) is not None
 
 
-def test_a_restart_under_the_same_name_within_the_suspicion_timeout(network: Network) -> None:
-    """It compares no clocks: it outbids the record of its former process."""
+def test_a_restart_under_the_same_name_within_the_suspicion_timeout_is_accepted(network: Network) -> None:
+    """Guards against a former record that prevails: the new process overrides it without comparing wall clocks."""
     for _ in range(3):
         network.kill("m04")
         network.run(network.now + SECOND)
         network.start("m04", ["m00"])
-        took = network.until_agreed(10 * SECOND)
-        assert took is not None
+        elapsed_us = network.until_agreed(10 * SECOND)
+        assert elapsed_us is not None
         network.run(network.now + 2 * SECOND)
         assert {
             network.members[name].table.members["m04"].record.instance_id
-            for name in names(12)
+            for name in member_names(12)
             if name != "m04"
         } == {network.members["m04"].local.record.instance_id}
 
@@ -433,7 +433,7 @@
 def test_of_two_live_processes_of_one_name_the_later_start_wins_and_the_earlier_reports_it() -> None:
     network = start_fleet(6)
     older = network.members["m02"]
-    # The same name at another address: both are live, and learn of each other through the other members.
+    # Two live processes of one name at different addresses, which learn of each other through the other members.
     network.members["m02b"] = older
     newer = network.start("m02", ["m00"])
     assert newer is network.members["m02"]
@@ -457,16 +457,16 @@
     assert network.until_agreed(5 * SECOND) is not None
 
 
-def test_a_member_under_a_new_name_at_the_address_of_another() -> None:
+def test_a_member_under_a_new_name_replaces_the_former_owner_of_its_address() -> None:
     network = start_fleet(6)
-    former = network.members.pop("m05")
+    former_owner = network.members.pop("m05")
     network.address = lambda name: "m05:1" if name == "new" else f"{name}:1"  # type: ignore[method-assign]
     network.start("new", ["m00"])
-    network.members["m05"] = network.members.pop("new")  # datagrams to that address reach the new process
+    network.members["m05"] = network.members.pop("new")  # the address now belongs to the new process
     network._timers["m05"] = network._timers.pop("new")
     network.run(network.now + 10 * SECOND)
-    assert former.name == "m05"
-    for name in names(5):
+    assert former_owner.name == "m05"
+    for name in member_names(5):
         states = network.members[name].states()
         assert states["new"] is MemberState.ALIVE
         assert states["m05"] not in LIVE_STATES
@@ -475,7 +475,7 @@
 @pytest.mark.parametrize("parts", [2, 3])
 def test_a_partition_longer_than_the_retention_heals_by_itself(parts: int) -> None:
     network = start_fleet(12, dead_retention_us=10 * SECOND)
-    all_names = names(12)
+    all_names = member_names(12)
     group = {name: index % parts for index, name in enumerate(all_names)}
     network.is_cut = lambda sender, receiver: group[sender] != group[receiver]
     network.run(network.now + 40 * SECOND)
@@ -486,9 +486,9 @@
     assert not any(network.members[name].table.members.keys() - {one for one in group if group[one] == group[name]}
                    for name in group)  # fmt: skip
     network.is_cut = lambda sender, receiver: False
-    took = network.until_agreed(20 * SECOND)
-    assert took is not None
-    assert took < 5 * SECOND
+    elapsed_us = network.until_agreed(20 * SECOND)
+    assert elapsed_us is not None
+    assert elapsed_us < 5 * SECOND
 
 
 def test_a_link_that_works_one_way_only_makes_nobody_dead(network: Network) -> None:
@@ -498,7 +498,7 @@
     assert not failures
 
 
-def test_loss_duplicates_and_reordering(network: Network) -> None:
+def test_loss_duplicates_and_reordering_make_nobody_dead(network: Network) -> None:
     failures = record_failures(network)
     network.loss_probability = 0.3
     network.duplicate_probability = 0.2
@@ -510,64 +510,64 @@
     assert sum(member.counters["replayed"] for member in network.members.values()) > 100
 
 
-def test_nearly_all_restarted_within_seconds() -> None:
+def test_members_agree_after_nearly_all_restarted_within_seconds() -> None:
     network = start_fleet(36)
-    all_names = names(36)
+    all_names = member_names(36)
     for name in all_names[1:]:
         network.kill(name)
         network.run(network.now + SECOND // 18)
         network.start(name, all_names[:2])
-    took = network.until_agreed(15 * SECOND)
-    assert took is not None
-    assert took < 5 * SECOND
+    elapsed_us = network.until_agreed(15 * SECOND)
+    assert elapsed_us is not None
+    assert elapsed_us < 5 * SECOND
 
 
 # malicious members
 
 
 def gossip_false_records(
-    network: Network, make_records: Callable[[Network], list[MemberRecord]], rounds: int
+    network: Network, make_false_records: Callable[[Network], list[MemberRecord]], rounds: int
 ) -> None:
-    """The member m00 sends false records to all others, in several rounds."""
-    liar = network.members["m00"]
+    """Sends false records from the member m00 to all others, in several rounds."""
+    malicious = network.members["m00"]
     for _ in range(rounds):
-        records = make_records(network)
+        records = make_false_records(network)
         for first in range(0, len(records), 12):
-            for name in names(12)[1:]:
+            for name in member_names(12)[1:]:
                 recipient = network.members[name].local.record.instance_id
-                datagram = seal_gossip(liar, recipient, records[first : first + 12])
-                liar.sender.outgoing.append(OutgoingDatagram(f"{name}:1", datagram))
-        network._flush("m00", liar)
+                datagram = seal_gossip(malicious, recipient, records[first : first + 12])
+                malicious.sender.outgoing.append(OutgoingDatagram(f"{name}:1", datagram))
+        network._flush("m00", malicious)
         network.run(network.now + SECOND)
 
 
-def seal_gossip(liar: MembershipProtocol, recipient: int, records: list[MemberRecord]) -> bytes:
-    """A datagram with records that its sender makes up."""
-    liar.sender.counter += 1
+def seal_gossip(malicious: MembershipProtocol, recipient: int, records: list[MemberRecord]) -> bytes:
+    """Returns a valid datagram with arbitrary records."""
+    malicious.sender.counter += 1
     message = EncodedMessage(
         kind=int(MessageKind.GOSSIP),
-        sender=msgspec.Raw(liar.sender.sealer.encode(liar.local.record)),
+        sender=msgspec.Raw(malicious.sender.sealer.encode(malicious.local.record)),
         recipient_instance_id=recipient,
-        counter=liar.sender.counter,
+        counter=malicious.sender.counter,
         sequence=0,
         target="",
-        records=[msgspec.Raw(liar.sender.sealer.encode(record)) for record in records],
+        records=[msgspec.Raw(malicious.sender.sealer.encode(record)) for record in records],
         entries=[],
         payload=b"",
     )
-    return liar.sender.sealer.seal(liar.sender.sealer.encode(message))
+    return malicious.sender.sealer.seal(malicious.sender.sealer.encode(message))
 
 
 def test_a_member_that_reports_the_others_as_dead_only_costs_them_refutations(network: Network) -> None:
     failures = record_failures(network)
 
-    def make_records(network: Network) -> list[MemberRecord]:
-        chosen = [network.members[name].local.record for name in names(12)[1:]]
+    def make_false_records(network: Network) -> list[MemberRecord]:
+        chosen = [network.members[name].local.record for name in member_names(12)[1:]]
         return [
             msgspec.structs.replace(one, status=int(RecordStatus.DEAD), reported_by="m00") for one in chosen
         ]
 
-    gossip_false_records(network, make_records, 10)
+    gossip_false_records(network, make_false_records, 10)
     assert not failures
     assert network.until_agreed(5 * SECOND) is not None
 
@@ -575,13 +575,13 @@
 def test_huge_incarnations_are_not_accepted_from_others(network: Network) -> None:
     failures = record_failures(network)
 
-    def make_records(network: Network) -> list[MemberRecord]:
-        chosen = [network.members[name].local.record for name in names(12)[1:]]
+    def make_false_records(network: Network) -> list[MemberRecord]:
+        chosen = [network.members[name].local.record for name in member_names(12)[1:]]
         return [
             msgspec.structs.replace(one, incarnation=1 << 61, status=int(RecordStatus.DEAD)) for one in chosen
         ]
 
-    gossip_false_records(network, make_records, 3)
+    gossip_false_records(network, make_false_records, 3)
     assert not failures
     assert network.until_agreed(5 * SECOND) is not None
     assert sum(member.counters["jump"] for member in network.members.values()) > 100
@@ -590,20 +590,20 @@
 def test_thousands_of_invented_members_fill_no_memory_and_exclude_nobody(network: Network) -> None:
     failures = record_failures(network)
 
-    def make_records(network: Network) -> list[MemberRecord]:
+    def make_false_records(network: Network) -> list[MemberRecord]:
         return [
             MemberRecord(f"invented-{network.random.randrange(1 << 40)}", "nowhere:1", 1, 3, 0, 0)
             for _ in range(600)
         ]
 
-    gossip_false_records(network, make_records, 12)
+    gossip_false_records(network, make_false_records, 12)
     assert max(len(member.table.members) for member in network.members.values()) <= 4096
     network.start("late", ["m01"])
     network.run(network.now + 15 * SECOND)
-    assert all(network.members[name].states()["late"] is MemberState.ALIVE for name in names(12)[1:])
+    assert all(network.members[name].states()["late"] is MemberState.ALIVE for name in member_names(12)[1:])
     network.kill("m11")
     network.run(network.now + 15 * SECOND)
-    assert all(network.members[name].states().get("m11") not in LIVE_STATES for name in names(11)[1:])
+    assert all(network.members[name].states().get("m11") not in LIVE_STATES for name in member_names(11)[1:])
     assert {name for _, name in failures if not name.startswith("inv")} == {"m11"}
     network.run(network.now + 60 * SECOND)
     assert all(
@@ -666,8 +666,8 @@
     network = Network(2)
     sizes: list[int] = []
     network.on_send = lambda sender, receiver, data: sizes.append(len(data))
-    assert run_until_settled(network, names(40), 30 * SECOND) is not None
-    for name in names(40):
+    assert run_until_settled(network, member_names(40), 30 * SECOND) is not None
+    for name in member_names(40):
         network.members[name].publish("k", 1, b"v" * 700)
     network.run(network.now + 60 * SECOND)
     assert max(sizes) <= MAX_DATAGRAM_BYTES
@@ -680,19 +680,19 @@
     network = start_fleet(4, dead_retention_us=4 * SECOND)
     network.members["m03"].publish("k", 0, b"value")
     network.run(network.now + 5 * SECOND)
-    assert all(network.members[name].replicated_map.get("m03", "k") is not None for name in names(4))
+    assert all(network.members[name].replicated_map.get("m03", "k") is not None for name in member_names(4))
     network.kill("m03")
     network.run(network.now + 20 * SECOND)
-    assert all("m03" not in network.members[name].states() for name in names(3))
-    assert all(network.members[name].replicated_map.get("m03", "k") is None for name in names(3))
-    digests = {network.members[name].state.index.digest() for name in names(3)}
+    assert all("m03" not in network.members[name].states() for name in member_names(3))
+    assert all(network.members[name].replicated_map.get("m03", "k") is None for name in member_names(3))
+    digests = {network.members[name].state.index.digest() for name in member_names(3)}
     assert len(digests) == 1
 
 
 def test_a_prober_pings_each_member_in_turn() -> None:
     config = MembershipConfig("f", "me", "me:1")
     table = MemberTable(config, random.Random(1), lambda name: None)
-    for name in names(12):
+    for name in member_names(12):
         table.add(MemberRecord(name, f"{name}:1", 1, 1, 0, 0), 0)
     prober = Prober(config, table, random.Random(2), 0)
     pinged: list[str] = []
@@ -703,7 +703,7 @@
             if isinstance(action, Ping):
                 pinged.append(action.target)
                 prober.ack_received(action.target, action.sequence)
-    assert sorted(pinged[:12]) == sorted(pinged[12:]) == names(12)
+    assert sorted(pinged[:12]) == sorted(pinged[12:]) == member_names(12)
 
 
 def test_a_member_is_live_since_it_came_back() -> None:
