--- a/thornshelf/membership/local_member.py
+++ b/thornshelf/membership/local_member.py
@@ -23,9 +23,8 @@
             config.name, config.address, incarnation, instance_id, int(RecordStatus.ALIVE), 0
         )
         self.superseded = False
-        self._overridden_at: dict[
-            int, int
-        ] = {}  # by instance id of another process: the incarnation that overrode it
+        # By instance id of another process of this name: the incarnation that overrode its record.
+        self._overridden_at: dict[int, int] = {}
 
     def refute(self, record: MemberRecord, now_us: int) -> bool:
         """Process a received record about this member.
--- a/thornshelf/membership/member_table.py
+++ b/thornshelf/membership/member_table.py
@@ -20,8 +20,8 @@
 )
 
 MAX_LOCAL_HEALTH_MULTIPLIER = 3  # a higher one would delay the detection of a partition too long
-# Limits by how much a reported incarnation may exceed the known one, so that false reports cannot exhaust the range.
-# A member's own record is not limited.
+# The most by which a reported incarnation may exceed the known one, so that false reports cannot exhaust the range.
+# The limit does not apply to a member's own record.
 MAX_INCARNATION_JUMP = 1 << 20
 MAX_CONFIRMATIONS = 4  # further independent suspicions are not counted
 SAMPLE_ATTEMPTS = 4  # random draws per member of a sample
@@ -118,7 +118,7 @@
 
     def add(self, record: MemberRecord, now_us: int) -> bool:
         """Add a member that has acknowledged a ping; returns False if the table is full."""
-        if not self._make_space():
+        if not self._ensure_space():
             return False
         alive = replace_record(record, status=int(RecordStatus.ALIVE))
         self.members[record.name] = Member(
@@ -135,7 +135,7 @@
         if record.incarnation > member.record.incarnation + MAX_INCARNATION_JUMP:
             self.counters[INCARNATION_JUMPS] += 1
         elif record.precedence > member.record.precedence:
-            self._supersede(member, record, now_us)
+            self._apply_report(member, record, now_us)
         elif (
             record.precedence == member.record.precedence
             and member.state is MemberState.SUSPECT
@@ -143,7 +143,8 @@
         ):
             self._confirm_suspicion(member, record.reported_by, now_us)
 
-    def _supersede(self, member: Member, record: MemberRecord, now_us: int) -> None:
+    def _apply_report(self, member: Member, record: MemberRecord, now_us: int) -> None:
+        """Apply a report whose record prevails over the known one."""
         self._set_record(member, record)
         if record.status == RecordStatus.ALIVE:
             event = MemberEvent.REFUTED
@@ -189,12 +190,12 @@
             if member.record.status < RecordStatus.DEAD:
                 self._set_record(member, self._report(member, RecordStatus.DEAD))
             self._transition(member, MemberEvent.REFUTATION_TIMEOUT, now_us)
-        outdated = [
+        to_evict = [
             name
             for name in self._departed
             if now_us - self.members[name].state_since_us >= self.config.dead_retention_us
         ]
-        for name in outdated:
+        for name in to_evict:
             self.evict(name)
 
     def extend_deadlines(self, stall_us: int) -> None:
@@ -291,7 +292,7 @@
         if len(self.former_addresses) > self.config.max_known_addresses:
             del self.former_addresses[next(iter(self.former_addresses))]
 
-    def _make_space(self) -> bool:
+    def _ensure_space(self) -> bool:
         """If the table is full, evict the member that departed first; returns whether there is space."""
         if len(self.members) < self.config.max_members:
             return True
--- a/thornshelf/membership/message_handler.py
+++ b/thornshelf/membership/message_handler.py
@@ -17,7 +17,7 @@
 
 CORRECTION_INTERVAL_US = 200_000  # minimum time between two corrections of a member that is out of date
 JOIN_REPLY_MEMBERS = 8  # members listed in a reply to a join; push-pull rounds transfer the others
-SENDERS_PER_MEMBER = 4  # replay windows per member, which has a new instance id after each restart
+SENDERS_PER_MEMBER = 4  # replay windows kept per member: each restart has its own instance id
 UPTIME_BYTES = 8
 UNKNOWN_MEMBERS = "strangers"  # counter name shown by the shell
 
@@ -86,7 +86,7 @@
         if message.recipient_instance_id != self._local.record.instance_id and not is_for_anyone:
             # It was meant for a former process. Unless it is a replay, its sender has to learn of this one.
             self._send_correction(sender)
-            raise ReplayedDatagramError(f"sent by {sender.name} to another process of this name")
+            raise ReplayedDatagramError(f"sent by {sender.name} to another process")
         self._replay_windows.accept(sender.name, sender.instance_id, message.counter)
         state_before = self._table.state_of(sender.name)
         if state_before is None and not self._probes.admit(message, self._now_us):
@@ -131,6 +131,7 @@
         self._push_pull.rumors_learned(max(0, after - before))
 
     def _merge_entry(self, entry: MapEntry) -> None:
+        """Merge an entry of a known writer. A newer one of this member itself is overwritten."""
         if entry.writer != self._name and entry.writer not in self._table.members:
             return
         if not self._state.replicated_map.merge(entry, self._now_us):
--- a/thornshelf/membership/outlier_gossip.py
+++ b/thornshelf/membership/outlier_gossip.py
@@ -177,7 +177,7 @@
                 yield ReportedObservation(node, name, observation)
 
     def outliers(self, nodes: Collection[str], live: Collection[str], now_us: int) -> set[str]:
-        """Returns the nodes with faults reported by enough live members, the heaviest within the limit."""
+        """Returns the outliers: nodes with faults reported by enough live members, limited to the heaviest."""
         min_reporters = min(MIN_REPORTERS, max(1, len(live) - 1))
         found = []
         for node in self._others:
--- a/thornshelf/membership/policies.py
+++ b/thornshelf/membership/policies.py
@@ -143,7 +143,7 @@
         self._review_avoided_nodes(changes, watch_unresponsive, live)
         if Policy.HEALTH_CHECKS in self._enabled and len(live) >= MIN_MEMBERS_FOR_HEALTH_CHECKS:
             changes.nodes_to_check = self.outlier_gossip.nodes_to_check(nodes, live, now_us)
-        self._review_delegated(changes, live, now_us)
+        self._collect_check_results(changes, live, now_us)
         self._publish(now_us)
         return changes
 
@@ -180,7 +180,7 @@
             self._avoided_nodes = avoided
             changes.avoided_nodes = set(avoided)
 
-    def _review_delegated(self, changes: PolicyChanges, live: Collection[str], now_us: int) -> None:
+    def _collect_check_results(self, changes: PolicyChanges, live: Collection[str], now_us: int) -> None:
         """Collect the results of delegated health checks."""
         for node, since_us in list(self._delegated_since_us.items()):
             is_healthy = self.outlier_gossip.reported_healthy(node, live, now_us, since_us)
--- a/thornshelf/membership/push_pull.py
+++ b/thornshelf/membership/push_pull.py
@@ -42,7 +42,7 @@
         self._random = random_source
         self.next_round_us = now_us + random_source.randrange(self._interval_us)
         self._first_bucket = random_source.randrange(BUCKET_COUNT)
-        self._learned = 0  # new rumors since the last round began
+        self._learned_count = 0  # new rumors since the last round began
 
     def tick(self, now_us: int) -> None:
         """Start the next round if it is due."""
@@ -50,7 +50,7 @@
             return
         jitter_us = self._random.randrange(self._interval_us // 2)
         self.next_round_us = now_us + self._interval_us * 3 // 4 + jitter_us
-        self._learned = 0
+        self._learned_count = 0
         for name in self._table.sample(1):
             self.send_digest(self._table.members[name], now_us)
 
@@ -91,10 +91,10 @@
 
     def rumors_learned(self, count: int) -> None:
         """Count rumors that were new to this member."""
-        self._learned += count
+        self._learned_count += count
 
     def gossip_received(self, now_us: int) -> None:
         """Advance the next round if this one brought many rumors, as there are probably more to fetch."""
-        if self._learned >= FOLLOW_UP_MIN_RUMORS:
-            self._learned = 0
+        if self._learned_count >= FOLLOW_UP_MIN_RUMORS:
+            self._learned_count = 0
             self.next_round_us = min(self.next_round_us, now_us + FOLLOW_UP_US)
--- a/thornshelf/membership/query_gatherer.py
+++ b/thornshelf/membership/query_gatherer.py
@@ -202,8 +202,8 @@
             elif now_us >= reply.retry_us:
                 reply.attempts += 1
                 if reply.attempts >= MAX_ATTEMPTS:
-                    rows = f"it fell silent after {reply.row_count} rows"
-                    self._give_up(name, rows if reply.next_chunk else "it does not answer")
+                    partial_reason = f"it fell silent after {reply.row_count} rows"
+                    self._give_up(name, partial_reason if reply.next_chunk else "it does not answer")
                     continue
                 self._request(name, reply, now_us)
             due_us = reply.retry_us if due_us is None else min(due_us, reply.retry_us)
--- a/thornshelf/membership/scatter_gather.py
+++ b/thornshelf/membership/scatter_gather.py
@@ -103,7 +103,7 @@
     next_to_send: int = 0
     first_buffered: int = 0  # the index of the first chunk in ``chunks``
     chunks: list[bytes] = field(default_factory=list)
-    unsplit: bytes = b""  # data that does not fill a chunk yet
+    unchunked: bytes = b""  # data that does not fill a chunk yet
     total_bytes: int = 0
     incomplete_reason: str = ""
     is_complete: bool = False  # all blocks were added
@@ -128,14 +128,14 @@
             self.is_complete = True
         else:
             self.total_bytes += len(block)
-            self.unsplit += len(block).to_bytes(BLOCK_LENGTH_BYTES, "big") + block
+            self.unchunked += len(block).to_bytes(BLOCK_LENGTH_BYTES, "big") + block
 
     def split(self, query_id: int) -> None:
         """Split the remaining data into chunks; a partial chunk is made only at the end of the reply."""
-        while len(self.unsplit) > MAX_CHUNK_BYTES or (self.is_complete and self.unsplit):
-            data = self.unsplit[:MAX_CHUNK_BYTES]
-            self.unsplit = self.unsplit[MAX_CHUNK_BYTES:]
-            self._add_chunk(query_id, data, is_last=self.is_complete and not self.unsplit)
+        while len(self.unchunked) > MAX_CHUNK_BYTES or (self.is_complete and self.unchunked):
+            data = self.unchunked[:MAX_CHUNK_BYTES]
+            self.unchunked = self.unchunked[MAX_CHUNK_BYTES:]
+            self._add_chunk(query_id, data, is_last=self.is_complete and not self.unchunked)
         if self.is_complete and not self.chunks and self.first_buffered == 0:
             self._add_chunk(query_id, b"", is_last=True)
 
@@ -153,11 +153,11 @@
 
     def __init__(self, open_table: Callable[[str, list[str], dict[str, Cell]], RowSource | str]) -> None:
         self._open_table = open_table
-        self._open: dict[tuple[str, int], ReplyStream] = {}  # by querier and query id
+        self._open_streams: dict[tuple[str, int], ReplyStream] = {}  # by querier and query id
         self.outgoing: list[MemberMessage] = []
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._open_streams)
 
     def receive(self, querier: str, data: bytes, now_us: int) -> None:
         """Process a query, or a request for a further chunk. A malformed message is ignored."""
@@ -167,15 +167,15 @@
             return
         key = (querier, query.query_id)
         if query.cancel:
-            self._open.pop(key, None)
+            self._open_streams.pop(key, None)
             return
-        stream = self._open.get(key)
+        stream = self._open_streams.get(key)
         if stream is None:
             source = self._open_source(query)
             if isinstance(source, str):
                 self.outgoing.append((querier, _encode_refusal(query, source)))
                 return
-            stream = self._open[key] = ReplyStream(source, now_us)
+            stream = self._open_streams[key] = ReplyStream(source, now_us)
         stream.last_request_us = now_us
         stream.acknowledge(query.next_chunk)
 
@@ -183,7 +183,7 @@
         """Returns the rows for a new query, or the reason why there are none."""
         if query.next_chunk:
             return "it does not know the question: it was started anew"
-        if len(self._open) >= MAX_OPEN_QUERIES:
+        if len(self._open_streams) >= MAX_OPEN_QUERIES:
             return "it answers too many questions already"
         return self._open_table(query.table, query.columns, query.filters)
 
@@ -192,9 +192,9 @@
 
         Returns whether it stopped there with work remaining. Queries that were idle for too long are dropped.
         """
-        for (querier, query_id), stream in list(self._open.items()):
+        for (querier, query_id), stream in list(self._open_streams.items()):
             if now_us - stream.last_request_us > IDLE_TIMEOUT_US:
-                del self._open[querier, query_id]
+                del self._open_streams[querier, query_id]
                 continue
             for _ in range(BLOCKS_PER_TURN):
                 if stream.is_complete or stream.next_requested + SEND_WINDOW <= stream.end_of_buffer:
