--- a/thornshelf/__init__.py
+++ b/thornshelf/__init__.py
@@ -1,3 +1,3 @@
-"""thornshelf: a dispatcher on sockets round the decision module ``thornshelf.placement``."""
+"""thornshelf: a network dispatcher that places tasks on nodes by the decision module ``thornshelf.placement``."""
 
 __version__ = "0.3.0"
--- a/thornshelf/__main__.py
+++ b/thornshelf/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m thornshelf [OPERATOR_FILE]``: one dispatcher, configured by the platform's variables.
+"""``python -m thornshelf [OPERATOR_FILE]`` runs one dispatcher, configured by the platform's environment variables.
 
-With a command or an option instead of a file, it is the command line of ``thornshelf.cli``, loaded only then.
+With a command or an option instead of a file, it runs the command line of ``thornshelf.cli``, imported only then.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 EXIT_OK = 0
 EXIT_BAD_CONFIGURATION = 2
 
-# The names of the commands, and of their aliases, which an operator's file can't have as its path.
+# Commands and their aliases. An operator's file with one of these names has to be given with its directory.
 COMMANDS = (
     "serve",
     "check-config",
@@ -30,22 +30,22 @@
 
 
 def serve(operator_file: str | None) -> int:
-    """Start a dispatcher, and serve until it is told to end; the exit code."""
+    """Run a dispatcher until it is shut down; returns the exit code."""
 
     def read() -> Config:
         return read_config(os.environ, operator_file)
 
     try:
         service = Service(read(), reread=read)
-    except ConfigError as fault:
-        print(f"thornshelf: {fault} [{fault.code}]", file=sys.stderr)
+    except ConfigError as error:
+        print(f"thornshelf: {error} [{error.code}]", file=sys.stderr)
         return EXIT_BAD_CONFIGURATION
     service.run()
     return EXIT_OK
 
 
 def main() -> int:
-    """Serve, or do what the command line says; the exit code."""
+    """Run a dispatcher or the given command; returns the exit code."""
     arguments = sys.argv[1:]
     if not arguments:
         return serve(None)
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -1,4 +1,7 @@
-"""A whole dispatcher: loop, core, frontends, nodes, endpoint watch and log. Embed it, or see ``__main__``."""
+"""A complete dispatcher: event loop, core, frontends, nodes, endpoint watch and log.
+
+``python -m thornshelf`` runs one; a program can also embed it.
+"""
 
 from __future__ import annotations
 
@@ -40,17 +43,20 @@
     from thornshelf.retries.jitter import RetryAfterJitter
     from thornshelf.translation.translator import Translator
 
-SPARE_NODES = 16  # descriptors for connections to nodes that are about to join
-_FRONTEND_NAMES = ("listen", "grpc")  # of the listening sockets, as a successor gets them
+SPARE_NODES = 16  # descriptors reserved for connections to nodes that are about to join
+_FRONTEND_NAMES = ("listen", "grpc")  # the names under which a successor inherits the listening sockets
 
 
-def _raise_invalid(fault: WireError) -> None:
-    """Reject all of the initial endpoints where one of them is malformed."""
-    raise fault
+def _raise_invalid(error: WireError) -> None:
+    """Reject all initial endpoints if one of them is malformed."""
+    raise error
 
 
 def _inherit_sockets() -> InheritedSockets | None:
-    """The sockets of a predecessor, where there is one; the module is loaded only then."""
+    """Return the sockets that a predecessor passed on, or None if there is no predecessor.
+
+    The module for it is imported only if there is one.
+    """
     if "LISTEN_FDS" not in os.environ:
         return None
     from thornshelf.lifecycle.socket_handover import inherit_sockets
@@ -59,10 +65,10 @@
 
 
 class Service:
-    """One dispatcher, from its configuration to its end.
+    """One dispatcher: creates its parts from the configuration, serves, reloads, restarts and shuts down.
 
-    ``loop`` and ``log`` replace those that it would make for itself. ``reread`` reads the configuration again for a
-    reload; without it a reload changes nothing. Raises ``ConfigError`` where the configuration can't be used.
+    ``loop`` and ``log`` replace the default event loop and log. ``reread`` reads the configuration again for a
+    reload; without it, a reload changes nothing. Raises ``ConfigError`` if the configuration can't be used.
     """
 
     def __init__(
@@ -73,14 +79,12 @@
         reread: Callable[[], Config] | None = None,
     ) -> None:
         self.config = config
-        self.settings = (
-            config.settings
-        )  # as the core gets them; a component may change them before it is made
+        self.settings = config.settings  # components may replace them before the core is created
         self.loop = loop or Loop()
-        # The one place where Unix time and the loop's clock meet.
+        # All conversions between Unix time and the loop's clock use this offset.
         self._unix_offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
         self.log = log or self._make_log()
-        self.loop.on_fault = self._log_fault
+        self.loop.on_fault = self._log_exception
         self.inherited = _inherit_sockets()
         self.admission_filter: AdmissionFilter | None = None
         self.translator: Translator | None = None
@@ -101,7 +105,7 @@
         self.json_frontend = self._make_json_frontend()
         self.frontends: list[JsonLinesFrontend | GrpcFrontend] = [self.json_frontend]
         self._watch_endpoints(config.endpoint_source)
-        self._guard_stale_endpoints()
+        self._defer_attempts_until_synced()
         for component in self.components:
             component.start()
 
@@ -145,16 +149,17 @@
         return BinaryNodeConnection(self.loop, machine, endpoint, core)
 
     def _load_initial_endpoints(self) -> int:
-        """Hand the configured endpoints to the core; the number of the last event among them.
+        """Pass the configured endpoints to the core; returns the sequence number of the last event among them.
 
-        The configuration drops them afterwards: for a large fleet they would be most of the memory of the process.
+        They are then removed from the configuration: for a large fleet they would take up most of the process's
+        memory.
         """
         try:
             last_sequence, updates = decode_events(
                 self.config.initial_endpoints, 0, self.monotonic_us, _raise_invalid
             )
-        except WireError as fault:
-            raise ConfigError(f"known: {fault}") from None
+        except WireError as error:
+            raise ConfigError(f"known: {error}") from None
         for update in updates:
             self._update_core(update)
         self.config = replace(self.config, initial_endpoints={})
@@ -163,7 +168,7 @@
     def _make_connection_budget(self) -> ConnectionBudget:
         """Divide the descriptors between clients and nodes.
 
-        Without admission control, nodes share the descriptors that are theirs by a pool of connections.
+        Without admission control, a connection pool limits the descriptors that nodes use.
         """
         pool = ConnectionPool(lambda: self.connection_budget.max_nodes)
         if self.config.admission is None:
@@ -182,38 +187,38 @@
             return JsonLinesFrontend(
                 self.loop, self.core, address, self.connection_budget, self.admission_filter, sock
             )
-        except OSError as fault:
-            raise ConfigError(f"listen: {fault.strerror}: {address[0]}:{address[1]}") from None
+        except OSError as error:
+            raise ConfigError(f"listen: {error.strerror}: {address[0]}:{address[1]}") from None
 
     def unix_ms(self, us: int) -> int:
-        """A time of the loop's clock as Unix milliseconds."""
+        """Convert a time of the loop's clock, in microseconds, to Unix time in milliseconds."""
         return (us + self._unix_offset_us) // 1000
 
     def monotonic_us(self, unix_us: int) -> int:
-        """Unix time in microseconds on the loop's clock."""
+        """Convert Unix time to the loop's clock; both are in microseconds."""
         return unix_us - self._unix_offset_us
 
     def named_frontends(self) -> dict[str, JsonLinesFrontend | GrpcFrontend]:
-        """The frontends, by the names under which a successor gets their sockets."""
+        """Return the frontends by the names under which a successor inherits their sockets."""
         return dict(zip(_FRONTEND_NAMES, self.frontends, strict=False))
 
     def _update_core(self, update: EndpointListUpdate) -> EndpointListUpdate:
-        """Pass an update of the endpoint list to the core, filtered to the nodes of this dispatcher."""
+        """Pass an update of the endpoint list to the core, filtered to this dispatcher's nodes; returns that part."""
         filtered = update if self.endpoint_filter is None else self.endpoint_filter(update)
         self.core.update_endpoints(filtered)
         return filtered
 
     def _endpoints_updated(self, update: EndpointListUpdate) -> None:
-        """An update of the endpoint watch. A fault of one listener must not keep it from the others."""
+        """Process an update from the endpoint watch; if one listener raises an exception, the others still get it."""
         filtered = self._update_core(update)
         for listener in self.endpoint_listeners:
             try:
                 listener(filtered)
-            except Exception as fault:
-                self._log_fault(fault)
+            except Exception as error:
+                self._log_exception(error)
 
     def _watch_endpoints(self, address: Address | None) -> None:
-        """Watch the endpoint list at an address, from the last event that is known; None ends the watch."""
+        """Watch the endpoint list at an address, starting after the last known event; None ends the watch."""
         watch = self.endpoint_watch
         if address is None:
             if watch is not None:
@@ -232,8 +237,8 @@
         elif watch.address != address:
             watch.reconnect_to(address)
 
-    def _guard_stale_endpoints(self) -> None:
-        """Hold back attempts until the endpoint watch has caught up with what happened during the start.
+    def _defer_attempts_until_synced(self) -> None:
+        """Hold back attempts until the endpoint watch has read the changes that were made during the start.
 
         Without this, attempts could go to nodes whose drain was announced while this process was starting.
         """
@@ -242,10 +247,10 @@
         self.core.is_endpoint_list_stale = (
             lambda: self.endpoint_watch is not None and not self.endpoint_watch.has_synced
         )
-        self.loop.after(ENDPOINT_LIST_TIMEOUT_US, lambda: None)  # a turn, where nothing else causes one
+        self.loop.after(ENDPOINT_LIST_TIMEOUT_US, lambda: None)  # ensures a turn when the wait times out
 
     def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then complete what is open."""
+        """Serve until SIGTERM or SIGINT, complete the open requests, and return."""
         self._watch_signals()
         self.log(6, "dispatcher-started", {"name": self.config.name} | self._addresses(), "ready")
         gc.collect()
@@ -262,21 +267,21 @@
         handlers: dict[signal.Signals, Callable[[], None]] = {
             signal.SIGTERM: self.shut_down,
             signal.SIGINT: self.shut_down,
-            signal.SIGHUP: self.reload,  # without a handler it would end the process
+            signal.SIGHUP: self.reload,  # unhandled, it would terminate the process
         }
         if self.admission_filter is not None:
             handlers[signal.SIGUSR2] = self.hand_over
         watch_signals(self.loop, handlers)
 
     def _addresses(self) -> dict[str, object]:
-        """Where the frontends listen, as parameters of a log line."""
+        """Return the addresses on which the frontends listen, as parameters of a log line."""
         return {
             name: "{}:{}".format(*frontend.listener.address)
             for name, frontend in self.named_frontends().items()
         }
 
     def close(self) -> None:
-        """Drop everything at once."""
+        """Close the listeners and the loop at once, without completing anything."""
         for frontend in self.frontends:
             frontend.listener.close()
         if self.admission_filter is not None:
@@ -284,14 +289,14 @@
         self.loop.close()
 
     def reload(self) -> None:
-        """Read the configuration again; a faulty one leaves the old one in force."""
+        """Read the configuration again; if it is invalid, the old one stays in force."""
         if self._reread is None:
-            self.log(5, "config-reload-failed", {}, "nothing to read the configuration from")
+            self.log(5, "config-reload-failed", {}, "there is no source to reload the configuration from")
             return
         try:
             reloaded = self.config.reloaded(self._reread())
-        except ConfigError as fault:
-            self.log(4, "config-reload-failed", {"kept": "old", "code": fault.code}, str(fault))
+        except ConfigError as error:
+            self.log(4, "config-reload-failed", {"kept": "old", "code": error.code}, str(error))
             return
         self.config = reloaded.config
         limits = descriptor_limits(self.config)
@@ -304,14 +309,17 @@
 
     def _log_reload(self, restart_keys: list[str]) -> None:
         values: dict[str, object] = {}
-        text = "configuration read again"
+        text = "configuration reloaded"
         if restart_keys:
             values["restart"] = ",".join(restart_keys)
-            text += "; what changed under 'restart' waits for one"
+            text += "; changes of the keys in 'restart' take effect at the next restart"
         self.log(5, "config-reloaded", values, text)
 
     def hand_over(self) -> None:
-        """Start a successor on the same listening sockets, and end once it is ready."""
+        """Start a successor on the same listening sockets, hand over to it once it is ready, and stop.
+
+        If the successor fails to start, this process keeps serving.
+        """
         if self._shutting_down or self._handing_over:
             return
         self._handing_over = True
@@ -329,7 +337,7 @@
         self.loop.stop()
 
     def _take_over(self) -> None:
-        """Tell a predecessor, where there is one, that this process is ready, and take its tasks over."""
+        """Report to the predecessor, if there is one, that this process is ready, and take over its tasks."""
         inherited = self.inherited
         if inherited is None or inherited.channel is None:
             return
@@ -340,17 +348,17 @@
         self.loop.spawn(take_over(self, inherited))
 
     def shut_down(self) -> None:
-        """A planned stop: serve on while requests still come, then complete the open ones."""
+        """Start a graceful shutdown: serve a while longer, then complete the open requests and stop."""
         if not self._shutting_down:
             self._shutting_down = True
-            self.log(5, "shutdown-started", {"open": self.core.open_count}, "told to end")
+            self.log(5, "shutdown-started", {"open": self.core.open_count}, "shutdown requested")
             self.loop.spawn(self._shut_down())
 
     def _shut_down(self) -> Generator[Wait, int, None]:
         yield from drain(self)
         self.loop.stop()
 
-    def _log_fault(self, fault: BaseException) -> None:
-        """An exception of one coroutine costs its connection, not the process."""
-        text = "".join(traceback.format_exception(fault)).strip().replace(os.linesep, " | ")
-        self.log(3, "coroutine-failed", {"code": InternalError.code, "type": type(fault).__name__}, text)
+    def _log_exception(self, error: BaseException) -> None:
+        """Log an exception that ended one coroutine or call; the process goes on."""
+        text = "".join(traceback.format_exception(error)).strip().replace(os.linesep, " | ")
+        self.log(3, "coroutine-failed", {"code": InternalError.code, "type": type(error).__name__}, text)
