--- a/thornshelf/loop/__init__.py
+++ b/thornshelf/loop/__init__.py
@@ -1,4 +1,4 @@
-"""One event loop on epoll, its coroutines (generators), timers and buffered streams."""
+"""An event loop on epoll, with coroutines (generators), timers and buffered streams."""
 
 from thornshelf.loop.loop import Loop, Task, Timer, Wait
 from thornshelf.loop.stream import Chunk, Stream
--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -1,7 +1,8 @@
-"""The event loop: select.epoll, generators as coroutines, and timers. The clock is read once a turn.
+"""A single-threaded event loop on epoll, with generators as coroutines, and timers.
 
-A turn is bounded: once its coroutines have run for ``TURN_BUDGET_US``, those that are still ready wait for the next
-turn, which polls the descriptors first. An urgent coroutine is stepped before all others.
+One turn polls the descriptors, calls the due timers, steps the ready coroutines and runs the hooks. Its time ``now``
+is read once, after the poll. A turn is bounded: once its coroutines have run for ``TURN_BUDGET_US``, those that are
+still ready wait for the next turn, which polls the descriptors first. Urgent coroutines are stepped before others.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 PEER_CLOSED = select.EPOLLRDHUP
 _ERROR_MASK = select.EPOLLERR | select.EPOLLHUP
 MAX_SLEEP_US = 1_000_000
-TURN_BUDGET_US = 20_000  # coroutines are stepped for so long in one turn
-STEPS_PER_CLOCK_CHECK = 8  # coroutines that are stepped between two readings of the clock
-IMMEDIATE_POLL_US = 300  # a poll that took less time than this found its events at once
-MAX_CANCELLED_TIMERS = 256  # kept until they are due, rather than removed
+TURN_BUDGET_US = 20_000  # a turn steps no further coroutine after this time
+STEPS_PER_CLOCK_CHECK = 8  # the budget is checked once for so many steps
+IMMEDIATE_POLL_US = 300  # a poll that returns sooner did not sleep: its events were already there
+MAX_CANCELLED_TIMERS = 256  # with more of them, cancelled timers are removed before they are due
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """What a coroutine yields to be woken when ``fd`` is ready, or at ``until`` (microseconds) at the latest.
+    """A coroutine yields this to be resumed when ``fd`` is ready, or at ``until`` (microseconds) at the latest.
 
-    The yield gives the epoll mask, or 0 where the time ran out. Without ``fd`` it is a sleep.
+    The yield returns the epoll mask of ``fd``, or 0 if the time ran out. Without ``fd``, it sleeps until then.
     """
 
     fd: int = -1
@@ -42,7 +43,7 @@
 
 
 class Timer:
-    """A call that is due at a time, unless it is cancelled before."""
+    """A call to be made at the time ``due``, in microseconds; ``call`` is None once it was made or cancelled."""
 
     __slots__ = ("call", "due", "loop")
 
@@ -52,14 +53,14 @@
         self.call: Callable[[], None] | None = call
 
     def cancel(self) -> None:
-        """Drop the call."""
+        """Cancel the call, if it was not made yet."""
         if self.call is not None:
             self.call = None
             self.loop.timer_cancelled()
 
 
 class Task:
-    """A running coroutine."""
+    """A coroutine in the loop, and the ``Wait`` and timer that will resume it."""
 
     __slots__ = ("body", "done", "started", "timer", "urgent", "wait")
 
@@ -73,7 +74,7 @@
 
 
 class _Registration:
-    """The coroutines that wait for one descriptor, and the mask that epoll has of it."""
+    """The coroutines that wait for one descriptor, and the mask for which it is registered with epoll."""
 
     __slots__ = ("mask", "on_peer_close", "reader", "writer")
 
@@ -85,12 +86,12 @@
 
 
 class Loop:
-    """Runs coroutines until ``stop``.
+    """Runs coroutines and timers until ``stop`` is called.
 
     ``on_turn``: hooks that run at the end of each turn, in their order; each returns whether it wants another turn
-    at once. ``on_fault``: called with an exception that ended a coroutine or a call; without it such an exception is
-    raised. ``now``: the time of this turn in microseconds. ``earliest_arrival_us``: what the present step reads may
-    have arrived as early as this.
+    at once. ``on_fault``: called with an exception that ended a coroutine or a call; if it is None, such an exception
+    is raised from ``turn``. ``clock``: the monotonic clock, in nanoseconds. ``now``: the time of this turn, in
+    microseconds. ``earliest_arrival_us``: the earliest time at which the input of the present step may have arrived.
     """
 
     def __init__(self) -> None:
@@ -98,7 +99,7 @@
         self._registrations: dict[int, _Registration] = {}
         self._timers: list[tuple[int, int, Timer]] = []
         self._cancelled_timers = 0
-        self._order = itertools.count()
+        self._timer_sequence = itertools.count()
         self._tasks: set[Task] = set()
         self._ready: deque[tuple[Task, int, int]] = deque()
         self._running = False
@@ -110,16 +111,16 @@
         self.earliest_arrival_us = self.now
 
     def turn_elapsed_us(self) -> int:
-        """How long this turn has run, in microseconds; only to bound it, as decisions go by ``now``."""
+        """Return how long this turn has run, in microseconds; only for bounding it, as decisions use ``now``."""
         return self.clock() // 1000 - self.now
 
     @property
     def has_backlog(self) -> bool:
-        """Whether coroutines are ready that this turn had no time for."""
+        """Whether ready coroutines were left over for the next turn."""
         return bool(self._ready)
 
     def spawn(self, body: Coroutine, urgent: bool = False) -> Task:
-        """Start a coroutine in this turn; one that is ``urgent`` goes before all that wait to be stepped."""
+        """Start a coroutine in this turn; an ``urgent`` one is always stepped before all others that are ready."""
         task = Task(body, urgent)
         self._tasks.add(task)
         self._schedule(task, 0)
@@ -133,7 +134,7 @@
             self._ready.append(entry)
 
     def cancel(self, task: Task) -> None:
-        """End a coroutine where it waits; its ``finally`` blocks run."""
+        """End a coroutine at the yield where it waits; its ``finally`` blocks run."""
         if not task.done:
             task.done = True
             self._tasks.discard(task)
@@ -141,13 +142,13 @@
             task.body.close()
 
     def at(self, due: int, call: Callable[[], None]) -> Timer:
-        """Call in the first turn at or after a time."""
+        """Make a call in the first turn at or after the time ``due``, in microseconds."""
         timer = Timer(due, call, self)
-        heapq.heappush(self._timers, (due, next(self._order), timer))
+        heapq.heappush(self._timers, (due, next(self._timer_sequence), timer))
         return timer
 
     def timer_cancelled(self) -> None:
-        """Count a cancelled timer; once most timers are cancelled, these are removed."""
+        """Count a cancelled timer; once most of many timers are cancelled, the cancelled ones are removed."""
         self._cancelled_timers += 1
         if self._cancelled_timers > MAX_CANCELLED_TIMERS and 2 * self._cancelled_timers > len(self._timers):
             self._timers = [entry for entry in self._timers if entry[2].call is not None]
@@ -155,7 +156,7 @@
             self._cancelled_timers = 0
 
     def after(self, delay: int, call: Callable[[], None]) -> Timer:
-        """Call when ``delay`` microseconds have passed."""
+        """Make a call once ``delay`` microseconds have passed."""
         return self.at(self.now + delay, call)
 
     def unregister(self, fd: int) -> None:
@@ -170,20 +171,20 @@
                 self._time_out(task)
 
     def on_peer_close(self, fd: int, call: Callable[[], None]) -> None:
-        """Call once the peer has closed its side, at the start of the turn that finds it so.
+        """Make a call at the start of the first turn that finds that the peer has closed its side.
 
-        That is before any coroutine is stepped, however much of what the peer sent before is still to be read.
+        The call is made before any coroutine is stepped, even if earlier data from the peer is still unread.
         """
         registration = self._registrations.setdefault(fd, _Registration())
         registration.on_peer_close = call
         self._set_mask(fd, registration, registration.mask | PEER_CLOSED)
 
     def at_turn_end(self, call: Callable[[], None]) -> None:
-        """Call once when this turn's work is done, after the hooks: what the turn sends goes out together."""
+        """Make a call once, at the end of this turn, after the hooks: all that the turn sends is written together."""
         self._turn_end_calls.append(call)
 
     def stop(self) -> None:
-        """Leave ``run`` after this turn."""
+        """Return from ``run`` after this turn."""
         self._running = False
 
     def close(self) -> None:
@@ -193,23 +194,23 @@
         self._epoll.close()
 
     def run(self) -> None:
-        """Turn until stopped."""
+        """Run turns until ``stop`` is called."""
         self._running = True
         needs_turn = True
         while self._running:
             needs_turn = self.turn(needs_turn)
 
     def turn(self, at_once: bool = False) -> bool:
-        """Run one turn: poll, read the clock, wake what is due, run the hooks.
+        """Run one turn: poll, read the clock, call due timers, step ready coroutines, run the hooks.
 
-        Returns whether another turn is due at once.
+        ``at_once``: poll without sleeping. Returns whether a hook wants another turn at once.
         """
         sleep = 0.0 if at_once or self._ready or self._turn_end_calls else self._sleep_s()
         last_turn_us = self.now
         polled_us = self.clock() // 1000
         events = self._epoll.poll(sleep)
         self.now = self.clock() // 1000
-        # What a poll finds at once arrived while the last turn ran; one that sleeps wakes as input arrives.
+        # Events that a poll finds at once arrived while the last turn ran. A poll that sleeps ends as input arrives.
         self.earliest_arrival_us = last_turn_us if self.now - polled_us < IMMEDIATE_POLL_US else self.now
         for fd, mask in events:
             self._wake(fd, mask)
@@ -236,7 +237,10 @@
         return needs_turn
 
     def _call_guarded(self, call: Callable[[], Any]) -> bool:
-        """Make a call whose exception, like a coroutine's, ends neither the process nor what comes after it."""
+        """Make a call and report an exception to ``on_fault``, so that later calls are made all the same.
+
+        Returns the call's result as a flag, or True after an exception.
+        """
         try:
             return bool(call())
         except Exception as error:
@@ -261,16 +265,16 @@
         if registration.on_peer_close is not None and mask & (PEER_CLOSED | _ERROR_MASK):
             call, registration.on_peer_close = registration.on_peer_close, None
             self._call_guarded(call)
-        woken = False
+        resumed = False
         for task, bits in ((registration.reader, IN), (registration.writer, OUT)):
             if task is not None and mask & (bits | _ERROR_MASK):
                 self._stop_waiting(task)
                 self._schedule(task, mask)
-                woken = True
-        if not woken:  # no coroutine waits for this any more: stop the notifications
+                resumed = True
+        if not resumed:  # no coroutine waits for these events any more: stop the notifications
             wanted = (IN if registration.reader else 0) | (OUT if registration.writer else 0)
             wanted |= PEER_CLOSED if registration.on_peer_close else 0
-            # epoll reports errors even where no event is wanted
+            # epoll reports errors for every registered descriptor, even with an empty mask
             self._set_mask(fd, registration, 0 if mask & _ERROR_MASK else wanted)
 
     def _stop_waiting(self, task: Task) -> None:
@@ -316,7 +320,7 @@
         if wait.fd >= 0:
             try:
                 self._register(task, wait)
-            except OSError as error:  # the descriptor is closed: that is an error of this coroutine, too
+            except OSError as error:  # the coroutine waits for a closed descriptor
                 self.cancel(task)
                 if self.on_fault is None:
                     raise
--- a/thornshelf/loop/stream.py
+++ b/thornshelf/loop/stream.py
@@ -1,4 +1,7 @@
-"""Buffered non-blocking TCP streams, bounded in both directions; a message can be withdrawn until a byte is sent."""
+"""Buffered non-blocking streams, bounded in both directions.
+
+A buffered message can be withdrawn until its first byte is written.
+"""
 
 from __future__ import annotations
 
@@ -12,13 +15,13 @@
 from thornshelf.loop.loop import IN, OUT, Loop, Task, Wait
 
 READ_SIZE = 64 * 1024
-READ_PAUSE_BYTES = 256 * 1024  # with so much buffered, a peer that doesn't read is not read from either
-MAX_BUFFERED_BYTES = 1024 * 1024  # with so much buffered, the connection is closed
-_MAX_BUFFERS_PER_WRITE = 64  # in one call of sendmsg
+READ_PAUSE_BYTES = 256 * 1024  # with more unsent data than this, nothing is read from the peer
+MAX_BUFFERED_BYTES = 1024 * 1024  # with more unsent data than this, the connection is closed
+_MAX_BUFFERS_PER_WRITE = 64  # passed to one call of sendmsg
 
 
 class Chunk:
-    """One message on its way out."""
+    """One message to be sent, and how many of its bytes were written."""
 
     __slots__ = ("data", "sent")
 
@@ -28,16 +31,17 @@
 
     @property
     def fully_sent(self) -> bool:
-        """Whether all of it was given to the operating system, so that the peer may have it."""
+        """Whether all of it was written to the operating system, so that the peer may have it."""
         return self.sent == len(self.data)
 
 
 class Stream:
-    """A connected socket with its buffer of messages to be sent.
+    """A connected socket with a buffer of messages to be sent.
 
-    ``buffered_bytes``: what is still to be sent. ``last_send_us``: when a message was buffered last, on the loop's
-    clock. ``peer_closed``: the peer has closed its side, though what it sent before may still be unread.
-    ``on_close``: called once the stream is closed. ``admission_permit``: belongs to the admission filter.
+    ``open``: false once the stream was closed. ``buffered_bytes``: how many bytes are still to be written.
+    ``last_send_us``: when a message was last buffered, on the loop's clock. ``peer_closed``: the peer has closed its
+    side, though earlier data from it may still be unread. ``on_close``: called once, when the stream is closed.
+    ``admission_permit``: used by the admission filter alone.
     """
 
     def __init__(self, loop: Loop, sock: socket.socket, peer: str) -> None:
@@ -60,7 +64,11 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, data: bytes) -> Chunk:
-        """Buffer a message behind the others; it is written at the end of the turn."""
+        """Append a message to the buffer, to be written at the end of the turn.
+
+        Closes the stream if more than ``MAX_BUFFERED_BYTES`` are buffered. On a closed or ending stream, the message
+        is dropped.
+        """
         chunk = Chunk(data)
         if self.open and not self._ending:
             self._out.append(chunk)
@@ -74,7 +82,7 @@
         return chunk
 
     def retract(self, chunk: Chunk) -> bool:
-        """Remove a message from the buffer; False where some byte of it was written."""
+        """Remove a message from the buffer; returns False if any byte of it was written."""
         if chunk.sent == 0 and chunk in self._out:
             self._out.remove(chunk)
             self.buffered_bytes -= len(chunk.data)
@@ -87,13 +95,16 @@
 
     @property
     def has_unread_input(self) -> bool:
-        """Whether bytes, or the end of them, wait to be read."""
+        """Whether data or the end of the input waits to be read."""
         poll = select.poll()
         poll.register(self.fd, select.POLLIN)
         return self.open and bool(poll.poll(0))
 
     def read(self, until: int | None = None) -> Generator[Wait, int, bytes | None]:
-        """The next bytes; empty where the peer ended or the connection broke, None where time ran out."""
+        """Read the next bytes, waiting until the time ``until`` at the latest.
+
+        Returns no bytes if the peer has closed its side or the connection has failed, and None if the time ran out.
+        """
         while self.open:
             while self.buffered_bytes > READ_PAUSE_BYTES and self.open:  # back-pressure
                 yield Wait(until=self.loop.now + 10_000)
@@ -114,19 +125,19 @@
         return b""
 
     def flush(self) -> None:
-        """Write what the operating system accepts; a coroutine waits for the rest."""
+        """Write as much as the operating system accepts; a coroutine writes the rest later."""
         self._flush_scheduled = False
         if self.open and self._writer is None and not self._write() and self.open:
             self._writer = self.loop.spawn(self._drain())
 
     def end(self) -> None:
-        """Close once all that is buffered has been written."""
+        """Close the stream once all buffered messages were written; accept no further ones."""
         self._ending = True
         if not self._out:
             self.close()
 
     def close(self) -> None:
-        """Close at once; what is still buffered is lost."""
+        """Close the stream at once and discard the buffered messages."""
         if self.open:
             self.open = False
             self.loop.unregister(self.fd)
@@ -135,9 +146,9 @@
                 self.on_close()
 
     def _drain(self) -> Generator[Wait, int, None]:
-        """Write on once the socket accepts more, at the end of that turn.
+        """Wait until the socket is writable, and schedule a flush for the end of that turn.
 
-        Guards against an attempt that is sent in the very turn that withdraws it: all input is processed first.
+        Writing only then lets the turn's input withdraw a message that is still buffered.
         """
         try:
             yield Wait(self.fd, OUT)
@@ -148,7 +159,7 @@
             self.loop.at_turn_end(self.flush)
 
     def _write(self) -> bool:
-        """Whether nothing is left to be written."""
+        """Write to the socket until it accepts no more; returns whether the buffer is empty."""
         while self._out:
             first = self._out[0]
             parts = [memoryview(first.data)[first.sent :]]
@@ -162,7 +173,8 @@
             except (BlockingIOError, InterruptedError):
                 return False
             except OSError:
-                self._out.clear()  # the reader finds the broken connection, unless it waits for the buffer
+                # The reader detects the failed connection. It must not pause for bytes that are never written.
+                self._out.clear()
                 self.buffered_bytes = 0
                 if self._ending:
                     self.close()
@@ -181,9 +193,10 @@
 
 
 def connect(loop: Loop, host: str, port: int, until: int | None) -> Generator[Wait, int, Stream | int]:
-    """A new connection, or the number of the error that prevented it: nothing has been sent then.
+    """Open a TCP connection; returns its stream, or the errno of the failure.
 
-    Only ECONNREFUSED comes from the peer; a full table of descriptors, for example, shows nothing about the peer.
+    ``until``: give up at this time, with ETIMEDOUT. Of the errors, only ECONNREFUSED is an answer of the peer; a lack
+    of descriptors, for example, proves nothing about it.
     """
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -192,7 +205,7 @@
     sock.setblocking(False)
     try:
         fd, code = sock.fileno(), sock.connect_ex((host, port))
-    except (OSError, UnicodeError) as error:  # the name is unknown or malformed
+    except (OSError, UnicodeError) as error:  # the host name is unknown or malformed
         sock.close()
         return getattr(error, "errno", None) or errno.EIO
     try:
--- a/thornshelf/syslog.py
+++ b/thornshelf/syslog.py
@@ -1,6 +1,6 @@
-"""One log of RFC 5424 lines, to standard output or a collector.
+"""A log of RFC 5424 lines, written to standard output or sent to a collector.
 
-It never blocks: lines that can't be written wait in a bounded buffer, and are dropped where that is full.
+Logging never blocks: lines that can't be written yet wait in a bounded buffer, and are dropped while it is full.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 from thornshelf.wire import rfc5424
 
 MAX_BUFFERED_BYTES = 256 * 1024
-MAX_TEXT_CHARS = 2048  # of one line's text, and of one value
-MAX_LINES_PER_SECOND = 50  # under one message id, as bad input may come by the thousand
-MAX_COLLECTOR_BUFFER_BYTES = 64 * 1024  # buffered by a collector's connection; the rest waits in the log
+MAX_TEXT_CHARS = 2048  # longer texts and values are cut
+MAX_LINES_PER_SECOND = 50  # for each message id, as invalid input may arrive in large numbers
+MAX_COLLECTOR_BUFFER_BYTES = 64 * 1024  # in a collector's stream; further lines stay in the log's own buffer
 FLUSH_RETRY_US = 20_000
 CONNECT_TIMEOUT_US = 1_000_000
 RECONNECT_US = 500_000
@@ -33,32 +33,32 @@
 
 
 class StandardOutput:
-    """Standard output, with an end of line behind each."""
+    """Writes lines to standard output, each followed by a newline."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(STDOUT, False)
 
     def write(self, lines: deque[bytes]) -> int:
-        """Write as much as the pipe accepts."""
-        while lines or self._rest:
-            if not self._rest:
-                self._rest = b"".join(line + b"\n" for line in lines)
+        """Write as much as standard output accepts; if its reader has closed it, the lines are discarded."""
+        while lines or self._unwritten:
+            if not self._unwritten:
+                self._unwritten = b"".join(line + b"\n" for line in lines)
                 lines.clear()
             try:
-                written = os.write(STDOUT, self._rest)
+                written = os.write(STDOUT, self._unwritten)
             except BlockingIOError:
-                lines.appendleft(self._rest[:-1])
-                self._rest = b""
+                lines.appendleft(self._unwritten[:-1])
+                self._unwritten = b""
                 break
             except OSError:  # the reader has closed the pipe
-                written = len(self._rest)
-            self._rest = self._rest[written:]
+                written = len(self._unwritten)
+            self._unwritten = self._unwritten[written:]
         return 0
 
 
 class UdpCollector:
-    """A collector that gets a datagram for each line (RFC 5426)."""
+    """Sends each line to a collector as a UDP datagram (RFC 5426)."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -66,7 +66,7 @@
         self._sock.connect(address)
 
     def write(self, lines: deque[bytes]) -> int:
-        """Send the lines; one that is refused is lost."""
+        """Send the lines; returns how many the operating system did not accept."""
         lost = 0
         while lines:
             try:
@@ -80,7 +80,7 @@
 
 
 class TcpCollector:
-    """A collector that gets lines with their lengths on a connection (RFC 6587); a broken one is made again."""
+    """Sends length-prefixed lines to a collector on a TCP connection (RFC 6587), and reconnects when it breaks."""
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self._loop = loop
@@ -89,7 +89,7 @@
         loop.spawn(self._run())
 
     def write(self, lines: deque[bytes]) -> int:
-        """Send as many lines as the connection buffers."""
+        """Send lines while the stream's buffer is small enough; without a connection, all of them stay."""
         stream = self._stream
         while (
             lines
@@ -109,7 +109,9 @@
             if isinstance(stream, Stream):
                 self._stream = stream
                 try:
-                    while (yield from stream.read()):  # a collector sends nothing that is used
+                    while (
+                        yield from stream.read()
+                    ):  # input is discarded; its end means that the connection broke
                         pass
                 finally:
                     self._stream = None
@@ -118,9 +120,9 @@
 
 
 class Syslog:
-    """Formats lines, and buffers them until their sink accepts them.
+    """Formats log lines, and buffers them until the sink accepts them.
 
-    ``on_line`` is called with each line's time, fields and text, also of lines that are left out as too many.
+    ``on_line`` is called with the time, fields and text of each line, even if the line is then left out or dropped.
     """
 
     def __init__(
@@ -142,7 +144,7 @@
         self._dropped_lines = 0
         self._flush_scheduled = False
         self._current_second = 0
-        self._lines_by_id: dict[str, int] = {}  # in the current second
+        self._lines_by_id: dict[str, int] = {}  # how many lines were logged in the current second
         self._sink: Sink
         if collector is None:
             self._sink = StandardOutput()
@@ -152,7 +154,10 @@
             self._sink = TcpCollector(loop, collector[1])
 
     def __call__(self, severity: int, message_id: str, values: Mapping[str, object], text: str) -> None:
-        """Log one line; ``values`` are its structured data."""
+        """Log one line with an RFC 5424 severity; ``values`` are its structured data.
+
+        A line is left out if its message id was used too often in this second, and dropped if the buffer is full.
+        """
         if self.on_line is not None:
             self.on_line(self.loop.now, values, text)
         if self.loop.now // 1_000_000 != self._current_second:
@@ -181,24 +186,24 @@
             self.loop.at_turn_end(self.flush)
 
     def _begin_second(self) -> None:
-        """Count anew, and log how many lines of the last second were left out."""
+        """Reset the line counts, and log for each message id how many lines of the last second were left out."""
         last_second = self._lines_by_id
         self._current_second = self.loop.now // 1_000_000
         self._lines_by_id = {}
         for message_id, count in last_second.items():
             if count > MAX_LINES_PER_SECOND:
                 fields = {"id": message_id, "left_out": count - MAX_LINES_PER_SECOND}
-                self(rfc5424.WARNING, "log", fields, "too many lines")
+                self(rfc5424.WARNING, "log", fields, "rate limit exceeded, lines were left out")
 
     def flush(self) -> None:
-        """Write what the sink accepts, and schedule the rest for a little later."""
-        self._flush_scheduled = True  # a line that is logged meanwhile must not schedule another flush
+        """Write what the sink accepts, and schedule another flush for the rest."""
+        self._flush_scheduled = True  # a line that is logged below must not schedule another flush
         self._dropped_lines += self._sink.write(self._buffered)
         self._buffered_bytes = sum(map(len, self._buffered))
         if self._dropped_lines and self._buffered_bytes < MAX_BUFFERED_BYTES // 2:
             dropped = self._dropped_lines
             self._dropped_lines = 0
-            self(rfc5424.WARNING, "log", {"dropped": dropped}, "lines were dropped")
+            self(rfc5424.WARNING, "log", {"dropped": dropped}, "buffer was full, lines were dropped")
         self._flush_scheduled = bool(self._buffered)
         if self._buffered:
             self.loop.after(FLUSH_RETRY_US, self.flush)
