--- a/thornshelf/lifecycle/__init__.py
+++ b/thornshelf/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a dispatcher's process: signals, graceful shutdown, graceful restart and the hand-over of sockets."""
+"""The lifecycle of a dispatcher process: signals, graceful shutdown, graceful restart and socket hand-over."""
--- a/thornshelf/lifecycle/graceful_restart.py
+++ b/thornshelf/lifecycle/graceful_restart.py
@@ -1,4 +1,4 @@
-"""A restart without a refused connection: a successor process takes the listening sockets and the state over.
+"""Graceful restart: a successor process takes over the listening sockets and the state; no connection is refused.
 
 ``start_successor`` and ``hand_over`` run in the old process, ``take_over`` in the new one.
 """
@@ -18,17 +18,17 @@
 from thornshelf.lifecycle.socket_handover import InheritedSockets
 from thornshelf.loop import Wait
 
-_DRAIN_MARGIN_US = 2_000_000  # clients with open requests are waited for so long beyond the longest deadline
-_LINGER_US = 50_000  # the time for the last bytes to be sent
+_DRAIN_MARGIN_US = 2_000_000  # added to the longest deadline of a request, to wait for clients to disconnect
+_LINGER_US = 50_000  # allowed for the last bytes to be sent
 _CLOSE_IDLE_INTERVAL_US = 5_000
 _INBOX_CHECK_INTERVAL_US = 2_000
-_TERMINATION_STEP_US = 100_000  # between the signals that end a successor which has failed
-_PROBE_SIGNAL = 0
+_TERMINATION_STEP_US = 100_000  # between the signals that terminate a failed successor
+_PROBE_SIGNAL = 0  # is not delivered; gives a process that is already ending time to do so
 
 
 @dataclass(frozen=True, slots=True)
 class Successor:
-    """A process that was started to take over, and this process's end of the channel to it."""
+    """A process that was started and is ready to take over, and this process's end of the channel to it."""
 
     process_id: int
     channel: socket.socket
@@ -37,7 +37,8 @@
 def start_successor(host: Host) -> Generator[Wait, int, Successor | None]:
     """Start a successor on copies of the listening sockets, and wait until it is ready.
 
-    None where it could not be started or has failed; then this process serves on, as if nothing had been asked for.
+    Returns None if it could not be started or has failed; this process then keeps serving, and a failed successor
+    has been terminated.
     """
     sockets = {name: frontend.listener.sock for name, frontend in host.named_frontends().items()}
     admission_filter = host.admission_filter
@@ -46,11 +47,11 @@
         process_id, channel = socket_handover.spawn_successor(
             socket_handover.own_command_line(), sockets, open_descriptors
         )
-    except OSError as fault:
-        reason = f"no successor could be started: {fault.strerror}"
+    except OSError as error:
+        reason = f"no successor could be started: {error.strerror}"
         host.log(3, "successor-failed", {"kept": "old", "code": StartupError.code}, reason)
         return None
-    host.log(5, "successor-started", {"pid": process_id}, "a successor was started")
+    host.log(5, "successor-started", {"pid": process_id}, "successor process started")
     reason = yield from socket_handover.await_ready(host.loop, channel)
     if not reason:
         return Successor(process_id, channel)
@@ -63,9 +64,9 @@
 
 
 def _terminate(host: Host, process_id: int) -> Generator[Wait, int, None]:
-    """End a child process, at the last by SIGKILL.
+    """Terminate a child process, by SIGKILL if SIGTERM does not end it in time.
 
-    It has not been waited for yet, so that its number can't have been given to another process.
+    The child has not been reaped yet, so its process id can't have been reused.
     """
     for number in (_PROBE_SIGNAL, signal.SIGTERM, signal.SIGKILL):
         os.kill(process_id, number)
@@ -77,20 +78,23 @@
 
 
 def hand_over(host: Host, successor: Successor) -> Generator[Wait, int, None]:
-    """Stop accepting, complete what is open, and send the running tasks to the successor."""
+    """Stop accepting connections, complete the open requests, and send the running tasks to the successor."""
     for frontend in host.frontends:
         frontend.listener.close()
     yield from _drain(host)
     records = export_state(host.core)
-    is_sent = yield from socket_handover.send_state(host.loop, successor.channel, records)
-    host.log(5, "state-handed-over", {"tasks": len(records), "sent": is_sent}, "handed over")
+    sent = yield from socket_handover.send_state(host.loop, successor.channel, records)
+    host.log(
+        5, "state-handed-over", {"tasks": len(records), "sent": sent}, "hand-over to the successor ended"
+    )
     yield Wait(until=host.loop.now + _LINGER_US)
 
 
 def _drain(host: Host) -> Generator[Wait, int, None]:
+    """Wait until the open requests are complete and the clients are disconnected, or the time for it is over."""
     loop = host.loop
     core = host.core
-    # Connections are closed once they are idle; a client sends a request that crosses the close again.
+    # Connections are closed once they are idle. A client whose request crosses the close sends it again.
     longest_s = max((task_class.deadline_s for task_class in host.config.settings.classes), default=0.0)
     until = loop.now + int(longest_s * 1e6) + _DRAIN_MARGIN_US
     while loop.now < until and (core.open_count or core.inbox or host.connection_budget.client_count):
@@ -98,25 +102,25 @@
             frontend.shutting_down = True
             frontend.close_idle()
         yield Wait(until=loop.now + _CLOSE_IDLE_INTERVAL_US)
-    # Releases that the last connections could not be sent are still on their way to the core.
+    # Releases that the closed connections could not deliver still have to reach the core.
     until = loop.now + _LINGER_US
     while loop.now < until or core.inbox:
         yield Wait(until=loop.now + _INBOX_CHECK_INTERVAL_US)
 
 
 def take_over(host: Host, inherited: InheritedSockets) -> Generator[Wait, int, None]:
-    """Adopt the running tasks of a predecessor, once it has ended."""
+    """Receive the running tasks of the predecessor, and adopt them once it has ended."""
     channel = inherited.channel
     if channel is None:
         return
     records = yield from socket_handover.receive_state(channel)
-    # Without this the next connection that gets this descriptor's number would receive no events.
+    # Without this, the next connection that gets the same descriptor number would receive no events.
     host.loop.unregister(channel.fileno())
     channel.close()
     if host.admission_filter is not None:
         host.admission_filter.predecessor_ended(host.config.admission, host.config.max_descriptors)
     if records is None:
-        host.log(4, "state-lost", {}, "the predecessor ended without handing over its tasks")
+        host.log(4, "state-lost", {}, "the predecessor ended without handing over all of its tasks")
         return
     adopted = sum(import_record(host.core, record) for record in records)
     reconnect_nodes(host.core)
--- a/thornshelf/lifecycle/graceful_shutdown.py
+++ b/thornshelf/lifecycle/graceful_shutdown.py
@@ -1,7 +1,8 @@
-"""A planned stop: requests are served for a while longer, then all that is open is completed.
+"""Graceful shutdown: requests are served for a while longer, then everything that is open is completed.
 
-The end is decided by state and not by time: connections that wait to be accepted are accepted, what has arrived is
-read, connections are closed only once they are idle, and every byte for a client or a node is sent.
+The process ends when its state permits it, not at a fixed time: waiting connections are accepted, input that has
+arrived is read, connections are closed only when idle, and all data for clients and nodes is sent. Only connections
+that are still not finished ``FLUSH_TIMEOUT_US`` after the last open request are given up.
 """
 
 from __future__ import annotations
@@ -11,14 +12,14 @@
 from thornshelf.components import Host
 from thornshelf.loop import Wait
 
-SHUTDOWN_DELAY_US = 750_000  # requests keep arriving for so long after the process was told to stop
-FLUSH_TIMEOUT_US = 1_000_000  # the longest wait for peers that are slow to read the last bytes
+SHUTDOWN_DELAY_US = 750_000  # requests may still arrive for so long after the shutdown was requested
+FLUSH_TIMEOUT_US = 1_000_000  # how long to wait for peers that are slow to read, once no request is open
 
 _CHECK_INTERVAL_US = 5_000
 
 
 def drain(host: Host) -> Generator[Wait, int, None]:
-    """Serve on for a while, then wait until nothing is open."""
+    """Serve for ``SHUTDOWN_DELAY_US``, then wait until nothing is open."""
     loop = host.loop
     core = host.core
     until = loop.now + SHUTDOWN_DELAY_US
@@ -32,7 +33,7 @@
 
 
 def _is_drained(host: Host) -> bool:
-    """Whether nothing is left to be sent to clients or nodes, and no connection of a client is open."""
+    """Accept waiting connections and close idle ones; returns whether no client and no unsent data is left."""
     core = host.core
     listeners_finished = True
     for frontend in host.frontends:
--- a/thornshelf/lifecycle/signals.py
+++ b/thornshelf/lifecycle/signals.py
@@ -1,4 +1,4 @@
-"""Process signals as calls in the loop's thread."""
+"""Delivers process signals as calls in a turn of the event loop."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from thornshelf.loop import Loop, Wait
 from thornshelf.loop.loop import IN
 
-_READ_SIZE = 64  # signals that are read at a time
+_READ_SIZE = 64  # at most so many signals are read at once
 
 
 def watch_signals(loop: Loop, handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
-    """Call a handler, in a turn of the loop, for each signal in the mapping that the process gets.
+    """Call the handler of a signal, in a turn of the loop, whenever the process receives it.
 
-    A pipe carries them: a socket pair would be of the family AF_UNIX, which is not available everywhere.
+    Uses a pipe as the wakeup descriptor, because a socket pair needs AF_UNIX, which is not available everywhere.
     """
     read_end, write_end = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
     signal.set_wakeup_fd(write_end)
--- a/thornshelf/lifecycle/socket_handover.py
+++ b/thornshelf/lifecycle/socket_handover.py
@@ -1,10 +1,10 @@
-"""A planned restart without a rejected connection: a successor process takes over the listening sockets.
+"""The hand-over of listening sockets and state from a dispatcher process to its successor.
 
 The sockets are inherited by the LISTEN_FDS convention (sd_listen_fds(3)): descriptors from 3 on, LISTEN_PID and
 LISTEN_FDNAMES. The successor reports through a channel, a socket pair, that it is ready. Until then, and if it never
-is, the old process keeps serving. After that the old process stops accepting, finishes the open requests and sends
-its state through the same channel, so that the successor sends the releases of its tasks. The successor is told how
-many descriptors the old process may still have open, so that both together stay within the descriptor limit.
+is, the old process keeps serving. After that the old process stops accepting connections, finishes the open requests
+and sends its state through the same channel, so that the successor can send the releases of its tasks. The successor
+is told how many descriptors the old process may still have open, so that both together stay within the limit.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from thornshelf.loop.loop import IN
 
 LISTEN_FDS_START = 3  # SD_LISTEN_FDS_START of sd_listen_fds(3)
-READY_TIMEOUT_US = 10_000_000  # a successor that is not ready by then has failed
-SEND_RETRY_US = 1_000  # while the channel's buffer is full
+READY_TIMEOUT_US = 10_000_000  # a successor that is not ready after this time has failed
+SEND_RETRY_US = 1_000  # interval of attempts to write while the channel's buffer is full
 CHANNEL_VARIABLE = "THORNSHELF_CHANNEL"
 DESCRIPTORS_VARIABLE = "THORNSHELF_HELD"  # descriptors that the predecessor may have open until it has ended
 READY_MESSAGE = b"ready\n"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InheritedSockets:
-    """What a predecessor has passed on: its listening sockets by name, and the channel to it.
+    """What a predecessor passed on: its listening sockets by name, and the channel to it.
 
     ``predecessor_descriptors`` is how many descriptors the predecessor may have open until it has ended.
     """
@@ -51,7 +51,10 @@
 
 
 def inherit_sockets(environment: Mapping[str, str]) -> InheritedSockets:
-    """The sockets of the LISTEN_FDS convention; none if the variables are invalid or meant for another process."""
+    """Open the sockets of the LISTEN_FDS convention.
+
+    Returns no sockets if the variables are invalid or meant for another process.
+    """
     if environment.get("LISTEN_PID") != str(os.getpid()):
         return InheritedSockets({})
     try:
@@ -78,10 +81,10 @@
 def spawn_successor(
     arguments: list[str], sockets: Mapping[str, socket.socket], open_descriptors: int
 ) -> Successor:
-    """Start a successor with copies of the listening sockets.
+    """Start a successor by a command line, with copies of the listening sockets.
 
-    ``open_descriptors`` is how many descriptors this process may have open until it has ended. Raises OSError if no
-    process can be started.
+    ``open_descriptors`` is how many descriptors this process may have open until it has ended. Raises ``OSError`` if
+    no process can be started.
 
     LISTEN_PID has to be the successor's own process id, so a shell sets it and then replaces itself by exec.
     """
@@ -93,7 +96,7 @@
         CHANNEL_VARIABLE: str(channel_descriptor),
         DESCRIPTORS_VARIABLE: str(open_descriptors),
     }
-    copies = [os.dup(one.fileno()) for one in (*sockets.values(), successor_end)]
+    copies = [os.dup(sock.fileno()) for sock in (*sockets.values(), successor_end)]
     command = ["/bin/sh", "-c", 'LISTEN_PID=$$ exec "$@"', "sh", *arguments]
     try:
         process_id = os.posix_spawn("/bin/sh", command, environment, file_actions=_file_actions(copies))
@@ -106,9 +109,9 @@
 
 
 def _file_actions(descriptors: list[int]) -> list[tuple[int, ...]]:
-    """The actions of posix_spawn that move descriptors to ``LISTEN_FDS_START`` and the numbers after it.
+    """Return the posix_spawn actions that move descriptors to ``LISTEN_FDS_START`` and the numbers after it.
 
-    They are first copied beyond all of these numbers, so that none is overwritten before it has been moved.
+    They first copy each descriptor to a number beyond all of these, so that none is overwritten before it is moved.
     """
     base = max(descriptors) + LISTEN_FDS_START + len(descriptors)
     indices = range(len(descriptors))
@@ -121,7 +124,7 @@
 
 
 def own_command_line() -> list[str]:
-    """The command line of this process, to start a successor with."""
+    """Return the command line that starts another process like this one."""
     main = sys.modules.get("__main__")
     spec = getattr(main, "__spec__", None)
     flags = ["-B"] if sys.dont_write_bytecode else []
@@ -131,7 +134,7 @@
 
 
 def await_ready(loop: Loop, channel: socket.socket) -> Generator[Wait, int, str]:
-    """Wait until the successor is ready; returns an empty text, or why it has failed."""
+    """Wait until the successor is ready; returns an empty string, or the reason why it failed."""
     until = loop.now + READY_TIMEOUT_US
     received = b""
     while READY_MESSAGE not in received:
@@ -141,8 +144,8 @@
             data = channel.recv(READY_RECEIVE_SIZE)
         except BlockingIOError:
             continue
-        except OSError as fault:
-            return str(fault.strerror)
+        except OSError as error:
+            return str(error.strerror)
         if not data:
             return "it ended before it was ready"
         received += data
@@ -150,8 +153,8 @@
 
 
 def send_state(loop: Loop, channel: socket.socket, lines: list[dict[str, Any]]) -> Generator[Wait, int, bool]:
-    """Send the state, a JSON object a line, and the end mark; returns False if the successor has gone."""
-    data = b"".join(json.dumps(one, separators=(",", ":")).encode() + b"\n" for one in lines) + DONE_MESSAGE
+    """Send the state, one JSON object per line, and the end mark; returns False if the successor has gone."""
+    data = b"".join(json.dumps(line, separators=(",", ":")).encode() + b"\n" for line in lines) + DONE_MESSAGE
     while data:
         try:
             data = data[channel.send(data) :]
@@ -163,7 +166,10 @@
 
 
 def receive_state(channel: socket.socket) -> Generator[Wait, int, list[dict[str, Any]] | None]:
-    """Receive the predecessor's state until it closes the channel; returns None if it sent no end mark."""
+    """Receive the predecessor's state until it closes the channel.
+
+    Returns the records, or None if the predecessor sent no end mark.
+    """
     buffer = b""
     records = list[dict[str, Any]]()
     complete = False
@@ -180,13 +186,13 @@
         *lines, buffer = (buffer + data).split(b"\n")
         for line in lines:
             if line + b"\n" == DONE_MESSAGE:
-                complete = True  # ... but the predecessor has ended only when it closes the channel
+                complete = True  # the channel stays open until the predecessor has ended
             elif (record := _parse_record(line)) is not None:
                 records.append(record)
 
 
 def _parse_record(line: bytes) -> dict[str, Any] | None:
-    """The JSON object of a line; None for anything else, which a later version may send."""
+    """Decode a line; returns None for anything but a JSON object, as a later version may send other lines."""
     try:
         value = json.loads(line)
     except ValueError:
