--- a/thornshelf/discovery/__init__.py
+++ b/thornshelf/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Discovery: follows the list of nodes at its source."""
+"""Service discovery: follows the endpoint list, the list of nodes, in the change log."""
--- a/thornshelf/discovery/endpoint_watch.py
+++ b/thornshelf/discovery/endpoint_watch.py
@@ -1,7 +1,7 @@
-"""Watches the list of nodes at the change log, by long polls over HTTP/1.1.
+"""Watches the list of nodes in the change log, by long polls over HTTP/1.1.
 
-The watch goes on whatever happens to its connection. Its coroutine is urgent: however much else waits, a drain is
-read in the turn after it arrived.
+The watch reconnects whenever its connection fails. Its coroutine is urgent, so that a drain is read in the turn after
+it arrived, however many other coroutines are ready.
 """
 
 from __future__ import annotations
@@ -19,23 +19,23 @@
 from thornshelf.wire.errors import DisconnectReason, WireError
 from thornshelf.wire.rfc5424 import NOTICE, WARNING
 
-# What changed since the configuration was written has to be known before anything is sent: no wait for new events.
+# The first poll must not wait for new events: nothing is sent until the changes since the configuration are known.
 INITIAL_POLL_TIMEOUT_MS = 1
-POLL_TIMEOUT_MS = 2_000  # shorter than the 5,000 allowed, so that an unresponsive peer is noticed sooner
-RESPONSE_GRACE_US = 1_000_000  # beyond the poll's own timeout; then the connection is given up
+POLL_TIMEOUT_MS = 2_000  # less than the permitted 5,000, so that an unresponsive source is detected sooner
+RESPONSE_GRACE_US = 1_000_000  # a response that is later than the poll timeout by more than this is given up
 CONNECT_TIMEOUT_US = 500_000
 MIN_BACKOFF_US = 100_000
 MAX_BACKOFF_US = 1_000_000
-MAX_BODY_BYTES = 8 * 1024 * 1024  # a list of some 40,000 nodes
+MAX_BODY_BYTES = 8 * 1024 * 1024  # enough for a list of some 40,000 nodes
 HTTP_OK = 200
 
 
 class EndpointWatch:
-    """Follows the change log and reports each update of the list of nodes.
+    """Follows the change log and reports each update of the list of nodes to ``on_update``.
 
-    ``last_sequence``: the number of the last event that is known. ``last_response_us``: when the last answer came, on
-    the loop's clock. ``is_responding``: the present connection has answered. ``has_synced``: some answer has come, so
-    that the list is no longer that of the configuration alone.
+    ``last_sequence``: the sequence number of the last known event. ``last_response_us``: when the last valid response
+    arrived, on the loop's clock. ``is_responding``: whether the present connection has had a valid response.
+    ``has_synced``: whether there was any since the start, so that the configuration is not the only source.
     """
 
     def __init__(
@@ -56,14 +56,14 @@
         self._monotonic_us = monotonic_us
         self._on_update = on_update
         self._log = log
-        # While a relist is wanted: the number to go on after, should the list of all events not be readable.
+        # During a relist: the sequence number from which to resume if the relist fails.
         self._resume_after: int | None = None
         self._task = loop.spawn(self._run(), urgent=True)
 
     def reconnect_to(self, address: tuple[str, int]) -> None:
-        """Go on at another address, at once, from the number of the last event.
+        """Continue at another address at once, after the last known event.
 
-        Guards against a wait for the old one: it may stay open and unresponsive for as long as a poll lasts.
+        Does not wait for the old connection, which may stay unresponsive until its poll times out.
         """
         self.loop.cancel(self._task)
         self.address = address
@@ -71,9 +71,9 @@
         self._task = self.loop.spawn(self._run(), urgent=True)
 
     def relist(self) -> None:
-        """Read the complete list once more, at once: all events from the first, reported as one merged update.
+        """Read all events from the first again at once, and report them as one merged update.
 
-        Guards against nodes that came later than the first event: reported one by one, the first would remove them.
+        Reported one by one, the first event, a complete list, would remove the nodes that were added after it.
         """
         if self._resume_after is None:
             self._resume_after = self.last_sequence
@@ -81,7 +81,7 @@
         self.reconnect_to(self.address)
 
     def stop(self) -> None:
-        """Watch no longer."""
+        """End the watch and close its connection."""
         self.loop.cancel(self._task)
 
     def _log_invalid(self, error: WireError) -> None:
@@ -89,17 +89,17 @@
         self._log(WARNING, "endpoint-invalid", fields, str(error))
 
     def _run(self) -> Generator[Wait, int, None]:
-        """Poll for ever; a broken or unresponsive connection is replaced, with backoff."""
+        """Poll until cancelled; a failed or unresponsive connection is replaced after a backoff."""
         backoff_us = MIN_BACKOFF_US
         while True:
             reason = yield from self._follow_connection()
-            answered = self.is_responding
+            was_responding = self.is_responding
             self.is_responding = False
             if self._resume_after is not None:
-                # Guards against polling in vain for ever: all events together may be more than is accepted.
+                # Don't retry a failed relist forever: all events together may exceed MAX_BODY_BYTES.
                 self.last_sequence = self._resume_after
                 self._resume_after = None
-            if answered:
+            if was_responding:
                 backoff_us = MIN_BACKOFF_US
             fields: dict[str, object] = {"since": self.last_sequence, **reason.log_fields}
             self._log(NOTICE, "endpoint-watch-closed", fields, reason.text)
@@ -107,14 +107,14 @@
             backoff_us = min(2 * backoff_us, MAX_BACKOFF_US)
 
     def _follow_connection(self) -> Generator[Wait, int, DisconnectReason]:
-        """Connect and poll until the connection ends; returns why it did."""
+        """Connect and poll until the connection ends; returns the reason."""
         stream = yield from connect(self.loop, *self.address, self.loop.now + CONNECT_TIMEOUT_US)
         if isinstance(stream, int):
-            return DisconnectReason.unusable(f"not connected: {os.strerror(stream)}")
+            return DisconnectReason.unusable(f"connect failed: {os.strerror(stream)}")
         try:
             return (yield from self._poll(stream))
-        except Exception as error:  # whatever it is, the list must be followed further
-            return DisconnectReason.unusable(f"fault: {type(error).__name__} {error}")
+        except Exception as error:  # the watch must survive any error, also one raised by on_update
+            return DisconnectReason.unusable(f"unexpected {type(error).__name__}: {error}")
         finally:
             stream.close()
 
@@ -153,7 +153,7 @@
     def _read_body(
         self, http: h11.Connection, stream: Stream
     ) -> Generator[Wait, int, bytes | DisconnectReason]:
-        """The body of the next response, or why there is none that can be used."""
+        """Read the body of the next response; returns a reason instead if there is no usable one."""
         until_us = self.loop.now + POLL_TIMEOUT_MS * 1000 + RESPONSE_GRACE_US
         body = b""
         status = 0
@@ -166,13 +166,13 @@
                         return DisconnectReason.unusable("silent")
                     http.receive_data(data)
             except h11.RemoteProtocolError as error:
-                return DisconnectReason.unusable(f"no HTTP: {error}")
+                return DisconnectReason.unusable(f"invalid HTTP: {error}")
             if isinstance(event, h11.Response):
                 status = event.status_code
             elif isinstance(event, h11.Data):
                 body += bytes(event.data)
                 if len(body) > MAX_BODY_BYTES:
-                    return DisconnectReason.unusable("answer is too long")
+                    return DisconnectReason.unusable("response body is too long")
             elif isinstance(event, h11.EndOfMessage):
                 return body if status == HTTP_OK else DisconnectReason.unusable(f"status {status}")
             elif isinstance(event, h11.ConnectionClosed):
