--- a/thornshelf/subsetting/config.py
+++ b/thornshelf/subsetting/config.py
@@ -1,4 +1,4 @@
-"""The settings of a subset. Times are integers, in microseconds."""
+"""The settings of a subset. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 
 @dataclass(frozen=True, slots=True)
 class SubsetConfig:
-    """How one dispatcher chooses its nodes. Raises ``InvalidParameterError`` for values that contradict each other.
+    """How one dispatcher chooses its nodes. Raises ``InvalidParameterError`` for invalid values.
 
     ``zone``: the dispatcher's own zone. ``member``: its name, which decides which nodes of other zones it prefers.
 
-    ``spare_step``: so many more spare nodes are wanted each time that too many requests were rejected; at most
-    ``max_spares`` altogether, and ``spares_per_review`` of them are added at one review, so that a lost zone causes
-    no burst of connections. ``short_fraction``: the own zone is short of nodes below this fraction of its recent
-    peak. ``rejected_fraction``: more nodes are wanted where more than this fraction of requests was rejected, of at
-    least ``min_requests``, as fewer show nothing.
+    ``spare_step``: how many spare nodes to add to the target whenever too many requests were rejected.
+    ``max_spares``: the limit of that target. ``spares_per_review``: how many of them are added at one review at most,
+    so that a lost zone causes no burst of connections. ``short_fraction``: the own zone lacks nodes if fewer than
+    this fraction of its recent peak are up. ``rejected_fraction``: too many requests were rejected if it was more
+    than this fraction of at least ``min_requests``.
 
-    ``cooldown_us``: after so long without demand, half of the surplus is released. ``peak_window_us``: how long the
-    peak of the own zone counts. ``relist_interval_us``: a depleted sample asks for the complete list no more often.
+    ``review_interval_us``: the time between two reviews. ``cooldown_us``: after this time without demand, half of the
+    surplus nodes are released. ``peak_window_us``: how long a size of the own zone counts for its peak.
+    ``relist_interval_us``: the minimum time between two relists for a depleted sample.
     """
 
     zone: str
@@ -48,5 +49,5 @@
             raise InvalidParameterError("short_share, refused_share: not between 0 and 1")
 
     def sample_size(self, zones: int) -> int:
-        """How many complete entries are kept of each of the other zones: twice what one may have to provide."""
+        """Return how many entries to keep of each other zone: twice its share of ``max_spares``."""
         return max(MIN_SAMPLE_SIZE, -(-2 * self.max_spares // max(1, zones)))
--- a/thornshelf/subsetting/spare_demand.py
+++ b/thornshelf/subsetting/spare_demand.py
@@ -1,4 +1,7 @@
-"""How many spare nodes of other zones are wanted, by the own zone's size and by rejected requests. No I/O."""
+"""Computes how many spare nodes of other zones a dispatcher wants. Does no I/O.
+
+They replace nodes that its own zone lacks, and add capacity while too many requests are rejected.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCounts:
-    """Requests of this dispatcher since it started: all, and those that were rejected."""
+    """How many requests this dispatcher has received and rejected since it started."""
 
     received: int
     rejected: int
@@ -18,25 +21,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneSize:
-    """The number of the own zone's nodes that were up, and until when it counts for the peak."""
+    """How many nodes of the own zone were up, and until when this number counts for the peak."""
 
     up_count: int
     until_us: int
 
 
 class SpareDemand:
-    """Computes the target number of spare nodes; times are microseconds."""
+    """Computes the target number of spare nodes. Times are in microseconds."""
 
     def __init__(self, config: SubsetConfig, now_us: int) -> None:
         self._config = config
         self._own_up_count = 0
         self._recent_sizes: deque[ZoneSize] = deque()  # sliding-window maximum: sizes fall from left to right
-        self._rejection_step = 0  # spare nodes wanted as requests were rejected
+        self._rejection_spares = 0  # spare nodes wanted because of rejected requests
         self._last_counts = RequestCounts(0, 0)
         self._step_changed_us = now_us
 
     def record_zone_size(self, up_count: int, now_us: int) -> None:
-        """Record how many nodes of the own zone are up."""
+        """Record how many nodes of the own zone are up now."""
         self._own_up_count = up_count
         sizes = self._recent_sizes
         while sizes and sizes[0].until_us <= now_us:
@@ -46,26 +49,26 @@
         sizes.append(ZoneSize(up_count, now_us + self._config.peak_window_us))
 
     def record_requests(self, counts: RequestCounts, now_us: int) -> None:
-        """Want one step more where many requests were rejected, and half of the steps after each cooldown."""
+        """Want ``spare_step`` more spare nodes if too many requests were rejected, and half after each cooldown."""
         config = self._config
         received = counts.received - self._last_counts.received
         rejected = counts.rejected - self._last_counts.rejected
         if received >= config.min_requests:
             self._last_counts = counts
             if rejected > config.rejected_fraction * received:
-                self._rejection_step = min(config.max_spares, self._rejection_step + config.spare_step)
+                self._rejection_spares = min(config.max_spares, self._rejection_spares + config.spare_step)
                 self._step_changed_us = now_us
-        if self._rejection_step and now_us - self._step_changed_us >= config.cooldown_us:
-            self._rejection_step //= 2
+        if self._rejection_spares and now_us - self._step_changed_us >= config.cooldown_us:
+            self._rejection_spares //= 2
             self._step_changed_us = now_us
 
     def target(self) -> int:
-        """How many spare nodes are wanted: for nodes that the own zone lacks, or for requests that were rejected."""
+        """Return how many spare nodes are wanted; the greater of the two demands counts, up to ``max_spares``."""
         config = self._config
         peak = self._recent_sizes[0].up_count
-        lacking = 0
+        shortfall = 0
         if self._own_up_count < config.short_fraction * peak:
-            lacking = peak - self._own_up_count
+            shortfall = peak - self._own_up_count
         if not self._own_up_count:
-            lacking = max(lacking, config.spare_step)  # a zone that never had a node lacks some as well
-        return min(config.max_spares, max(lacking, self._rejection_step))
+            shortfall = max(shortfall, config.spare_step)  # also covers a zone that never had a node
+        return min(config.max_spares, max(shortfall, self._rejection_spares))
--- a/thornshelf/subsetting/subset.py
+++ b/thornshelf/subsetting/subset.py
@@ -1,12 +1,12 @@
-"""The nodes that one dispatcher holds: all of its own zone, and spare ones of other zones while these are too few.
+"""The nodes that one dispatcher holds: all of its own zone, and spare nodes of other zones while those are too few.
 
-Changes of the endpoint list go in, and the changes for the core come out. The rules:
+Takes changes of the complete endpoint list, and returns the changes for the core. The rules:
 
-* A change of a node that is held is passed on in the same call, so that a drain is never delayed.
-* A spare node that is released gets no new tasks, and is removed once no task of this dispatcher runs there.
-* A node that the list shows as draining is never shown as up.
-* A node on which a client says that its task runs is held as draining, whatever its zone.
-* What is kept of the other zones is bounded by 8 bytes a node and the sample of ``SubsetConfig.sample_size``.
+* A change of a held node is passed on in the same call, so that a drain is never delayed.
+* A released spare node gets no new tasks, and is removed once no task of this dispatcher runs there.
+* A node that is draining in the list is never passed on as up.
+* A node on which a client's task runs, according to the client, is held as draining, whatever its zone.
+* The memory for other zones is bounded: 8 bytes per node, and ``SubsetConfig.sample_size`` entries per zone.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 class Subset(Generic[ListedNodeT]):
     """One dispatcher's part of the endpoint list.
 
-    ``zones``: summaries of the other zones. ``own_zone_nodes``, ``spare_nodes``, ``draining_nodes``: the nodes that
-    are held, by name: those of the own zone, those of other zones that are up and get tasks, and those of other zones
-    that are held only until no task of this dispatcher runs there.
+    ``zones``: summaries of the other zones, by name. The held nodes, by name, are in ``own_zone_nodes``;
+    ``spare_nodes``, which are nodes of other zones that are up and get tasks; and ``draining_nodes``, which are nodes
+    of other zones that are held only until no task of this dispatcher runs there.
     """
 
     def __init__(
@@ -37,7 +37,10 @@
         with_health: Callable[[ListedNodeT, Health], ListedNodeT],
         is_idle: Callable[[str], bool],
     ) -> None:
-        """``with_health``: an entry with another health; ``is_idle``: no task of this dispatcher runs on a node."""
+        """``with_health``: returns a copy of an entry with the given health.
+
+        ``is_idle``: returns whether no task of this dispatcher runs on the node with the given name.
+        """
         self.config = config
         self.zones: dict[str, ZoneSummary[ListedNodeT]] = {}
         self.own_zone_nodes: dict[str, ListedNodeT] = {}
@@ -45,33 +48,35 @@
         self.draining_nodes: dict[str, ListedNodeT] = {}
         self._with_health = with_health
         self._is_idle = is_idle
-        self._requested_names: set[str] = set()  # named by clients, and not found in the list yet
+        self._requested_names: set[str] = set()  # named by clients, and without a known entry so far
         self._own_up_count = 0
         self._demand = SpareDemand(config, now_us)
-        self._surplus_since_us = now_us  # when there were too few spare nodes last, or some were released
+        self._surplus_since_us = (
+            now_us  # when there last was no surplus of spare nodes, or some were released
+        )
         self._last_relist_us = now_us - config.relist_interval_us
 
-    # what is held
+    # Held nodes
 
     @property
     def node_count(self) -> int:
-        """How many nodes the core knows."""
+        """How many nodes are held, and so known to the core."""
         return len(self.own_zone_nodes) + len(self.spare_nodes) + len(self.draining_nodes)
 
     @property
     def known_up_count(self) -> int:
-        """How many nodes of the complete list are up, as far as is known."""
+        """How many nodes of all zones are up."""
         return self._own_up_count + sum(zone.up_count for zone in self.zones.values())
 
     def _holds(self, name: str) -> bool:
         return name in self.own_zone_nodes or name in self.spare_nodes or name in self.draining_nodes
 
-    # the endpoint list
+    # Changes of the endpoint list
 
     def apply(self, complete: bool, entries: Iterable[ListedNodeT], now_us: int) -> list[ListedNodeT]:
-        """Apply the complete list or changes of it; returns the changes for the core, in their order.
+        """Apply a complete list or changes of it; returns the changes for the core, in the same order.
 
-        Where the list is complete, so is the result: a node that it does not name is to be removed.
+        If the list is complete, so is the result: the core removes nodes that are not in it.
         """
         if complete:
             changes = self._replace(list(entries))
@@ -82,7 +87,7 @@
         return changes
 
     def _replace(self, entries: Sequence[ListedNodeT]) -> list[ListedNodeT]:
-        """Apply a complete list: spare nodes are kept where it still names them."""
+        """Apply a complete list; spare nodes that it still contains are kept."""
         old_spares = self.spare_nodes
         old_draining = self.draining_nodes
         self.zones = {}
@@ -107,7 +112,7 @@
         return [*self.own_zone_nodes.values(), *self.spare_nodes.values(), *self.draining_nodes.values()]
 
     def _apply_entry(self, entry: ListedNodeT) -> list[ListedNodeT]:
-        """Apply one node's change; returns what the core is to know: the entry, the same as draining, or nothing."""
+        """Apply one node's change; returns the change for the core: the entry, a draining copy of it, or nothing."""
         name = entry.name
         if entry.zone == self.config.zone:
             was_known = self._evict(name)
@@ -145,7 +150,7 @@
             del self.zones[entry.zone]
 
     def _evict(self, name: str) -> bool:
-        """Keep nothing of a node; returns whether it was held."""
+        """Remove a node from all held nodes; returns whether it was held."""
         self._requested_names.discard(name)
         was_known = self._holds(name)
         for nodes in (self.own_zone_nodes, self.spare_nodes, self.draining_nodes):
@@ -153,9 +158,9 @@
         return was_known
 
     def retain(self, name: str) -> list[ListedNodeT]:
-        """Hold a node on which a client says that its task runs; returns the changes for the core.
+        """Hold the node on which, according to a client, its task runs; returns the changes for the core.
 
-        Where no entry of it is kept, ``needs_relist`` is true until the complete list has been read again.
+        If the node's entry is not in a sample, ``needs_relist`` asks for a relist, which finds it.
         """
         if self._holds(name):
             return []
@@ -166,10 +171,10 @@
         return []
 
     def needs_relist(self, now_us: int) -> bool:
-        """Whether the complete list has to be read again; a true answer counts as its being read.
+        """Return whether the caller has to read the complete list again, which it then must do.
 
-        It has to where a client named a node that is not known, or, once in ``relist_interval_us``, where a sample is
-        depleted.
+        This is so if a client named a node whose entry is not known, or if a sample is depleted, in which case at
+        most once in ``relist_interval_us``.
         """
         since_relist_us = now_us - self._last_relist_us
         if since_relist_us < self.config.review_interval_us:
@@ -182,10 +187,10 @@
         self._last_relist_us = now_us
         return True
 
-    # spare nodes
+    # Spare nodes
 
     def review(self, counts: RequestCounts, now_us: int) -> list[ListedNodeT]:
-        """Add or release spare nodes; returns the changes for the core. To be called each ``review_interval_us``."""
+        """Add or release spare nodes; returns the changes for the core. Call this every ``review_interval_us``."""
         self._demand.record_zone_size(self._own_up_count, now_us)
         self._demand.record_requests(counts, now_us)
         target = self._demand.target()
@@ -200,7 +205,7 @@
         return changes
 
     def _add_spares(self, count: int) -> list[ListedNodeT]:
-        """Add spare nodes, each of the zone that provides the fewest: no zone bears all of what another lacks."""
+        """Add spare nodes, each from the zone that provides the fewest, so that the load is spread over all zones."""
         spares_by_zone = Counter(entry.zone for entry in self.spare_nodes.values())
         candidates = {
             name: deque(entry for entry in zone.sample if entry.name not in self.spare_nodes)
@@ -224,18 +229,18 @@
         return added
 
     def _release_spares(self, count: int) -> list[ListedNodeT]:
-        """The spare nodes that were added last get no new tasks."""
+        """Release the spare nodes that were added last: they are held as draining."""
         names = list(self.spare_nodes)[-count:]
         return [self._hold_as_draining(self.spare_nodes.pop(name)) for name in names]
 
     def _remove_idle(self) -> list[ListedNodeT]:
-        """Remove the draining nodes on which no task of this dispatcher runs any longer."""
+        """Remove the draining nodes on which no task of this dispatcher runs; returns the changes for the core."""
         idle = [name for name in self.draining_nodes if self._is_idle(name)]
         return [self._with_health(self.draining_nodes.pop(name), Health.REMOVED) for name in idle]
 
 
 def log_fields(subset: Subset[Any]) -> dict[str, object]:
-    """The figures of a log line."""
+    """Return the sizes of a subset as parameters of a log line."""
     return {
         "own": len(subset.own_zone_nodes),
         "spare": len(subset.spare_nodes),
--- a/thornshelf/subsetting/zone_summary.py
+++ b/thornshelf/subsetting/zone_summary.py
@@ -1,4 +1,4 @@
-"""What a dispatcher keeps of a zone whose nodes it does not hold: 8 bytes a node, and a bounded sample of entries."""
+"""Summary of a zone whose nodes a dispatcher does not hold: 8 bytes per node, and a bounded sample of entries."""
 
 from __future__ import annotations
 
@@ -12,34 +12,34 @@
 
 
 class ListedNode(Protocol):
-    """A node as the endpoint list shows it."""
+    """An entry of the endpoint list."""
 
     @property
     def name(self) -> str:
-        """Its name, which stays the same for its whole lifetime."""
+        """The node's name, which never changes."""
 
     @property
     def zone(self) -> str:
-        """The zone in which it is."""
+        """The node's zone."""
 
     @property
     def health(self) -> Health:
-        """Whether it is up, draining or removed."""
+        """Whether the node is up, draining or removed."""
 
 
 ListedNodeT = TypeVar("ListedNodeT", bound=ListedNode)
 
 
 def rendezvous_rank(member: str, name: str) -> int:
-    """The rank of a node, or a zone, in one member's order, by rendezvous hashing.
+    """Return the rank of a node or a zone in one member's order of preference, by rendezvous hashing.
 
-    Other members have other orders, so that they hold other nodes.
+    Other members have other orders, so that they choose other spare nodes.
     """
     return xxhash.xxh3_64_intdigest(f"{member}\0{name}".encode())
 
 
 class ZoneSummary(Generic[ListedNodeT]):
-    """One zone: how many of its nodes are up, and the entries of those that come first in this member's order."""
+    """Counts a zone's nodes that are up, and keeps the entries of those with the lowest ranks for this member."""
 
     def __init__(self, member: str) -> None:
         self._member = member
@@ -54,15 +54,18 @@
 
     @property
     def sample(self) -> list[ListedNodeT]:
-        """The entries that are kept, in this member's order."""
+        """The sampled entries, in this member's order of preference."""
         return [self._sample_entries[name] for _, name in self._sample_order]
 
     def get(self, name: str) -> ListedNodeT | None:
-        """A node's entry, where it is in the sample."""
+        """Return a node's entry if it is in the sample."""
         return self._sample_entries.get(name)
 
     def is_depleted(self, sample_size: int) -> bool:
-        """Whether less than half of the sample is left though the zone has more: only a relist can refill it."""
+        """Return whether less than half of the sample is left although the zone has more nodes.
+
+        Only a relist can refill it.
+        """
         return len(self._sample_entries) < min(sample_size, self.up_count) / 2
 
     def add(self, entry: ListedNodeT, sample_size: int) -> None:
@@ -81,7 +84,7 @@
                 del self._sample_entries[last_name]
 
     def remove(self, name: str) -> None:
-        """Remove a node that is no longer up."""
+        """Remove a node that is no longer up, if it was added."""
         rank = rendezvous_rank(self._member, name)
         index = bisect_left(self._up_ranks, rank)
         if index < len(self._up_ranks) and self._up_ranks[index] == rank:
