--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,7 +9,7 @@
 from thornshelf.configuration.descriptors import descriptor_limits
 from thornshelf.frontends.connection_budget import ConnectionBudget
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, JSON, FakeCluster, NodeBehavior
-from thornshelf.nodes.connection_pool import MIN_REST_US, ConnectionPool
+from thornshelf.nodes.connection_pool import MIN_UNUSED_US, ConnectionPool
 from thornshelf.service import SPARE_NODES
 
 
@@ -31,16 +31,16 @@
     pool = ConnectionPool(lambda: 600)
     connections = [FakePooledConnection(pool) for _ in range(1024)]
     assert sum(pool.acquire(one, 0, wanted=False) for one in connections) == 600 == len(pool)
-    assert not pool.acquire(connections[700], MIN_REST_US - 1)  # all others are too new
+    assert not pool.acquire(connections[700], MIN_UNUSED_US - 1)  # all others are too new
     connections[400].idle = True
-    assert pool.acquire(connections[700], MIN_REST_US - 1)
+    assert pool.acquire(connections[700], MIN_UNUSED_US - 1)
     assert connections[400].evictions == 1
-    pool.touch(connections[0], MIN_REST_US)
-    assert pool.acquire(connections[701], MIN_REST_US)
+    pool.touch(connections[0], MIN_UNUSED_US)
+    assert pool.acquire(connections[701], MIN_UNUSED_US)
     assert connections[1].evictions == 1
     for one in connections:
         one.listening_only = False
-    assert not pool.acquire(connections[702], 9 * MIN_REST_US)
+    assert not pool.acquire(connections[702], 9 * MIN_UNUSED_US)
     assert len(pool) == 600
 
 
@@ -50,7 +50,7 @@
     connections = [FakePooledConnection(pool) for _ in range(1024)]
     served, now = set[int](), 0
     for _ in range(4):
-        now += MIN_REST_US
+        now += MIN_UNUSED_US
         for number, one in enumerate(connections):
             if one not in pool._last_used_us and pool.acquire(one, now):
                 served.add(number)
--- a/thornshelf/nodes/__init__.py
+++ b/thornshelf/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to nodes, one module for each wire form."""
+"""Connections to nodes: sending attempts and reading reports, in each wire format."""
--- a/thornshelf/nodes/binary.py
+++ b/thornshelf/nodes/binary.py
@@ -1,4 +1,4 @@
-"""Nodes that speak the platform's binary messages."""
+"""Connections to nodes that speak the platform's binary messages."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from thornshelf.wire import binary
 from thornshelf.wire.errors import WireError
 
-# Causes of a release: the same number ends a task at the dispatcher's request and at the end of its own time.
+# Cause of a release. From the dispatcher it cancels a task; from the node it reports that the task's time is over.
 CANCELLED = ENDED = 16
 
-# Tests carry one of these in place of a task's id.
+# A test carries one of these instead of a task id.
 HEALTH_CHECK_ID = 0
 PING_ID = 1
 
-# Any other cause of a release stands for a broken attempt or task.
+# Any other cause of a release means that the attempt or task is broken.
 OUTCOMES_BEFORE_START = {34: Outcome.REFUSED, 47: Outcome.ERROR, 102: Outcome.NOT_SENT}
 OUTCOMES_AFTER_START = {16: Outcome.OK, 31: Outcome.CANCELLED}
 REASONS_BY_NAME = {
@@ -47,10 +47,12 @@
     def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
         self._reader = binary.MessageReader()
-        self._unanswered: dict[int, Chunk] = {}  # attempts by their id, as they were sent
+        self._unanswered: dict[
+            int, Chunk
+        ] = {}  # the sent messages of attempts without an answer, by attempt id
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt with the time that is left for it; one that is too long for the wire has not run."""
+        """Send an attempt with the time that is left for it; one that is too long to be encoded ends as not sent."""
         wait_ms = max(1, (attempt.deadline_us - self.node.loop.now) // 1000)
         values = {
             binary.CLASS: attempt.task_class.encode(),
@@ -66,7 +68,7 @@
         self._unanswered[attempt.uid] = self.stream.send(data)
 
     def withdraw_attempt(self, uid: int) -> bool:
-        """Take an attempt out of the buffer, or else ask the node to cancel it."""
+        """Remove an attempt from the buffer if no byte of it was sent, else ask the node to cancel it."""
         chunk = self._unanswered.pop(uid, None)
         if chunk is not None and self.stream.retract(chunk):
             return True
@@ -74,7 +76,7 @@
         return False
 
     def may_have_arrived(self, uid: int) -> bool:
-        """Whether all of an attempt was given to the operating system."""
+        """Return whether an attempt was completely written to the operating system."""
         chunk = self._unanswered.get(uid)
         return chunk is not None and chunk.fully_sent
 
@@ -87,16 +89,16 @@
         self.stream.send(binary.encode(binary.TEST, HEALTH_CHECK_ID, {binary.CAUSE: b"\x01"}))
 
     def ping(self) -> None:
-        """Send a test with cause 0, which is answered by a node that still reads from this connection."""
+        """Send a test with cause 0, which a node answers if it still reads from this connection."""
         self.stream.send(binary.encode(binary.TEST, PING_ID, {binary.CAUSE: b"\x00"}))
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message was received in part."""
         return self._reader.mid_message
 
     def receive(self, data: bytes) -> str | None:
-        """Process received bytes; binary messages end a connection by an error alone."""
+        """Process received bytes; returns None, as binary messages close a connection only by a ``WireError``."""
         self._reader.feed(data)
         while (message := self._reader.next()) is not None:
             self.messages_received += 1
@@ -112,7 +114,7 @@
             case binary.NOTE:
                 self._task_progressed(message)
             case binary.TESTED if message.uid == PING_ID:
-                pass  # its arrival alone shows that the node is alive
+                pass  # its arrival alone proves that the node is alive
             case binary.TESTED:
                 outcome = Outcome.OK if message.cause == 1 else Outcome.ERROR
                 report = decode_load_report(binary.parse_load_report(message.text(binary.REPORT)))
@@ -120,10 +122,10 @@
             case binary.TEST:
                 self.stream.send(binary.encode(binary.TESTED, message.uid, {binary.CAUSE: b"\x01"}))
             case binary.PROGRESS | binary.RELEASE_ACK:
-                pass  # these carry nothing that is used
+                pass  # nothing in these is used
             case _:
-                # Guards against reading on where a length did not fit: what follows is no message either.
-                raise WireError(f"type {message.type} is not known", fatal=True)
+                # A wrong length may have led here, and then what follows is not a message either: don't read on.
+                raise WireError(f"unknown message type {message.type}", fatal=True)
 
     def _task_started(self, message: binary.Message) -> None:
         description = _read_description(message)
@@ -136,8 +138,8 @@
         if message.cause is None:
             raise WireError("release without a cause", fatal=True)
         if uid in self._unanswered and message.cause == ENDED and binary.DESCRIPTION in message.values:
-            # Guards against a retry of a task that has run: one whose time is over as it starts is answered and
-            # released by this one message, which alone carries a description.
+            # Guards against a retry of a task that has run: if its time is over when it starts, this one message is
+            # both its answer and its release. Only such a release has a description.
             self._task_started(message)
         before_start = self._unanswered.pop(uid, None) is not None
         outcomes = OUTCOMES_BEFORE_START if before_start else OUTCOMES_AFTER_START
@@ -156,23 +158,23 @@
 
 
 def _read_description(message: binary.Message) -> bytes:
-    """What the node made for the task: text, as the platform's clients receive it.
+    """Return the description in a node's answer, which clients receive unchanged.
 
-    Raises ``WireError`` for anything else, as the answer is then corrupt.
+    Raises ``WireError`` if it is empty or is not text, as the answer is then corrupt.
     """
     value = message.values.get(binary.DESCRIPTION, b"")
     try:
         value.decode("utf-8", "surrogatepass")
     except UnicodeDecodeError:
-        raise WireError(f"description is no text: {value[:40]!r}", fatal=True) from None
+        raise WireError(f"description is not text: {value[:40]!r}", fatal=True) from None
     if not value:
         raise WireError("answer without a description", fatal=True)
     return value
 
 
 class BinaryNodeConnection(BaseNodeConnection):
-    """A node that speaks binary messages and nothing else."""
+    """A node that speaks only binary messages."""
 
     def make_link(self, stream: Stream) -> NodeLink:
-        """A link of binary messages."""
+        """Create a link for binary messages."""
         return BinaryLink(self, stream)
--- a/thornshelf/nodes/connection_pool.py
+++ b/thornshelf/nodes/connection_pool.py
@@ -1,34 +1,36 @@
-"""Which nodes hold a connection where descriptors are too few for all of them. No I/O; times in microseconds."""
+"""Limits the number of open node connections if there are not enough descriptors for all nodes.
+
+Does no I/O. Times are in microseconds.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
-MIN_REST_US = (
-    1_000_000  # a connection is not evicted sooner after it was made or its node was sent an attempt
-)
+# A connection that awaits updates is not evicted until it has existed, and no attempt was sent on it, for this long.
+MIN_UNUSED_US = 1_000_000
 
 
 class PooledConnection(Protocol):
-    """A node, as far as its connection may be evicted."""
+    """A node whose connection may be evicted."""
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is waited for on the connection."""
+        """Whether nothing is expected on the connection."""
 
     @property
     def listening_only(self) -> bool:
-        """Whether only updates of running tasks are waited for: the node repeats these on the next connection."""
+        """Whether only updates of running tasks are expected, which the node repeats on the next connection."""
 
     def evict(self) -> None:
-        """Close the connection, which calls ``ConnectionPool.release``."""
+        """Close the connection, which also calls ``ConnectionPool.release``."""
 
 
 class ConnectionPool:
     """The open node connections, the least recently used first.
 
-    ``max_open``: how many there may be now, as clients connect and disconnect.
+    ``max_open``: returns how many may be open now; this changes as clients connect and disconnect.
     """
 
     def __init__(self, max_open: Callable[[], int]) -> None:
@@ -39,9 +41,10 @@
         return len(self._last_used_us)
 
     def acquire(self, node: PooledConnection, now_us: int, wanted: bool = True) -> bool:
-        """Add one more connection; an idle one is evicted for it first, then one that only listens and has rested.
+        """Add a connection, and evict another one if there is no room; returns whether it may be opened.
 
-        ``wanted``: something waits for the new one; no other is evicted otherwise. False where it can't be made.
+        An idle connection is evicted first, otherwise one that only listens and was unused for ``MIN_UNUSED_US``.
+        ``wanted``: a request waits for the new connection; otherwise none is evicted for it.
         """
         while len(self._last_used_us) >= self._max_open():
             if not wanted or (candidate := self._eviction_candidate(now_us)) is None:
@@ -52,19 +55,19 @@
         return True
 
     def touch(self, node: PooledConnection, now_us: int) -> None:
-        """Record that an attempt was sent on the node's connection."""
+        """Mark the node's connection as most recently used, as an attempt is sent on it."""
         if self._last_used_us.pop(node, None) is not None:
             self._last_used_us[node] = now_us
 
     def release(self, node: PooledConnection) -> None:
-        """Remove a connection that is closed, or could not be made."""
+        """Remove a connection that was closed or could not be opened."""
         self._last_used_us.pop(node, None)
 
     def _eviction_candidate(self, now_us: int) -> PooledConnection | None:
-        rested: PooledConnection | None = None
+        listening_candidate: PooledConnection | None = None
         for node, last_used_us in self._last_used_us.items():
             if node.idle:
                 return node
-            if rested is None and node.listening_only and now_us - last_used_us >= MIN_REST_US:
-                rested = node
-        return rested
+            if listening_candidate is None and node.listening_only and now_us - last_used_us >= MIN_UNUSED_US:
+                listening_candidate = node
+        return listening_candidate
--- a/thornshelf/nodes/grpc.py
+++ b/thornshelf/nodes/grpc.py
@@ -1,4 +1,7 @@
-"""Nodes that speak gRPC, in its first or second generation: attempts and their answers share one stream."""
+"""Connections to nodes that speak the first or second generation of the gRPC protocol.
+
+Attempts, cancellations and the node's reports share one bidirectional stream, ``Bind``.
+"""
 
 from __future__ import annotations
 
@@ -31,8 +34,8 @@
 from thornshelf.wire.errors import WireError
 from thornshelf.wire.rfc5424 import NOTICE
 
-# The numbers of outcomes, facts and the old reasons are the same in both generations. Any other outcome stands for a
-# broken attempt or task.
+# The numbers of outcomes, facts and the first generation's reasons are the same in both generations. Any other
+# outcome means that the attempt or task is broken.
 OUTCOMES_BEFORE_START = {pb.ERROR: Outcome.ERROR, pb.FULL: Outcome.REFUSED, pb.MOOT: Outcome.NOT_SENT}
 OUTCOMES_AFTER_START = {pb.ENDED: Outcome.OK, pb.CANCELLED: Outcome.CANCELLED}
 REASONS_BY_NUMBER = {reason.value: reason for reason in Reason}
@@ -42,7 +45,7 @@
 
 
 class GrpcLink(NodeLink):
-    """One connection with its Bind stream, first generation."""
+    """One connection with its Bind stream, in the first generation of the protocol."""
 
     node: BaseNodeConnection
 
@@ -53,13 +56,14 @@
     def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
         self._http = http2.Http2(True, stream.send)
-        self._unanswered: dict[int, http2.OutgoingMessage] = {}  # attempts by their id, as they were sent
-        self._stream_unprocessed = False  # the node has answered that it has not read the Bind stream
+        # The sent messages of attempts without an answer, by attempt id.
+        self._unanswered: dict[int, http2.OutgoingMessage] = {}
+        self._stream_unprocessed = False  # the node has answered that it has not processed the Bind stream
         self._bind_stream = self._call("Bind")
         self._health_check_stream = 0
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt with the time that is left for it; one that is too long for the wire has not run."""
+        """Send an attempt with the time that is left for it; one that is too long to be encoded ends as not sent."""
         try:
             data = grpc.frame(self._offer(attempt))
         except WireError:
@@ -80,7 +84,7 @@
         return pb.NodeOrder(uid=attempt.uid, offer=offer)
 
     def withdraw_attempt(self, uid: int) -> bool:
-        """Take an attempt out of the queue, or else ask the node to cancel it."""
+        """Remove an attempt from the send queue if no byte of it was sent, else ask the node to cancel it."""
         message = self._unanswered.pop(uid, None)
         if message is not None and self._http.retract(self._bind_stream, message):
             return True
@@ -88,7 +92,7 @@
         return False
 
     def may_have_arrived(self, uid: int) -> bool:
-        """Whether an attempt may have reached the node."""
+        """Return whether the node may have processed an attempt."""
         message = self._unanswered.get(uid)
         return message is not None and message.fully_sent and not self._stream_unprocessed
 
@@ -100,7 +104,7 @@
         return pb.NodeOrder(uid=uid, release=pb.Release(outcome=pb.CANCELLED))
 
     def check_health(self) -> None:
-        """Call Probe, which answers with a load report."""
+        """Call ``Probe``, which the node answers with a load report."""
         self._start_health_check(pb.ProbeRequest())
 
     def _start_health_check(self, request: Message) -> None:
@@ -109,21 +113,21 @@
         self._http.finish(self._health_check_stream, [])
 
     def ping(self) -> None:
-        """Send HTTP/2's own PING."""
+        """Send an HTTP/2 PING frame."""
         self._http.ping()
 
     @property
     def mid_message(self) -> bool:
-        """Whether a frame or message has begun and not ended."""
+        """Whether a frame or message was received in part."""
         return self._http.mid_message
 
     @property
     def peer_identified(self) -> bool:
-        """Whether the peer speaks HTTP/2 at all."""
+        """Whether the peer's HTTP/2 settings have arrived."""
         return self._http.peer_settings_received
 
     def receive(self, data: bytes) -> str | None:
-        """Process received bytes; returns why the connection can't go on, or None where it can."""
+        """Process received bytes; returns why the connection has to be closed, or None."""
         for event in self._http.receive(data):
             reason = None
             if isinstance(event, http2.GoAway):
@@ -137,11 +141,11 @@
         return None
 
     def _goaway_received(self, event: http2.GoAway) -> str | None:
-        # Open streams that are at most as new as the last one named go on; nothing new is sent on them.
+        # Streams up to the last one named by GOAWAY are still processed, but no new attempts are sent on them.
         self.accepting = False
         if event.last < self._bind_stream:
             self._stream_unprocessed = True
-            return "the node went away before it looked at the stream"
+            return "the node sent GOAWAY before it processed the stream"
         return None
 
     def _bind_event(self, event: http2.Event) -> str | None:
@@ -155,13 +159,13 @@
                 return f"stream ended with status {trailers.get('grpc-status', 'none')}"
             case http2.Broken(code=code, reason=reason):
                 self._stream_unprocessed = code == http2.REFUSED_STREAM
-                return f"stream broke: {reason}, code {code}"
+                return f"stream failed: {reason}, code {code}"
             case http2.Opened(headers=headers) if headers.get(":status") != "200":
                 self.generation_rejected = True
                 return f"HTTP status {headers.get(':status')}"
             case http2.Opened(headers=headers) if headers.get("grpc-status") == _UNIMPLEMENTED:
                 self.generation_rejected = True
-                return "it does not know this generation"
+                return "the node does not support this generation"
         return None
 
     def _health_check_event(self, event: http2.Event) -> None:
@@ -170,7 +174,7 @@
                 fields = grpc.parse(self.load_type, message).fields  # type: ignore[attr-defined]
                 self.node.health_check_completed(Outcome.OK, decode_load_report(_finite(fields)))
             case http2.Ended() | http2.Broken():
-                # Without effect where the load report arrived before.
+                # Ignored if the load report has arrived already.
                 self.node.health_check_completed(Outcome.ERROR, None)
 
     def _call(self, method: str, timeout: str | None = None) -> int:
@@ -187,7 +191,7 @@
         return self._http.call(headers)
 
     def _process_report(self, report: Any) -> None:
-        """Process one report of a kind that both generations have."""
+        """Process one report whose kind exists in both generations."""
         match report.WhichOneof("kind"):
             case "binding":
                 self._task_started(report.uid, report.binding.description)
@@ -199,7 +203,7 @@
                     progress = TaskProgress(self.node.machine, report.uid, kind, report.note.level)
                     self.node.core.inbox.append(progress)
             case _:
-                pass  # progress carries nothing that is used; kinds of later generations are skipped
+                pass  # progress reports are not used; kinds of later generations are skipped
 
     def _task_started(self, uid: int, description: bytes) -> None:
         if not description:
@@ -220,12 +224,12 @@
         self.node.attempt_finished(uid, outcome, reason, report, cause)
 
     def _cause(self, end: Any) -> FailureCause | None:
-        """The cause that the node gave; the first generation has no field for it."""
+        """Return the cause that the node gave; the first generation has no field for it."""
         return None
 
 
 class GrpcLinkV2(GrpcLink):
-    """The second generation: the node sends a hello, gets more with each offer, and answers queries."""
+    """One connection in the second generation: the node sends a hello, gets more fields, and answers queries."""
 
     service = "/thornshelf.v2.Node/"
     report_type = pb2.NodeReport
@@ -258,11 +262,11 @@
             offer.hint.ms = hint.duration_us / 1000.0
             offer.hint.assumed = hint.assumed
             if hint.assumed:
-                self._disclose_assumed_hint(attempt, hint)
+                self._report_assumed_hint(attempt, hint)
         return pb2.NodeOrder(uid=attempt.uid, offer=offer)
 
-    def _disclose_assumed_hint(self, attempt: Attempt, hint: LifetimeHint) -> None:
-        # An assumed figure is marked for the node, reported to the client and logged.
+    def _report_assumed_hint(self, attempt: Attempt, hint: LifetimeHint) -> None:
+        # A hint that the client did not give is marked as assumed for the node, reported to the client and logged.
         attempt.metadata = AnswerMetadata(assumed_hint=hint)
         fields: dict[str, object] = {
             "uid": f"{attempt.uid:016x}",
@@ -270,23 +274,23 @@
             "node": self.node.name,
             "ms": hint.duration_us // 1000,
         }
-        text = "no hint came, and the operator's figure is used"
+        text = "the request has no lifetime hint, the operator's default is used"
         self.node.core.log(NOTICE, "hint-assumed", fields, text)
 
     def _release(self, uid: int) -> Message:
         return pb2.NodeOrder(uid=uid, release=pb2.Release(outcome=pb2.CANCELLED))
 
     def query_task(self, idempotency_key: int, uid: int) -> None:
-        """Send a query, behind all orders that were sent before."""
+        """Ask the node about a task, after all orders that were sent before."""
         order = pb2.NodeOrder(uid=uid, question=pb2.Question(key=idempotency_key))
         self._http.send(self._bind_stream, grpc.frame(order))
 
     def check_health(self) -> None:
-        """Call Probe, which answers with a load report."""
+        """Call ``Probe``, which the node answers with a load report."""
         self._start_health_check(pb2.ProbeRequest())
 
     def _cause(self, end: Any) -> FailureCause | None:
-        """The cause that the node gave; a reason of a later generation is kept as text."""
+        """Return the cause that the node gave; a reason that is unknown here is kept as text."""
         reason = decode_reason(end.reason)
         if reason is FailureReason.UNTOLD and not end.text:
             text = f"reason {end.reason} of a newer generation" if end.reason else ""
@@ -320,7 +324,7 @@
         self.node.core.inbox.append(reply)
 
     def hello_received(self, capabilities: NodeCapabilities) -> None:
-        """The node has sent its hello; the first one completes the handshake, by way of the core."""
+        """Called for each hello of the node; negotiated links confirm the wire format here."""
 
 
 def _finite(fields: Any) -> dict[str, float]:
@@ -328,8 +332,8 @@
 
 
 class GrpcNodeConnection(BaseNodeConnection):
-    """A node that speaks the first generation of gRPC and nothing else."""
+    """A node that speaks only the first generation of the gRPC protocol."""
 
     def make_link(self, stream: Stream) -> NodeLink:
-        """A link of the first generation."""
+        """Create a link of the first generation."""
         return GrpcLink(self, stream)
--- a/thornshelf/nodes/liveness.py
+++ b/thornshelf/nodes/liveness.py
@@ -1,7 +1,7 @@
-"""Detects a node's connection that is open and yet of no further use.
+"""Detects a node connection that is still open but no longer usable.
 
-Checks are counted, not time: where a turn of this process was late, that is one check, and the next one reads what
-has arrived meanwhile.
+The limits are numbers of checks, not times: if this process is delayed, only one check falls into the delay, and the
+data that arrived meanwhile is read before the next one.
 """
 
 from __future__ import annotations
@@ -12,38 +12,38 @@
     from thornshelf.nodes.ports import MonitoredLink
 
 CHECK_INTERVAL_US = 100_000
-MAX_PARTIAL_CHECKS = 3  # a message that began so many checks ago, and has not ended, never will
-CHECKS_BEFORE_PING = 4  # checks in a row without a byte, after which the peer is pinged
-MAX_UNANSWERED_CHECKS = 12  # checks in a row without a byte, after which the connection is closed
+MAX_PARTIAL_CHECKS = 3  # the connection is closed if a message is still incomplete after so many checks
+CHECKS_BEFORE_PING = 4  # the peer is pinged after so many checks in a row without received data
+MAX_UNANSWERED_CHECKS = 12  # the connection is closed after so many checks in a row without received data
 
 
 class LivenessMonitor:
-    """Checks one connection for as long as a reply or the rest of a message is expected on it.
+    """Checks one connection while a reply or the rest of a message is expected on it.
 
-    Guards against a corrupted connection that stays open: where a wrong length swallows the messages that follow it,
-    or where an answer breaks off or never comes, updates of running tasks on that connection would be lost, too.
+    Guards against a corrupt connection that stays open, on which updates of running tasks would be lost: a wrong
+    length makes the messages that follow part of another one, or an answer is cut off or never sent.
     """
 
     def __init__(self, link: MonitoredLink) -> None:
         self._link = link
         self._check_scheduled = False
         self._ping_sent = False
-        self._checks_without_data = 0  # since the last byte
-        self._partial_checks = 0  # since the message that is being received began
+        self._checks_without_data = 0  # since data was last received
+        self._partial_checks = 0  # since the present message began
 
     def watch(self) -> None:
-        """Expect something on the connection; to be called for each request that awaits a reply."""
+        """Start checking the connection; call this for each request that awaits a reply."""
         if not self._check_scheduled:
             self._check_scheduled = True
             self._link.node.loop.after(CHECK_INTERVAL_US, self._check)
 
     def bytes_received(self) -> None:
-        """The peer has sent something: it is alive."""
+        """Record that the peer has sent data, which proves that it is alive."""
         self._checks_without_data = 0
         self._ping_sent = False
 
     def message_begun(self) -> None:
-        """A new message has begun, and its end is expected."""
+        """Record that a new message has begun, whose end is expected."""
         self._partial_checks = 0
 
     def _check(self) -> None:
@@ -55,9 +55,9 @@
         self._checks_without_data += 1
         self._partial_checks += 1
         if link.mid_message and self._partial_checks >= MAX_PARTIAL_CHECKS:
-            link.close("a message broke off")
+            link.close("a message stayed incomplete")
         elif self._checks_without_data >= MAX_UNANSWERED_CHECKS:
-            link.close("it says nothing more")
+            link.close("no data received, not even an answer to a ping")
         else:
             if self._checks_without_data >= CHECKS_BEFORE_PING and not self._ping_sent:
                 self._ping_sent = True
--- a/thornshelf/nodes/load_report.py
+++ b/thornshelf/nodes/load_report.py
@@ -1,10 +1,10 @@
-"""Decodes load reports: from the field names of the nodes' wire to the terms of the placement module."""
+"""Decodes the load reports of nodes for the placement module."""
 
 from __future__ import annotations
 
 from thornshelf.placement import LoadReport
 
-FIELD_NAMES = {
+_FIELD_BY_WIRE_NAME = {
     "active": "active",
     "waiting": "waiting",
     "queue": "waiting",
@@ -18,6 +18,8 @@
 
 
 def decode_load_report(fields: dict[str, float]) -> LoadReport | None:
-    """A load report by the wire's field names; None where no field is known."""
-    known = {FIELD_NAMES[name]: value for name, value in fields.items() if name in FIELD_NAMES}
+    """Convert the fields of a load report, by their names on the wire; returns None if none of them is known."""
+    known = {
+        _FIELD_BY_WIRE_NAME[name]: value for name, value in fields.items() if name in _FIELD_BY_WIRE_NAME
+    }
     return LoadReport(**known) if known else None
--- a/thornshelf/nodes/node_connection.py
+++ b/thornshelf/nodes/node_connection.py
@@ -1,6 +1,6 @@
-"""One node, as the core uses it: its attempts and running tasks, and the link on which they are sent and reported.
+"""One node as the core uses it: its attempts and running tasks, and the link on which they are sent and reported.
 
-What the core asks for while there is no link waits here, and is sent as soon as one has completed its handshake.
+Requests of the core that are made without a link wait here until a link has completed its handshake.
 """
 
 from __future__ import annotations
@@ -19,42 +19,46 @@
 from thornshelf.wire.pending_write import PendingWrite
 
 HEALTH_CHECK_TIMEOUT_US = 250_000
-# A cancellation that was sent so long ago, on a link that is still open, has arrived.
+# A cancellation is assumed to have arrived if it was sent this long ago and its link is still open.
 CANCELLATION_ARRIVAL_US = 2_000_000
-# An idle link is closed this far into the time after which the node would close it.
+# An idle link is closed after this fraction of the time after which the node would close it.
 IDLE_TIMEOUT_FRACTION = 0.8
 MIN_KEEPALIVE_S = 1.0
 
 
 @dataclass(eq=False, slots=True)
 class PendingCancellation:
-    """A running task that is to be ended, and whose end the node has not reported.
+    """The cancellation of a running task whose end the node has not reported yet.
 
-    ``write``: the request on its way, None where no link has taken it. ``since_us``: when it was made or sent last.
+    ``write``: the request as it was sent, or None before it is sent on a link. ``since_us``: when it was requested,
+    or last sent.
     """
 
     write: PendingWrite | None
     since_us: int
 
     def has_arrived(self, sent_before_us: int) -> bool:
-        """Whether the request left for the node completely, and before this time."""
+        """Return whether the request was completely sent before this time."""
         return self.write is not None and self.write.fully_sent and self.since_us < sent_before_us
 
 
 @dataclass(eq=False, slots=True)
 class HealthCheck:
-    """A health check that has no result yet."""
+    """A health check without a result so far: when it was started, and the timer of its timeout."""
 
     started_us: int
     timeout: Timer
 
 
 class BaseNodeConnection:
-    """A node and its one link at a time; subclasses choose the wire form by ``make_link``.
+    """A node with at most one link at a time; subclasses choose the wire format in ``make_link``.
+
+    ``pending``: attempts that wait for a link. ``in_flight``: attempts, by id, that were sent and have neither
+    started nor ended. ``running``: ids of tasks whose end the node has to report. ``pending_cancellations``:
+    cancellations, by task id, that may not have arrived. ``pending_queries``: task ids to ask about, by idempotency
+    key. ``hello_timeout_us``: how long a handshake may take before its link is closed. ``draining``: the node gets no
+    new attempts.
 
-    ``pending``: attempts that wait for a link. ``in_flight``: attempts that were sent and have not ended.
-    ``running``: tasks whose end the node is going to report. ``pending_queries``: idempotency keys to ask about, each
-    with the id of its task. ``hello_timeout_us``: a link that has not completed its handshake by then is closed.
     """
 
     def __init__(self, loop: Loop, machine: int, entry: NodeEndpoint, core: Dispatcher) -> None:
@@ -76,20 +80,20 @@
         self.draining = False
         self._unreachable = False
         self._health_check: HealthCheck | None = None
-        self._health_check_pending = False  # it waits for a link
+        self._health_check_pending = False  # the health check waits for a link
         self._reconnector = Reconnector(self)
 
     def make_link(self, stream: Stream) -> NodeLink:
-        """A link in the node's wire form."""
+        """Create a link in the node's wire format."""
         raise NotImplementedError
 
-    # requests of the core
+    # Requests of the core
 
     def send_attempt(self, attempt: Attempt) -> None:
         """Send an attempt now, or once there is a link.
 
-        Guards against an attempt on a connection that the node has closed: it would be unread, and yet might have
-        run for all that is known.
+        An attempt is not sent on a connection that the node has closed: it would never be read, but its outcome
+        would be unknown.
         """
         link = self.link
         if link is not None and link.accepting and link.handshake_complete and not link.stream.peer_closed:
@@ -109,11 +113,11 @@
         link.liveness.watch()
 
     def ineligibility(self, attempt: Attempt) -> FailureCause | None:
-        """Why an attempt must not be sent to this node, by what it declared; None where it may."""
+        """Return why an attempt must not be sent to this node, by what the node declared; None if it may be sent."""
         return None
 
     def withdraw_attempt(self, attempt: Attempt) -> bool:
-        """Withdraw an attempt; True where no byte of it had been sent."""
+        """Withdraw an attempt, or else ask the node to cancel it; returns whether no byte of it had been sent."""
         if attempt in self.pending:
             self.pending.remove(attempt)
             return True
@@ -121,15 +125,16 @@
             return False
         if link.withdraw_attempt(attempt.uid):
             return True
-        # Guards against two copies at once: the cancellation must be written before the task is sent elsewhere, and
-        # at the end of the turn another node's stream may be written first. A closed connection cancels as well.
+        # Guards against running the task twice: the cancellation must be written before the task is sent elsewhere,
+        # and at the end of the turn another node's stream may be written first. If it can't be written, the
+        # connection is closed, which cancels the attempt as well.
         link.stream.flush()
         if link.stream.buffered_bytes:
-            link.close("it takes nothing more")
+            link.close("a cancellation could not be written")
         return False
 
     def cancel_task(self, uid: int) -> None:
-        """End a running task; the request waits until there is a link."""
+        """Ask the node to end a running task, as soon as there is a link."""
         self.running.discard(uid)
         link = self.link if self.link is not None and self.link.handshake_complete else None
         write = link.cancel_task(uid) if link else None
@@ -137,17 +142,17 @@
         self._reconnector.ensure_connecting()
 
     def watch_task(self, uid: int) -> None:
-        """Await the end of a running task: the node reports it on any open link, or on the next."""
+        """Await the report of a running task's end, which the node sends on an open link or on the next one."""
         self.running.add(uid)
         self._reconnector.ensure_connecting()
 
     def unwatch_task(self, uid: int) -> None:
-        """The task has ended."""
+        """Stop awaiting the end of a task."""
         self.running.discard(uid)
         self.in_flight.pop(uid, None)
 
     def query_task(self, idempotency_key: int, uid: int) -> None:
-        """Ask whether a task with this key runs or ran; the query waits until there is a link."""
+        """Ask the node whether a task with this idempotency key runs or ran, as soon as there is a link."""
         if self.link is not None and self.link.handshake_complete:
             self.link.query_task(idempotency_key, uid)
             self.link.liveness.watch()
@@ -156,19 +161,19 @@
             self._reconnector.ensure_connecting()
 
     def reconnect(self) -> None:
-        """Finish the attempts in flight on the present link, and expect the ends of running tasks on the next."""
+        """Replace the link: only its attempts in flight are finished on it, and running tasks end on the next one."""
         if self.link is not None:
             self.link.accepting = False
 
     def handshake_completed(self) -> None:
-        """The core knows what the node speaks and requires: what waited for that is sent now."""
+        """Send the waiting requests, as the core has recorded the node's wire format and requirements."""
         link = self.link
         if link is not None and not link.handshake_complete:
             link.handshake_complete = True
             self._send_pending(link)
 
     def check_health(self) -> None:
-        """Ask for a load report; one check at a time."""
+        """Ask for a load report, unless a health check is still without a result."""
         if self._health_check is not None:
             return
         timeout = self.loop.after(HEALTH_CHECK_TIMEOUT_US, self._health_check_timed_out)
@@ -180,7 +185,7 @@
             self._reconnector.ensure_connecting()
 
     def drain(self) -> list[Attempt]:
-        """Send nothing new from now on; returns the attempts of which no byte had been sent."""
+        """Withdraw and return the attempts of which no byte was sent; the node gets no new ones."""
         self.draining = True
         withdrawn = list(self.pending)
         self.pending.clear()
@@ -194,35 +199,35 @@
         return withdrawn
 
     def process_restarted(self, started_us: int) -> None:
-        """The node's process was started at this time: what was sent to the one before is over.
+        """Close the link if it was opened before the node's process was started, at ``started_us``.
 
-        Guards against a second copy: an attempt that was made before that time, but sent on a link to the new
-        process, is in flight there.
+        Guards against a second copy of a task: a link that was opened later leads to the new process, where its
+        attempts are in flight, even those that were made before the start.
         """
         if self.link is not None and self.link.opened_us < started_us:
-            self.link.close("its process started anew")
+            self.link.close("the node's process was restarted")
 
     def resume(self) -> None:
-        """The node takes attempts."""
+        """Allow attempts again after a drain."""
         self.draining = False
 
     def close(self) -> None:
-        """The node is gone: drop the link without a message."""
+        """Close the link without a message, as the node was removed; its waiting attempts end as not connected."""
         self.closed = True
         self._reconnector.stop()
-        self.link = None  # its stream was closed with the coroutine that read it
+        self.link = None  # its stream was closed when the reconnector stopped
         if self._health_check is not None:
             self.health_check_completed(Outcome.NOT_CONNECTED, None)
         for attempt in self.pending:
             self.attempt_finished(attempt.uid, Outcome.NOT_CONNECTED)
         self.pending.clear()
-        # The core itself ends the tasks that were in flight at a node that is gone.
+        # The core itself ends the tasks that were in flight at a removed node.
         self.in_flight.clear()
 
-    # reports of links
+    # Reports of links
 
     def task_started(self, uid: int) -> None:
-        """The task runs: it no longer depends on this link."""
+        """Record that an attempt's task runs, so that it no longer depends on this link."""
         if self.in_flight.pop(uid, None) is not None:
             self.running.add(uid)
 
@@ -234,14 +239,14 @@
         report: LoadReport | None = None,
         cause: FailureCause | None = None,
     ) -> None:
-        """An attempt or a running task has ended."""
+        """Report to the core that an attempt or a running task has ended."""
         self.in_flight.pop(uid, None)
         self.running.discard(uid)
         self.pending_cancellations.pop(uid, None)
         self.core.inbox.append(TaskFinished(self.machine, uid, outcome, reason, report, cause))
 
     def health_check_completed(self, outcome: Outcome, report: LoadReport | None) -> None:
-        """The health check has its result; without one that was asked for, nothing happens."""
+        """Report the result of the health check to the core; ignored if no check is open."""
         check = self._health_check
         if check is None:
             return
@@ -254,16 +259,16 @@
     def _health_check_timed_out(self) -> None:
         self.health_check_completed(Outcome.TIMED_OUT, None)
 
-    # the state of the connection
+    # State of the connection
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is waited for on the link."""
+        """Whether nothing is expected of the node."""
         return self.listening_only and not self.running
 
     @property
     def listening_only(self) -> bool:
-        """Whether nothing but updates of running tasks is waited for."""
+        """Whether nothing but updates of running tasks is expected of the node."""
         return not (
             self.in_flight
             or self.pending
@@ -274,10 +279,10 @@
 
     @property
     def has_pending_data(self) -> bool:
-        """Whether something is still to be sent to the node, or a cancellation may not have arrived there.
+        """Whether data is still to be sent to the node, or a cancellation may not have arrived there.
 
-        Guards against a task that nobody awaits and that runs for good: a connection that is closed or breaks may
-        lose the cancellation. It is sent again on the next link, unless it was sent long enough before.
+        Guards against a task that runs on although nobody awaits it: a connection that is closed or fails may lose
+        the cancellation. It is sent again on the next link, unless it was sent long enough before.
         """
         sent_before_us = self.loop.now - CANCELLATION_ARRIVAL_US
         self.pending_cancellations = {
@@ -290,28 +295,28 @@
         return self.link is not None and bool(self.link.stream.buffered_bytes)
 
     def evict(self) -> None:
-        """Close the link: another node needs its descriptor more."""
+        """Close the link, because another node needs its descriptor more."""
         if self.link is not None:
             self.link.evict()
 
     def idle_timeout_us(self) -> int:
-        """How long an idle link is kept, in microseconds."""
+        """Return how long an idle link is kept, in microseconds."""
         keepalive_s = self.core.settings.limits.keepalive_s * IDLE_TIMEOUT_FRACTION
         return int(max(MIN_KEEPALIVE_S, keepalive_s) * 1e6)
 
     @property
     def connection_state(self) -> str:
-        """The link's state: connected, calling, unreachable, or idle, where no link is wanted."""
+        """The link's state: connected, calling (connecting), unreachable, or idle if no link is wanted."""
         if self.link is not None:
             return "connected"
         if not self._reconnector.is_running:
             return "idle"
         return "unreachable" if self._unreachable else "calling"
 
-    # the life of a link
+    # Lifecycle of a link
 
     def serve_link(self, stream: Stream) -> Generator[Wait, int, DisconnectReason]:
-        """Serve a new connection until it ends; returns why it did."""
+        """Serve a new connection until it ends; returns the reason."""
         link = self.link = self.make_link(stream)
         self.loop.on_peer_close(stream.fd, stream.mark_peer_closed)
         self._unreachable = False
@@ -324,11 +329,14 @@
             stream.close()
 
     def link_closed(self, link: NodeLink) -> bool:
-        """A link has ended; True where another wire form is to be tried before the node counts as unreachable."""
+        """Record that a link has ended.
+
+        Returns whether another wire format is to be tried before the node counts as unreachable.
+        """
         return False
 
     def connect_failed(self, outcome: Outcome = Outcome.NOT_CONNECTED) -> None:
-        """The node could not be reached: what waited for the link has not run."""
+        """Fail the attempts and the health check that waited for a link, as the node could not be reached."""
         self._unreachable = True
         for attempt in self.pending:
             self.core.inbox.append(TaskFinished(self.machine, attempt.uid, outcome))
@@ -361,12 +369,12 @@
         }
         self.link = None
         for attempt in lost.values():
-            # An attempt that was not sent completely can't have run; any other may have.
+            # An attempt that was not completely sent can't have run; any other may have.
             may_run = link.may_have_arrived(attempt.uid)
             outcome = Outcome.BROKEN if may_run else Outcome.NOT_CONNECTED
             self.core.inbox.append(TaskFinished(self.machine, attempt.uid, outcome))
-        tries_other_form = self.link_closed(link)
-        if tries_other_form:
+        tries_other_format = self.link_closed(link)
+        if tries_other_format:
             return
         if not link.handshake_complete:
             self.connect_failed()
--- a/thornshelf/nodes/node_link.py
+++ b/thornshelf/nodes/node_link.py
@@ -1,4 +1,4 @@
-"""One open connection to a node: what every wire form has to provide, and the loop that reads it."""
+"""One open connection to a node: the interface of all wire formats, and the loop that reads from it."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 if TYPE_CHECKING:
     from thornshelf.nodes.ports import LinkOwner
 
-DRAIN_POLL_US = 20_000  # read timeout of a link that only finishes its attempts
+DRAIN_POLL_US = 20_000  # read timeout of a link that only finishes its attempts in flight
 
 IDLE = DisconnectReason(DisconnectCause.IDLE, "")
-EVICTED = DisconnectReason(DisconnectCause.EVICTED, "closed to make room for another")
+EVICTED = DisconnectReason(DisconnectCause.EVICTED, "evicted, as another node needs the descriptor")
 CLOSED_BY_PEER = DisconnectReason(
     DisconnectCause.CLOSED_BY_PEER, "connection ended by the node or the network"
 )
 
 
 class NodeLink:
-    """One open connection; a subclass for each wire form encodes and decodes its messages.
+    """One open connection; a subclass for each wire format encodes and decodes the messages.
 
-    ``opened_us``: when it was opened, on the loop's clock. ``accepting``: False where it only finishes the attempts
-    in flight, and new ones wait for the next link. ``handshake_complete``: False until it is known what the node
-    speaks; nothing may be sent before. ``messages_received``: complete messages so far. ``generation_rejected``: the
-    node has answered that it does not speak this generation of the wire form.
+    ``opened_us``: when it was opened, on the loop's clock. ``accepting``: False if only the attempts in flight are
+    finished on it, while new ones wait for the next link. ``handshake_complete``: False until the node's wire format
+    is confirmed; no attempt may be sent before. ``messages_received``: how many complete messages have arrived.
+    ``generation_rejected``: the node has answered that it does not support this generation of the wire format.
     """
 
     def __init__(self, node: LinkOwner, stream: Stream) -> None:
@@ -44,19 +44,19 @@
         self._close_reason = CLOSED_BY_PEER
 
     def send_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt; the node answers that it started or that it was rejected."""
+        """Send an attempt; the node answers that the task has started or that the attempt has ended."""
         raise NotImplementedError
 
     def withdraw_attempt(self, uid: int) -> bool:
-        """Withdraw an attempt: True where no byte of it had been sent, else the node is asked to cancel it."""
+        """Withdraw an attempt if no byte of it was sent, else ask the node to cancel it; returns which it was."""
         raise NotImplementedError
 
     def may_have_arrived(self, uid: int) -> bool:
-        """Whether all of an attempt has been sent, so that its task may run."""
+        """Return whether an attempt was completely sent, so that its task may run."""
         raise NotImplementedError
 
     def cancel_task(self, uid: int) -> PendingWrite:
-        """Ask the node to end a running task; returns the request."""
+        """Ask the node to end a running task; returns the request, to find out whether it was sent."""
         raise NotImplementedError
 
     def check_health(self) -> None:
@@ -64,35 +64,38 @@
         raise NotImplementedError
 
     def query_task(self, idempotency_key: int, uid: int) -> None:
-        """Ask whether a task with this idempotency key ran; only wire forms with such a query are asked."""
+        """Ask the node whether a task with this idempotency key runs or ran; does nothing by default.
+
+        Only nodes whose wire format has such a query are asked.
+        """
 
     def receive(self, data: bytes) -> str | None:
-        """Process received bytes; returns why the connection can't go on, or None where it can.
+        """Process received bytes; returns why the connection has to be closed, or None.
 
-        Raises ``WireError`` where they violate the wire form.
+        Raises ``WireError`` if they violate the wire format.
         """
         raise NotImplementedError
 
     def ping(self) -> None:
-        """Ask for any reply at all."""
+        """Send a message that a live node always answers."""
         raise NotImplementedError
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message was received in part."""
         raise NotImplementedError
 
     @property
     def peer_identified(self) -> bool:
-        """Whether the node has shown that it speaks this wire form; links that need no proof never ask."""
+        """Whether the node has proved that it speaks this wire format; only negotiated links use this."""
         return False
 
     def close(self, reason: str) -> None:
-        """Close the connection as unusable: the outcome of its attempts is then unknown, or that they never ran."""
+        """Close the connection as unusable; its attempts end, as never run or with an unknown outcome."""
         self._close(DisconnectReason.unusable(reason))
 
     def evict(self) -> None:
-        """Close the connection, as another one needs its descriptor more."""
+        """Close the connection, because another node needs its descriptor more."""
         self._close(EVICTED)
 
     def _close(self, reason: DisconnectReason) -> None:
@@ -100,27 +103,27 @@
         self.stream.close()
 
     def run(self) -> Generator[Wait, int, DisconnectReason]:
-        """Read until the connection ends or has been idle for too long; returns why it ended."""
+        """Read until the connection ends or was idle for too long; returns the reason."""
         node = self.node
         began_us = node.loop.now
-        active_us = node.loop.now
+        last_active_us = node.loop.now
         while True:
             if not self.handshake_complete and node.loop.now - began_us >= node.hello_timeout_us:
-                return DisconnectReason.unusable("it does not say what it speaks")
+                return DisconnectReason.unusable("handshake timed out")
             data = yield from self.stream.read(self._read_deadline_us(began_us))
             if data is None:
                 if not node.idle:
-                    active_us = node.loop.now
-                elif node.loop.now - active_us >= node.idle_timeout_us():
+                    last_active_us = node.loop.now
+                elif node.loop.now - last_active_us >= node.idle_timeout_us():
                     return IDLE
             elif not data:
                 return self._close_reason
             else:
-                active_us = node.loop.now
+                last_active_us = node.loop.now
                 if (reason := self._process(data)) is not None:
                     return reason
             if not self.accepting and not node.in_flight:
-                return DisconnectReason.unusable("the node wants another connection")
+                return DisconnectReason.unusable("all attempts finished, replaced by a new connection")
 
     def _read_deadline_us(self, began_us: int) -> int:
         node = self.node
--- a/thornshelf/nodes/ports.py
+++ b/thornshelf/nodes/ports.py
@@ -1,7 +1,7 @@
-"""What the parts of a node connection use of each other.
+"""Protocols by which the parts of a node connection use each other.
 
-The node connection imports its link and its reconnector. These protocols name what the two use of it in turn, so that
-they don't import it. Only type checkers load this module.
+The node connection imports its link and its reconnector. These protocols declare what the two use of the node
+connection, so that they don't import it. Only type checkers load this module.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
     @property
     def in_flight(self) -> MutableMapping[int, Any]:
-        """Attempts that were sent and have not ended, by id."""
+        """Attempts, by id, that were sent and have neither started nor ended."""
 
     @property
     def idle(self) -> bool:
         """Whether nothing is expected of the node."""
 
     def idle_timeout_us(self) -> int:
-        """How long a link may be idle before it is closed."""
+        """Return how long an idle link is kept, in microseconds."""
 
 
 class MonitoredLink(Protocol):
@@ -44,13 +44,13 @@
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether a message was received in part."""
 
     def ping(self) -> None:
-        """Ask the peer for any reply."""
+        """Send a message that a live node always answers."""
 
     def close(self, reason: str) -> None:
-        """Close the link: the attempts in flight on it have ended."""
+        """Close the link as unusable; the attempts in flight on it end."""
 
 
 class ReconnectingNode(Protocol):
@@ -67,11 +67,11 @@
 
     @property
     def running(self) -> MutableSet[int]:
-        """Tasks whose end the node is going to report."""
+        """Ids of tasks whose end the node has to report."""
 
     @property
     def pending_cancellations(self) -> MutableMapping[int, Any]:
-        """Running tasks that are to be ended, by id."""
+        """Cancellations, by task id, that may not have arrived."""
 
     @property
     def idle(self) -> bool:
@@ -79,13 +79,13 @@
 
     @property
     def listening_only(self) -> bool:
-        """Whether the connection only waits for the end of running tasks."""
+        """Whether nothing but updates of running tasks is expected of the node."""
 
     def evict(self) -> None:
-        """Close the connection, as its descriptor is needed elsewhere."""
+        """Close the link, because another node needs its descriptor more."""
 
     def serve_link(self, stream: Stream) -> Generator[Wait, int, DisconnectReason]:
-        """Serve a new connection until it ends; returns why it did."""
+        """Serve a new connection until it ends; returns the reason."""
 
     def connect_failed(self, outcome: Outcome = Outcome.NOT_CONNECTED) -> None:
-        """The node could not be reached: what waited for the link has not run."""
+        """Fail the attempts and the health check that waited for a link, as the node could not be reached."""
--- a/thornshelf/nodes/reconnect.py
+++ b/thornshelf/nodes/reconnect.py
@@ -1,4 +1,4 @@
-"""Connects to a node whenever something is wanted there, and again with backoff when the connection ends."""
+"""Connects to a node whenever something is expected of it, and reconnects with backoff when the connection ends."""
 
 from __future__ import annotations
 
@@ -17,27 +17,29 @@
 if TYPE_CHECKING:
     from thornshelf.nodes.ports import ReconnectingNode
 
-# The node reports the ends of its tasks on the next connection, and these are due within some seconds.
-DESCRIPTOR_BACKOFF_US = 1_500_000  # after a connect for which there was no descriptor
-RECONNECT_BACKOFF_US = 250_000  # after a connect that failed
-FAST_RECONNECT_US = 10_000  # after a connection that broke, where the one before had lasted
+# These delays are limited because a node reports the ends of its tasks on the next connection, and the reports are
+# due within some seconds.
+DESCRIPTOR_BACKOFF_US = 1_500_000  # after a connect for which there was no descriptor, and after an eviction
+RECONNECT_BACKOFF_US = 250_000  # after a failed connect, or the second short-lived connection in a row
+FAST_RECONNECT_US = 10_000  # after any other connection that ended
 DEFAULT_CONNECT_TIMEOUT_S = 0.25
 
 
 class Reconnector:
-    """Keeps one node connected for as long as its connection is wanted."""
+    """Keeps one node connected while something is expected of it."""
 
     def __init__(self, node: ReconnectingNode) -> None:
         self._node = node
         self._task: Task | None = None
-        self._last_closed_by_peer = False  # whether the process still lives is not known since
-        self._last_short_lived = False
+        self._last_closed_by_peer = (
+            False  # the node closed the last connection, so that its process may be dead
+        )
+        self._last_short_lived = False  # the last connection ended within RECONNECT_BACKOFF_US
         settings = node.core.settings
         self._backoff_us = int(reconnect_delay_s(RECONNECT_BACKOFF_US / 1e6, settings.placers) * 1e6)
-        # Guards against lost updates: what a node reports of the tasks that it is handed over with (their use of
-        # cores and memory) goes to an open connection, and only the last report waits for one. So the connection
-        # is made before it is needed. But hundreds of dispatchers must not connect to a node, or one dispatcher to
-        # a crowd of new nodes, in one moment: the first connect is delayed, unless it is needed earlier.
+        # Connect before it is needed: reports of the tasks that already run on the node go to an open connection,
+        # and only the latest one is kept for a later connection. The first connect is delayed, unless it is needed
+        # earlier, so that many dispatchers don't connect to a new node, or one dispatcher to many, all at once.
         self._initial_connect_due = True
         self._initial_timer: Timer | None = None
         delay_us = int(initial_connect_delay_s(settings.me, node.machine, settings.placers) * 1e6)
@@ -48,16 +50,16 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether a connection is open, being made or waited for."""
+        """Whether a connection is open, or is being opened or awaited after a backoff."""
         return self._task is not None and not self._task.done
 
     def ensure_connecting(self) -> None:
-        """Connect, unless there is a connection or an attempt at one already."""
+        """Start connecting, unless a connection is open or being opened."""
         if not self._node.closed and not self.is_running:
             self._task = self._node.loop.spawn(self._keep_connected())
 
     def stop(self) -> None:
-        """Drop the connection, and make none again."""
+        """Close the connection and cancel the delayed first connect."""
         if self._task is not None:
             self._node.loop.cancel(self._task)
         if self._initial_timer is not None:
@@ -68,7 +70,7 @@
             self.ensure_connecting()
 
     def _keep_connected(self) -> Generator[Wait, int, None]:
-        """Connect, serve the link, and repeat for as long as something is wanted there."""
+        """Connect and serve the link, again and again while something is expected of the node."""
         node = self._node
         self._last_closed_by_peer = False
         self._last_short_lived = False
@@ -91,17 +93,17 @@
                 yield Wait(until=node.loop.now + self._disconnected(reason, began_us))
 
     def _connect_failed(self, error_number: int) -> None:
-        """Fail the attempts that waited for the connection, and the running tasks where the node is proved dead."""
+        """Fail the attempts that waited for the connection, and the running tasks if the node's process is dead."""
         node = self._node
-        # A lack of descriptors of our own proves nothing of the node.
+        # A lack of descriptors in this process proves nothing about the node.
         out_of_descriptors = error_number == errno.EMFILE
         node.connect_failed(Outcome.NOT_SENT if out_of_descriptors else Outcome.NOT_CONNECTED)
         if error_number != errno.ECONNREFUSED:
             return
         if self._last_closed_by_peer or (node.running and not node.draining):
-            # Guards against waiting for the endpoint list: a refused connection proves the process dead, and the
-            # tasks of a dying process end, so that their releases are due at once. But a draining node refuses new
-            # connections while its tasks run on: there the last connection must have been closed by it, too.
+            # A refused connection proves that the process is dead. Its tasks have ended, and their releases are due
+            # at once, not when the endpoint list removes the node. But a draining node refuses new connections while
+            # its tasks run on: it counts as dead only if it also closed the last connection.
             fields: dict[str, object] = {"node": node.name, "standing": len(node.running)}
             node.core.log(NOTICE, "node-process-dead", fields, "refused")
             node.running.clear()
@@ -114,18 +116,18 @@
         out_of_descriptors = error_number == errno.EMFILE
         pause_us = DESCRIPTOR_BACKOFF_US if out_of_descriptors else RECONNECT_BACKOFF_US
         yield Wait(until=max(node.loop.now, began_us) + pause_us)
-        # An attempt does not wait for as long as updates of running tasks may.
+        # The longer backoff applies only while nothing but updates of running tasks is expected.
         until_us = began_us + self._backoff_us
         while node.loop.now < until_us and not node.closed and node.listening_only:
             yield Wait(until=min(until_us, node.loop.now + RECONNECT_BACKOFF_US))
 
     def _disconnected(self, reason: DisconnectReason, began_us: int) -> int:
-        """Log the end of a connection; returns the pause before the next one, in microseconds."""
+        """Log the end of a connection; returns the delay before the next one, in microseconds."""
         node = self._node
         fields: dict[str, object] = {"node": node.name, "standing": len(node.running)}
         node.core.log(NOTICE, "node-disconnected", fields | reason.log_fields, reason.text)
-        # A node that closes each connection at once is not called in a tight loop, but a connection that is reset
-        # while it is new must not make attempts wait.
+        # Guards against a tight loop with a node that closes each connection at once. A single short-lived connection
+        # must not delay attempts.
         previous_short_lived = self._last_short_lived
         self._last_short_lived = node.loop.now - began_us < RECONNECT_BACKOFF_US
         if self._last_short_lived and previous_short_lived:
@@ -133,7 +135,7 @@
         return FAST_RECONNECT_US
 
     def _connect(self, until_us: int) -> Generator[Wait, int, Stream | int]:
-        """A connection, or the number of the error; EMFILE where the budget of descriptors leaves none."""
+        """Open a connection; returns the errno if that fails, with EMFILE if no descriptor is left for it."""
         release = self._acquire_descriptor()
         if release is None:
             return errno.EMFILE
@@ -148,7 +150,7 @@
         return stream
 
     def _acquire_descriptor(self) -> Callable[[], None] | None:
-        """Account for one more descriptor; returns the call that gives it back, or None where there is none left."""
+        """Account for one more descriptor; returns the call that releases it, or None if none is left."""
         node = self._node
         pool, ledger = node.core.node_connections, node.core.descriptor_ledger
         if pool is not None:
@@ -160,4 +162,4 @@
 
 
 def _nothing_to_release() -> None:
-    """Descriptors are not accounted for."""
+    """Do nothing, as descriptors are not accounted for."""
