--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -1,4 +1,4 @@
-"""Nodes whose answers are corrupt, incomplete or missing: what may have run fails or is retried elsewhere."""
+"""Nodes whose answers are corrupt, incomplete or missing: their tasks fail, or are retried on other nodes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def node_with_running_and_open_task(cluster: FakeCluster) -> Any:
-    """A node where one task runs, and where another that must not run twice is in flight."""
+    """Return a node on which one task runs, and another that must not run twice is in flight."""
     cluster.client.ask(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.client.ask(6, NodeBehavior.SILENT, ONCE_ONLY)
@@ -28,15 +28,15 @@
 
 
 @WIRES
-@pytest.mark.parametrize("how", ["partial", "deaf"])
+@pytest.mark.parametrize("failure", ["partial", "deaf"])
 def test_an_unresponsive_connection_is_closed_and_running_tasks_are_kept(
-    front: str, node: str, how: str, monkeypatch: pytest.MonkeyPatch
+    front: str, node: str, failure: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It stays open, so that only the missing bytes show it; updates of running tasks come on the next connection."""
+    """The connection stays open, so that only missing data reveals it; updates arrive on the next connection."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     cluster = FakeCluster(front, node, nodes=1)
     bad = node_with_running_and_open_task(cluster)
-    if how == "partial":
+    if failure == "partial":
         bad.streams[0].send(b"\x00\x40half" if node == BINARY else b"\x00\x00\x40\x00half")
     else:
         bad.deaf = True
@@ -54,7 +54,7 @@
 def test_a_wrong_length_that_swallows_later_messages_is_detected_though_bytes_arrive(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """No attempt is in flight, yet updates of running tasks would be lost until so many bytes have come."""
+    """Without an attempt in flight, too, updates of running tasks would be lost until so much data has arrived."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     cluster = FakeCluster(nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN)
@@ -76,10 +76,10 @@
 ) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     cluster = FakeCluster(front, node)
-    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
+    cluster.run_until(lambda: all(candidate.streams for candidate in cluster.nodes))
     cluster.run_for(20)
-    for one in cluster.nodes:
-        one.deaf = True
+    for candidate in cluster.nodes:
+        candidate.deaf = True
     cluster.client.ask(5, NodeBehavior.RUN)
     core = cluster.service.core
     cluster.run_until(lambda: 5 in core.tasks_by_uid and core.tasks_by_uid[5].attempt is not None)
@@ -94,7 +94,7 @@
 def test_a_slow_node_that_answers_pings_keeps_its_connection(
     front: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It answers the ping, so that its answer may still come."""
+    """A node that answers pings may still answer the attempt."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 2_000)
     cluster = FakeCluster(front, node, nodes=1)
     slow = node_with_running_and_open_task(cluster)
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("lifecycle", ["terminating", "in_service"])
 def test_a_refused_connect_proves_a_draining_node_dead_only_after_its_own_break(lifecycle: str) -> None:
-    """A draining node accepts no connections while its tasks run on: a new dispatcher must not release them."""
+    """A draining node refuses connections while its tasks run on; a new dispatcher must not release these."""
     cluster = FakeCluster(nodes=1)
     (node,) = cluster.nodes
     cluster.loop.cancel(node._accepting)
@@ -150,13 +150,13 @@
     else:
         cluster.run_for(600)
         assert cluster.client.heard == {}
-    assert len([one for one in cluster.logged if one[1] == "node-process-dead"]) == (
+    assert len([line for line in cluster.logged if line[1] == "node-process-dead"]) == (
         lifecycle == "in_service"
     )
 
 
 def test_a_connection_that_breaks_while_new_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against attempts that wait for a backoff meant for nodes that close every connection."""
+    """Guards against attempts delayed by a backoff that is meant for nodes that close every connection."""
     monkeypatch.setattr(reconnect, "RECONNECT_BACKOFF_US", 60_000_000)
     cluster = FakeCluster(nodes=1)
     node_with_running_and_open_task(cluster)
@@ -170,22 +170,22 @@
 def test_no_attempt_is_sent_on_a_connection_that_its_node_has_closed(
     front: str, node: str, task_class: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against a task that must not run twice and fails, as its attempt was sent on a closed connection.
+    """Guards against failing a task that must not run twice because its attempt was sent on a closed connection.
 
-    The request is read first, and a busy turn ends before the close is.
+    The request is read first, and the turn's budget ends before the node's close is read.
     """
     cluster = FakeCluster(front, node, nodes=1)
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))
     cluster.run_for(30)
-    (one,) = cluster.nodes
+    (closing_node,) = cluster.nodes
     monkeypatch.setattr(loop_module, "STEPS_PER_CLOCK_CHECK", 1)
     monkeypatch.setattr(loop_module, "TURN_BUDGET_US", 0)
     cluster.client.ask(5, NodeBehavior.RUN, task_class)
     cluster.client.stream.flush()
-    one.streams[0].close()
+    closing_node.streams[0].close()
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.offer_count(5) == 1
-    assert len(one.streams) == 2
+    assert len(closing_node.streams) == 2
     core = cluster.service.core
     assert not core.counters["failed"]
     assert core.placer.machines[1].consecutive_failures == 0
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Nodes, clients and the endpoint watch share the descriptors, however many of each there are."""
+"""Sharing of descriptors among nodes, clients, the endpoint watch and the log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class FakePooledConnection:
-    """A node's connection, as far as the pool may evict it."""
+    """A node connection that the pool may evict."""
 
     def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
@@ -30,7 +30,7 @@
 def test_a_thousand_nodes_share_the_pool_and_idle_ones_are_evicted_first() -> None:
     pool = ConnectionPool(lambda: 600)
     connections = [FakePooledConnection(pool) for _ in range(1024)]
-    assert sum(pool.acquire(one, 0, wanted=False) for one in connections) == 600 == len(pool)
+    assert sum(pool.acquire(connection, 0, wanted=False) for connection in connections) == 600 == len(pool)
     assert not pool.acquire(connections[700], MIN_UNUSED_US - 1)  # all others are too new
     connections[400].idle = True
     assert pool.acquire(connections[700], MIN_UNUSED_US - 1)
@@ -38,21 +38,21 @@
     pool.touch(connections[0], MIN_UNUSED_US)
     assert pool.acquire(connections[701], MIN_UNUSED_US)
     assert connections[1].evictions == 1
-    for one in connections:
-        one.listening_only = False
+    for connection in connections:
+        connection.listening_only = False
     assert not pool.acquire(connections[702], 9 * MIN_UNUSED_US)
     assert len(pool) == 600
 
 
 def test_each_node_that_waits_for_a_connection_gets_one() -> None:
-    """Guards against nodes whose updates are never read: tasks that ended there are released on the next."""
+    """Guards against nodes whose updates are never read: the ends of tasks are reported on the next connection."""
     pool = ConnectionPool(lambda: 600)
     connections = [FakePooledConnection(pool) for _ in range(1024)]
     served, now = set[int](), 0
     for _ in range(4):
         now += MIN_UNUSED_US
-        for number, one in enumerate(connections):
-            if one not in pool._last_used_us and pool.acquire(one, now):
+        for number, connection in enumerate(connections):
+            if connection not in pool._last_used_us and pool.acquire(connection, now):
                 served.add(number)
     assert len(served) == 1024
     assert len(pool) == 600
@@ -62,26 +62,26 @@
     nodes = 300
     budget = ConnectionBudget(1000, 342, lambda: nodes)
     assert (budget.max_clients, budget.max_nodes) == (700, 658)
-    budget.client_count = 700  # a flood of clients
+    budget.client_count = 700  # the maximum
     assert budget.max_nodes == 300
-    nodes = 400  # more nodes have joined: some clients have to be closed
+    nodes = 400  # more nodes have joined, so that some clients have to be disconnected
     assert (budget.max_clients, budget.max_nodes) == (600, 400)
     nodes = 700
     assert (budget.max_clients, budget.max_nodes) == (342, 658)
 
 
 def test_a_flood_of_clients_leaves_each_node_its_connection() -> None:
-    """Guards against clients that take the descriptor a node has just released: its reports came too late (soak)."""
+    """Guards against clients that take the descriptor that a node has just released, so that its reports are late."""
     cluster = FakeCluster(nodes=4)
     budget = cluster.service.connection_budget
-    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
+    cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     budget.total, budget.client_floor = 40, 4
     clients = [cluster.connect_client(JSON) for _ in range(40)]
     cluster.run_for(20)
     assert budget.client_count <= budget.max_clients == 40 - 4 - SPARE_NODES
     assert budget.max_nodes >= 4
-    for one in clients:
-        one.stream.close()
+    for client in clients:
+        client.stream.close()
 
 
 def test_the_endpoint_watch_and_the_log_have_reserved_descriptors() -> None:
@@ -94,7 +94,7 @@
 def test_tasks_are_placed_and_released_with_fewer_connections_than_nodes() -> None:
     cluster = FakeCluster(nodes=6)
     budget = cluster.service.connection_budget
-    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
+    cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     budget.total, budget.client_floor = 3, 2  # one connection for all nodes together
     for uid in range(5, 11):
         cluster.client.ask(uid, NodeBehavior.END, service=f"{uid:016x}")
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""Configuration, endpoint watch, log and the process itself."""
+"""Configuration, endpoint watch, log, event loop, and the dispatcher's process from start to end."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def changed(tmp_path: Path, change: Callable[[dict[str, Any]], object]) -> dict[str, str]:
-    """The variables of a start with a changed copy of the example."""
+def changed_environment(tmp_path: Path, change: Callable[[dict[str, Any]], object]) -> dict[str, str]:
+    """Return the environment variables of a dispatcher with a changed copy of the example configuration."""
     value = json.loads(EXAMPLE_CONFIG.read_text())
     change(value)
     path = tmp_path / "config.json"
@@ -58,7 +58,7 @@
     tmp_path: Path, change: Callable[[dict[str, Any]], object], key: str
 ) -> None:
     with pytest.raises(ConfigError, match=key.replace(".", r"\.")):
-        read_config(changed(tmp_path, change))
+        read_config(changed_environment(tmp_path, change))
 
 
 @pytest.mark.parametrize(
@@ -106,7 +106,7 @@
     with start({"LB_CONFIG": str(EXAMPLE_CONFIG), "LB_LISTEN": f"{HOST}:0"}) as process:
         assert process.stdout is not None
         assert " dispatcher-started [" in process.stdout.readline()
-        process.send_signal(signal.SIGHUP)  # left alone, it would end the process
+        process.send_signal(signal.SIGHUP)  # without a handler, it would terminate the process
         assert " config-reloaded " in process.stdout.readline()
         process.send_signal(signal.SIGTERM)
         log_lines, error_output = process.communicate(timeout=TIMEOUT_S)
@@ -115,12 +115,12 @@
     assert not error_output
 
 
-class Feed:
-    """An endpoint source whose responses are scripted: bytes for each request, or None for no response."""
+class ScriptedEndpointSource:
+    """A change log with scripted responses: the bytes for each request, or None to leave it unanswered."""
 
     def __init__(self, loop: Loop, script: list[bytes | None]) -> None:
         self.loop, self.script = loop, script
-        self.asked: list[str] = []
+        self.polled_paths: list[str] = []
         self.sock = socket.create_server((HOST, 0))
         self.sock.setblocking(False)
         loop.spawn(self._accept())
@@ -133,7 +133,7 @@
 
     def _serve(self, stream: Stream) -> Generator[Wait, int, None]:
         while data := (yield from stream.read()):
-            self.asked.append(data.split(b" ")[1].decode())
+            self.polled_paths.append(data.split(b" ")[1].decode())
             response = self.script.pop(0) if self.script else None
             if response is not None:
                 stream.send(response)
@@ -141,7 +141,7 @@
                     stream.end()
 
 
-def http(value: object) -> bytes:
+def json_response(value: object) -> bytes:
     body = json.dumps(value).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
@@ -154,19 +154,19 @@
 def test_the_endpoint_watch_goes_on_after_breaks_silence_and_garbage(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, value in (("POLL_TIMEOUT_MS", 50), ("RESPONSE_GRACE_US", 50_000), ("MIN_BACKOFF_US", 2_000)):
         monkeypatch.setattr(endpoint_watch, name, value)
-    world = FakeCluster(nodes=0)
-    feed = Feed(
-        world.loop,
+    cluster = FakeCluster(nodes=0)
+    source = ScriptedEndpointSource(
+        cluster.loop,
         [
-            http({"seq": 4, "results": [event(4, "a")]}),
-            http({"seq": 4, "results": []}),  # time ran out: nothing new
-            http({"seq": 6, "results": [event(4, "again"), event(5, "b"), event(6, "c")]}),
-            b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{",  # silent midway
+            json_response({"seq": 4, "results": [event(4, "a")]}),
+            json_response({"seq": 4, "results": []}),  # the poll timed out without an event
+            json_response({"seq": 6, "results": [event(4, "again"), event(5, "b"), event(6, "c")]}),
+            b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{",  # incomplete
             b"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n",
             b"no HTTP at all\r\n\r\n",
-            None,  # silent from the start
-            http({"seq": 7, "results": 5}),  # unreadable: polled again
-            http({"seq": 7, "results": [event(7, "d")]}),
+            None,  # unanswered
+            json_response({"seq": 7, "results": 5}),  # invalid, so that it is polled again
+            json_response({"seq": 7, "results": [event(7, "d")]}),
         ],
     )
     updates: list[EndpointListUpdate] = []
@@ -178,33 +178,43 @@
             raise KeyError("whatever")
 
     EndpointWatch(
-        world.loop, feed.sock.getsockname(), 3, lambda us: us, receive, lambda *line: logged.append(line[3])
+        cluster.loop,
+        source.sock.getsockname(),
+        3,
+        lambda us: us,
+        receive,
+        lambda *line: logged.append(line[3]),
     )
-    world.run_until(
-        lambda: any(text.startswith("unexpected KeyError: ") for text in logged) and len(feed.asked) > 9
+    cluster.run_until(
+        lambda: any(text.startswith("unexpected KeyError: ") for text in logged)
+        and len(source.polled_paths) > 9
     )
-    feed.sock.close()
+    source.sock.close()
     assert [update.endpoints[0].name for update in updates] == ["a", "b", "c", "d"]
-    assert since(feed)[:9] == [3, 4, 4, 6, 6, 6, 6, 6, 6]
-    # The first poll returns at once: nothing is sent before the changes made during the start are known.
-    assert [path.partition("timeout=")[2] for path in feed.asked[:3]] == ["1", "50", "50"]
+    assert polled_sequences(source)[:9] == [3, 4, 4, 6, 6, 6, 6, 6, 6]
+    # The first poll does not wait for events: nothing is sent before the changes made during the start are known.
+    assert [path.partition("timeout=")[2] for path in source.polled_paths[:3]] == ["1", "50", "50"]
 
 
-def since(feed: Feed) -> list[int]:
-    """The sequence numbers that an endpoint source was polled with."""
-    return [int(path.partition("since=")[2].partition("&")[0]) for path in feed.asked]
+def polled_sequences(source: ScriptedEndpointSource) -> list[int]:
+    """Return the sequence numbers after which an endpoint source was polled."""
+    return [int(path.partition("since=")[2].partition("&")[0]) for path in source.polled_paths]
 
 
 def test_reload_moves_the_endpoint_watch_at_once_and_keeps_its_number() -> None:
-    """The old address stays open and silent: nothing of the new one may wait for it."""
-    world = FakeCluster(nodes=1)
-    old = Feed(world.loop, [http({"seq": 7, "results": [event(7, "a")]}), None])
-    new = Feed(world.loop, [http({"seq": 8, "results": [event(8, "b")]}), None])
-    known = world.service.config
+    """The old address stays open and does not respond, and the new one must not wait for it."""
+    cluster = FakeCluster(nodes=1)
+    old_source = ScriptedEndpointSource(
+        cluster.loop, [json_response({"seq": 7, "results": [event(7, "a")]}), None]
+    )
+    new_source = ScriptedEndpointSource(
+        cluster.loop, [json_response({"seq": 8, "results": [event(8, "b")]}), None]
+    )
+    initial_config = cluster.service.config
     configs: list[Config | ConfigError] = [
-        replace(known, endpoint_source=old.sock.getsockname()),
+        replace(initial_config, endpoint_source=old_source.sock.getsockname()),
         ConfigError("changelog: not of the form host:port"),
-        replace(known, endpoint_source=new.sock.getsockname(), max_descriptors=256, seed=5),
+        replace(initial_config, endpoint_source=new_source.sock.getsockname(), max_descriptors=256, seed=5),
     ]
 
     def reread() -> Config:
@@ -213,24 +223,24 @@
             raise config
         return config
 
-    world.service._reread = reread
-    world.service.reload()
-    world.run_until(lambda: len(old.asked) == 2)
-    world.service.reload()  # a faulty file leaves the old one in force
-    world.run_for(10)
-    assert world.logged[-1][:3] == (4, "config-reload-failed", {"kept": "old", "code": "TS1001"})
-    assert not new.asked
-    reloaded_us = world.loop.now
-    world.service.reload()
-    assert world.logged[-1][:3] == (5, "config-reloaded", {"restart": "seed"})
-    world.run_until(lambda: len(new.asked) == 2)
-    assert world.loop.now - reloaded_us < endpoint_watch.POLL_TIMEOUT_MS * 1000
-    assert since(old) == [1, 7]
-    assert since(new) == [7, 8]
-    assert {"a", "b"} <= world.service.core.endpoints._machine_by_name.keys()
+    cluster.service._reread = reread
+    cluster.service.reload()
+    cluster.run_until(lambda: len(old_source.polled_paths) == 2)
+    cluster.service.reload()  # invalid: the old configuration stays in force
+    cluster.run_for(10)
+    assert cluster.logged[-1][:3] == (4, "config-reload-failed", {"kept": "old", "code": "TS1001"})
+    assert not new_source.polled_paths
+    reloaded_us = cluster.loop.now
+    cluster.service.reload()
+    assert cluster.logged[-1][:3] == (5, "config-reloaded", {"restart": "seed"})
+    cluster.run_until(lambda: len(new_source.polled_paths) == 2)
+    assert cluster.loop.now - reloaded_us < endpoint_watch.POLL_TIMEOUT_MS * 1000
+    assert polled_sequences(old_source) == [1, 7]
+    assert polled_sequences(new_source) == [7, 8]
+    assert {"a", "b"} <= cluster.service.core.endpoints._machine_by_name.keys()
     assert (
-        world.service.json_frontend.listener.budget.total
-        == descriptor_limits(world.service.config).total
+        cluster.service.json_frontend.listener.budget.total
+        == descriptor_limits(cluster.service.config).total
         < 256
     )
 
@@ -240,7 +250,7 @@
     monkeypatch.setattr(syslog, "STDOUT", writer)
     loop = Loop()
     log = Syslog(loop, "n0", "thornshelf", 0)
-    for number in range(6000):  # far more than a pipe and the buffer hold, and nobody reads
+    for number in range(6000):  # far more than the pipe and the buffer hold, while nobody reads
         log(6, f"flood{number}", {"number": number, "odd": 'a"]\\'}, "x" * 60)
         log.flush()
     output = b""
@@ -257,7 +267,7 @@
 
 
 def test_a_flood_of_one_kind_of_line_is_cut_in_number_and_length(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against misbehaving clients that fill the log and use up the dispatcher's time."""
+    """Guards against misbehaving clients that fill the log and keep the dispatcher busy."""
     monkeypatch.setattr(syslog, "MAX_LINES_PER_SECOND", 5)
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as collector:
         collector.bind((HOST, 0))
@@ -298,38 +308,38 @@
     monkeypatch.setattr(syslog, "RECONNECT_US", 5_000)
     with socket.create_server((HOST, 0)) as collector:
         collector.settimeout(TIMEOUT_S)
-        world = FakeCluster(nodes=0)
-        log = Syslog(world.loop, "n0", "thornshelf", 0, ("tcp", collector.getsockname()))
+        cluster = FakeCluster(nodes=0)
+        log = Syslog(cluster.loop, "n0", "thornshelf", 0, ("tcp", collector.getsockname()))
         for number in range(2):
             log(6, "test", {}, f"line {number}")
-            world.loop.turn()
-            world.run_for(20)  # the connection waits in the backlog
+            cluster.loop.turn()
+            cluster.run_for(20)  # the log's connection now waits in the listener's backlog
             theirs, _ = collector.accept()
             theirs.settimeout(TIMEOUT_S)
-            world.run_for(50)
+            cluster.run_for(50)
             length, _, line = theirs.recv(4096).partition(b" ")
             assert int(length) == len(line)
             assert line.endswith(b"test - line %d" % number)
             theirs.close()
-            world.run_for(50)
+            cluster.run_for(50)
 
 
 def test_a_coroutine_that_fails_ends_no_other() -> None:
     loop = Loop()
-    faults: list[BaseException] = []
-    loop.on_fault = faults.append
+    errors: list[BaseException] = []
+    loop.on_fault = errors.append
 
     def bad() -> Generator[Wait, int, None]:
         yield Wait(until=loop.now)
-        raise ValueError("mine")
+        raise ValueError("in a coroutine")
 
     def good() -> Generator[Wait, int, None]:
         yield Wait(until=loop.now + 2000)
         loop.stop()
 
     def hook() -> bool:
-        if not faults:
-            raise ValueError("a hook's")
+        if not errors:
+            raise ValueError("in a hook")
         return False
 
     loop.spawn(bad())
@@ -337,12 +347,12 @@
     loop.on_turn.append(hook)
     loop.after(0, lambda: [][0])
     loop.run()
-    assert [str(fault) for fault in faults] == ["list index out of range", "mine"]
+    assert [str(error) for error in errors] == ["list index out of range", "in a coroutine"]
     loop.close()
 
 
 def test_the_build_leaves_nothing_to_be_compiled_at_start(tmp_path: Path) -> None:
-    """Guards against starts that compile all sources: on a fraction of a core each restart took twice as long."""
+    """Guards against compiling all sources at each start, which takes long on a fraction of a core."""
     for name in ("thornshelf", "deploy"):
         shutil.copytree(ROOT / name, tmp_path / name, ignore=shutil.ignore_patterns("__pycache__"))
     (tmp_path / ".venv" / "bin").mkdir(parents=True)
@@ -361,8 +371,8 @@
         ).stdout.split()
 
     assert len(run()) > 20
-    assert all(Path(one).exists() for one in run())
-    # A source that is changed without a build counts at once, though its file seems as old and as long.
+    assert all(Path(path).exists() for path in run())
+    # A source that is changed without a build takes effect, even with the same modification time and size.
     changed_file = tmp_path / "thornshelf" / "__init__.py"
     before, text = changed_file.stat(), changed_file.read_text()
     changed_file.write_text(text.replace("a", "b", 1))
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -38,7 +38,7 @@
 def connected_cluster(front: str = JSON, node: str = BINARY, **options: Any) -> FakeCluster:
     """A cluster in which each node has its connection."""
     cluster = FakeCluster(front, node, **options)
-    cluster.run_until(lambda: all(one.streams for one in cluster.nodes))
+    cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     return cluster
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams and listeners: what is buffered, what a broken connection leaves, and errors of accept."""
+"""Streams and listeners: withdrawing buffered messages, failed connections, and errors of accept."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert not stream.retract(chunks[0])
     assert not stream.retract(chunks[-1])
     total = 0
-    theirs.setblocking(False)  # to wait here would keep the loop from writing
+    theirs.setblocking(False)  # waiting here would keep the loop from writing
     limit = time.monotonic() + TIMEOUT_S
     while total < 15 * 60_000 and time.monotonic() < limit:
         loop.after(1000, lambda: None)
@@ -46,7 +46,7 @@
 
 
 def test_a_broken_stream_does_not_block_its_reader() -> None:
-    """Guards against a reader that waits for ever, as the buffered bytes were still counted."""
+    """Guards against a reader that pauses forever because bytes that can't be written still count as buffered."""
     cluster = FakeCluster()
     sock = raw(cluster)
     cluster.run_until(lambda: len(cluster.service.json_frontend._connections) == 2)
@@ -61,18 +61,19 @@
 def test_a_listener_survives_an_error_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = FakeCluster()
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
-    usual, faults = socket.socket.accept, [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")]
+    original_accept = socket.socket.accept
+    errors = [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")]
 
     def accept(sock: socket.socket) -> Any:
-        if faults:
-            raise faults.pop()
-        return usual(sock)
+        if errors:
+            raise errors.pop()
+        return original_accept(sock)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     cluster.client = cluster.connect_client(JSON)
     cluster.client.ask(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
-    assert not faults
+    assert not errors
 
 
 def test_closed_connections_are_counted_back() -> None:
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -35,15 +35,15 @@
         """``placers``: dispatchers in all; this zone has one of them."""
         self.loop, self.logged = Loop(), list[tuple[int, str, dict[str, object], str]]()
         self.nodes, self.own = [FakeNode(self.loop) for _ in range(2 + others)], {0, 1}
-        self.keeper = FakeEndpointSource(self.loop, 1)
-        self.keeper.publish([self.entry(index) for index in range(len(self.nodes))], True)
-        given = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
+        self.endpoint_source = FakeEndpointSource(self.loop, 1)
+        self.endpoint_source.publish([self.entry(index) for index in range(len(self.nodes))], True)
+        base_config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
         config = replace(
-            given,
-            settings=replace(given.settings, placers=placers),
+            base_config,
+            settings=replace(base_config.settings, placers=placers),
             listen=(HOST, 0),
-            endpoint_source=(private(0), self.keeper.ports[0]),
-            initial_endpoints={"seq": 1, "results": self.keeper.events[:1]},
+            endpoint_source=(private(0), self.endpoint_source.ports[0]),
+            initial_endpoints={"seq": 1, "results": self.endpoint_source.events[:1]},
             subset=ZoneSubsetConfig(subset, 1),
         )
         self.service = Service(config, self.loop, lambda *line: self.logged.append(line))
@@ -100,7 +100,7 @@
         return [values for _, one, values, _ in self.logged if one == name]
 
     def close(self) -> None:
-        self.keeper.close()
+        self.endpoint_source.close()
         self.service.close()
         for node in self.nodes:
             node.sock.close()
@@ -138,14 +138,14 @@
     rig = make_rig(subset=replace(CONFIG, cooldown_us=100_000))
     for index in (0, 1):
         rig.nodes[index].die()
-    rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
+    rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.run_until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
     rig.client.ask(21, NodeBehavior.RUN)
     rig.run_until(lambda: 21 in rig.client.placed)
     where = next(index for index in (2, 3, 4) if rig.offers(index))
     for index in (0, 1):
         rig.nodes[index].rise()
-    rig.keeper.publish([rig.entry(index, started_ms=1) for index in (0, 1)])
+    rig.endpoint_source.publish([rig.entry(index, started_ms=1) for index in (0, 1)])
     rig.run_until(
         lambda: len(rig.service.core.endpoints.nodes) == 3
     )  # the own two, and the one where a task runs
@@ -164,11 +164,11 @@
     rig = make_rig(others=1)
     for index in (0, 1):
         rig.nodes[index].die()
-    rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
+    rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.run_until(lambda: rig.connected(2))
     rig.client.ask(31, NodeBehavior.RUN)
     rig.run_until(lambda: 31 in rig.client.placed)
-    rig.keeper.publish([rig.entry(2, "terminating")])
+    rig.endpoint_source.publish([rig.entry(2, "terminating")])
     machine = rig.service.core.endpoints.machine_id("s-00000003")
     rig.run_until(lambda: not rig.service.core.endpoints.is_up(machine))
     rig.client.ask(32, NodeBehavior.RUN)
@@ -184,10 +184,12 @@
     rig.nodes.append(FakeNode(rig.loop))
     own = len(rig.nodes) - 1
     rig.own.add(own)
-    rig.keeper.publish([rig.entry(own)])
+    rig.endpoint_source.publish([rig.entry(own)])
     rig.run_until(lambda: rig.connected(own))
-    part = next(part for part in rig.service.components if isinstance(part, SubsettingComponent))
-    sampled = {entry.name for zone in part.subset.zones.values() for entry in zone.sample}
+    component = next(
+        component for component in rig.service.components if isinstance(component, SubsettingComponent)
+    )
+    sampled = {entry.name for zone in component.subset.zones.values() for entry in zone.sample}
     unsampled = next(index for index in range(2, own) if f"s-{index + 1:08x}" not in sampled)
     rig.client.ask(41, NodeBehavior.RUN)
     rig.run_until(lambda: 41 in rig.client.placed)
@@ -209,22 +211,24 @@
     make_rig: RigFactory,
 ) -> None:
     rig = make_rig()
-    rig.keeper.silent.add(0)
+    rig.endpoint_source.silent.add(0)
     rig.run_for(100)
-    rig.keeper.publish([rig.entry(index, "terminated") for index in (0, 1)])
+    rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.client.ask(61, NodeBehavior.RUN)
     rig.run_until(lambda: 61 in rig.client.placed)  # by a node whose removal is not known here
     rig.run_for(1_500)
     assert len(rig.service.core.endpoints.nodes) == 2
     assert not rig.released(61)
-    rig.keeper.silent.clear()
+    rig.endpoint_source.silent.clear()
     rig.run_until(lambda: rig.released(61))
     rig.run_until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
 
 
 def test_a_corrupt_entry_is_skipped(make_rig: RigFactory) -> None:
     rig = make_rig()
-    rig.keeper.publish([{"instanceId": "s-0000000a", "lifecycle": "asleep"}, rig.entry(0, "terminating")])
+    rig.endpoint_source.publish(
+        [{"instanceId": "s-0000000a", "lifecycle": "asleep"}, rig.entry(0, "terminating")]
+    )
     machine = rig.service.core.endpoints.machine_id("s-00000001")
     rig.run_until(lambda: not rig.service.core.endpoints.is_up(machine))
     assert len(rig.logs("endpoint-invalid")) == 1
--- a/thornshelf/discovery/endpoint_events.py
+++ b/thornshelf/discovery/endpoint_events.py
@@ -120,6 +120,7 @@
         version = update.version
         endpoints |= {endpoint.name: endpoint for endpoint in update.endpoints}
     if complete:
-        remaining = [endpoint for endpoint in endpoints.values() if endpoint.health is not Health.REMOVED]
+        remaining = [entry for entry in endpoints.values() if entry.health is not Health.REMOVED]
+
         return EndpointListUpdate(True, version, remaining)
     return EndpointListUpdate(False, version, list(endpoints.values()))
