--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A graceful shutdown: what arrives in time is accepted, read and answered, and no byte is left unsent."""
+"""Graceful shutdown: requests that arrive in time are accepted, read and answered, and all data is sent."""
 
 from __future__ import annotations
 
@@ -16,14 +16,12 @@
 
 PLACED = ("placed", DESCRIPTION)
 WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
-
-
 DELAY_US = 100_000
 
 
 @dataclass(frozen=True)
 class Shutdown:
-    """A shutdown that has begun: when the dispatcher stopped, and when it starts to close connections."""
+    """A started shutdown: when the dispatcher has stopped, if it has, and when it starts to close connections."""
 
     stopped_at: list[int]
     closes_at: int
@@ -31,19 +29,19 @@
 
 @pytest.fixture(autouse=True)
 def _short_delay(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The dispatcher serves on for a shorter time than in operation."""
+    """Shorten the time for which a dispatcher keeps serving."""
     monkeypatch.setattr(graceful_shutdown, "SHUTDOWN_DELAY_US", DELAY_US)
 
 
 def connected_cluster(front: str = JSON, node: str = BINARY, **options: Any) -> FakeCluster:
-    """A cluster in which each node has its connection."""
+    """Return a cluster in which all nodes are connected."""
     cluster = FakeCluster(front, node, **options)
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     return cluster
 
 
 def shut_down(cluster: FakeCluster) -> Shutdown:
-    """Begin the shutdown. The loop runs on after the dispatcher has stopped, for the fakes."""
+    """Start the shutdown. The loop keeps running for the fakes after the dispatcher has stopped."""
     stopped_at: list[int] = []
     cluster.loop.stop = lambda: stopped_at.append(cluster.loop.now)  # type: ignore[method-assign]
     cluster.service.shut_down()
@@ -52,7 +50,7 @@
 
 
 def launch_line(uid: int, behavior: NodeBehavior, at: str = "") -> bytes:
-    """A client's request for a task."""
+    """Return the line of a client's request for a task."""
     extras = f"cores:1;memory:2;service:{7:016x}" + (f";at:{at}" if at else "")
     meta = {"class": "lookup", "left": "8000", "key": f"{uid:016x}", "extras": extras}
     value = {"kind": "launch", "uid": f"{uid:016x}", "meta": meta, "body": behavior.value.decode()}
@@ -60,22 +58,22 @@
 
 
 def answers(received: bytes) -> dict[int, str]:
-    """The kind of the last line about each task."""
+    """Return the kind of the last received line about each task."""
     reader = jsonl.LineReader()
     reader.feed(received)
     found = {}
-    while (one := reader.next()) is not None:
-        found[one.uid] = one.kind
+    while (line := reader.next()) is not None:
+        found[line.uid] = line.kind
     return found
 
 
 def test_connections_that_wait_to_be_accepted_at_shutdown_are_served() -> None:
-    """Guards against a starved process that closes its listener on them: one turn accepts only a part of them."""
+    """Guards against closing the listener with connections in its backlog, as one turn accepts only some of them."""
     cluster = connected_cluster()
     shutdown = shut_down(cluster)
     crowd: list[socket.socket] = []
 
-    def connect_crowd() -> None:  # in the turn that closes connections, after the descriptors were polled
+    def connect_crowd() -> None:  # called after the poll of the turn in which the shutdown closes connections
         for uid in range(100, 250):
             crowd.append(socket.create_connection(cluster.service.json_frontend.listener.address))
             crowd[-1].sendall(launch_line(uid, NodeBehavior.RUN))
@@ -83,14 +81,14 @@
 
     cluster.loop.at(shutdown.closes_at, connect_crowd)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
-    heard = {uid: kind for one in crowd for uid, kind in answers(read_all(cluster, one)).items()}
-    assert heard.keys() == set(range(100, 250))
-    assert "running" in heard.values()
+    received = {uid: kind for sock in crowd for uid, kind in answers(read_all(cluster, sock)).items()}
+    assert received.keys() == set(range(100, 250))
+    assert "running" in received.values()
 
 
 @pytest.mark.parametrize("rest", [b"", b"x"])
 def test_unread_input_at_shutdown_is_answered_and_not_reset(rest: bytes) -> None:
-    """Guards against a close that resets a connection whose request was received after the last poll."""
+    """Guards against resetting a connection by a close, if its request has arrived after the last poll."""
     cluster = connected_cluster()
     sock = stranger(cluster, JSON)
     cluster.run_for(20)
@@ -102,11 +100,11 @@
     if rest:
         cluster.loop.at(shutdown.closes_at + 20_000, lambda: sock.sendall(request[len(request) // 2 :]))
     cluster.run_until(lambda: cluster.offer_count(100) == 1)
-    cluster.run_for(150)  # longer than any interval of the shutdown itself
+    cluster.run_for(150)  # longer than the delay and the intervals of the shutdown
     assert not shutdown.stopped_at
-    for one in cluster.nodes:
-        if 100 in one.waiting:
-            one.start(100)
+    for node in cluster.nodes:
+        if 100 in node.waiting:
+            node.start(100)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
     assert answers(read_all(cluster, sock)) == {100: "running"}
 
@@ -119,18 +117,18 @@
     shutdown = shut_down(cluster)
     cluster.run_for(200)
     assert not shutdown.stopped_at
-    served: Any = cluster.service.frontends[front == GRPC]
-    listening = next(iter(served._connections))
-    full: list[bool] = []
-    write = listening.stream._write
-    listening.stream._write = lambda: False if len(full) == 0 else write()
-    for one in cluster.nodes:
-        if 5 in one.waiting:
-            one.start(5)
-    cluster.run_until(lambda: bool(listening.stream.buffered_bytes))
+    frontend: Any = cluster.service.frontends[front == GRPC]
+    connection = next(iter(frontend._connections))
+    writable: list[bool] = []
+    write = connection.stream._write
+    connection.stream._write = lambda: False if len(writable) == 0 else write()
+    for waiting_node in cluster.nodes:
+        if 5 in waiting_node.waiting:
+            waiting_node.start(5)
+    cluster.run_until(lambda: bool(connection.stream.buffered_bytes))
     cluster.run_for(200)
     assert not shutdown.stopped_at
-    full.append(True)
+    writable.append(True)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
     cluster.run_until(lambda: 5 in cluster.client.heard)
     assert cluster.client.heard[5] == [PLACED]
@@ -138,27 +136,27 @@
 
 @WIRES
 def test_a_release_is_sent_before_it_stops(front: str, node: str) -> None:
-    """Guards against a task that runs on without a client: the connection to its node was being opened."""
+    """Guards against a task that runs on without a client because its node's connection is still being opened."""
     cluster = connected_cluster(front, node, nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
-    (one,) = cluster.nodes
+    (fake_node,) = cluster.nodes
     shutdown = shut_down(cluster)
     cluster.loop.at(shutdown.closes_at - 30_000, lambda: cluster.client.give_up(5))
-    cluster.loop.at(shutdown.closes_at - 30_000, one.break_streams)
+    cluster.loop.at(shutdown.closes_at - 30_000, fake_node.break_streams)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
-    assert ("release", 5) in one.seen
+    assert ("release", 5) in fake_node.seen
 
 
 @WIRES
 def test_a_release_is_sent_again_where_its_connection_broke(front: str, node: str) -> None:
-    """Guards against a release that is lost in the system's buffers when the connection is reset."""
+    """Guards against a release that is lost in the operating system's buffers when the connection is reset."""
     cluster = FakeCluster(front, node, nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
-    (one,) = cluster.nodes
+    (fake_node,) = cluster.nodes
     link: Any = cluster.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
-    one.deaf = True
+    fake_node.deaf = True
     cluster.client.give_up(5)
     cluster.run_until(
         lambda: 1 in cluster.service.core.tasks_by_machine
@@ -166,16 +164,16 @@
     )
     cluster.run_for(20)
     assert not link.stream.buffered_bytes
-    assert ("release", 5) not in one.seen
-    one.break_streams()
-    one.deaf = False
-    cluster.run_until(lambda: ("release", 5) in one.seen)
+    assert ("release", 5) not in fake_node.seen
+    fake_node.break_streams()
+    fake_node.deaf = False
+    cluster.run_until(lambda: ("release", 5) in fake_node.seen)
     cluster.run_until(lambda: not cluster.service.core.endpoints.nodes[1].pending_cancellations)  # type: ignore[attr-defined]
-    assert one.seen.count(("release", 5)) == 1
+    assert fake_node.seen.count(("release", 5)) == 1
 
 
 def test_a_connection_with_unsent_data_makes_no_room() -> None:
-    """Guards against a release that is written and never sent, as its connection is closed for another one."""
+    """Guards against evicting a connection whose release was written and has not arrived."""
     cluster = FakeCluster(nodes=1)
     cluster.client.ask(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
@@ -188,7 +186,7 @@
 
 
 def test_a_client_that_has_just_sent_makes_no_room_for_another() -> None:
-    """Guards against a reset of a request that was received but not read yet."""
+    """Guards against evicting a client whose request has arrived and was not read yet."""
     cluster = FakeCluster(nodes=0)
     silent = stranger(cluster, JSON)
     active = stranger(cluster, JSON)
@@ -197,9 +195,9 @@
     active.sendall(launch_line(6, NodeBehavior.RUN))
     silent.sendall(b"")
     closed = [cluster.service.json_frontend.evict_idle() for _ in range(3)]
-    assert closed.count(True) == 2  # the silent one, and the first client, which has asked for nothing
+    assert closed.count(True) == 2  # the silent client, and the cluster's own, which has sent no request
     cluster.run_for(50)
-    assert answers(active.recv(4096)) == {6: "stop"}  # refused, as there is no node
+    assert answers(active.recv(4096)) == {6: "stop"}  # rejected, as there is no node
     active.close()
     assert read_all(cluster, silent) == b""
 
@@ -210,7 +208,7 @@
     monkeypatch.setattr(graceful_shutdown, "FLUSH_TIMEOUT_US", 50_000)
     cluster = connected_cluster()
     sock = stranger(cluster, JSON, HOST)
-    sock.sendall(launch_line(100, NodeBehavior.RUN)[:30])  # and no more
+    sock.sendall(launch_line(100, NodeBehavior.RUN)[:30])  # an incomplete request
     cluster.run_for(20)
     shutdown = shut_down(cluster)
     cluster.service.shut_down()
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -1,4 +1,4 @@
-"""Processes that hold a part of the list, under load: stopped, partitioned from the list, without their zone."""
+"""A dispatcher process with a subset of the nodes, under load: paused, partitioned from the list, and zone lost."""
 
 from __future__ import annotations
 
@@ -17,40 +17,40 @@
 from thornshelf.lab.scale.testbed import Dispatcher, ScaleTestbed
 
 NODES = 84  # three in each zone
-ZONE = range(1, NODES, 28)  # the subset's own
+ZONE = range(1, NODES, 28)  # the nodes of zone 1
 
 
 @pytest.fixture
 def testbed(tmp_path: Path) -> Iterator[ScaleTestbed]:
-    """One dispatcher that holds all nodes, and one of zone 1, over hollow nodes in a process of their own."""
+    """One dispatcher that holds all nodes and one of zone 1, with simulated nodes in a process of their own."""
     layout = Layout(11, free_port([private(0)]))
     nodes = Nodes(layout, NODES, NODES)
-    made = ScaleTestbed(layout, nodes, NODES, 2, tmp_path, Bounds(100.0), 2)
+    scale_testbed = ScaleTestbed(layout, nodes, NODES, 2, tmp_path, Bounds(100.0), 2)
     try:
-        made.start_real(0, False)
-        made.start_real(1, True)
-        made.ready()
-        yield made
+        scale_testbed.start_real(0, False)
+        scale_testbed.start_real(1, True)
+        scale_testbed.ready()
+        yield scale_testbed
     finally:
-        made.close()
+        scale_testbed.close()
         nodes.end()
 
 
-def last_logged(one: Dispatcher, field: str) -> int:
-    """A field of the last line in which a dispatcher logged the nodes that it holds; -1 without such a line."""
+def last_logged(dispatcher: Dispatcher, field: str) -> int:
+    """Return a field of the last log line about the nodes that a dispatcher holds, or -1 if there is none."""
     found = re.findall(
-        rf' subset-changed \[thornshelf@32473 .*?{field}="(\d+)"', one.process.log_path.read_text()
+        rf' subset-changed \[thornshelf@32473 .*?{field}="(\d+)"', dispatcher.process.log_path.read_text()
     )
     return int(found[-1]) if found else -1
 
 
-def placed_tasks(testbed: ScaleTestbed, one: Dispatcher) -> int:
-    assert one.county is not None
-    return sum(bool(task.get("placed")) for task in one.county.tasks.values())
+def placed_tasks(testbed: ScaleTestbed, dispatcher: Dispatcher) -> int:
+    assert dispatcher.county is not None
+    return sum(bool(task.get("placed")) for task in dispatcher.county.tasks.values())
 
 
 def violations(testbed: ScaleTestbed) -> tuple[int, int, int]:
-    """Tasks lost, doubled, and sent to a draining node, as the fake clients and nodes count them."""
+    """Count the tasks that were lost, that ran twice, and that were sent to a draining node."""
     testbed.rest(3.0)
     tally = testbed.nodes.tell(Count())
     testbed.truth.over = tally.over
@@ -61,7 +61,7 @@
 def test_a_stopped_process_of_a_lost_zone_continues_on_other_zones_and_loses_no_task(
     testbed: ScaleTestbed,
 ) -> None:
-    """It is stopped as its zone is lost, and partitioned as that returns; another holds the complete list."""
+    """The process is paused while its zone is lost, and partitioned from the change log while the zone returns."""
     complete, subset = testbed.real
     assert last_logged(subset, "own") == 3
     assert last_logged(subset, "known") == NODES
@@ -81,7 +81,7 @@
     testbed.nodes.tell(Rise(ZONE))
     testbed.tell(*(testbed.layout.entry(node, started_ms=1) for node in ZONE))
     testbed.load(1.0, 20.0)
-    assert last_logged(subset, "own") == 0  # the return is not known to it, and it continues
+    assert last_logged(subset, "own") == 0  # it does not know of the return, and keeps serving
     testbed.keeper.silent.clear()
     assert testbed.until(lambda: last_logged(subset, "own") == 3, 10.0)
     testbed.load(1.0, 20.0)
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -1,4 +1,4 @@
-"""A dispatcher that holds a part of the list, on sockets: its connections, and races with changes of the list."""
+"""A dispatcher with a subset of the nodes, on sockets: its connections, and races with changes of the list."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 class Rig:
-    """A dispatcher of zone a, with two nodes there and others in zone b, and the change log, all on one loop."""
+    """A dispatcher in zone a with two nodes there and others in zone b, and a fake change log, on one loop."""
 
     def __init__(self, others: int = 3, subset: SubsetConfig = CONFIG, placers: int = 1) -> None:
-        """``placers``: dispatchers in all; this zone has one of them."""
+        """``others``: nodes of zone b. ``placers``: dispatchers in all zones together; zone a has one of them."""
         self.loop, self.logged = Loop(), list[tuple[int, str, dict[str, object], str]]()
         self.nodes, self.own = [FakeNode(self.loop) for _ in range(2 + others)], {0, 1}
         self.endpoint_source = FakeEndpointSource(self.loop, 1)
@@ -51,7 +51,7 @@
         self.run_until(lambda: self.client.stream is not None and self.connected(0) and self.connected(1))
 
     def entry(self, index: int, lifecycle: str = "in_service", started_ms: int = 0) -> dict[str, Any]:
-        """A node as the change log shows it: the first two are of the own zone."""
+        """Return a node's entry in the change log; the nodes in ``own`` belong to the dispatcher's own zone."""
         return {
             "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{self.nodes[index].port}",
             "zone": OWN if index in self.own else OTHER, "machineType": "node-small", "cell": 1,
@@ -62,7 +62,7 @@
         return any(stream.open for stream in self.nodes[index].streams)
 
     def run_until(self, condition: Any) -> None:
-        """Turn the loop until a condition holds; fails where that takes too long."""
+        """Run the loop until a condition holds; fails if that takes longer than ``TIMEOUT_S``."""
         end = self.loop.now + int(TIMEOUT_S * 1e6)
         while not condition():
             assert self.loop.now < end, "the condition did not hold in time"
@@ -74,7 +74,7 @@
         self.run_until(lambda: self.loop.now >= end)
 
     def hand_over(self, uid: int, index: int) -> None:
-        """The client hands over a task that runs on a node already."""
+        """Send the client's request for a task that already runs on a node."""
         meta = {
             "class": "lookup",
             "left": "8000",
@@ -87,17 +87,17 @@
         self.client.send(jsonl.encode_line("launch", uid, meta, body=b"x"))
 
     def end_task(self, uid: int, index: int) -> None:
-        """The node reports a task's end on its newest connection."""
+        """Report the end of a task on the node's newest connection."""
         self.nodes[index].voices[-1].end(uid, 16, 0)
 
     def released(self, uid: int) -> bool:
-        return any(what[0] == "released" for what in self.client.heard.get(uid, []))
+        return any(event[0] == "released" for event in self.client.heard.get(uid, []))
 
     def offers(self, index: int) -> int:
         return sum(kind == "offer" for kind, _ in self.nodes[index].seen)
 
     def logs(self, name: str) -> list[dict[str, object]]:
-        return [values for _, one, values, _ in self.logged if one == name]
+        return [values for _, message_id, values, _ in self.logged if message_id == name]
 
     def close(self) -> None:
         self.endpoint_source.close()
@@ -111,16 +111,16 @@
 
 @pytest.fixture
 def make_rig() -> Iterator[RigFactory]:
-    """Makes rigs that are closed at the end of the test."""
-    made: list[Rig] = []
+    """Return a function that creates rigs; they are closed at the end of the test."""
+    rigs: list[Rig] = []
 
     def make(**options: Any) -> Rig:
         rig = Rig(**options)
-        made.append(rig)
+        rigs.append(rig)
         return rig
 
     yield make
-    for rig in made:
+    for rig in rigs:
         rig.close()
 
 
@@ -146,9 +146,9 @@
     for index in (0, 1):
         rig.nodes[index].rise()
     rig.endpoint_source.publish([rig.entry(index, started_ms=1) for index in (0, 1)])
-    rig.run_until(
-        lambda: len(rig.service.core.endpoints.nodes) == 3
-    )  # the own two, and the one where a task runs
+    # The two nodes of the own zone, and the one on which a task runs.
+    rig.run_until(lambda: len(rig.service.core.endpoints.nodes) == 3)
+
     rig.run_for(300)
     assert len(rig.service.core.endpoints.nodes) == 3
     assert not rig.released(21)
@@ -179,7 +179,7 @@
 
 
 def test_the_end_of_a_predecessors_task_on_a_node_that_is_not_held_is_reported(make_rig: RigFactory) -> None:
-    """The node came after the first event, and no entry of it is kept: the relist removes no node."""
+    """The node was added after the first event and is in no sample; the relist that finds it removes no node."""
     rig = make_rig(others=40)
     rig.nodes.append(FakeNode(rig.loop))
     own = len(rig.nodes) - 1
@@ -215,7 +215,7 @@
     rig.run_for(100)
     rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.client.ask(61, NodeBehavior.RUN)
-    rig.run_until(lambda: 61 in rig.client.placed)  # by a node whose removal is not known here
+    rig.run_until(lambda: 61 in rig.client.placed)  # on a node whose removal the dispatcher does not know of
     rig.run_for(1_500)
     assert len(rig.service.core.endpoints.nodes) == 2
     assert not rig.released(61)
@@ -256,11 +256,11 @@
 def test_the_zone_shares_its_nodes_and_each_tenant_keeps_its_fraction_of_the_quota(
     make_rig: RigFactory,
 ) -> None:
-    """Averages of a zone are divided by its own dispatchers, the slow start of nodes and quotas by all."""
+    """A zone's load is divided by its own dispatchers; quotas and the slow start of nodes are divided by all."""
     rig = make_rig(placers=8)
     placer = rig.service.core.placer
     assert placer.settings.placers == 1
     assert placer.slow_start.placers == 8
     assert placer.settings.zone == OWN
-    for one in rig.service.config.settings.tenants:
-        assert placer.accounting.quota_cores[one.name] == pytest.approx(one.quota_cores / 8)
+    for tenant in rig.service.config.settings.tenants:
+        assert placer.accounting.quota_cores[tenant.name] == pytest.approx(tenant.quota_cores / 8)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""The part of the list that a dispatcher holds: rules that any events leave intact, and what follows from faults."""
+"""The subset of nodes that a dispatcher holds: invariants under any events, and the response to lost nodes."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 
 
 def full_list(nodes_per_zone: int = 20) -> list[Node]:
-    """A complete list with so many nodes of each zone."""
+    """Return a complete list of the nodes of all zones."""
     return [Node(f"n{zone[-2:]}-{number:02d}", zone) for zone in ZONES for number in range(nodes_per_zone)]
 
 
 @dataclass
 class Core:
-    """What a core would know by the changes that it was given."""
+    """Applies a subset's changes as the dispatcher core would, and records removed nodes that had tasks."""
 
     known: dict[str, Node] = field(default_factory=dict)
     busy: set[str] = field(default_factory=set)
-    lost: list[str] = field(default_factory=list)  # nodes that were removed while a task of ours ran there
+    lost: list[str] = field(default_factory=list)  # nodes that were removed while a task ran there
     now: int = SECOND
 
     def __post_init__(self) -> None:
@@ -75,7 +75,7 @@
             self.receive(self.subset.review(RequestCounts(self.received, self.rejected), self.now))
 
     def up(self, zone: str | None = None) -> set[str]:
-        """Nodes to which this core may send tasks: of one zone, or of all but its own."""
+        """Return the nodes to which this core may send tasks: those of one zone, or of all but its own."""
         return {
             name
             for name, node in self.known.items()
@@ -107,26 +107,28 @@
 def test_the_core_knows_the_nodes_that_it_may_after_any_events(
     steps: list[tuple[str, int, object]],
 ) -> None:
-    """Own nodes all of the time; of others only live ones as up, and none with a running task is removed by us."""
+    """The own zone is always known; others are up only if listed so, and are kept while a task runs there."""
     core, listed_nodes = Core(), {node.name: node for node in full_list(8)}
     core.apply(*listed_nodes.values(), complete=True)
     names = sorted(listed_nodes)
-    for kind, number, what in steps:
-        name = names[number] if kind in ("state", "busy", "retain") else ""
-        if kind == "state" and isinstance(what, Health):
+    for action, number, argument in steps:
+        name = names[number] if action in ("state", "busy", "retain") else ""
+        if action == "state" and isinstance(argument, Health):
             old = listed_nodes[name]
-            if what is UP or old.health is not REMOVED:
-                listed_nodes[name] = replace(old, health=what, incarnation=old.incarnation + (what is UP))
-                if what is REMOVED:
-                    core.busy.discard(name)  # the list itself removed it: the tasks there have ended
+            if argument is UP or old.health is not REMOVED:
+                listed_nodes[name] = replace(
+                    old, health=argument, incarnation=old.incarnation + (argument is UP)
+                )
+                if argument is REMOVED:
+                    core.busy.discard(name)  # the list has removed the node, so its tasks have ended
                 core.apply(listed_nodes[name])
-        elif kind == "review" and isinstance(what, int):
-            core.review(number, 40, what)
-        elif kind == "busy":
-            core.busy = core.busy | {name} if what and name in core.known else core.busy - {name}
-        elif kind == "retain":
+        elif action == "review" and isinstance(argument, int):
+            core.review(number, 40, argument)
+        elif action == "busy":
+            core.busy = core.busy | {name} if argument and name in core.known else core.busy - {name}
+        elif action == "retain":
             core.receive(core.subset.retain(name))
-        elif kind == "list":
+        elif action == "list":
             core.apply(*(node for node in listed_nodes.values() if node.health is not REMOVED), complete=True)
         listed = {name: node for name, node in listed_nodes.items() if node.health is not REMOVED}
         assert {name for name, node in core.known.items() if node.zone == OWN} == {
@@ -173,7 +175,7 @@
 
 
 def test_two_members_hold_different_spare_nodes() -> None:
-    """So that a lost zone is not replaced by the same few nodes of each other zone."""
+    """Guards against members that all replace a lost zone by the same few nodes of other zones."""
     nodes = [f"n{number}" for number in range(1000)]
     first = set(sorted(nodes, key=lambda name: rendezvous_rank("m01", name))[:100])
     second = set(sorted(nodes, key=lambda name: rendezvous_rank("m02", name))[:100])
@@ -261,7 +263,7 @@
 
 
 def test_a_node_named_by_a_client_is_held_until_its_tasks_end() -> None:
-    """A restarted dispatcher holds no spare nodes, and tasks of its predecessor run on some."""
+    """A restarted dispatcher holds no spare nodes yet, but its predecessor's tasks may run on some."""
     core = Core()
     core.apply(*full_list(200), complete=True)
     sampled = {node.name for zone in core.subset.zones.values() for node in zone.sample}
@@ -287,7 +289,7 @@
 
 
 def test_a_repeated_removal_holds_no_node() -> None:
-    """Guards against endless relists: an old event names a node that was removed long ago."""
+    """Guards against endless relists after an old event about a node that was removed long ago."""
     core = reviewed_core()
     core.apply(Node("n00-99", OWN, REMOVED), Node("n01-99", "zone-01", REMOVED))
     assert "n00-99" not in core.known
