--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -36,7 +36,7 @@
 def connected_cluster(front: str = JSON, node: str = BINARY, **options: Any) -> FakeCluster:
     """Return a cluster in which all nodes are connected."""
     cluster = FakeCluster(front, node, **options)
-    cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
+    cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
     return cluster
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -61,8 +61,10 @@
 def test_a_listener_survives_an_error_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = FakeCluster()
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
-    original_accept = socket.socket.accept
-    errors = [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")]
+    original_accept, errors = (
+        socket.socket.accept,
+        [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")],
+    )
 
     def accept(sock: socket.socket) -> Any:
         if errors:
--- a/thornshelf/lifecycle/graceful_shutdown.py
+++ b/thornshelf/lifecycle/graceful_shutdown.py
@@ -12,7 +12,7 @@
 from thornshelf.components import Host
 from thornshelf.loop import Wait
 
-SHUTDOWN_DELAY_US = 750_000  # requests may still arrive for so long after the shutdown was requested
+SHUTDOWN_DELAY_US = 750_000  # how long requests are still expected after the shutdown request
 FLUSH_TIMEOUT_US = 1_000_000  # how long to wait for peers that are slow to read, once no request is open
 
 _CHECK_INTERVAL_US = 5_000
--- a/thornshelf/lifecycle/signals.py
+++ b/thornshelf/lifecycle/signals.py
@@ -9,7 +9,7 @@
 from thornshelf.loop import Loop, Wait
 from thornshelf.loop.loop import IN
 
-_READ_SIZE = 64  # at most so many signals are read at once
+_READ_SIZE = 64  # the maximum number of signals per read
 
 
 def watch_signals(loop: Loop, handlers: Mapping[signal.Signals, Callable[[], None]]) -> None:
--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -22,7 +22,7 @@
 _ERROR_MASK = select.EPOLLERR | select.EPOLLHUP
 MAX_SLEEP_US = 1_000_000
 TURN_BUDGET_US = 20_000  # a turn steps no further coroutine after this time
-STEPS_PER_CLOCK_CHECK = 8  # the budget is checked once for so many steps
+STEPS_PER_CLOCK_CHECK = 8  # the clock is compared with the budget once in this many steps
 IMMEDIATE_POLL_US = 300  # a poll that returns sooner did not sleep: its events were already there
 MAX_CANCELLED_TIMERS = 256  # with more of them, cancelled timers are removed before they are due
 
--- a/thornshelf/nodes/liveness.py
+++ b/thornshelf/nodes/liveness.py
@@ -12,9 +12,9 @@
     from thornshelf.nodes.ports import MonitoredLink
 
 CHECK_INTERVAL_US = 100_000
-MAX_PARTIAL_CHECKS = 3  # the connection is closed if a message is still incomplete after so many checks
-CHECKS_BEFORE_PING = 4  # the peer is pinged after so many checks in a row without received data
-MAX_UNANSWERED_CHECKS = 12  # the connection is closed after so many checks in a row without received data
+MAX_PARTIAL_CHECKS = 3  # the connection is closed if a message is still incomplete after this many checks
+CHECKS_BEFORE_PING = 4  # the peer is pinged after this many checks in a row without received data
+MAX_UNANSWERED_CHECKS = 12  # the connection is closed after this many checks in a row without received data
 
 
 class LivenessMonitor:
--- a/thornshelf/nodes/reconnect.py
+++ b/thornshelf/nodes/reconnect.py
@@ -31,9 +31,8 @@
     def __init__(self, node: ReconnectingNode) -> None:
         self._node = node
         self._task: Task | None = None
-        self._last_closed_by_peer = (
-            False  # the node closed the last connection, so that its process may be dead
-        )
+        # The node closed the last connection, so that its process may be dead.
+        self._last_closed_by_peer = False
         self._last_short_lived = False  # the last connection ended within RECONNECT_BACKOFF_US
         settings = node.core.settings
         self._backoff_us = int(reconnect_delay_s(RECONNECT_BACKOFF_US / 1e6, settings.placers) * 1e6)
@@ -50,7 +49,7 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether a connection is open, or is being opened or awaited after a backoff."""
+        """Whether a connection is open, being opened, or due after a backoff."""
         return self._task is not None and not self._task.done
 
     def ensure_connecting(self) -> None:
@@ -70,7 +69,8 @@
             self.ensure_connecting()
 
     def _keep_connected(self) -> Generator[Wait, int, None]:
-        """Connect and serve the link, again and again while something is expected of the node."""
+        """Connect and serve the link, and reconnect while something is expected of the node."""
+
         node = self._node
         self._last_closed_by_peer = False
         self._last_short_lived = False
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -69,6 +69,10 @@
 
     ``loop`` and ``log`` replace the default event loop and log. ``reread`` reads the configuration again for a
     reload; without it, a reload changes nothing. Raises ``ConfigError`` if the configuration can't be used.
+
+    Components extend it: ``node_factories`` are tried in order to connect to a node, before the default, binary
+    messages; ``endpoint_filter`` selects this dispatcher's part of each update of the endpoint list;
+    ``endpoint_listeners`` are called with that part, after the core has applied it.
     """
 
     def __init__(
