--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -314,13 +314,13 @@
             log(6, "test", {}, f"line {number}")
             cluster.loop.turn()
             cluster.run_for(20)  # the log's connection now waits in the listener's backlog
-            theirs, _ = collector.accept()
-            theirs.settimeout(TIMEOUT_S)
+            peer_sock, _ = collector.accept()
+            peer_sock.settimeout(TIMEOUT_S)
             cluster.run_for(50)
-            length, _, line = theirs.recv(4096).partition(b" ")
+            length, _, line = peer_sock.recv(4096).partition(b" ")
             assert int(length) == len(line)
             assert line.endswith(b"test - line %d" % number)
-            theirs.close()
+            peer_sock.close()
             cluster.run_for(50)
 
 
@@ -361,8 +361,8 @@
         shutil.copy(ROOT / "requirements.txt", tmp_path / name)
     build = tomllib.loads((tmp_path / "deploy" / "balancer.toml").read_text())["build"]
     subprocess.run(["/bin/sh", "-c", build], cwd=tmp_path, check=True, timeout=TIMEOUT_S * 3)
-    ours = "[m.__cached__ for name, m in sys.modules.items() if name.startswith('thornshelf')]"
-    script = f"import sys, thornshelf.__main__; print(*{ours}, sep='\\n')"
+    cached_paths = "[m.__cached__ for name, m in sys.modules.items() if name.startswith('thornshelf')]"
+    script = f"import sys, thornshelf.__main__; print(*{cached_paths}, sep='\\n')"
     command = [sys.executable, "-B", "-c", script]
 
     def run() -> list[str]:
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -18,10 +18,10 @@
 def test_only_messages_of_which_no_byte_was_sent_can_be_withdrawn() -> None:
     loop = Loop()
     listener = socket.create_server(("127.0.0.1", 0))
-    ours = socket.create_connection(listener.getsockname())
-    theirs, _ = listener.accept()
-    stream = Stream(loop, ours, "peer")
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    sock = socket.create_connection(listener.getsockname())
+    peer_sock, _ = listener.accept()
+    stream = Stream(loop, sock, "peer")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     chunks = [stream.send(bytes(60_000)) for _ in range(16)]
     stream.flush()
     assert chunks[0].sent > 0
@@ -30,17 +30,17 @@
     assert not stream.retract(chunks[0])
     assert not stream.retract(chunks[-1])
     total = 0
-    theirs.setblocking(False)  # waiting here would keep the loop from writing
+    peer_sock.setblocking(False)  # waiting here would keep the loop from writing
     limit = time.monotonic() + TIMEOUT_S
     while total < 15 * 60_000 and time.monotonic() < limit:
         loop.after(1000, lambda: None)
         loop.turn()
         with contextlib.suppress(BlockingIOError):
-            total += len(theirs.recv(1 << 20))
+            total += len(peer_sock.recv(1 << 20))
     assert total == 15 * 60_000
     assert stream.buffered_bytes == 0
     stream.close()
-    theirs.close()
+    peer_sock.close()
     listener.close()
     loop.close()
 
--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -20,7 +20,8 @@
 OUT = select.EPOLLOUT
 PEER_CLOSED = select.EPOLLRDHUP
 _ERROR_MASK = select.EPOLLERR | select.EPOLLHUP
-MAX_SLEEP_US = 1_000_000
+MAX_SLEEP_US = 1_000_000  # the longest sleep of a poll
+
 TURN_BUDGET_US = 20_000  # a turn steps no further coroutine after this time
 STEPS_PER_CLOCK_CHECK = 8  # the clock is compared with the budget once in this many steps
 IMMEDIATE_POLL_US = 300  # a poll that returns sooner did not sleep: its events were already there
@@ -62,10 +63,10 @@
 class Task:
     """A coroutine in the loop, and the ``Wait`` and timer that will resume it."""
 
-    __slots__ = ("body", "done", "started", "timer", "urgent", "wait")
+    __slots__ = ("coroutine", "done", "started", "timer", "urgent", "wait")
 
-    def __init__(self, body: Coroutine, urgent: bool = False) -> None:
-        self.body = body
+    def __init__(self, coroutine: Coroutine, urgent: bool = False) -> None:
+        self.coroutine = coroutine
         self.urgent = urgent
         self.done = False
         self.started = False
@@ -119,9 +120,9 @@
         """Whether ready coroutines were left over for the next turn."""
         return bool(self._ready)
 
-    def spawn(self, body: Coroutine, urgent: bool = False) -> Task:
+    def spawn(self, coroutine: Coroutine, urgent: bool = False) -> Task:
         """Start a coroutine in this turn; an ``urgent`` one is always stepped before all others that are ready."""
-        task = Task(body, urgent)
+        task = Task(coroutine, urgent)
         self._tasks.add(task)
         self._schedule(task, 0)
         return task
@@ -139,7 +140,7 @@
             task.done = True
             self._tasks.discard(task)
             self._stop_waiting(task)
-            task.body.close()
+            task.coroutine.close()
 
     def at(self, due: int, call: Callable[[], None]) -> Timer:
         """Make a call in the first turn at or after the time ``due``, in microseconds."""
@@ -160,7 +161,8 @@
         return self.at(self.now + delay, call)
 
     def unregister(self, fd: int) -> None:
-        """A descriptor is about to be closed: coroutines that wait for it wake with 0."""
+        """Forget a descriptor that is about to be closed; coroutines that wait for it are resumed with 0."""
+
         registration = self._registrations.pop(fd, None)
         if registration is None:
             return
@@ -301,10 +303,10 @@
             return
         try:
             if task.started:
-                wait = task.body.send(value)
+                wait = task.coroutine.send(value)
             else:
                 task.started = True
-                wait = next(task.body)
+                wait = next(task.coroutine)
         except StopIteration:
             task.done = True
             self._tasks.discard(task)
