--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams and listeners: what is buffered, what a broken connection leaves, and errors of accept."""
+"""Streams and listeners: withdrawing buffered messages, failed connections, and errors of accept."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 def test_only_messages_of_which_no_byte_was_sent_can_be_withdrawn() -> None:
     loop = Loop()
     listener = socket.create_server(("127.0.0.1", 0))
-    ours = socket.create_connection(listener.getsockname())
-    theirs, _ = listener.accept()
-    stream = Stream(loop, ours, "peer")
-    ours.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+    sock = socket.create_connection(listener.getsockname())
+    peer_sock, _ = listener.accept()
+    stream = Stream(loop, sock, "peer")
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     chunks = [stream.send(bytes(60_000)) for _ in range(16)]
     stream.flush()
     assert chunks[0].sent > 0
@@ -30,23 +30,23 @@
     assert not stream.retract(chunks[0])
     assert not stream.retract(chunks[-1])
     total = 0
-    theirs.setblocking(False)  # to wait here would keep the loop from writing
+    peer_sock.setblocking(False)  # waiting here would keep the loop from writing
     limit = time.monotonic() + TIMEOUT_S
     while total < 15 * 60_000 and time.monotonic() < limit:
         loop.after(1000, lambda: None)
         loop.turn()
         with contextlib.suppress(BlockingIOError):
-            total += len(theirs.recv(1 << 20))
+            total += len(peer_sock.recv(1 << 20))
     assert total == 15 * 60_000
     assert stream.buffered_bytes == 0
     stream.close()
-    theirs.close()
+    peer_sock.close()
     listener.close()
     loop.close()
 
 
 def test_a_broken_stream_does_not_block_its_reader() -> None:
-    """Guards against a reader that waits for ever, as the buffered bytes were still counted."""
+    """Guards against a reader that pauses forever because bytes that can't be written still count as buffered."""
     cluster = FakeCluster()
     sock = raw(cluster)
     cluster.run_until(lambda: len(cluster.service.json_frontend._connections) == 2)
@@ -61,18 +61,21 @@
 def test_a_listener_survives_an_error_of_accept(monkeypatch: pytest.MonkeyPatch) -> None:
     cluster = FakeCluster()
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
-    usual, faults = socket.socket.accept, [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")]
+    original_accept, errors = (
+        socket.socket.accept,
+        [OSError(errno.EPERM, "odd"), OSError(errno.EMFILE, "full")],
+    )
 
     def accept(sock: socket.socket) -> Any:
-        if faults:
-            raise faults.pop()
-        return usual(sock)
+        if errors:
+            raise errors.pop()
+        return original_accept(sock)
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     cluster.client = cluster.connect_client(JSON)
     cluster.client.ask(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
-    assert not faults
+    assert not errors
 
 
 def test_closed_connections_are_counted_back() -> None:
