--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -50,7 +50,7 @@
         self, request: PendingRequest, eligible: list[Machine], usage: Sequence[float]
     ) -> Machine | None:
         context = self._context
-        candidates = [m for m in eligible if m.id not in request.rejected_by]
+        candidates = [m for m in eligible if m.id not in request.tried_machine_ids]
         candidates = [m for m in candidates if context.now >= max(m.ejected_until, m.backoff_until)]
         reserved = self.reserve(request, candidates)
         candidates = [m for m in candidates if m not in reserved]
--- a/thornshelf/placement/__init__.py
+++ b/thornshelf/placement/__init__.py
@@ -1,7 +1,7 @@
-"""The placement of long-lived tasks on a cluster's machines: events in, actions out, without any I/O.
+"""Decides on which machines of a cluster long-lived tasks run.
 
-``Placer`` decides. Its settings, events and actions are defined in ``settings``, ``events`` and ``actions``;
-docs/design.md describes the algorithm.
+``Placer`` takes events and returns actions; it performs no I/O. Its settings, events and actions are defined
+in ``settings``, ``events`` and ``actions``; docs/design.md describes the algorithm.
 """
 
 from thornshelf.placement.actions import (
--- a/thornshelf/placement/actions.py
+++ b/thornshelf/placement/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a placer returns. Times are in seconds on the clock of ``Placer.handle``."""
+"""The actions that a placer returns. Times are in seconds, on the clock that ``Placer.handle`` is given."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the task to a machine; without a timeout the attempt lasts until the client gives up."""
+    """Send the task to a machine; without a timeout, the attempt may last until the request's deadline."""
 
     request_id: int
     machine: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: the task was not started, and the client may retry."""
+    """Answer the request: the task was not started, and the client may retry."""
 
     request_id: int
     retry_after_s: float | None = None
@@ -24,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: the request failed, and the task may have been started."""
+    """Answer the request: it failed, and the task may have been started."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Stop waiting for one attempt."""
+    """Cancel one attempt of a request."""
 
     request_id: int
     attempt: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Migrate:
-    """Stop a placed task, so that its client requests it again."""
+    """Stop a placed task so that its client requests it again."""
 
     request_id: int
 
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Deliver a ``TimerFired`` with this token at the time, or soon after it."""
+    """Deliver a ``TimerFired`` with this token at the given time or soon after it."""
 
     at: float
     token: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a message to one peer, or to all of them."""
+    """Send a message to one peer, or to all peers where none is named."""
 
     peer: int | None
     data: bytes
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Subscribe to changes of the endpoint list, or unsubscribe."""
+    """Subscribe to changes of the endpoint list, or unsubscribe from them."""
 
     enable: bool
 
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/thornshelf/placement/candidates.py
+++ b/thornshelf/placement/candidates.py
@@ -82,7 +82,7 @@
     def _rejecting_machines(self, request: PendingRequest) -> set[Machine]:
         """The machines on which an attempt of this request failed."""
         machines = self._endpoints.machines
-        return {machine for number in request.rejected_by if (machine := machines.get(number))}
+        return {machine for number in request.tried_machine_ids if (machine := machines.get(number))}
 
     def _fallback_groups(
         self, request: PendingRequest, excluded: Collection[Machine], reserved: dict[Machine, float]
--- a/thornshelf/placement/endpoints.py
+++ b/thornshelf/placement/endpoints.py
@@ -107,7 +107,7 @@
         usage = (physical[0] - report.free_cores, physical[1] - report.free_memory)
         machine.apply_report(self._context.now - REPORT_AGE_S, usage)
 
-    def watch_failed(self, event: EndpointWatchFailed) -> None:
+    def record_watch_failure(self, event: EndpointWatchFailed) -> None:
         """Subscribe again after a while, where the list is sent only on request."""
         settings = self._context.settings
         if settings.list_on_request and self._watch_at is None:
--- a/thornshelf/placement/events.py
+++ b/thornshelf/placement/events.py
@@ -1,4 +1,4 @@
-"""The events that a placer handles. Times are in seconds on the clock of ``Placer.handle``."""
+"""The events that a placer handles. Times are in seconds, on the clock that ``Placer.handle`` is given."""
 
 from __future__ import annotations
 
@@ -47,13 +47,13 @@
     STARTED = 1
     CORES_USED = 2
     MEMORY_USED = 3
-    SERVED_FRACTION = 4  # of the processor time that the task asked for
+    SERVED_FRACTION = 4  # the fraction of the requested processor time that the task was given
     MACHINE_MEMORY = 5  # the fraction of the machine's memory in use
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """A machine's own figures, as far as it reports them; they are delayed and slightly noisy."""
+    """The load that a machine reports, with a delay and some noise; None for what it does not report."""
 
     free_cores: float | None = None
     free_memory: float | None = None
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One machine in the endpoint list."""
+    """The entry of one machine in the endpoint list."""
 
     machine: int
     health: Health
@@ -77,7 +77,7 @@
     free_cores: float
     free_memory: float
     weight: float
-    started_at: float  # 0: not in slow start
+    started_at: float  # 0: unknown, so the machine is not in slow start
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,30 +91,30 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointWatchFailed:
-    """A call to the endpoint list failed, or its subscription ended; the last list remains valid."""
+    """A call for the endpoint list failed, or the subscription ended; the last list remains valid."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A task is to be placed; one final answer is due."""
+    """A request to place a task; it is answered exactly once, unless it is cancelled."""
 
     request_id: int
     task_class: str
     tenant: str | None
     task: int
-    budget_s: float  # time until the client gives up
+    budget_s: float  # the time until the request's deadline
     lifetime_hint_s: float | None
     service: int
     cores: float
     memory: float
     repeat: bool = False
     is_retry: bool = False
-    is_eligible: Callable[[int], bool] | None = None  # by machine; none: every machine is eligible
+    is_eligible: Callable[[int], bool] | None = None  # takes a machine id; None: every machine is eligible
 
 
 @dataclass(frozen=True, slots=True)
 class TaskAdopted:
-    """A task that runs already is handed over to this placer; its attempt 0 counts as made."""
+    """A running task is handed over to this placer, as attempt 0 of its request."""
 
     request: PlacementRequest
     machine: int
@@ -122,7 +122,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptAccepted:
-    """An attempt was accepted, or its task runs, as the settings define: the request is answered."""
+    """An attempt succeeded, which answers the request.
+
+    With ``Settings.accepts_before_running`` the machine has accepted the task; else the task runs.
+    """
 
     request_id: int
     machine: int
@@ -132,21 +135,21 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The one outcome of an attempt."""
+    """An attempt ended; there is one such event for each attempt."""
 
     request_id: int
     machine: int
     attempt: int
     outcome: Outcome
     reason: Reason
-    last: bool  # the request is over with it
+    last: bool  # no further attempt of the request is wanted
     latency_s: float
     report: LoadReport | None
 
 
 @dataclass(frozen=True, slots=True)
 class TaskUpdate:
-    """A report on an attempt that has not ended."""
+    """A report on an attempt that has not ended yet."""
 
     request_id: int
     machine: int
@@ -175,14 +178,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """The task is no longer wanted: no answer is due."""
+    """The client has cancelled the request: it expects no answer."""
 
     request_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set earlier is due."""
+    """A timer that was set with ``SetTimer`` is due."""
 
     token: int
 
--- a/thornshelf/placement/load_digest.py
+++ b/thornshelf/placement/load_digest.py
@@ -90,7 +90,7 @@
             data += ENTRY.pack(machine.id, _to_units(cores), _to_units(memory))
         return data
 
-    def received(self, event: GossipMessage) -> None:
+    def record_digest(self, event: GossipMessage) -> None:
         """Take a peer's digest; its tasks ask nothing of the machines that it leaves out."""
         data = event.data
         if len(data) % ENTRY.size != 1 or data[0] != VERSION:
--- a/thornshelf/placement/outliers.py
+++ b/thornshelf/placement/outliers.py
@@ -81,7 +81,7 @@
         elif not any(a.state is AttemptState.MAY_HAVE_RUN for a in request.attempts):
             machine.backoff_until = now + EJECTION_S  # it drains, or is not what the endpoint list says
 
-    def health_checked(self, event: HealthCheckResult) -> None:
+    def record_health_check(self, event: HealthCheckResult) -> None:
         """Take the result of a health check."""
         machine = self._endpoints.machines.get(event.machine)
         if machine is None:
--- a/thornshelf/placement/placer.py
+++ b/thornshelf/placement/placer.py
@@ -1,8 +1,9 @@
-"""A placer: it routes events to the parts that handle them, and returns the actions that they decide on.
+"""The placer: dispatches events to the components that handle them and returns the resulting actions.
 
-The types are in settings.py, events.py and actions.py. The ordinary path is the paper's Online-OBO: a task is
-priced against what is used, compared with a threshold on the pooled fleet, and bound to the fitting machine
-of lowest cost, or rejected at once. docs/design.md cites the paper and lists the departures [D1]...
+The types are in settings.py, events.py and actions.py. The algorithm is Online-OBO: a task is priced by the
+current usage of the pooled fleet and rejected at once where the price is above a threshold; otherwise it goes
+to the machine of lowest cost on which it fits. docs/design.md cites the paper and describes our deviations,
+marked [D1] to [D6].
 """
 
 from __future__ import annotations
@@ -50,20 +51,20 @@
 AVERAGES_INTERVAL_S = 0.25
 HOUSEKEEPING_INTERVAL_S = 0.25
 IDLE_HOUSEKEEPING_INTERVAL_S = 1.0  # where no machine is ejected
-HOUSEKEEPING_TOKEN = 1 << 40  # of its timer; requests' ids, the tokens of their timers, are smaller
+HOUSEKEEPING_TOKEN = 1 << 40  # above all request ids, which are the tokens of request timers
 NEVER_RAN_OUTCOMES = frozenset({Outcome.REFUSED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT})
 
 
 class Placer:
-    """The decisions of one placer; ``handle`` is its entry."""
+    """Places tasks on machines. Pass all events to ``handle`` and carry out the actions that it returns."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """``seed``: of the draws among equal machines, and of the order of equal requests."""
+        """``seed`` makes the random choices among equal machines and equal requests reproducible."""
         self._context = context = PlacementContext(settings, seed)
         self._task_classes = {task_class.name: task_class for task_class in settings.classes}
-        self._retries: list[PendingRequest] = []  # to be placed again in this call
-        self._averages_at = -math.inf
-        self._next_sweep_at = 0.0
+        self._retries: list[PendingRequest] = []  # requests to retry at the end of the current call
+        self._averages_updated_at = -math.inf
+        self._program_cache_expires_at = 0.0
         self._requests = RequestTable()
         self.latency = LatencyTracker(context)
         self.usage = UsageEstimator(context)
@@ -98,61 +99,62 @@
         self._handlers = self._event_handlers()
 
     def _event_handlers(self) -> dict[type[Event], Callable[[Any], None]]:
-        """The handler of each type of event but requests, which are placed together after all others."""
+        """Return the handler of each type of event; ``handle`` collects requests and places them last."""
         return {
             EndpointUpdate: self._update_endpoints,
-            EndpointWatchFailed: self.endpoints.watch_failed,
+            EndpointWatchFailed: self.endpoints.record_watch_failure,
             TaskAdopted: self._adopt_task,
             AttemptAccepted: self._accept_attempt,
             AttemptEnded: self._end_attempt,
             TaskUpdate: self._update_task,
-            HealthCheckResult: self.outliers.health_checked,
-            GossipMessage: self.gossip.received,
+            HealthCheckResult: self.outliers.record_health_check,
+            GossipMessage: self.gossip.record_digest,
             RequestCancelled: self._cancel_request,
             TimerFired: self._expire_request,
         }
 
     @property
     def actions(self) -> list[Action]:
-        """The actions of the last call of ``handle``, also of one that raised an error."""
+        """The actions of the last call of ``handle``, even if it raised an exception."""
         return self._context.actions
 
     @property
     def settings(self) -> Settings:
-        """The settings in force: as given at the start, but for quotas that were set since."""
+        """The current settings: those given at the start, with the changes made by ``set_quota``."""
         return self._context.settings
 
     @property
     def machines(self) -> dict[int, Machine]:
-        """The machines that are known, by id."""
+        """All known machines, by id."""
         return self.endpoints.machines
 
     @property
     def requests(self) -> dict[int, PendingRequest]:
-        """The requests that are not answered, or whose tasks run, by id."""
+        """The requests that are unanswered or whose tasks run, by id."""
         return self._requests.requests
 
     @property
     def slow_start_window_s(self) -> float:
-        """The window in which attempts to a machine in slow start are counted."""
+        """The window, in seconds, over which attempts to a machine in slow start are counted."""
         return self.slow_start.window_s
 
     @property
     def slow_start_quota(self) -> int:
-        """How many attempts this placer may always send such a machine within a window."""
+        """The number of attempts per window that this placer may always send a machine in slow start."""
         return self.slow_start.attempts_per_window
 
     def is_warming_up(self, machine: Machine) -> bool:
-        """Return whether the machine started so lately that it may not run at full speed yet."""
+        """Return whether the machine is in slow start."""
         return self.slow_start.is_warming_up(machine)
 
     def set_quota(
         self, me: int, placers: int, slow_start_placers: int = 0, partition_remainder: bool = True
     ) -> None:
-        """Change this placer's number and the number of placers that share quotas.
+        """Set this placer's index and the number of placers that share quotas.
 
-        ``slow_start_placers``: how many share attempts to machines in slow start, where it is another number.
-        ``partition_remainder``: all placers agree on their numbers.
+        ``slow_start_placers`` is the number of placers that share the attempts to machines in slow start; 0
+        means ``placers``. With ``partition_remainder``, all placers have distinct indices, so the remainder
+        of that division is used too.
         """
         context = self._context
         context.settings = replace(context.settings, me=me, placers=placers)
@@ -161,12 +163,12 @@
         self.accounting.divide_quotas(placers)
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        """Handle what happened until ``now``, in seconds, and return what to do."""
+        """Handle the events up to ``now``, in seconds, and return the actions to carry out, in order."""
         context = self._context
         context.now = now
         context.actions = []
-        due_at = context.next_housekeeping_at + HOUSEKEEPING_INTERVAL_S
-        context.stalled = now > due_at > HOUSEKEEPING_INTERVAL_S  # [D4] own timer came late: blame no machine
+        housekeeping_due_at = context.next_housekeeping_at + HOUSEKEEPING_INTERVAL_S
+        context.stalled = now > housekeeping_due_at > HOUSEKEEPING_INTERVAL_S  # [D4] own timer fired late
         requests: list[PendingRequest] = []
         self._retries = []
         for event in events:
@@ -174,7 +176,7 @@
                 requests.append(self._accept_request(event))
             else:
                 self._handlers[type(event)](event)
-        if (requests or self._retries) and now >= self._averages_at + AVERAGES_INTERVAL_S:
+        if (requests or self._retries) and now >= self._averages_updated_at + AVERAGES_INTERVAL_S:
             self.update_averages()
         for request in self._retries:
             self.scheduler.place(request)
@@ -186,7 +188,7 @@
     # requests
 
     def _accept_request(self, spec: PlacementRequest) -> PendingRequest:
-        """Take a new request, with a timer that fires just before its client gives up."""
+        """Track a new request and set a timer that fires just before its deadline."""
         request = self.track(spec)
         timer_at = request.deadline - 2.0 * self._context.settings.tick_s
         self._context.actions.append(SetTimer(timer_at, spec.request_id))
@@ -194,7 +196,7 @@
         return request
 
     def track(self, spec: PlacementRequest) -> PendingRequest:
-        """Keep a request until it is answered and its task has ended."""
+        """Track a request until it is answered and its task has ended."""
         deadline = self._context.now + spec.budget_s
         request = PendingRequest(spec, self._task_classes[spec.task_class], deadline)
         self._requests.add(request)
@@ -206,20 +208,20 @@
         self._requests.discard_if_done(request)
 
     def _cancel_request(self, event: RequestCancelled) -> None:
-        """No answer is due any more."""
+        """Mark a request as cancelled: it needs no answer."""
         request = self._requests.get(event.request_id)
         if request is not None:
             request.open = False
             self._requests.discard_if_done(request)
 
     def _expire_request(self, event: TimerFired) -> None:
-        """Rule 1: the timer of a request."""
+        """Answer a request whose timer fired, just before its deadline (rule 1)."""
         request = self._requests.get(event.token)
         if request is not None:
             self.scheduler.answer_without_machine(request)
 
     def _adopt_task(self, event: TaskAdopted) -> None:
-        """Take over a task that runs already."""
+        """Track a running task that was handed over."""
         machine = self.endpoints.get_or_add(event.machine)
         request = self.track(event.request)
         request.open = False
@@ -230,7 +232,7 @@
     # attempts
 
     def _accept_attempt(self, event: AttemptAccepted) -> None:
-        """The request is answered: its task is bound to this attempt."""
+        """Bind the task to this attempt, which answers the request."""
         found = self._requests.find_live_attempt(event.request_id, event.attempt)
         if found is None:
             return
@@ -241,12 +243,12 @@
         if not self._context.settings.accepts_before_running:
             self.latency.record_start(request, attempt)
         self.outliers.record_success(attempt.machine)
-        # [D4] The task is sound, as this machine took it: earlier errors were the fault of the others.
-        for machine in request.failed_on:
+        # [D4] The task is valid, as this machine accepted it: earlier errors were the other machines' fault.
+        for machine in request.errored_machines:
             self.outliers.record_failure(machine, Outcome.ERROR)
 
     def _end_attempt(self, event: AttemptEnded) -> None:
-        """An attempt has its outcome; an open request is placed again."""
+        """Record the outcome of an attempt, and retry the request if it is still open."""
         known = self.machines.get(event.machine)
         if known is not None:
             self.endpoints.record_report(known, event.report)
@@ -261,21 +263,21 @@
         if not was_bound:
             never_ran = event.outcome in NEVER_RAN_OUTCOMES
             attempt.state = AttemptState.NEVER_RAN if never_ran else AttemptState.MAY_HAVE_RUN
-            request.rejected_by.add(attempt.machine.id)
-        self._learn_from_outcome(request, attempt.machine, event)
+            request.tried_machine_ids.add(attempt.machine.id)
+        self._record_outcome(request, attempt.machine, event)
         if event.last or was_bound:
             request.open = False
         self._requests.discard_if_done(request)
         if request.open:
             self._retries.append(request)
 
-    def _learn_from_outcome(self, request: PendingRequest, machine: Machine, event: AttemptEnded) -> None:
-        """Take what an outcome says of its machine."""
+    def _record_outcome(self, request: PendingRequest, machine: Machine, event: AttemptEnded) -> None:
+        """Update the machine's health and latency by the outcome of an attempt."""
         match event.outcome:
             case Outcome.REFUSED:
                 self.outliers.record_rejection(request, machine, event.reason)
             case Outcome.ERROR:
-                request.failed_on.append(machine)  # whether it or the task is at fault is not known yet
+                request.errored_machines.append(machine)  # counted once the task succeeds elsewhere
             case Outcome.TIMED_OUT:
                 self.outliers.record_failure(machine, event.outcome)
                 self.latency.record_answer(event.latency_s)
@@ -287,7 +289,7 @@
                 machine.record_pressure(self._context.now, 1.0)
 
     def _update_task(self, event: TaskUpdate) -> None:
-        """Take a report on a live attempt."""
+        """Apply a report on a live attempt."""
         found = self._requests.find_live_attempt(event.request_id, event.attempt)
         if found is None:
             return
@@ -305,7 +307,7 @@
                 attempt.machine.record_pressure(self._context.now, event.value)
 
     def _record_usage(self, request: PendingRequest, attempt: Attempt, resource: int, usage: float) -> None:
-        """Take the usage of cores or memory that a task reports; ``resource``: its index in a pair."""
+        """Record the usage that a task reports; ``resource`` is 0 for cores and 1 for memory."""
         demand = request.demand[resource]
         if demand > 0.0:
             record_usage(request, attempt, resource, usage)
@@ -314,13 +316,13 @@
     # fleet
 
     def _update_endpoints(self, event: EndpointUpdate) -> None:
-        """Apply the endpoint list, or its changes; the averages have to follow."""
+        """Apply the endpoint list or its changes, and mark the averages as outdated if the index changed."""
         if self.endpoints.update(event):
-            self._averages_at = -math.inf
+            self._averages_updated_at = -math.inf
 
     def update_averages(self) -> None:
-        """Compute what is averaged over the fleet; as estimates age, refresh part of them."""
-        self._averages_at = self._context.now
+        """Recompute the averages over the fleet, and refresh the next slice of usage estimates."""
+        self._averages_updated_at = self._context.now
         up = self.endpoints.index.up
         self.usage.update_averages(up, self.gossip.digests)
         diversity = self.accounting.service_diversity()
@@ -330,7 +332,7 @@
         self.slow_start.update_machines(up)
 
     def _do_housekeeping(self) -> None:
-        """Subscribe, check health, discard what is over, and gossip."""
+        """Run periodic work: endpoint subscription, health checks, expiry and gossip."""
         context = self._context
         interval_s = HOUSEKEEPING_INTERVAL_S if self.outliers.ejected_ids else IDLE_HOUSEKEEPING_INTERVAL_S
         context.next_housekeeping_at = context.now + interval_s
@@ -338,14 +340,14 @@
         self.endpoints.watch_if_due()
         self.outliers.check_health()
         self.endpoints.remove_unused()
-        if context.now >= self._next_sweep_at:
-            self._next_sweep_at = context.now + PROGRAM_CACHE_S
-            self._sweep_programs()
+        if context.now >= self._program_cache_expires_at:
+            self._program_cache_expires_at = context.now + PROGRAM_CACHE_S
+            self._expire_program_cache()
         self.gossip.expire()
         self.gossip.send_if_due()
 
-    def _sweep_programs(self) -> None:
-        """Discard the ends of services whose programs are no longer cached."""
+    def _expire_program_cache(self) -> None:
+        """Discard the records of services whose programs machines no longer cache."""
         now = self._context.now
         for machine in self.endpoints.index.up:
             recent = {s: at for s, at in machine.last_ended_by_service.items() if now - at < PROGRAM_CACHE_S}
--- a/thornshelf/placement/requests.py
+++ b/thornshelf/placement/requests.py
@@ -40,8 +40,8 @@
         self.demand: ResourcePair = (spec.cores, spec.memory)
         self.attempts: list[Attempt] = []
         self.open = True  # a final answer is due
-        self.rejected_by: set[int] = set()  # machines on which an attempt ended before it was bound
-        self.failed_on: list[Machine] = []  # machines that answered with an error
+        self.tried_machine_ids: set[int] = set()  # machines on which an attempt ended before it was bound
+        self.errored_machines: list[Machine] = []  # machines that answered with an error
 
     def has_pending_attempt(self) -> bool:
         """Return whether an attempt is in flight."""
--- a/thornshelf/placement/rules.py
+++ b/thornshelf/placement/rules.py
@@ -1,4 +1,4 @@
-"""The rules that every attempt has to pass: health, kind, eligibility, idempotency, slow start, spread."""
+"""The rules for every attempt: health, machine kind, eligibility, idempotency, slow start and spread."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PlacementRules:
-    """Which machines a request may be sent to, whatever the cost."""
+    """Decides which machines a request may be sent to, regardless of cost."""
 
     def __init__(self, context: PlacementContext, endpoints: EndpointTable, slow_start: SlowStart) -> None:
         self._context = context
@@ -20,9 +20,9 @@
         self._slow_start = slow_start
 
     def forbidden_machines(self, request: PendingRequest) -> set[Machine]:
-        """Return the machines that are up and may not be sent the request.
+        """Return the machines that are up but must not be sent the request.
 
-        For most requests it is enough to look at the machines in slow start.
+        Most classes are restricted by slow start alone: then only machines in slow start are checked.
         """
         task_class = request.task_class
         if (
@@ -41,11 +41,11 @@
         }
 
     def allows_attempt(self, request: PendingRequest, machine: Machine) -> bool:
-        """Return whether every rule permits an attempt on the machine."""
+        """Return whether all rules permit an attempt of the request on the machine."""
         kind = request.task_class.machine_kind
         is_eligible = request.spec.is_eligible
         return (
-            machine.health is Health.UP  # rule 3: nothing is sent once a drain is known
+            machine.health is Health.UP  # rule 3: a draining machine is sent nothing
             and (kind is None or machine.kind_index == kind)
             and (is_eligible is None or is_eligible(machine.id))
             and self._allows_repeat_on(request, machine)
@@ -54,7 +54,7 @@
         )
 
     def allows_rejection(self, request: PendingRequest) -> bool:
-        """Rule 2: return whether a client that retries after a rejection can't double an effect."""
+        """Return whether the client may safely retry after a rejection: no effect is doubled (rule 2)."""
         task_class = request.task_class
         return (
             not self._may_have_run(request)
@@ -63,7 +63,7 @@
         )
 
     def _allows_repeat_on(self, request: PendingRequest, machine: Machine) -> bool:
-        """Rule 2: whether another attempt, on this machine, can't double an effect."""
+        """Return whether another attempt on this machine is safe: no effect is doubled (rule 2)."""
         earlier = [a for a in request.attempts if a.state is not AttemptState.NEVER_RAN]
         task_class = request.task_class
         if not earlier or task_class.idempotency is Idempotency.ALWAYS:
@@ -80,7 +80,7 @@
         return any(a.state is not AttemptState.NEVER_RAN for a in request.attempts)
 
     def _allows_spread(self, request: PendingRequest, machine: Machine) -> bool:
-        """Rule 5: bounds own live tasks of a service in one failure domain, with the attempt in question."""
+        """Return whether the service stays within its limit in the machine's failure domain (rule 5)."""
         task_class = request.task_class
         scope = task_class.spread_scope
         if scope is Scope.NONE:
@@ -95,7 +95,7 @@
 
 
 def _are_in_same_domain(scope: Scope, first: Machine, second: Machine) -> bool:
-    """Whether two machines are in the same zone, or in the same cell."""
+    """Return whether two machines are in the same zone or cell, as the scope demands."""
     return (scope is Scope.ZONE and first.zone == second.zone) or (
         scope is Scope.CELL and first.cell == second.cell
     )
--- a/thornshelf/placement/settings.py
+++ b/thornshelf/placement/settings.py
@@ -1,6 +1,7 @@
-"""The settings of a placer: the deployment, its classes of tasks, and the limits, prices and rules in force.
+"""The settings of a placer: the deployment, its task classes, and the limits, prices and rules in force.
 
-The outer keys of these settings are in ``thornshelf.placement.simulator``. Durations are in seconds.
+``thornshelf.placement.simulator`` maps the keys of the wire and of configuration files to these fields.
+Durations are in seconds.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 class Idempotency(Enum):
     """Whether a task of a class may be started more than once."""
 
-    ALWAYS = "safe"  # a repeated start does no harm
-    WITH_KEY = "keyed"  # machines drop duplicates by the idempotency key, within a scope and for a while
+    ALWAYS = "safe"  # a repeated start has no further effect
+    WITH_KEY = "keyed"  # machines drop duplicates by idempotency key, within a scope and a time window
     NEVER = "unsafe"
 
 
 class Scope(Enum):
-    """A set of machines: none, all, those of one zone, those of one cell, or a single machine."""
+    """A set of machines: none, all, those of one zone or one cell, or a single machine."""
 
     NONE = "none"
     ALL = "all"
@@ -29,29 +30,29 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskClass:
-    """The terms on which tasks of one class are placed."""
+    """How tasks of one class are placed."""
 
     name: str
     idempotency: Idempotency = Idempotency.ALWAYS
-    idempotency_scope: Scope = Scope.ALL  # machines that share their records of idempotency keys
-    idempotency_window_s: float = 0.0  # how long a key is recorded
+    idempotency_scope: Scope = Scope.ALL  # the machines that share one record of keys
+    idempotency_window_s: float = 0.0  # how long a machine remembers a key
     latency_objective_s: float = 0.0
     latency_objective_stretch: float = 0.0
     deadline_s: float = 0.0
     priority_weight: float = 1.0
     priority_weight_past_objective: float = 0.0
     start_weight_s: float = 0.0
-    machine_kind: int | None = None  # an index into ``Settings.kinds``; none: any kind
+    machine_kind: int | None = None  # an index into ``Settings.kinds``; None: any kind
     priority: int = 0
-    full_speed_utilization: float = 1.0  # tasks run at full speed up to this part of its cores in use
+    full_speed_utilization: float = 1.0  # tasks slow down above this utilization of cores
     lost_after: float = 0.0
     spread_scope: Scope = Scope.NONE  # the failure domain over which tasks of one service are spread
-    max_per_domain: int = 0  # how many of them may run in one such domain
+    max_per_domain: int = 0  # the most tasks of one service in one such domain
 
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant and its quota, over all placers together."""
+    """A tenant and its quota, which all placers share."""
 
     name: str
     quota_per_s: float = 0.0
@@ -63,12 +64,12 @@
 class Limits:
     """What a deployment permits a placer to do."""
 
-    max_attempts: int  # for each request
+    max_attempts: int  # per request
     may_cancel: bool = False
     may_probe: bool = False
     may_hedge: bool = False
     may_gossip: bool = False
-    retry_after: bool = False  # whether a rejection may say when to retry
+    retry_after: bool = False  # a rejection may carry a delay before the next retry
     max_retry_after_s: float = 0.0
     connect_timeout_s: float = 0.0
     keepalive_s: float = 0.0
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points that are deducted from the result for each unit."""
+    """Points that each unit of a cost takes off the deployment's score."""
 
     fleet: float = 0.0
     migrations: float = 0.0
@@ -94,27 +95,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The parameters of the rules that placers are held to."""
+    """The parameters of the rules that every placer must keep."""
 
     answer_slack_s: float
     drain_grace_s: float
     slow_start_initial_speed: float
-    slow_start_s: float  # how long a machine is in slow start after its start
+    slow_start_s: float  # the time after its start during which a machine is in slow start
     overload_multiple: float
-    slow_start_window_s: float  # the window in which attempts to a machine in slow start are counted
-    slow_start_attempts: float  # how many of them all placers together may send it within a window
+    slow_start_window_s: float  # the window over which attempts during slow start are counted
+    slow_start_attempts: float  # the most attempts of all placers together in one window
     poll_interval_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """Everything that a placer is given at its start."""
+    """The complete settings of one placer."""
 
-    me: int  # this placer's number, from 0
-    placers: int  # how many placers there are
+    me: int  # the index of this placer, from 0
+    placers: int  # the number of placers
     zone: str
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]  # of machines; sizes by kind are below
+    kinds: tuple[str, ...]  # of machines; the ``_by_kind`` fields are in the same order
     classes: tuple[TaskClass, ...]
     tenants: tuple[Tenant, ...]
     limits: Limits
@@ -122,20 +123,20 @@
     rules: Rules
     cores_by_kind: tuple[float, ...]
     memory_by_kind: tuple[float, ...]
-    overcommit_cores: float  # a machine admits requests for so many times its cores
-    overcommit_memory: float
+    overcommit_cores: float  # a machine admits demand up to this multiple of its cores
+    overcommit_memory: float  # and up to this multiple of its memory
     unit_cores: float
     mean_memory: float
-    accepts_before_running: bool  # a machine's acceptance precedes the task's start
+    accepts_before_running: bool  # machines accept a task before it starts
     reports_count_usage: bool
     reports_in_answers: bool
     reports_in_probes: bool
     endpoint_list_shows_free: bool
-    reports_usage: bool  # machines report the usage of single tasks
+    reports_usage: bool  # machines report the usage of each task
     reports_pressure: bool
     preempts: bool
     single_home: bool
     confirmation_s: float
-    over_quota_weight: float  # the priority weight of a task beyond its tenant's quota, as a fraction
-    list_on_request: bool  # the endpoint list is sent only after a subscription
+    over_quota_weight: float  # the factor on the priority weight of a task beyond its tenant's quota
+    list_on_request: bool  # the endpoint list is sent to subscribers only
     tick_s: float  # the resolution of timers
