--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -25,7 +25,7 @@
 from thornshelf.placement.health_check_schedule import HealthCheckSchedule
 from thornshelf.placement.machine import Machine
 from thornshelf.placement.placer import Placer
-from thornshelf.placement.pricing import HOMES_PER_POWER
+from thornshelf.placement.pricing import AFFINITY_PLACES_PER_EXPONENT
 from thornshelf.placement.requests import PendingRequest
 from thornshelf.syslog import MAX_LINES_PER_SECOND, Syslog
 
@@ -239,7 +239,7 @@
         index._refresh_queue.clear()
         index._refresh_queue.extend(index.up)
         index._refresh(len(index.up))
-        assert [m.group for m in index.up] == [one.usage.fullness_group(m) for m in index.up]
+        assert [m.group for m in index.up] == [one.usage.utilization_group(m) for m in index.up]
         assert {m.id for m in index.ordered()} == {m.id for m in index.up}
         for k in (0, 1):
             assert index.totals()[0][k] == pytest.approx(sum(one.usage.estimate(m)[k] for m in index.up))
@@ -314,11 +314,11 @@
         request = one.track(small(9, 5))
         one.update_averages()
         order = sorted(one.endpoints.index.up, key=lambda m: unit_hash(5, m.id))
-        first, sixth = (one.pricing.program_powers(request, order[place]) for place in (0, 5))
+        first, sixth = (one.pricing.program_exponent(request, order[place]) for place in (0, 5))
         assert sixth - first == pytest.approx(
-            (unit_hash(5, order[5].id) - unit_hash(5, order[0].id)) * one.pricing.home_cost_scale
+            (unit_hash(5, order[5].id) - unit_hash(5, order[0].id)) * one.pricing.affinity_scale
         )
-        assert one.pricing.home_cost_scale == pytest.approx(machines / HOMES_PER_POWER)
+        assert one.pricing.affinity_scale == pytest.approx(machines / AFFINITY_PLACES_PER_EXPONENT)
 
 
 def test_a_fleet_of_18000_is_ranked_whatever_failed_there() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -91,7 +91,7 @@
 
     def order(self, candidates: list[Machine]) -> list[Machine]:
         def key(machine: Machine) -> tuple[int, float]:
-            fullness = self.usage.fullness_steps * self.usage.estimate(machine)[0] / machine.capacity[0]
+            fullness = self.usage.utilization_steps * self.usage.estimate(machine)[0] / machine.capacity[0]
             return -round(fullness), machine.order_key
 
         return sorted(candidates, key=key)
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -278,7 +278,9 @@
     request = one.track(ask(1, service=7, cores=16.0, memory=16.0))
     small = one.track(ask(2, service=7))
     one.update_averages()
-    spread = [max(one.pricing.program_powers(r, m) for m in one.endpoints.index.up) for r in (request, small)]
+    spread = [
+        max(one.pricing.program_exponent(r, m) for m in one.endpoints.index.up) for r in (request, small)
+    ]
     assert spread[0] <= 2.0 < spread[1]
 
 
--- a/thornshelf/placement/accounting.py
+++ b/thornshelf/placement/accounting.py
@@ -1,4 +1,4 @@
-"""Accounts for what own tasks ask for: by machine, by service, and by tenant against its quota."""
+"""Accounts for the demand of own tasks: by machine, by service, and by tenant against its quota."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class DemandAccounting:
-    """Keeps the sums that attempts add to when they start and are taken from when they end."""
+    """Keeps sums over the live attempts of this placer."""
 
     def __init__(self, context: PlacementContext) -> None:
         self._context = context
         self._tasks_by_service: dict[int, int] = {}
         self.cores_by_tenant: dict[str, float] = {}
-        self.quota_cores: dict[str, float] = {}  # this placer's part, by tenant
+        self.quota_cores: dict[str, float] = {}  # this placer's part of each tenant's quota
         self.divide_quotas(context.settings.placers)
 
     def divide_quotas(self, placers: int) -> None:
-        """Divide the quota of each tenant evenly among so many placers."""
+        """Divide the quota of each tenant evenly among the placers."""
         tenants = self._context.settings.tenants
         self.quota_cores = {tenant.name: tenant.quota_cores / max(1, placers) for tenant in tenants}
 
     def is_over_quota(self, request: PendingRequest) -> bool:
-        """Return whether the task exceeds its tenant's quota, where the settings weigh such tasks less."""
+        """Return whether the task exceeds its tenant's quota; False if the settings don't penalize that."""
         tenant = request.spec.tenant or ""
         weight = self._context.settings.over_quota_weight
         quota = self.quota_cores.get(tenant, 0.0)
@@ -32,15 +32,15 @@
         return weight < 1.0 and 0.0 < quota < used + request.demand[0]
 
     def service_diversity(self) -> float:
-        """Return the number of services per own task: 1 where no two tasks are of the same service."""
+        """Return the number of services per own task: 1 if no two tasks are of the same service."""
         return len(self._tasks_by_service) / max(1, sum(self._tasks_by_service.values()))
 
     def add(self, request: PendingRequest, attempt: Attempt) -> None:
-        """Count an attempt that starts."""
+        """Add an attempt that starts to the sums."""
         self._count(request, attempt, 1)
 
     def remove(self, request: PendingRequest, attempt: Attempt) -> None:
-        """No longer count an attempt, as it has ended."""
+        """Remove an attempt that has ended from the sums."""
         self._count(request, attempt, -1)
         self._remove_measured_usage(request, attempt)
 
@@ -73,7 +73,7 @@
 
 
 def record_usage(request: PendingRequest, attempt: Attempt, resource: int, usage: float) -> None:
-    """Take the usage of a resource that a task reports, in place of what it reported before."""
+    """Record the usage of a resource that a task reports, in place of its previous report."""
     machine: Machine = attempt.machine
     before = attempt.measured_usage[resource]
     machine.measured_usage[resource] += usage - (before or 0.0)
--- a/thornshelf/placement/candidates.py
+++ b/thornshelf/placement/candidates.py
@@ -1,4 +1,4 @@
-"""The choice of a machine for a request: the candidates by preference, and the lowest rank among them."""
+"""Selects a machine for a request: groups of candidates by preference, and the lowest rank in a group."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from thornshelf.placement.rules import PlacementRules
 from thornshelf.placement.usage import REPORT_DECAY_S, UsageEstimator
 
-TARGET_UTILIZATION = 0.75  # [D1] of the pool: the rest absorbs swings and failures between two decisions
-RANK_TOLERANCE = 1.02  # ranks within this ratio are equal, and one is drawn at random
+TARGET_UTILIZATION = 0.75  # [D1] of the pool; the rest absorbs bursts and failures
+RANK_TOLERANCE = 1.02  # ranks within this ratio count as equal: one is chosen at random
 
 
 class CandidateSelector:
-    """Chooses the machine that a request is sent to."""
+    """Selects the machine that a request is sent to."""
 
     def __init__(
         self,
@@ -45,9 +45,9 @@
         self._accounting = accounting
 
     def find_machine(self, request: PendingRequest) -> Machine | None:
-        """Return the machine to send the request to; none where it is not admitted, or fits nowhere.
+        """Return the machine to send the request to, or None if it is not admitted or fits nowhere.
 
-        Retries are not compared with the admission threshold again.
+        A retry is not compared with the admission threshold again.
         """
         if not self._reservations.fits_empty_machine(request.demand):
             return None
@@ -65,8 +65,8 @@
     def _choose(
         self, request: PendingRequest, forbidden: set[Machine], used: Sequence[float]
     ) -> Machine | None:
-        """[D1] The machine of lowest rank in the pool, else in the fleet; ``used``: the summed usage."""
-        excluded = forbidden | self._outliers.excluded_machines() | self._rejecting_machines(request)
+        """Return the machine of lowest rank in the pool [D1], else in the first fallback group with one."""
+        excluded = forbidden | self._outliers.excluded_machines() | self._tried_machines(request)
         reserved = self._reservations.reserved(request, excluded)
         excluded.update(reserved)
         pool = self._pool(request, excluded, used)
@@ -79,18 +79,18 @@
                 return self._draw(lowest)
         return None
 
-    def _rejecting_machines(self, request: PendingRequest) -> set[Machine]:
-        """The machines on which an attempt of this request failed."""
+    def _tried_machines(self, request: PendingRequest) -> set[Machine]:
+        """Return the machines on which an attempt of this request has failed."""
         machines = self._endpoints.machines
-        return {machine for number in request.tried_machine_ids if (machine := machines.get(number))}
+        return {machine for machine_id in request.tried_machine_ids if (machine := machines.get(machine_id))}
 
     def _fallback_groups(
         self, request: PendingRequest, excluded: Collection[Machine], reserved: dict[Machine, float]
     ) -> Sequence[tuple[list[Machine], Fit]]:
-        """The groups that are tried after the pool, each with the fit that it has to offer.
+        """Return the groups to try after the pool, each with the minimum fit, in order of preference.
 
-        First all machines, by usage and then by what they admit; then reserved ones; then [D6] those whose
-        usage is a mere guess, which must not cause a rejection: the machine itself answers.
+        First come all machines, uncrowded and then admitted; then machines reserved for tasks of no higher
+        weight; last those without a recent report [D6], whose estimated usage must not cause a rejection.
         """
         eligible = [m for m in self._endpoints.index.up if m not in excluded]
         uncrowded = (eligible, Fit.UNCROWDED)
@@ -109,7 +109,7 @@
         )
 
     def _draw(self, machines: Sequence[Machine]) -> Machine:
-        """Draw one of equally ranked machines at random."""
+        """Return one of the equally ranked machines at random."""
         if len(machines) == 1:
             return machines[0]
         return machines[self._context.random.randrange(len(machines))]
@@ -117,12 +117,16 @@
     def _pool(
         self, request: PendingRequest, excluded: Collection[Machine], used: Sequence[float]
     ) -> list[Machine]:
-        """[D1] The shortest prefix of the common order that holds what is used; the rest may run empty."""
+        """Return the machines that tasks are packed onto [D1]; the others may run empty.
+
+        They are the shortest prefix, of an order that all placers share, that has capacity for ``used``, the
+        summed usage, and the request.
+        """
         settings = self._context.settings
         index = self._endpoints.index
         is_overcommitted = max(settings.overcommit_cores, settings.overcommit_memory) > 1.0
-        # A pool saves nothing where machines are free of charge, and where they are overcommitted and do not
-        # report their usage, crowding there would not be noticed.
+        # A pool saves nothing where machines have no price. On overcommitted machines that do not report
+        # usage, overload of a pool would go unnoticed.
         if settings.prices.fleet <= 0.0 or (is_overcommitted and not settings.reports_usage):
             return [m for m in index.up if m not in excluded]
         demand = request.demand
@@ -143,9 +147,9 @@
     def _lowest_ranked(
         self, request: PendingRequest, group: Sequence[Machine], minimum: Fit
     ) -> list[Machine]:
-        """Return the machines of lowest rank, within the tolerance, of those where the task fits.
+        """Return the machines of lowest rank, within the tolerance, among those where the task fits.
 
-        No machine is ranked whose mean cost alone is above the lowest rank found so far.
+        A machine whose mean cost alone exceeds the lowest rank so far is skipped without ranking it.
         """
         rank = self._pricing.rank
         mean_cost = self._pricing.mean_cost
@@ -162,7 +166,7 @@
                 and service not in machine.tasks_by_service
                 and service not in machine.last_ended_by_service
             ):
-                continue  # without the program it costs at least one power more
+                continue  # without the program the exponent is higher by at least 1
             if machine.rejections_by_class and self._pricing.fit(request, machine) < minimum:
                 continue
             machine_rank = rank(request, machine)
@@ -174,7 +178,7 @@
     def _lowest_rank_with_program(
         self, request: PendingRequest, group: Sequence[Machine], minimum: Fit
     ) -> float:
-        """The lowest rank of the machines that run the service already; mostly the lowest of all."""
+        """Return the lowest rank of the machines that run the service: usually the lowest of all."""
         service = request.spec.service
         lowest = math.inf
         for machine in group:
--- a/thornshelf/placement/hashing.py
+++ b/thornshelf/placement/hashing.py
@@ -1,4 +1,4 @@
-"""Hashes that every placer computes alike, so that placers agree without exchanging messages."""
+"""Hash functions with the same result at every placer, so that placers agree without communication."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 _MIDDLE_MULTIPLIER = 0x9E3779B97F4A7C15
 
 
-@lru_cache(maxsize=1 << 14)  # requests of one service arrive close together
+@lru_cache(maxsize=1 << 14)  # requests of one service tend to arrive together
 def unit_hash(first: int, second: int) -> float:
-    """Hash two ids to a number from 0 to 1 that is the same at every placer."""
+    """Return a hash of two ids as a number from 0 to 1."""
     mixed = (first * _FIRST_MULTIPLIER ^ second * _SECOND_MULTIPLIER) & _MASK
     mixed = (mixed ^ mixed >> 29) * _MIDDLE_MULTIPLIER & _MASK
     mixed = (mixed ^ mixed >> 32) * _FIRST_MULTIPLIER & _MASK
--- a/thornshelf/placement/load_digest.py
+++ b/thornshelf/placement/load_digest.py
@@ -1,7 +1,7 @@
-"""Gossip about load: each placer sends digests of its own demand on machines, and adds up those of its peers.
+"""Gossip about load: placers exchange digests of the demand of their tasks on each machine.
 
-A digest is a version byte, then for each machine its id (32 bits) and own demand for cores and memory in
-64ths (16 bits each), little-endian.
+A digest is a version byte followed by an entry for each machine: its id (32 bits) and the demand for cores
+and memory in 64ths (16 bits each), little-endian.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 
 VERSION = 1
 ENTRY = struct.Struct("<IHH")
-UNITS = 64.0  # of an entry's demand, in one core or one unit of memory
-MAX_UNITS = 65535
-MAX_ENTRIES = 31  # in one message
-MESSAGE_PRICE_BYTES = 256.0  # the price of gossip is for so many bytes
-COST_PER_REQUEST = 0.004  # points that gossip may cost for each request
+DEMAND_RESOLUTION = 64.0  # encoded steps per core or per unit of memory
+MAX_ENCODED_DEMAND = 65535
+MAX_ENTRIES = 31  # per message
+PRICED_MESSAGE_BYTES = 256.0  # ``Prices.gossip`` is the price of this many bytes
+MAX_COST_PER_REQUEST = 0.004  # in points
 MIN_REQUESTS_PER_S = 0.1
-MIN_GOSSIP_INTERVAL_S = 0.5  # of all placers together
+MIN_GOSSIP_INTERVAL_S = 0.5  # over all placers
 MIN_ARRIVAL_INTERVAL_S = 0.001
 MAX_ARRIVAL_INTERVAL_S = 1.0
-PEER_TIMEOUT_S = 30.0  # the last digest of a peer counts so long: its tasks run on when it is gone
+PEER_TIMEOUT_S = 30.0  # a digest outlives its sender: the sender's tasks may still run
 
 
 class PeerDemand(NamedTuple):
-    """What a peer's tasks ask for on one machine."""
+    """The demand of a peer's tasks on one machine."""
 
     machine: Machine
     cores: float
@@ -39,32 +39,32 @@
 
 
 class PeerDigest(NamedTuple):
-    """The last digest of a peer."""
+    """The last digest received from a peer."""
 
     received_at: float
     demands: Sequence[PeerDemand]
 
 
 class LoadGossip:
-    """Sends digests as often as their price permits; adds up the peers' digests with the machines."""
+    """Sends digests as often as their price permits, and adds the demand in peers' digests to machines."""
 
     def __init__(self, context: PlacementContext, endpoints: EndpointTable) -> None:
         self._context = context
         self._endpoints = endpoints
-        self.digests: dict[int, PeerDigest] = {}  # by peer, the oldest first
+        self.digests: dict[int, PeerDigest] = {}  # by peer, the oldest digest first
         self._next_at = 0.0
-        self._requests_per_s = 0.0  # a running mean
+        self._requests_per_s = 0.0  # a moving average
         self._last_request_at = 0.0
 
     def record_request(self) -> None:
-        """Count a request: the more there are, the more gossip may cost."""
+        """Update the rate of requests, by which the budget for gossip grows."""
         since_last_s = max(self._context.now - self._last_request_at, MIN_ARRIVAL_INTERVAL_S)
         self._last_request_at = self._context.now
         weight = min(MAX_ARRIVAL_INTERVAL_S, since_last_s) * LEARNING_RATE
         self._requests_per_s += weight * (1.0 / since_last_s - self._requests_per_s)
 
     def send_if_due(self) -> None:
-        """Send a digest to a random peer when it is time."""
+        """Send a digest to a random peer if the interval has passed."""
         context = self._context
         settings = context.settings
         if not settings.limits.may_gossip or settings.placers <= 1 or context.now < self._next_at:
@@ -72,12 +72,12 @@
         data = self._encode()
         peer = (settings.me + context.random.randrange(1, settings.placers)) % settings.placers
         context.actions.append(SendGossip(peer, data))
-        cost = settings.prices.gossip * len(data) / MESSAGE_PRICE_BYTES
-        interval_s = cost / COST_PER_REQUEST / max(self._requests_per_s, MIN_REQUESTS_PER_S)
+        cost = settings.prices.gossip * len(data) / PRICED_MESSAGE_BYTES
+        interval_s = cost / MAX_COST_PER_REQUEST / max(self._requests_per_s, MIN_REQUESTS_PER_S)
         self._next_at = context.now + max(MIN_GOSSIP_INTERVAL_S / settings.placers, interval_s)
 
     def _encode(self) -> bytes:
-        """Encode own demand on machines; where there are too many, on random ones."""
+        """Return a digest of own demand, on a random choice of machines if there are more than fit."""
         machines = [
             m
             for m in self._endpoints.machines.values()
@@ -91,15 +91,15 @@
         return data
 
     def record_digest(self, event: GossipMessage) -> None:
-        """Take a peer's digest; its tasks ask nothing of the machines that it leaves out."""
+        """Replace a peer's digest, which counts as complete; a malformed digest is ignored."""
         data = event.data
         if len(data) % ENTRY.size != 1 or data[0] != VERSION:
             return
         machines = self._endpoints.machines
         demands = [
-            PeerDemand(machines[number], cores / UNITS, memory / UNITS)
-            for number, cores, memory in ENTRY.iter_unpack(data[1:])
-            if number in machines
+            PeerDemand(machines[machine_id], cores / DEMAND_RESOLUTION, memory / DEMAND_RESOLUTION)
+            for machine_id, cores, memory in ENTRY.iter_unpack(data[1:])
+            if machine_id in machines
         ]
         self._remove(event.sender)
         for demand in demands:
@@ -107,7 +107,7 @@
         self.digests[event.sender] = PeerDigest(self._context.now, demands)
 
     def expire(self) -> None:
-        """Drop the digests of peers that were not heard for long."""
+        """Discard the digests that are older than the timeout of peers."""
         while self.digests:
             peer, digest = next(iter(self.digests.items()))
             if self._context.now - digest.received_at < PEER_TIMEOUT_S:
@@ -122,7 +122,7 @@
 
 
 def _to_units(demand: float) -> int:
-    return min(MAX_UNITS, max(0, round(demand * UNITS)))
+    return min(MAX_ENCODED_DEMAND, max(0, round(demand * DEMAND_RESOLUTION)))
 
 
 def _add_peer_demand(demand: PeerDemand, sign: float) -> None:
--- a/thornshelf/placement/machine_index.py
+++ b/thornshelf/placement/machine_index.py
@@ -1,9 +1,9 @@
 """An index of the machines that are up: sums of usage and capacity, and an order, updated as machines change.
 
-The index decides nothing: a machine's usage, and its group in the order, are computed by functions passed in.
-An update costs as much as has changed since the last decision, not as much as the fleet is large. Estimates
-of usage age, so all of them are computed anew in rounds, and a round is done in slices, so that no decision
-waits for a complete round.
+Functions passed in compute a machine's usage and its group in the order. The cost of an update depends on
+the number of machines that changed since the last decision, not on the size of the fleet. As estimates of
+usage age, all of them are recomputed in rounds; a round is split into slices, so that no decision waits for
+all of it.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 
 ResourcePair = tuple[float, float]  # cores and memory
 RESOURCES = (0, 1)  # the indices of a pair
-SLICE = 64  # machines refreshed along with one decision: it costs about as much as the decision itself
-MAX_CALLS_PER_REFRESH = 4  # however few decisions there are, so many calls complete a round
-MIN_USAGE_RATIO = -4.0  # times the capacity: reported usage is clamped to what may be nearly true
+SLICE = 64  # machines refreshed with each decision, at about the cost of the decision itself
+MAX_CALLS_PER_REFRESH = 4  # ``advance_refresh`` completes a round after this many calls
+MIN_USAGE_RATIO = -4.0  # reported usage is clamped to this range, in multiples of the capacity
 MAX_USAGE_RATIO = 2.0
 
 
 def clamp_usage(usage: ResourcePair, capacity: ResourcePair) -> ResourcePair:
-    """Return the reported usage, clamped to a plausible range in terms of the machine's capacity.
+    """Return the reported usage, clamped to a plausible range relative to the capacity.
 
-    Guards against one machine whose figures are out of range: all tasks are priced by the sums.
+    Else one machine with faulty reports would distort the sums by which all tasks are priced.
     """
     return _clamp(usage[0], capacity[0]), _clamp(usage[1], capacity[1])
 
@@ -36,24 +36,24 @@
 
 
 class IndexedMachine:
-    """A machine as the index sees it."""
+    """The fields of a machine that the index uses."""
 
     def __init__(self, order_key: float, changed: list[Any]) -> None:
-        """``changed``: the index's list of machines to reindex, to which the machine adds itself."""
-        self.order_key = order_key  # its position within its group, from 0 to 1
-        self.capacity: ResourcePair = (0.0, 0.0)  # cores and memory up to which it admits requests
-        self.usage: tuple[float, ...] | None = None  # estimated, of the capacity; cached until it changes
-        self.cost_by_demand: dict[ResourcePair, tuple[float, Fit]] = {}  # mean cost and fit, cached likewise
-        self.gossip_penalty = 0.0  # powers of the cost's base, for outliers reported by peers
-        self.position = -1  # among the machines that are up
-        self.serial = 0  # unique since it is up, in case two order keys are equal
-        self.indexed_usage: tuple[float, ...] = (0.0, 0.0)  # as contained in the sums
+        """``changed`` is the index's list of machines to update; the machine adds itself to it."""
+        self.order_key = order_key  # orders the machines of a group, from 0 to 1
+        self.capacity: ResourcePair = (0.0, 0.0)  # the cores and memory that it admits demand for
+        self.usage: tuple[float, ...] | None = None  # estimated cores and memory; None: to be recomputed
+        self.cost_by_demand: dict[ResourcePair, tuple[float, Fit]] = {}  # cached mean cost and fit
+        self.gossip_penalty = 0.0  # added to the rank's exponent for an outlier that peers report
+        self.position = -1  # in ``MachineIndex.up``; -1: not up
+        self.serial = 0  # unique among machines that are up, to order equal keys; 0: not up
+        self.indexed_usage: tuple[float, ...] = (0.0, 0.0)  # the values that the sums contain
         self.indexed_capacity: ResourcePair = (0.0, 0.0)
         self.group = (False, 0)
         self._changed = changed
 
     def invalidate(self) -> None:
-        """Drop the cached values; the index is updated before the next decision."""
+        """Drop the cached values, and have the index updated before the next decision."""
         self.cost_by_demand.clear()
         if self.usage is not None:
             self.usage = None
@@ -64,26 +64,26 @@
 
 
 class MachineIndex(Generic[MachineT]):
-    """Sums over the machines that are up, and their order by group and order key."""
+    """Keeps sums over the machines that are up, and their order by group and order key."""
 
     def __init__(
         self,
         usage_of: Callable[[MachineT], tuple[float, ...]],
         group_of: Callable[[MachineT], tuple[bool, int]],
     ) -> None:
-        """``usage_of`` estimates a machine's usage; ``group_of`` gives its group, the first group least."""
-        self.up: list[MachineT] = []  # in the order of the endpoint list
+        """``usage_of`` estimates a machine's usage; ``group_of`` returns its group, in ascending order."""
+        self.up: list[MachineT] = []  # in the order of the endpoint table
         self.changed: list[MachineT] = []  # machines whose usage may have changed
         self._usage_of = usage_of
         self._group_of = group_of
         self._groups: dict[tuple[bool, int], list[tuple[float, int, MachineT]]] = {}
         self._usage_sums = [0.0, 0.0]
         self._capacity_sums = [0.0, 0.0]
-        self._refresh_queue: deque[MachineT] = deque()  # the machines that this round has not refreshed yet
+        self._refresh_queue: deque[MachineT] = deque()  # the machines that are left in the current round
         self._last_serial = 0
 
     def replace(self, up: Iterable[MachineT]) -> None:
-        """Replace the machines that are up; the cost depends on the differences."""
+        """Set the machines that are up; the sums and the order are updated by the differences only."""
         before = self.up
         self.up = list(up)
         for machine in before:
@@ -103,14 +103,14 @@
                 self._add(machine)
 
     def advance_refresh(self) -> None:
-        """Begin a round of refreshing all estimates, or continue the one in progress."""
+        """Begin a round that recomputes all estimates, or continue the current one."""
         if not self._refresh_queue:
             self._refresh_queue.extend(self.up)
-        quarter = -(-len(self.up) // MAX_CALLS_PER_REFRESH)
-        self._refresh(max(SLICE, quarter))
+        minimum_count = -(-len(self.up) // MAX_CALLS_PER_REFRESH)
+        self._refresh(max(SLICE, minimum_count))
 
     def apply_changes(self) -> None:
-        """Update sums and order for the machines that changed, and continue a round in progress."""
+        """Update sums and order for the machines that changed, and continue the current round, if any."""
         if self._refresh_queue:
             self._refresh(SLICE)
         if self.changed:
@@ -120,7 +120,7 @@
             self.changed.clear()
 
     def _refresh(self, count: int) -> None:
-        """Refresh so many machines; the end of a round removes the rounding errors of single updates."""
+        """Recompute the next ``count`` machines; a round ends by summing anew, to drop rounding errors."""
         queue = self._refresh_queue
         for _ in range(min(count, len(queue))):
             machine = queue.popleft()
@@ -134,7 +134,7 @@
                 self._capacity_sums[resource] = sum(m.capacity[resource] for m in self.up)
 
     def _reindex(self, machine: MachineT) -> None:
-        """Update the sums by the change of its usage, and its place in the order if its group changed."""
+        """Update the sums for a machine's current usage, and its place in the order if its group changed."""
         usage = self._usage_of(machine)
         before = machine.indexed_usage
         machine.indexed_usage = usage
@@ -164,17 +164,17 @@
         machine.serial = serial
 
     def _insert_into_order(self, machine: MachineT) -> None:
-        ranked = self._groups.setdefault(machine.group, [])
-        insort(ranked, (machine.order_key, machine.serial, machine))
+        entries = self._groups.setdefault(machine.group, [])
+        insort(entries, (machine.order_key, machine.serial, machine))
 
     def _remove_from_order(self, machine: MachineT) -> None:
-        ranked = self._groups[machine.group]
-        del ranked[bisect_left(ranked, (machine.order_key, machine.serial))]
-        if not ranked:
+        entries = self._groups[machine.group]
+        del entries[bisect_left(entries, (machine.order_key, machine.serial))]
+        if not entries:
             del self._groups[machine.group]
 
     def totals(self, excluded: Collection[MachineT] = ()) -> tuple[list[float], list[float]]:
-        """Return the summed usage and the summed capacity of all machines but the excluded ones."""
+        """Return the summed usage and the summed capacity of all machines except the excluded ones."""
         usage = self._usage_sums
         capacity = self._capacity_sums
         if not excluded:
@@ -186,6 +186,6 @@
 
     def ordered(self) -> Iterator[MachineT]:
         """Iterate over all machines by group and order key."""
-        for _, ranked in sorted(self._groups.items()):
-            for _, _, machine in ranked:
+        for _, entries in sorted(self._groups.items()):
+            for _, _, machine in entries:
                 yield machine
--- a/thornshelf/placement/placer.py
+++ b/thornshelf/placement/placer.py
@@ -39,7 +39,7 @@
 from thornshelf.placement.load_digest import LoadGossip
 from thornshelf.placement.machine import Machine
 from thornshelf.placement.outliers import OutlierDetector
-from thornshelf.placement.pricing import PROGRAM_CACHE_S, Pricing
+from thornshelf.placement.pricing import PROGRAM_CACHE_TTL_S, Pricing
 from thornshelf.placement.requests import Attempt, AttemptState, PendingRequest, RequestTable
 from thornshelf.placement.reservations import LargeTaskReservations
 from thornshelf.placement.rules import PlacementRules
@@ -326,8 +326,8 @@
         up = self.endpoints.index.up
         self.usage.update_averages(up, self.gossip.digests)
         diversity = self.accounting.service_diversity()
-        self.usage.adapt_fullness_steps(diversity)
-        self.pricing.adapt_home_cost(diversity, len(up))
+        self.usage.update_utilization_steps(diversity)
+        self.pricing.update_affinity_scale(diversity, len(up))
         self.endpoints.index.advance_refresh()
         self.slow_start.update_machines(up)
 
@@ -341,7 +341,7 @@
         self.outliers.check_health()
         self.endpoints.remove_unused()
         if context.now >= self._program_cache_expires_at:
-            self._program_cache_expires_at = context.now + PROGRAM_CACHE_S
+            self._program_cache_expires_at = context.now + PROGRAM_CACHE_TTL_S
             self._expire_program_cache()
         self.gossip.expire()
         self.gossip.send_if_due()
@@ -350,5 +350,7 @@
         """Discard the records of services whose programs machines no longer cache."""
         now = self._context.now
         for machine in self.endpoints.index.up:
-            recent = {s: at for s, at in machine.last_ended_by_service.items() if now - at < PROGRAM_CACHE_S}
+            recent = {
+                s: at for s, at in machine.last_ended_by_service.items() if now - at < PROGRAM_CACHE_TTL_S
+            }
             machine.last_ended_by_service = recent
--- a/thornshelf/placement/pricing.py
+++ b/thornshelf/placement/pricing.py
@@ -1,4 +1,4 @@
-"""Prices of tasks on machines: the paper's unit cost, its admission threshold, and the rank of a machine."""
+"""Prices tasks on machines: the paper's unit cost and admission threshold, and the rank of a machine."""
 
 from __future__ import annotations
 
@@ -16,34 +16,34 @@
 from thornshelf.placement.slow_start import SlowStart
 from thornshelf.placement.usage import UsageEstimator
 
-COST_BASE = 4.0  # a: a full machine costs so many times what an empty one does (the design's figure)
-ADMISSION_THRESHOLD = 0.3  # theta: the threshold's part of the highest unit cost (the design's figure)
-MAX_POWERS = 256.0  # of the base, all terms of a rank together: beyond any choice, and within a float's range
-MAX_DELAY_POWERS = 2.0  # [D4] late starts raise the rank by at most this power of the base
-SLOW_START_POWERS = 0.5  # a machine in slow start is as expensive as one that is half as full again
-PRESSURE_MEMORY_S = 2.0  # pressure that a machine reported raises its rank so long
-PENDING_START_POWERS = 0.1
-CROSS_ZONE_POWERS = 2.0  # for each point that a task in another zone costs
-PROGRAM_CACHE_S = 10.0  # [D3] a machine keeps a program about so long after its service's last own task there
-RECENT_PROGRAM_POWERS = 0.25
-NO_PROGRAM_POWERS = 1.0
-HOMES_PER_POWER = 5  # [D3] so many places down a service's order cost one power of the base
-MAX_HOME_POWERS = 16.0  # [D3] of what is beyond, the logarithm counts, so that other terms still matter
+COST_BASE = 4.0  # the paper's a: how many times more a full machine costs than an empty one
+ADMISSION_THRESHOLD = 0.3  # the paper's theta: the threshold as a fraction of the highest unit cost
+MAX_RANK_EXPONENT = 256.0  # keeps ranks within the range of a float
+MAX_START_DELAY_EXPONENT = 2.0  # [D4] the most that delayed starts add to the exponent
+SLOW_START_EXPONENT = 0.5  # as much as a utilization that is higher by one half
+PRESSURE_TTL_S = 2.0  # how long reported pressure raises a machine's rank
+PENDING_START_EXPONENT = 0.1  # for each own attempt that has not started yet
+CROSS_ZONE_EXPONENT = 2.0  # for each point that a task in another zone costs by ``Prices.cross_zone``
+PROGRAM_CACHE_TTL_S = 10.0  # [D3] about how long a machine caches a program after its last task
+CACHED_PROGRAM_EXPONENT = 0.25
+UNCACHED_PROGRAM_EXPONENT = 1.0
+AFFINITY_PLACES_PER_EXPONENT = 5  # [D3] machines in a service's order of preference per unit of the exponent
+MAX_LINEAR_AFFINITY = 16.0  # [D3] grows logarithmically above: other terms still matter
 
 
 def unit_costs(usage: Sequence[float], capacity: Sequence[float], demand: Sequence[float]) -> list[float]:
-    """Return the paper's unit cost of each resource that is asked for."""
+    """Return the paper's unit cost of each requested resource; one without capacity has the highest cost."""
     return [
-        COST_BASE ** (used / size) * (COST_BASE ** min(wanted / size, MAX_POWERS) - 1.0)
+        COST_BASE ** (used / size) * (COST_BASE ** min(requested / size, MAX_RANK_EXPONENT) - 1.0)
         if size > 0.0
         else COST_BASE**2
-        for used, size, wanted in zip(usage, capacity, demand, strict=True)
-        if wanted > 0.0
+        for used, size, requested in zip(usage, capacity, demand, strict=True)
+        if requested > 0.0
     ]
 
 
 def is_under_threshold(costs: Sequence[float]) -> bool:
-    """Return whether each unit cost, and their mean, is at most the admission threshold."""
+    """Return whether each unit cost, and their mean, are within the admission threshold."""
     threshold = ADMISSION_THRESHOLD * (COST_BASE - 1.0)
     return not costs or (max(costs) <= threshold and sum(costs) / len(costs) <= threshold)
 
@@ -51,9 +51,10 @@
 def is_admitted(
     demand: ResourcePair, totals: tuple[list[float], list[float]], largest_capacity: Sequence[float]
 ) -> bool:
-    """Return whether the demand is under the threshold on the pooled machines (``totals``: usage, capacity).
+    """Return whether the demand is within the threshold on the pooled machines.
 
-    A task that would be above it even on the largest machine, empty, is admitted wherever it fits.
+    ``totals`` are the summed usage and the summed capacity of these. A task that is above the threshold even
+    on the largest machine while empty is admitted too: it goes wherever it fits.
     """
     return is_under_threshold(unit_costs(*totals, demand)) or not is_under_threshold(
         unit_costs((0.0, 0.0), largest_capacity, demand)
@@ -61,7 +62,7 @@
 
 
 class Pricing:
-    """Ranks machines for a request: the least rank is chosen."""
+    """Ranks machines for a request; the machine of lowest rank is preferred."""
 
     def __init__(
         self,
@@ -76,29 +77,29 @@
         self._slow_start = slow_start
         self._latency = latency
         self._reservations = reservations
-        self._cross_zone_powers = CROSS_ZONE_POWERS * context.settings.prices.cross_zone
-        self.home_cost_scale = 1.0  # [D3] how much more a service's last home costs than its first
+        self._cross_zone_exponent = CROSS_ZONE_EXPONENT * context.settings.prices.cross_zone
+        self.affinity_scale = 1.0  # [D3] the exponent of the last machine in a service's order of preference
 
     def rank(self, request: PendingRequest, machine: Machine) -> float:
-        """Return the paper's mean cost, times the base to the power of all else that makes it expensive."""
+        """Return the paper's mean cost, multiplied by the base to the power of the other disadvantages."""
         context = self._context
-        powers = self.program_powers(request, machine) + self._cross_zone_powers * machine.in_other_zone
-        powers += (
-            PENDING_START_POWERS * len(machine.pending_starts)
+        exponent = self.program_exponent(request, machine) + self._cross_zone_exponent * machine.in_other_zone
+        exponent += (
+            PENDING_START_EXPONENT * len(machine.pending_starts)
             + machine.consecutive_failures
             + machine.gossip_penalty
-            + (SLOW_START_POWERS if self._slow_start.is_warming_up(machine) else 0.0)
+            + (SLOW_START_EXPONENT if self._slow_start.is_warming_up(machine) else 0.0)
         )
-        powers += machine.pressure if context.now - machine.pressure_at < PRESSURE_MEMORY_S else 0.0
+        exponent += machine.pressure if context.now - machine.pressure_at < PRESSURE_TTL_S else 0.0
         if machine.start_delay_s or machine.pending_starts:
-            powers += self._start_delay_powers(machine)
+            exponent += self._start_delay_exponent(machine)
         cost = (machine.cost_by_demand.get(request.demand) or self.mean_cost(machine, request.demand))[0]
-        return cost * math.pow(COST_BASE, min(powers, MAX_POWERS))
+        return cost * math.pow(COST_BASE, min(exponent, MAX_RANK_EXPONENT))
 
     def mean_cost(self, machine: Machine, demand: ResourcePair) -> tuple[float, Fit]:
-        """Return the paper's mean cost and how well the demand fits, and cache them with the machine.
+        """Return the paper's mean cost and how well the demand fits, and cache both on the machine.
 
-        The result is a plain tuple, as it is unpacked for each machine of each decision.
+        The result is a plain tuple for speed: it is unpacked for each machine of each decision.
         """
         usage = machine.usage or self._usage.estimate(machine)
         limit = machine.usage_limit or self._usage.limit(machine)
@@ -115,7 +116,7 @@
         return result
 
     def fit(self, request: PendingRequest, machine: Machine) -> Fit:
-        """Return how well the task fits there, also by what the machine refused of late."""
+        """Return how well the task fits on the machine, considering its recent refusals of the class."""
         rejection = machine.rejections_by_class.get(request.task_class.name)
         demand = request.demand
         if (
@@ -124,35 +125,39 @@
             and demand[0] >= rejection.demand[0]
             and demand[1] >= rejection.demand[1]
         ):
-            return Fit.REFUSED_LATELY
+            return Fit.RECENTLY_REFUSED
         return (machine.cost_by_demand.get(demand) or self.mean_cost(machine, demand))[1]
 
-    def program_powers(self, request: PendingRequest, machine: Machine) -> float:
-        """[D3] Return the powers for a start without the service's program; placers agree on its homes."""
+    def program_exponent(self, request: PendingRequest, machine: Machine) -> float:
+        """Return the exponent for a start on a machine that does not run the service yet [D3].
+
+        All placers compute the same order of preferred machines for a service, so that its program is cached
+        on few of them.
+        """
         service = request.spec.service
         if machine.tasks_by_service.get(service):
             return 0.0
-        last_ended = machine.last_ended_by_service.get(service, -PROGRAM_CACHE_S)
-        is_recent = self._context.now - last_ended < PROGRAM_CACHE_S
-        # A large task needs capacity first.
-        scale = 1.0 if self._reservations.is_large(request.demand) else self.home_cost_scale
-        home = unit_hash(service, machine.id) * scale
-        if home > MAX_HOME_POWERS:
-            home = MAX_HOME_POWERS + math.log1p(home - MAX_HOME_POWERS)
-        return (RECENT_PROGRAM_POWERS if is_recent else NO_PROGRAM_POWERS) + home
-
-    def adapt_home_cost(self, service_diversity: float, machines: int) -> None:
-        """[D3] Scale the cost of homes so that placers agree on few of them in a fleet of any size."""
-        homes = max(1, machines) / HOMES_PER_POWER
-        self.home_cost_scale = 1.0 + service_diversity * max(0.0, homes - 1.0)
-
-    def _start_delay_powers(self, machine: Machine) -> float:
-        """[D4] Late or overdue starts make a machine expensive: it may accept tasks but run them slowly."""
-        waiting_s = 0.0
+        last_ended = machine.last_ended_by_service.get(service, -PROGRAM_CACHE_TTL_S)
+        is_cached = self._context.now - last_ended < PROGRAM_CACHE_TTL_S
+        # For a large task, capacity matters more than a cached program.
+        scale = 1.0 if self._reservations.is_large(request.demand) else self.affinity_scale
+        affinity_exponent = unit_hash(service, machine.id) * scale
+        if affinity_exponent > MAX_LINEAR_AFFINITY:
+            affinity_exponent = MAX_LINEAR_AFFINITY + math.log1p(affinity_exponent - MAX_LINEAR_AFFINITY)
+        return (CACHED_PROGRAM_EXPONENT if is_cached else UNCACHED_PROGRAM_EXPONENT) + affinity_exponent
+
+    def update_affinity_scale(self, service_diversity: float, machines: int) -> None:
+        """Scale affinity with the fleet [D3], so that at any size few machines cache a service's program."""
+        scale = max(1, machines) / AFFINITY_PLACES_PER_EXPONENT
+        self.affinity_scale = 1.0 + service_diversity * max(0.0, scale - 1.0)
+
+    def _start_delay_exponent(self, machine: Machine) -> float:
+        """Return the exponent for delayed starts [D4]: such a machine accepts tasks but runs them slowly."""
+        pending_s = 0.0
         if machine.pending_starts:
-            waiting_s = self._context.now - next(iter(machine.pending_starts.values()))
-        expected_s = max(machine.start_delay_s or 0.0, waiting_s)
-        usual_s = TIMEOUT_FACTOR * self._latency.usual_start_s
-        if expected_s > usual_s > 0.0:
-            return min(math.log(expected_s / usual_s, COST_BASE), MAX_DELAY_POWERS)
+            pending_s = self._context.now - next(iter(machine.pending_starts.values()))
+        expected_s = max(machine.start_delay_s or 0.0, pending_s)
+        threshold_s = TIMEOUT_FACTOR * self._latency.mean_start_s
+        if expected_s > threshold_s > 0.0:
+            return min(math.log(expected_s / threshold_s, COST_BASE), MAX_START_DELAY_EXPONENT)
         return 0.0
--- a/thornshelf/placement/requests.py
+++ b/thornshelf/placement/requests.py
@@ -1,4 +1,4 @@
-"""Requests that are being placed or whose tasks run, and their attempts."""
+"""Requests that are being placed or whose tasks run, with their attempts."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class AttemptState(Enum):
-    """What is known of an attempt's task."""
+    """What is known about the task of an attempt."""
 
-    PENDING = "pending"  # no outcome yet
+    PENDING = "pending"  # neither accepted nor ended
     NEVER_RAN = "never ran"
     MAY_HAVE_RUN = "may have run"
-    BOUND = "bound"  # the request was answered with this attempt
+    BOUND = "bound"  # this attempt answered the request
 
 
 class Attempt:
@@ -26,12 +26,12 @@
         self.machine = machine
         self.sent_at = sent_at
         self.state = state
-        self.measured_usage: list[float | None] = [None, None]  # of cores and memory, where reported
-        self.live = True  # it has not ended, and counts in occupancy and spread
+        self.measured_usage: list[float | None] = [None, None]  # cores and memory; None: not reported
+        self.live = True  # it has not ended: its demand and its place in the spread count
 
 
 class PendingRequest:
-    """A request and its attempts; kept until it is answered and all attempts have ended."""
+    """A request and its attempts, tracked until it is answered and all attempts have ended."""
 
     def __init__(self, spec: PlacementRequest, task_class: TaskClass, deadline: float) -> None:
         self.spec = spec
@@ -39,9 +39,9 @@
         self.deadline = deadline
         self.demand: ResourcePair = (spec.cores, spec.memory)
         self.attempts: list[Attempt] = []
-        self.open = True  # a final answer is due
-        self.tried_machine_ids: set[int] = set()  # machines on which an attempt ended before it was bound
-        self.errored_machines: list[Machine] = []  # machines that answered with an error
+        self.open = True  # not answered yet
+        self.tried_machine_ids: set[int] = set()  # where an attempt ended before it was bound
+        self.errored_machines: list[Machine] = []  # whose attempts ended with an error
 
     def has_pending_attempt(self) -> bool:
         """Return whether an attempt is in flight."""
@@ -59,15 +59,15 @@
         self.requests: dict[int, PendingRequest] = {}
 
     def add(self, request: PendingRequest) -> None:
-        """Keep a request until it is answered and all its attempts have ended."""
+        """Add a new request."""
         self.requests[request.spec.request_id] = request
 
     def get(self, request_id: int) -> PendingRequest | None:
-        """Return a request, or none where it was discarded already."""
+        """Return a request, or None if it was discarded already."""
         return self.requests.get(request_id)
 
     def find_live_attempt(self, request_id: int, number: int) -> tuple[PendingRequest, Attempt] | None:
-        """Return an attempt and its request, or none where it has ended or is another placer's."""
+        """Return an attempt and its request, or None if the attempt has ended or is unknown."""
         request = self.requests.get(request_id)
         if request is None or number >= len(request.attempts) or not request.attempts[number].live:
             return None
--- a/thornshelf/placement/scheduling.py
+++ b/thornshelf/placement/scheduling.py
@@ -1,4 +1,4 @@
-"""Schedules requests: in which order they are placed, when an attempt is sent, and the one final answer."""
+"""Schedules requests: the order of placement, the sending of attempts, and the final answer."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from thornshelf.placement.rules import PlacementRules
 from thornshelf.placement.slow_start import SlowStart
 
-RETRY_AFTER_S = 1.0  # advice with a rejection: before that little capacity is released
+RETRY_AFTER_S = 1.0  # within less time, little capacity is released
 
 
 class RequestScheduler:
-    """Sends requests to machines, or answers them."""
+    """Sends requests to machines, or answers those that can't be placed."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         self._accounting = accounting
 
     def place_batch(self, batch: list[PendingRequest]) -> None:
-        """Place requests that came together: the cheapest first, then by lifetime, else at random."""
+        """Place concurrent requests: the cheapest first, then the shorter lifetime, else in random order."""
         requests = [request for request in batch if request.open]
         index = self._endpoints.index
         if len(requests) > 1 and index.up:
@@ -53,7 +53,7 @@
             self.place(request)
 
     def place(self, request: PendingRequest) -> None:
-        """Send the request to the best machine, or give the final answer that remains."""
+        """Send the request to the machine of lowest rank, or answer it if there is none."""
         if not request.open or request.has_pending_attempt():
             return
         max_attempts = self._context.settings.limits.max_attempts
@@ -66,7 +66,7 @@
             self._start_attempt(request, machine)
 
     def _start_attempt(self, request: PendingRequest, machine: Machine) -> None:
-        """Send an attempt and account for it."""
+        """Start an attempt on the machine and account for its demand."""
         context = self._context
         attempt = Attempt(machine, context.now, AttemptState.PENDING)
         request.attempts.append(attempt)
@@ -78,7 +78,7 @@
         context.actions.append(StartAttempt(request_id, machine.id, timeout_s))
 
     def answer_without_machine(self, request: PendingRequest) -> None:
-        """Rule 1: give the one final answer; a rejection only where rule 2 permits it, else a failure."""
+        """Answer an open request (rule 1): reject it if rule 2 permits that, else fail it."""
         if not request.open:
             return
         request.open = False
