--- a/thornshelf/placement/simulator/__init__.py
+++ b/thornshelf/placement/simulator/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter between the simulator and the decision module.
+"""The adapter that connects the decision module to the simulator.
 
-The simulator sends batches of tab-separated lines on standard input and reads the actions on standard output.
-Run it with ``python -m thornshelf.placement.simulator``. The package decides nothing: it decodes events, hands
-them to one isolated placer for each simulated dispatcher, and encodes the actions that these return.
+``python -m thornshelf.placement.simulator`` reads batches of tab-separated lines on standard input and writes actions
+on standard output. It decodes events, passes them to an isolated placer for each simulated dispatcher, and encodes
+the actions that the placers return.
 """
--- a/thornshelf/placement/simulator/__main__.py
+++ b/thornshelf/placement/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m thornshelf.placement.simulator``: serve the simulator on standard input and output."""
+"""Serves the simulator on standard input and output: ``python -m thornshelf.placement.simulator``."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 def main() -> int:
-    """Serve until the input ends; the exit code.
+    """Serve until the input ends, and return the exit code.
 
-    Malformed input ends the process with one line on standard error, which names the line of the input.
+    On malformed input, write one line with the number of the input line to standard error.
     """
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")  # type: ignore[union-attr]
     sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     reader = LineReader(sys.stdin)
     try:
         Session(reader, sys.stdout).run()
-    except WireError as fault:
-        print(f"thornshelf: line {reader.line}: {fault}", file=sys.stderr)
+    except WireError as error:
+        print(f"thornshelf: line {reader.line}: {error}", file=sys.stderr)
         return EXIT_MALFORMED
     except BrokenPipeError:
         return EXIT_BROKEN_PIPE
--- a/thornshelf/placement/simulator/decoder.py
+++ b/thornshelf/placement/simulator/decoder.py
@@ -1,7 +1,7 @@
-"""Decodes the simulator's messages into the events of the decision module.
+"""Decodes the simulator's messages into events.
 
-This is the one place that maps the values and positions of the wire to the fields of events. Malformed input raises
-``WireError`` with the name that the value has on the wire.
+Only this module maps the values and positions of the wire to the fields of events. On malformed input, ``WireError``
+names the value as the wire does.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 }
 _REASONS = {reason.value: reason for reason in api.Reason}
 _UPDATE_KINDS = {str(kind.value): kind for kind in api.TaskUpdateKind}
-_REPORT_FIELDS = {  # columns of load reports, and the fields of LoadReport that hold them; others are ignored
+_REPORT_FIELDS = {  # fields of LoadReport by column of the wire; other columns are ignored
     "active": "active",
     "waiting": "waiting",
     "cpu": "busy",
@@ -49,50 +49,50 @@
     "x1": "free_memory",
 }
 _WATCH_FAILED = "X"
-_COMPLETE_LIST = {"D": False, "F": True, "C": True}
+_IS_COMPLETE_LIST = {"D": False, "F": True, "C": True}
 _NO_TENANT = (ABSENT, "0", "")
 _ENDPOINT_TAG = "M"
 _ENDPOINT_FIELD_COUNT = 10
 
-# Bits of the value `info` of a task.
+# Bits of the value `info` of a request.
 _HAS_LIFETIME_HINT = 1
 _IS_REPEAT = 2
 _IS_RETRY = 16
 
 
 class SubmitFields(NamedTuple):
-    """The values of ``SUBMIT`` after the number of the instance, in the order of the wire."""
+    """The values of ``SUBMIT`` after the instance's number, in the order of the wire."""
 
-    xid: str
-    band: str
+    request_id: str
+    task_class: str
     tenant: str
-    key: str
+    task: str
     budget: str
-    hint: str
+    lifetime_hint: str
     service: str
     cores: str
     memory: str
-    marks: str
+    flags: str
 
 
 class RunningFields(NamedTuple):
-    """The values of ``RUNNING`` after the number of the instance, in the order of the wire."""
+    """The values of ``RUNNING`` after the instance's number, in the order of the wire."""
 
-    xid: str
+    request_id: str
     tenant: str
-    marks: str
-    host: str
+    flags: str
+    machine: str
     service: str
-    key: str
-    band: str
-    hint: str
+    task: str
+    task_class: str
+    lifetime_hint: str
     cores: str
     budget: str
     memory: str
 
 
 def decode_endpoint(fields: Sequence[str]) -> api.Endpoint:
-    """One ``M`` line, an entry of an endpoint list."""
+    """Decode an ``M`` line, which is an entry of an endpoint list."""
     if len(fields) != _ENDPOINT_FIELD_COUNT or fields[0] != _ENDPOINT_TAG:
         raise WireError(f"an entry of a list has {_ENDPOINT_TAG} and {_ENDPOINT_FIELD_COUNT - 1} values")
     return api.Endpoint(
@@ -109,10 +109,10 @@
 
 
 class EventDecoder:
-    """Decodes the events of one placer.
+    """Decodes the events of one placer; all methods raise ``WireError`` on malformed input.
 
-    ``class_names`` are the task classes that its settings define, ``report_columns`` the columns of its load
-    reports, and ``endpoint_lists`` the lists that the simulator has sent to all placers, by their numbers.
+    ``class_names`` are the task classes in the placer's settings, ``report_columns`` the columns of its load
+    reports, and ``endpoint_lists`` the lists that the simulator has sent to all placers, by number.
     """
 
     def __init__(
@@ -123,96 +123,100 @@
         self._endpoint_lists = endpoint_lists
 
     def endpoint_update(self, fields: list[str]) -> api.Event:
-        """``ROSTER_CHANGE``: changes of the endpoint list, the complete list, or the end of its watch."""
-        scope, version, list_number = fields
-        if scope == _WATCH_FAILED:
+        """Decode ``ROSTER_CHANGE``: the endpoint list, changes of it, or the failure of its watch."""
+        list_kind, version, list_number = fields
+        if list_kind == _WATCH_FAILED:
             return api.EndpointWatchFailed()
-        complete = parse_choice(_COMPLETE_LIST, scope, "scope")
+        complete = parse_choice(_IS_COMPLETE_LIST, list_kind, "scope")
         number = parse_integer(list_number, "ref")
         if number not in self._endpoint_lists:
             raise WireError(f"list number was never given: {number}")
         return api.EndpointUpdate(complete, parse_integer(version, "stamp"), self._endpoint_lists[number])
 
     def placement_request(self, fields: list[str]) -> api.Event:
-        """``SUBMIT``: a task that is to be placed."""
+        """Decode ``SUBMIT``: a request to place a task."""
         return self._request(SubmitFields(*fields))
 
     def task_adopted(self, fields: list[str]) -> api.Event:
-        """``RUNNING``: a task that runs already."""
+        """Decode ``RUNNING``: a running task that is handed over."""
         running = RunningFields(*fields)
-        return api.TaskAdopted(self._request(running), parse_integer(running.host, "host"))
+        return api.TaskAdopted(self._request(running), parse_integer(running.machine, "host"))
 
     def health_check_result(self, fields: list[str]) -> api.Event:
-        """``PROBED``: the result of a health check."""
-        latency, state_code, host, report = fields
-        outcome = parse_choice(_OUTCOMES, state_code, "state-code")
-        latency_s = parse_optional_number(latency, "lag-s") or 0.0
-        return api.HealthCheckResult(parse_integer(host, "host"), outcome, latency_s, self._report(report))
+        """Decode ``PROBED``: the result of a health check."""
+        latency_text, outcome_text, machine_text, report = fields
+        outcome = parse_choice(_OUTCOMES, outcome_text, "state-code")
+        latency_s = parse_optional_number(latency_text, "lag-s") or 0.0
+        return api.HealthCheckResult(
+            parse_integer(machine_text, "host"), outcome, latency_s, self._report(report)
+        )
 
     def attempt_ended(self, fields: list[str]) -> api.Event:
-        """``RESULT``: the outcome of an attempt."""
-        xid, host, cause, last, state_code, shot, latency, report = fields
+        """Decode ``RESULT``: the outcome of an attempt."""
+        request_text, machine_text, reason_text, last, outcome_text, attempt_text, latency_text, report = (
+            fields
+        )
         return api.AttemptEnded(
-            request_id=parse_integer(xid, "xid"),
-            machine=parse_integer(host, "host"),
-            attempt=parse_integer(shot, "shot"),
-            outcome=parse_choice(_OUTCOMES, state_code, "state-code"),
-            reason=_REASONS.get(parse_optional_integer(cause, "info"), api.Reason.UNSPECIFIED),
+            request_id=parse_integer(request_text, "xid"),
+            machine=parse_integer(machine_text, "host"),
+            attempt=parse_integer(attempt_text, "shot"),
+            outcome=parse_choice(_OUTCOMES, outcome_text, "state-code"),
+            reason=_REASONS.get(parse_optional_integer(reason_text, "info"), api.Reason.UNSPECIFIED),
             last=parse_flag(last, "last"),
-            latency_s=parse_optional_number(latency, "lag-s") or 0.0,
+            latency_s=parse_optional_number(latency_text, "lag-s") or 0.0,
             report=self._report(report),
         )
 
     def attempt_accepted(self, fields: list[str]) -> api.Event:
-        """``ACCEPTED``: an attempt was accepted, or its task runs."""
-        xid, host, latency, shot = fields
-        latency_s = parse_optional_number(latency, "lag-s") or 0.0
-        request_id = parse_integer(xid, "xid")
-        machine = parse_integer(host, "host")
-        return api.AttemptAccepted(request_id, machine, parse_integer(shot, "shot"), latency_s)
+        """Decode ``ACCEPTED``: an attempt was accepted, or its task runs."""
+        request_text, machine_text, latency_text, attempt_text = fields
+        latency_s = parse_optional_number(latency_text, "lag-s") or 0.0
+        request_id = parse_integer(request_text, "xid")
+        machine = parse_integer(machine_text, "host")
+        return api.AttemptAccepted(request_id, machine, parse_integer(attempt_text, "shot"), latency_s)
 
     def task_update(self, fields: list[str]) -> api.Event:
-        """``HINT_UPDATE``: news of an attempt in flight."""
-        xid, host, level, sort, shot = fields
-        value = parse_optional_number(level, "level") or 0.0
-        attempt = parse_integer(shot, "shot")
-        request_id = parse_integer(xid, "xid")
-        machine = parse_integer(host, "host")
-        kind = parse_choice(_UPDATE_KINDS, sort, "sort")
+        """Decode ``HINT_UPDATE``: a report on an attempt that has not ended."""
+        request_text, machine_text, value_text, kind_text, attempt_text = fields
+        value = parse_optional_number(value_text, "level") or 0.0
+        attempt = parse_integer(attempt_text, "shot")
+        request_id = parse_integer(request_text, "xid")
+        machine = parse_integer(machine_text, "host")
+        kind = parse_choice(_UPDATE_KINDS, kind_text, "sort")
         return api.TaskUpdate(request_id, machine, attempt, kind, value)
 
     def gossip_message(self, fields: list[str]) -> api.Event:
-        """``NOTE_FROM``: a message of another placer."""
-        sender, raw = fields
+        """Decode ``NOTE_FROM``: a gossip message of another placer."""
+        sender, encoded = fields
         try:
-            data = b"" if raw == ABSENT else base64.b64decode(raw, validate=True)
+            data = b"" if encoded == ABSENT else base64.b64decode(encoded, validate=True)
         except binascii.Error:
             raise WireError("raw is not base64") from None
         return api.GossipMessage(parse_integer(sender, "from"), data)
 
     def request_cancelled(self, fields: list[str]) -> api.Event:
-        """``ABANDONED``: no answer to a request is expected any more."""
+        """Decode ``ABANDONED``: the client has cancelled its request."""
         return api.RequestCancelled(parse_integer(fields[0], "xid"))
 
     def timer_fired(self, fields: list[str]) -> api.Event:
-        """``ALARM``: a timer that the placer has set."""
+        """Decode ``ALARM``: a timer of the placer is due."""
         return api.TimerFired(parse_integer(fields[0], "nonce"))
 
     def _request(self, fields: SubmitFields | RunningFields) -> api.PlacementRequest:
-        marks = parse_optional_integer(fields.marks, "info")
-        hint_s = parse_optional_number(fields.hint, "life-hint-s")
+        flags = parse_optional_integer(fields.flags, "info")
+        hint_s = parse_optional_number(fields.lifetime_hint, "life-hint-s")
         return api.PlacementRequest(
-            request_id=parse_integer(fields.xid, "xid"),
-            task_class=self._task_class(fields.band),
+            request_id=parse_integer(fields.request_id, "xid"),
+            task_class=self._task_class(fields.task_class),
             tenant=None if fields.tenant in _NO_TENANT else fields.tenant,
-            task=parse_optional_integer(fields.key, "instance-key"),
+            task=parse_optional_integer(fields.task, "instance-key"),
             budget_s=parse_optional_number(fields.budget, "time-budget-s") or 0.0,
-            lifetime_hint_s=hint_s if marks & _HAS_LIFETIME_HINT else None,
+            lifetime_hint_s=hint_s if flags & _HAS_LIFETIME_HINT else None,
             service=parse_optional_integer(fields.service, "owner-set"),
             cores=parse_optional_number(fields.cores, "cores") or 0.0,
             memory=parse_optional_number(fields.memory, "mem-needed") or 0.0,
-            repeat=bool(marks & _IS_REPEAT),
-            is_retry=bool(marks & _IS_RETRY),
+            repeat=bool(flags & _IS_REPEAT),
+            is_retry=bool(flags & _IS_RETRY),
         )
 
     def _task_class(self, text: str) -> str:
@@ -237,9 +241,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EventMessage:
-    """How a message that carries an event is decoded.
+    """How to decode a message that carries an event.
 
-    ``field_count`` counts its values with the number of the instance and without the name of the message.
+    ``field_count`` is the number of its values, including the instance's number but not the message's name.
     """
 
     field_count: int
--- a/thornshelf/placement/simulator/encoder.py
+++ b/thornshelf/placement/simulator/encoder.py
@@ -1,4 +1,4 @@
-"""Encodes the actions of the decision module as lines of the simulator's wire."""
+"""Encodes actions as lines of the simulator's wire."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def encode_action(instance: int, action: api.Action) -> str:
-    """The line for an action of the placer with this number, without its line end."""
+    """Return the line for an action of the placer with this number, without a line end."""
     match action:
         case api.StartAttempt(request_id, machine, timeout_s):
             return f"TRY\t{instance}\t{request_id}\t{_optional_seconds(timeout_s)}\t{machine}"
@@ -29,8 +29,8 @@
         case api.SetTimer(at, token):
             return f"REMIND\t{instance}\t{_seconds(at)}\t{token}"
         case api.SendGossip(peer, data):
-            raw = base64.b64encode(data).decode("ascii") or ABSENT
-            return f"ANNOUNCE\t{instance}\t{_ALL_PEERS if peer is None else peer}\t{raw}"
+            encoded = base64.b64encode(data).decode("ascii") or ABSENT
+            return f"ANNOUNCE\t{instance}\t{_ALL_PEERS if peer is None else peer}\t{encoded}"
         case api.WatchEndpoints(enable):
             return f"WATCH\t{instance}\t{int(enable)}"
         case api.ReloadEndpoints():
@@ -41,9 +41,9 @@
             return f"REMARK\t{instance}\t{_one_line(text)}"
 
 
-def encode_fault(instance: int, fault: Exception) -> str:
-    """The line that reports an exception of the placer with this number, without its line end."""
-    return f"INTERNAL_ERROR\t{instance}\t{_one_line(f'{type(fault).__name__}: {fault}')}"
+def encode_exception(instance: int, error: Exception) -> str:
+    """Return the line for an exception of the placer with this number, without a line end."""
+    return f"INTERNAL_ERROR\t{instance}\t{_one_line(f'{type(error).__name__}: {error}')}"
 
 
 def _seconds(value: float) -> str:
--- a/thornshelf/placement/simulator/instances.py
+++ b/thornshelf/placement/simulator/instances.py
@@ -1,4 +1,4 @@
-"""The placers that share one connection to the simulator, each isolated from the others."""
+"""The placers that share one connection to the simulator; none affects another."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
     EndpointLists,
     EventDecoder,
 )
-from thornshelf.placement.simulator.encoder import encode_action, encode_fault
+from thornshelf.placement.simulator.encoder import encode_action, encode_exception
 from thornshelf.placement.simulator.settings import decode_settings
 from thornshelf.placement.simulator.values import parse_integer
 
 _START = "BORN"
 _SHUTDOWN = "SHUTDOWN"
-_START_FIELD_COUNT = 2  # the number of the instance and its seed; the settings follow
+_START_FIELD_COUNT = 2  # the instance's number and its seed, before the settings
 _SHUTDOWN_FIELD_COUNT = 1
 _INSTANCE = "placer-id"
 
 
 class Instance:
-    """One placer, the decoder of its events, and the events of the current batch."""
+    """One placer, its event decoder, and its events of the current batch."""
 
     def __init__(self, number: int, placer: Placer, decoder: EventDecoder) -> None:
         self.number = number
@@ -31,34 +31,34 @@
         self._placer = placer
 
     def handle_events(self, now: float) -> list[str]:
-        """Hand the events of the batch to the placer; the lines of its actions.
+        """Pass the events of the batch to the placer, and return a line for each of its actions.
 
-        An exception of the placer becomes a line of its own, and does not concern the other instances.
+        If the placer raises an exception, the only line returned reports it; other instances are not affected.
         """
         events = self.events
         self.events = []
         try:
             actions = self._placer.handle(now, events)
-        except Exception as fault:
-            return [encode_fault(self.number, fault)]
+        except Exception as error:
+            return [encode_exception(self.number, error)]
         return [encode_action(self.number, action) for action in actions]
 
 
 class InstanceTable:
-    """All instances by number, with those that have events in the current batch.
+    """All instances by number, and those that the current batch names.
 
-    An instance that was shut down keeps its number; messages to it are checked for their form and then ignored.
+    The number of an instance that was shut down remains known: messages to it are validated and then ignored.
     """
 
     def __init__(self, endpoint_lists: EndpointLists) -> None:
         self._endpoint_lists = endpoint_lists
         self._instances: dict[int, Instance | None] = {}
-        self._active: dict[int, Instance] = {}  # in the order in which the batch named them first
+        self._active: dict[int, Instance] = {}  # in the order in which the batch first names them
 
     def apply(self, fields: list[str]) -> None:
         """Apply one message to an instance: its start, its shutdown, or an event.
 
-        Raises ``WireError`` where the message is malformed or names an instance that was never started.
+        Raises ``WireError`` if the message is malformed or names an instance that was never started.
         """
         message = fields[0]
         if message == _START:
@@ -69,7 +69,7 @@
             self._add_event(message, fields)
 
     def end_batch(self, now: float) -> list[str]:
-        """Hand the batch's events to their placers; the lines of all actions, ``now`` in seconds."""
+        """Pass the batch's events to their placers at ``now``, in seconds, and return the lines of all actions."""
         active = self._active
         self._active = {}
         return [line for instance in active.values() for line in instance.handle_events(now)]
@@ -93,18 +93,18 @@
         self._active.pop(number, None)
 
     def _add_event(self, message: str, fields: list[str]) -> None:
-        form = EVENT_MESSAGES.get(message)
-        if form is None:
+        event_message = EVENT_MESSAGES.get(message)
+        if event_message is None:
             raise WireError(f"message is not known: {message!r}")
-        _check_field_count(fields, form.field_count)
+        _check_field_count(fields, event_message.field_count)
         number = self._parse_number(fields[1])
         instance = self._instances[number]
         if instance is not None:
-            instance.events.append(form.decode(instance.decoder, fields[2:]))
+            instance.events.append(event_message.decode(instance.decoder, fields[2:]))
             self._active[number] = instance
 
     def _parse_number(self, text: str) -> int:
-        """The number of an instance that was started, whether or not it was shut down since."""
+        """Return the number of an instance that was started, even if it was shut down since."""
         number = parse_integer(text, _INSTANCE)
         if number not in self._instances:
             raise WireError(f"instance was never started: {number}")
--- a/thornshelf/placement/simulator/session.py
+++ b/thornshelf/placement/simulator/session.py
@@ -1,4 +1,4 @@
-"""The exchange with the simulator: it reads batches of lines, and answers each with the actions of all placers."""
+"""Serves the simulator: reads batches of lines, and answers each with the actions of all placers."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
 _BATCH_END = ["EOB"]
 _ENDPOINT_LIST = "ROSTER"
 _ENDPOINT_LIST_FIELD_COUNT = 2
-_ENDPOINT_LIST_NUMBERS = 16  # lists have the numbers from 0 up to this, exclusive
+_ENDPOINT_LIST_NUMBERS = 16  # lists are numbered from 0 to 15
 
 
 class LineReader:
-    """Lines of the input; ``line`` is the number of the last one, counted from 1."""
+    """Reads lines of the input; ``line`` is the number of the last one, from 1."""
 
-    def __init__(self, source: IO[str]) -> None:
-        self._source = source
+    def __init__(self, stream: IO[str]) -> None:
+        self._stream = stream
         self.line = 0
 
     def next(self) -> str | None:
-        """The next line without its end, or None at the end of the input."""
-        text = self._source.readline()
+        """Return the next line without its line end, or None at the end of the input."""
+        text = self._stream.readline()
         if not text:
             return None
         self.line += 1
         return text.rstrip("\r\n")
 
     def next_of_batch(self) -> list[str]:
-        """The fields of the next line of a batch.
+        """Return the fields of the next line of a batch.
 
-        Raises ``WireError`` at the end of the input, which must not come within a batch.
+        Raises ``WireError`` if the input ends, as the batch is incomplete then.
         """
         text = self.next()
         if text is None:
@@ -45,16 +45,19 @@
 
 
 class Session:
-    """Serves the wire until the input ends. ``WireError`` is raised where the input is malformed."""
+    """Serves the simulator over a reader and an output stream."""
 
-    def __init__(self, reader: LineReader, sink: IO[str]) -> None:
+    def __init__(self, reader: LineReader, output: IO[str]) -> None:
         self._reader = reader
-        self._sink = sink
+        self._output = output
         self._endpoint_lists: dict[int, tuple[api.Endpoint, ...]] = {}
         self._instances = InstanceTable(self._endpoint_lists)
 
     def run(self) -> None:
-        """Read and answer batches; empty lines between them are ignored."""
+        """Read and answer batches until the input ends; empty lines between them are ignored.
+
+        Raises ``WireError`` if the input is malformed.
+        """
         while (line := self._reader.next()) is not None:
             if line:
                 self._serve_batch(line.split("\t"))
@@ -70,8 +73,8 @@
                 self._instances.apply(fields)
         lines = self._instances.end_batch(now)
         lines.append(END_OF_REPLY)
-        self._sink.write("".join(line + "\n" for line in lines))
-        self._sink.flush()
+        self._output.write("".join(line + "\n" for line in lines))
+        self._output.flush()
 
     def _read_endpoint_list(self, fields: list[str]) -> None:
         if len(fields) - 1 != _ENDPOINT_LIST_FIELD_COUNT:
--- a/thornshelf/placement/simulator/settings.py
+++ b/thornshelf/placement/simulator/settings.py
@@ -1,7 +1,7 @@
 """Decodes the settings of a placer from ``path=value`` texts.
 
-The paths are those of the simulator's ``BORN`` message, and of the key ``settings`` of a dispatcher's configuration
-file. This is the one place that maps them to the fields of ``Settings``. Paths that it does not know are ignored.
+The paths are those in the simulator's ``BORN`` message and under the key ``settings`` of a dispatcher's configuration
+file. Only this module maps them to the fields of ``Settings``; unknown paths are ignored.
 """
 
 from __future__ import annotations
@@ -15,32 +15,32 @@
 
 _IDEMPOTENCY = {member.value: member for member in api.Idempotency}
 _SCOPES = {scope.value: scope for scope in api.Scope}
-_ACCEPTED = "accepted"  # family-info.ack: an attempt counts as placed before the task runs
-_USED = "used"  # family-info.counts: load reports count what tasks use, not what they asked for
-_ON_REQUEST = "on_request"  # registry-mode: the endpoint list is sent when it is asked for
-_IN_ANSWERS = "answers"  # report.via: load reports come with answers and with health checks
-_IN_HEALTH_CHECKS = "probe"  # report.via: load reports come with health checks alone
+_ACCEPTED = "accepted"  # family-info.ack: machines accept a task before it starts
+_USED = "used"  # family-info.counts: load reports count the usage of tasks, not their demand
+_ON_REQUEST = "on_request"  # registry-mode: the endpoint list is sent to subscribers only
+_IN_ANSWERS = "answers"  # report.via: load reports come with answers and health checks
+_IN_HEALTH_CHECKS = "probe"  # report.via: load reports come with health checks only
 _ANY_MACHINE_KIND = -1.0
 
 
 class DecodedSettings(NamedTuple):
-    """The settings of one placer, and the columns in which its load reports are sent."""
+    """The settings of one placer, and the columns of its load reports in their order."""
 
     settings: api.Settings
     report_columns: tuple[str, ...]
 
 
 class SettingsTable:
-    """The texts of the settings by path.
+    """The texts of settings by path.
 
-    Every method that reads a value raises ``WireError`` with the path where the value is missing or malformed.
+    Methods raise ``WireError`` with the path if a required value is missing, or if a value is malformed.
     """
 
     def __init__(self, fields: Iterable[str]) -> None:
         self._values: dict[str, str] = {}
         for field in fields:
-            path, sign, value = field.partition("=")
-            if not sign:
+            path, separator, value = field.partition("=")
+            if not separator:
                 raise WireError(f"setting without a value: {field!r}")
             self._values[path] = value
 
@@ -48,29 +48,29 @@
         return path in self._values
 
     def text(self, path: str) -> str:
-        """A required text."""
+        """Return a required text."""
         try:
             return self._values[path]
         except KeyError:
             raise WireError(f"setting missing: {path}") from None
 
     def optional_text(self, path: str, default: str) -> str:
-        """A text, or the default where the path is missing."""
+        """Return a text, or the default if the path is missing."""
         return self._values.get(path, default)
 
     def number(self, path: str, default: float | None = None) -> float:
-        """A finite number; one without a default is required."""
+        """Return a finite number, or the default if it is missing or absent; without a default it is required."""
         text = self._values.get(path, ABSENT)
         if text in (ABSENT, "") and default is not None:
             return default
         return parse_number(self.text(path), path)
 
     def integer(self, path: str) -> int:
-        """A required integer of at least 0."""
+        """Return a required integer of at least 0."""
         return parse_integer(self.text(path), path)
 
     def flag(self, path: str) -> bool:
-        """A flag; false where the path is missing."""
+        """Return a flag; False if the path is missing."""
         text = self._values.get(path, "false")
         if text in ("true", "1"):
             return True
@@ -79,17 +79,17 @@
         raise WireError(f"{path} is neither true nor false: {text!r}")
 
     def texts(self, path: str) -> list[str]:
-        """The items of a comma-separated list; none where the path is missing."""
+        """Return the items of a comma-separated list, which is empty if the path is missing."""
         text = self._values.get(path, "")
         return text.split(",") if text not in ("", ABSENT) else []
 
     def numbers(self, path: str) -> tuple[float, ...]:
-        """The items of a comma-separated list of numbers; none where the path is missing."""
+        """Return the items of a comma-separated list of numbers, which is empty if the path is missing."""
         return tuple(parse_number(item, path) for item in self.texts(path))
 
 
 def decode_settings(fields: Iterable[str]) -> DecodedSettings:
-    """The settings in ``path=value`` texts.
+    """Decode settings from ``path=value`` texts.
 
     Raises ``WireError`` with the path of a setting that is missing or malformed.
     """
@@ -181,7 +181,7 @@
 
 
 class _ClassLists(NamedTuple):
-    """The settings that are sent as one list over all task classes, in the order of the classes."""
+    """The settings that are lists with one item per task class, in the order of the classes."""
 
     machine_kinds: tuple[float, ...]
     start_weights_s: tuple[float, ...]
--- a/thornshelf/placement/simulator/values.py
+++ b/thornshelf/placement/simulator/values.py
@@ -1,7 +1,6 @@
 """Parsers of single values on the simulator's wire.
 
-Each takes the text and the name of the value on the wire, and raises ``WireError`` with both where the text is
-malformed.
+Each takes the text and the wire's name of the value; it raises ``WireError`` with both if the text is malformed.
 """
 
 from __future__ import annotations
@@ -12,13 +11,13 @@
 
 from thornshelf.errors import WireError
 
-ABSENT = "-"  # what the wire writes for a value that is not given
+ABSENT = "-"  # stands for a value that is not given
 
 _Choice = TypeVar("_Choice")
 
 
 def parse_integer(text: str, name: str) -> int:
-    """An integer of at least 0."""
+    """Return an integer of at least 0."""
     try:
         value = int(text)
     except ValueError:
@@ -29,12 +28,12 @@
 
 
 def parse_optional_integer(text: str, name: str) -> int:
-    """An integer of at least 0, and 0 where it is absent."""
+    """Return an integer of at least 0; an absent one is 0."""
     return 0 if text == ABSENT else parse_integer(text, name)
 
 
 def parse_number(text: str, name: str) -> float:
-    """A finite number."""
+    """Return a finite number."""
     try:
         value = float(text)
     except ValueError:
@@ -45,12 +44,12 @@
 
 
 def parse_optional_number(text: str, name: str) -> float | None:
-    """A finite number, or None where it is absent."""
+    """Return a finite number, or None if it is absent."""
     return None if text == ABSENT else parse_number(text, name)
 
 
 def parse_flag(text: str, name: str) -> bool:
-    """``1`` or ``0``; an absent flag is false."""
+    """Return True for ``1``, and False for ``0`` or an absent flag."""
     if text in ("0", "1"):
         return text == "1"
     if text == ABSENT:
@@ -59,7 +58,7 @@
 
 
 def parse_choice(choices: Mapping[str, _Choice], text: str, name: str) -> _Choice:
-    """One of the choices, by its text on the wire."""
+    """Return the choice with this text on the wire."""
     try:
         return choices[text]
     except KeyError:
--- a/thornshelf/placement/usage.py
+++ b/thornshelf/placement/usage.py
@@ -11,7 +11,7 @@
 
 UTILIZATION_STEPS = 4.0  # [D1] per machine; coarse, so that placers with different estimates agree
 MAX_MEMORY_UTILIZATION = 0.9  # [D2] the rest is for tasks that grow after their start
-PRIOR_CAPACITY_FRACTION = 0.1  # [D2] the weight of assumed beside measured usage, in capacity
+PRIOR_CAPACITY_FRACTION = 0.1  # [D2] assumed usage counts as if measured on this fraction of the capacity
 USAGE_LEARNING_RATE = 0.2 * LEARNING_RATE
 REPORT_DECAY_S = 10.0  # [D6] how fast an old report's weight decays in favour of the fleet's mean
 
