--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The indexed decision makes the full scan's choices, at a cost that depends on what has changed."""
+"""Decisions by the index equal those by a full scan, and their cost depends on changes only."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class FullScanPlacer(Placer):
-    """The design as described: every machine is examined for every task."""
+    """The reference implementation: examines every machine for every task."""
 
-    def __init__(self, terms: api.Settings, seed: int) -> None:
-        super().__init__(terms, seed)
+    def __init__(self, placer_settings: api.Settings, seed: int) -> None:
+        super().__init__(placer_settings, seed)
         self.candidates.find_machine = self.find_machine  # type: ignore[method-assign]
 
     def find_machine(self, request: PendingRequest) -> Machine | None:
@@ -55,23 +55,23 @@
         reserved = self.reserve(request, candidates)
         candidates = [m for m in candidates if m not in reserved]
         weight = request.task_class.priority_weight
-        last = [m for m, reserved_for in reserved.items() if weight >= reserved_for]
+        outranked = [m for m, reserved_for in reserved.items() if weight >= reserved_for]
         has_peers = context.settings.placers > 1
-        unsure = [m for m in candidates if has_peers and self.usage.report_age_s(m) > REPORT_DECAY_S]
+        unreported = [m for m in candidates if has_peers and self.usage.report_age_s(m) > REPORT_DECAY_S]
         groups = [
             (self.pool(request, candidates, usage), Fit.UNCROWDED),
             (candidates, Fit.UNCROWDED),
             (candidates, Fit.ADMITTED),
-            (last, Fit.ADMITTED),
-            (unsure, Fit.NONE),
+            (outranked, Fit.ADMITTED),
+            (unreported, Fit.NONE),
         ]
         for group, minimum in groups[: 2 if self.accounting.is_over_quota(request) else 5]:
             fitting = [m for m in group if self.pricing.fit(request, m) >= minimum]
             ranked = [(self.pricing.rank(request, m), m) for m in fitting]
             if ranked:
-                least = min(rank for rank, _ in ranked)
-                equals = [m for rank, m in ranked if rank <= least * RANK_TOLERANCE]
-                return equals[context.random.randrange(len(equals))] if len(equals) > 1 else equals[0]
+                lowest = min(rank for rank, _ in ranked)
+                tied = [m for rank, m in ranked if rank <= lowest * RANK_TOLERANCE]
+                return tied[context.random.randrange(len(tied))] if len(tied) > 1 else tied[0]
         return None
 
     def reserve(self, request: PendingRequest, candidates: list[Machine]) -> dict[Machine, float]:
@@ -100,74 +100,76 @@
         self, request: PendingRequest, candidates: list[Machine], usage: Sequence[float]
     ) -> list[Machine]:
         order = self.order(candidates)
-        wanted = [usage[k] + request.demand[k] for k in (0, 1)]
+        remaining = [usage[k] + request.demand[k] for k in (0, 1)]
         for count, machine in enumerate(order, 1):
             limit = self.usage.limit(machine)
-            wanted = [wanted[k] - TARGET_UTILIZATION * limit[k] for k in (0, 1)]
-            if max(wanted) <= 0.0:
+            remaining = [remaining[k] - TARGET_UTILIZATION * limit[k] for k in (0, 1)]
+            if max(remaining) <= 0.0:
                 return order[:count]
         return order
 
 
-def day(chance: random.Random, placers: tuple[Placer, Placer], machines: int, steps: int) -> int:
-    """Give the same events to both, whose actions must be the same; return the number of attempts."""
-    now, number, made = 0.0, 0, 0
-    out: list[tuple[int, int, int, bool]] = []
-    states = {m: entry(m, kind=chance.choice(("small", "large"))) for m in range(1, machines + 1)}
+def run_both_placers(rng: random.Random, placers: tuple[Placer, Placer], machines: int, steps: int) -> int:
+    """Pass random events to both placers and compare their actions; return the number of attempts."""
+    now, number, attempts_started = 0.0, 0, 0
+    live_attempts: list[tuple[int, int, int, bool]] = []
+    states = {m: entry(m, kind=rng.choice(("small", "large"))) for m in range(1, machines + 1)}
     events: list[api.Event] = [listing(*states.values())]
     for _ in range(steps):
-        now += chance.choice((0.002, 0.05, 0.3))
-        for _ in range(chance.randrange(12)):
+        now += rng.choice((0.002, 0.05, 0.3))
+        for _ in range(rng.randrange(12)):
             number += 1
-            shape: dict[str, Any] = {
-                "cores": chance.choice((0.5, 1.0, 2.0)),
-                "memory": chance.choice((1.0, 3.0)),
+            request_fields: dict[str, Any] = {
+                "cores": rng.choice((0.5, 1.0, 2.0)),
+                "memory": rng.choice((1.0, 3.0)),
             }
-            if chance.random() < 0.1:
-                shape = {"cores": 6.0, "memory": 14.0, "task_class": "ledger"}
-            events.append(ask(number, service=chance.randrange(30), **shape))
-        for _ in range(min(len(out), chance.randrange(14))):
-            request, machine, attempt, bound = out.pop(chance.randrange(len(out)))
-            report = api.LoadReport(chance.uniform(-4.0, 30.0), chance.uniform(0.0, 60.0))
-            if not bound and chance.random() < 0.8:
+            if rng.random() < 0.1:
+                request_fields = {"cores": 6.0, "memory": 14.0, "task_class": "ledger"}
+            events.append(ask(number, service=rng.randrange(30), **request_fields))
+        for _ in range(min(len(live_attempts), rng.randrange(14))):
+            request, machine, attempt, bound = live_attempts.pop(rng.randrange(len(live_attempts)))
+            report = api.LoadReport(rng.uniform(-4.0, 30.0), rng.uniform(0.0, 60.0))
+            if not bound and rng.random() < 0.8:
                 events.append(api.AttemptAccepted(request, machine, attempt, 0.1))
                 events.append(
-                    api.TaskUpdate(request, machine, attempt, api.TaskUpdateKind.CORES_USED, chance.random())
+                    api.TaskUpdate(request, machine, attempt, api.TaskUpdateKind.CORES_USED, rng.random())
                 )
-                out.append((request, machine, attempt, True))
+                live_attempts.append((request, machine, attempt, True))
                 continue
-            outcome = chance.choice((api.Outcome.OK, api.Outcome.REFUSED, api.Outcome.TIMED_OUT))
+            outcome = rng.choice((api.Outcome.OK, api.Outcome.REFUSED, api.Outcome.TIMED_OUT))
             outcome = api.Outcome.OK if bound else outcome
-            reason = chance.choice((api.Reason.QUEUE_FULL, api.Reason.NO_CORES, api.Reason.UNSPECIFIED))
+            reason = rng.choice((api.Reason.QUEUE_FULL, api.Reason.NO_CORES, api.Reason.UNSPECIFIED))
             events.append(ended(request, machine, outcome, attempt, reason=reason, last=bound, report=report))
-        if chance.random() < 0.15:
-            changed = chance.choice(list(states))
-            health = chance.choice((api.Health.UP, api.Health.UP, api.Health.DRAINING, api.Health.REMOVED))
+        if rng.random() < 0.15:
+            changed = rng.choice(list(states))
+            health = rng.choice((api.Health.UP, api.Health.UP, api.Health.DRAINING, api.Health.REMOVED))
             states[changed] = replace(states[changed], health=health, started_at=now)
             events.append(listing(states[changed], complete=False))
         one, other = (placer.handle(now, events) for placer in placers)
         assert one == other
-        made += len(offers(one))
+        attempts_started += len(offers(one))
         for offer in offers(one):
             attempt = len(placers[0].requests[offer.request_id].attempts) - 1
-            out.append((offer.request_id, offer.machine, attempt, False))
+            live_attempts.append((offer.request_id, offer.machine, attempt, False))
         events = []
-    return made
+    return attempts_started
 
 
 @pytest.mark.parametrize("seed", range(12))
 @pytest.mark.parametrize("placers", [1, 16, 230])
 def test_the_index_chooses_as_the_full_scan_does(seed: int, placers: int) -> None:
-    terms = settings(SAFE, LEDGER, placers=placers, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET)
-    both = Placer(terms, 1), FullScanPlacer(terms, 1)
-    assert day(random.Random(seed), both, (5, 40)[seed % 2], 120) > 50
+    placer_settings = settings(
+        SAFE, LEDGER, placers=placers, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET
+    )
+    both = Placer(placer_settings, 1), FullScanPlacer(placer_settings, 1)
+    assert run_both_placers(random.Random(seed), both, (5, 40)[seed % 2], 120) > 50
 
 
 class CountingPlacer(Placer):
-    """Counts the estimates, costs and ranks that are computed."""
+    """Counts computations of estimates, costs and ranks."""
 
-    def __init__(self, terms: api.Settings, seed: int) -> None:
-        super().__init__(terms, seed)
+    def __init__(self, placer_settings: api.Settings, seed: int) -> None:
+        super().__init__(placer_settings, seed)
         self.work = 0
         usage, mean_cost, rank = self.usage.estimate, self.pricing.mean_cost, self.pricing.rank
 
@@ -191,14 +193,14 @@
 
 @pytest.mark.parametrize("machines", [64, 1024])
 def test_a_decision_computes_what_has_changed_and_no_more(machines: int) -> None:
-    """Guards against decisions that cost as much as the fleet is large: 13 ms each at 1,000 nodes."""
+    """Guards against decisions whose cost grows with the fleet."""
     one = CountingPlacer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
     one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, machines + 1)))])
 
-    def asks(first: int, count: int) -> list[api.Event]:
+    def requests(first: int, count: int) -> list[api.Event]:
         return [ask(n, service=n % 8, cores=0.1, memory=0.1) for n in range(first, first + count)]
 
-    one.handle(1.0, asks(1, 64))
+    one.handle(1.0, requests(1, 64))
     one.work = 0
-    assert len(offers(one.handle(1.1, asks(65, 100)))) == 100
-    assert one.work < 100 * 30  # the full scan: at least 100 times the fleet
+    assert len(offers(one.handle(1.1, requests(65, 100)))) == 100
+    assert one.work < 100 * 30  # a full scan takes at least 100 times the number of machines
--- a/tests/test_placement_package.py
+++ b/tests/test_placement_package.py
@@ -1,4 +1,4 @@
-"""The decision module's size, what it imports, and that it reads neither clock nor global randomness."""
+"""The decision module: the size of its files, its imports, and no use of the clock or global randomness."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import pytest
 
 PACKAGE = Path(__file__).parent.parent / "thornshelf" / "placement"
-ERRORS = PACKAGE.parent / "errors.py"  # the root of the project's errors: the one module used from outside
+ERRORS = PACKAGE.parent / "errors.py"  # the only module imported from outside the package
 MODULES = [*sorted(PACKAGE.rglob("*.py")), ERRORS]
 MAX_MODULE_LINES = 400
 MAX_LINE_LENGTH = 110
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize("path", sorted(PACKAGE.glob("*.py")), ids=lambda path: path.name)
-def test_each_module_fits_a_page(path: Path) -> None:
+def test_each_module_is_short(path: Path) -> None:
     lines = lines_of(path)
     assert len(lines) <= MAX_MODULE_LINES
     assert max(map(len, lines)) <= MAX_LINE_LENGTH
--- a/tests/test_placer.py
+++ b/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""The placer's decisions on the ordinary path, and where machines, peers or its own process fail."""
+"""The placer's decisions in normal operation, and when machines, peers or its own process fail."""
 
 from __future__ import annotations
 
@@ -41,8 +41,8 @@
 
 
 def test_a_class_is_placed_on_the_machine_kind_it_requires() -> None:
-    needy = replace(SAFE, machine_kind=1)
-    one = placer(entry(1), entry(2, kind="large"), entry(3, kind="unheard"), using=settings(needy))
+    required_kind = replace(SAFE, machine_kind=1)
+    one = placer(entry(1), entry(2, kind="large"), entry(3, kind="unheard"), using=settings(required_kind))
     assert {offer.machine for offer in offers(one.handle(1.0, [ask(n) for n in range(9)]))} == {2}
 
 
@@ -58,7 +58,7 @@
     assert [offer.machine for offer in offers(one.handle(1.1, [ask(1)]))] == [2]
 
 
-def test_a_service_stays_where_its_program_is() -> None:
+def test_a_service_stays_where_its_program_is_cached() -> None:
     one = placer(*(entry(n) for n in range(1, 9)))
     first = offers(one.handle(1.0, [ask(1)]))[0].machine
     assert offers(one.handle(1.1, [ask(2)]))[0].machine == first
@@ -87,7 +87,7 @@
 
 
 def test_one_timeout_makes_a_machine_expensive_but_does_not_eject_it() -> None:
-    """Guards against ejecting machine after machine where the complete fleet is slow (i6baab8, ic43f5f)."""
+    """Guards against ejecting machine after machine while the whole fleet is slow."""
     one = placer(entry(1))
     one.handle(1.0, [ask(1)])
     assert answers(one.handle(1.5, [ended(1, 1, api.Outcome.TIMED_OUT)]))
@@ -95,7 +95,7 @@
 
 
 def test_attempt_timeouts_follow_the_latency_of_answers() -> None:
-    """Guards against attempts that time out only because all answers are slow, and are then retried."""
+    """Guards against retries of attempts that time out only because all answers are slow."""
     one = placer(entry(1, kind="large"))
     assert offers(one.handle(1.0, [ask(1)]))[0].timeout_s == 0.5
     for n in range(1, 30):
@@ -113,12 +113,12 @@
             one.handle(clock, [api.AttemptAccepted(n, offer.machine, 0, 0.0)])
             one.handle(clock + wait, [api.TaskUpdate(n, offer.machine, 0, api.TaskUpdateKind.STARTED, 1.0)])
             one.handle(clock + wait, [ended(n, offer.machine, api.Outcome.OK, last=True)])
-    late = [o.machine for o in offers(one.handle(300.0, [ask(n, service=n) for n in range(300, 340)]))]
-    assert late.count(1) < len(late) / 20
+    delayed = [o.machine for o in offers(one.handle(300.0, [ask(n, service=n) for n in range(300, 340)]))]
+    assert delayed.count(1) < len(delayed) / 20
 
 
 def test_reported_usage_sends_tasks_elsewhere_but_rejects_nothing_that_a_machine_admits() -> None:
-    """Guards against rejecting what a machine would admit, where usage leaves no capacity (i1d9071)."""
+    """Guards against rejecting by usage what a machine would admit."""
     using = settings(overcommit_memory=2.0, overcommit_cores=4.0)
     for machines in ((entry(1),), (entry(1), entry(2))):
         one = placer(*machines, using=using)
@@ -129,7 +129,7 @@
 
 
 def test_the_emptiest_machine_is_reserved_for_large_tasks() -> None:
-    """Guards against small tasks of lower weight filling every machine that a large task needs (i6baab8)."""
+    """Guards against small tasks of lower weight filling every machine that a large task needs."""
     batch = replace(SAFE, name="batch", machine_kind=1, priority_weight=5.0)
     one = placer(entry(1, kind="large"), entry(2, kind="large"), using=settings(SAFE, batch))
     one.handle(1.0, [api.TaskAdopted(ask(500, task_class="batch", cores=20.0, memory=20.0), 1)])
@@ -157,7 +157,7 @@
 
 
 def test_usage_that_no_machine_reported_rejects_nothing() -> None:
-    """Guards against rejecting by peers' old digests (chikugo-east big-1: a zone lost, 19% rejected)."""
+    """Guards against rejecting by outdated digests of peers."""
     unreported = settings(placers=2, may_gossip=True, reports_in_answers=False, reports_in_probes=False)
     sent = placer(entry(1), using=unreported).handle(
         1.0, [api.TaskAdopted(ask(n, cores=2.0), 1) for n in range(4)]
@@ -180,7 +180,7 @@
 
 def test_events_for_ended_requests_are_ignored() -> None:
     one = placer(entry(1))
-    late: list[api.Event] = [
+    delayed: list[api.Event] = [
         ended(5, 1, api.Outcome.OK),
         api.TimerFired(5),
         api.RequestCancelled(5),
@@ -189,12 +189,12 @@
         api.HealthCheckResult(77, api.Outcome.OK, 0.1, None),
         api.GossipMessage(3, b"odd"),
     ]
-    assert not offers(one.handle(1.0, late))
-    assert not answers(one.handle(1.1, late))
+    assert not offers(one.handle(1.0, delayed))
+    assert not answers(one.handle(1.1, delayed))
 
 
 def test_a_restarted_machine_does_not_hide_what_peers_place_there() -> None:
-    """Guards against a restarted machine that looked empty forever where nothing is reported."""
+    """Guards against a restarted machine that looks empty forever, as nothing is reported."""
     unreported = settings(placers=2, may_gossip=True, reports_in_answers=False, reports_in_probes=False)
     receiver = Placer(unreported, 2)
     receiver.handle(0.0, [listing(entry(1), entry(2))])
@@ -206,7 +206,7 @@
 
 
 def test_own_tasks_are_not_scaled_up_once_all_peers_have_sent_digests() -> None:
-    """Guards against full-looking machines that peers simply do not use."""
+    """Guards against counting tasks of peers that reported none."""
     unreported = settings(placers=8, may_gossip=True, reports_in_answers=False, reports_in_probes=False)
     one = placer(entry(1), using=unreported)
     one.handle(
@@ -216,15 +216,15 @@
 
 
 def test_load_is_spread_where_overcommitted_machines_do_not_report_usage() -> None:
-    """Guards against crowding that would not be noticed (chikugo-east big-2): no pool is formed there."""
+    """Guards against a pool on machines whose overload would go unnoticed."""
     for reports, spread in ((True, False), (False, True)):
         using = settings(fleet=0.2, overcommit_cores=2.0, reports_usage=reports)
         one = placer(*(entry(n, kind="large") for n in range(1, 9)), using=using)
-        sent = offers(one.handle(1.0, [ask(n, service=n, cores=0.5) for n in range(40)]))
-        assert (len({offer.machine for offer in sent}) > 4) is spread
+        attempts = offers(one.handle(1.0, [ask(n, service=n, cores=0.5) for n in range(40)]))
+        assert (len({offer.machine for offer in attempts}) > 4) is spread
 
 
-def test_a_tenant_over_quota_takes_no_capacity_that_is_short() -> None:
+def test_a_tenant_over_quota_takes_no_scarce_capacity() -> None:
     tenants = (api.Tenant("one", quota_cores=4.0), api.Tenant("two", quota_cores=40.0))
     one = placer(entry(1), using=settings(tenants=tenants, overcommit_cores=2.0))
     one.handle(1.0, [api.TaskAdopted(ask(n, cores=2.0, tenant="one"), 1) for n in range(4)])
@@ -234,20 +234,20 @@
     assert [offer.request_id for offer in offers(actions)] == [9]
 
 
-def test_delays_by_the_placer_s_own_stall_blame_no_machine() -> None:
+def test_delays_by_the_placer_s_own_stall_eject_no_machine() -> None:
     """Guards against ejecting machines for timeouts that the placer's own stall caused."""
     for stall, ejected in ((0.1, True), (1.5, False)):
         one = placer(entry(1))
         tick = next(
             a.at for a in one.handle(1.0, [ask(1), ask(2)]) if isinstance(a, api.SetTimer) and a.token > 9
         )
-        late = [ended(n, 1, api.Outcome.TIMED_OUT) for n in (1, 2)]
-        one.handle(tick + stall, late)
+        delayed = [ended(n, 1, api.Outcome.TIMED_OUT) for n in (1, 2)]
+        one.handle(tick + stall, delayed)
         assert bool(answers(one.handle(tick + stall + 0.1, [ask(3)]))) is ejected
 
 
-def test_full_for_one_class_is_not_full_for_another() -> None:
-    """Guards against machines that refuse one class though they have capacity (throttles)."""
+def test_a_refusal_of_one_class_does_not_count_for_another() -> None:
+    """Guards against avoiding machines that refuse one class but have capacity for others."""
     other = replace(SAFE, name="other")
     one = placer(entry(1), using=settings(SAFE, other))
     one.handle(1.0, [ask(1)])
@@ -258,21 +258,21 @@
     assert [offer.request_id for offer in offers(actions)] == [3]
 
 
-def test_many_placers_agree_on_few_homes_of_a_service() -> None:
-    """Guards against starts without the program: in a large fleet a service had as many homes as machines."""
-    found = set()
+def test_many_placers_agree_on_few_machines_for_a_service() -> None:
+    """Guards against starts without a cached program, as a service is spread over a large fleet."""
+    machines_used = set()
     for seed in range(30):
         one = placer(*(entry(n, kind="large") for n in range(60)), using=settings(me=seed, placers=200))
         one.handle(1.0, [api.TaskAdopted(ask(900 + seed, service=900 + seed), seed)])
-        for n in range(60):  # each placer has seen the machines at other moments
+        for n in range(60):  # the placers' reports differ
             free = 10.0 + 7.0 * n * (seed + 1) % 20.0
             one.handle(1.1, [api.HealthCheckResult(n, api.Outcome.OK, 0.1, api.LoadReport(free, 2.0 * free))])
-        found |= {offer.machine for offer in offers(one.handle(2.0, [ask(1, service=7)]))}
-    assert len(found) <= 3
+        machines_used |= {offer.machine for offer in offers(one.handle(2.0, [ask(1, service=7)]))}
+    assert len(machines_used) <= 3
 
 
-def test_a_large_task_goes_by_capacity_before_homes() -> None:
-    """Guards against large tasks crowding the homes of their service (chikugo-later big-2)."""
+def test_capacity_outweighs_affinity_for_a_large_task() -> None:
+    """Guards against large tasks that overload the preferred machines of their service."""
     one = placer(*(entry(n, kind="large") for n in range(60)), using=settings(placers=200))
     one.handle(1.0, [api.TaskAdopted(ask(n, service=n), n) for n in range(100, 160)])
     request = one.track(ask(1, service=7, cores=16.0, memory=16.0))
@@ -285,7 +285,7 @@
 
 
 def machines_that_fail(one: Placer, now: float, request: int, count: int) -> list[int]:
-    """Request a task that so many machines answer with an error; return those that it was sent to."""
+    """Request a task whose first ``count`` attempts end with an error; return the machines that it was sent to."""
     actions = one.handle(now, [ask(request)])
     machines: list[int] = []
     for attempt in range(count):
@@ -294,18 +294,18 @@
     return machines + [offer.machine for offer in offers(actions)]
 
 
-def test_a_task_that_all_machines_answer_with_an_error_blames_none() -> None:
-    """Bad clients send what no machine can use: that must not eject machines that serve other clients."""
+def test_a_task_that_fails_on_all_machines_counts_as_no_machine_s_failure() -> None:
+    """Guards against a faulty client that gets machines ejected which serve other clients."""
     one = placer(entry(1), entry(2))
     for request in range(9):
         assert sorted(machines_that_fail(one, 1.0, request, 2)) == [1, 2]
     assert not any(m.consecutive_failures for m in one.machines.values())
 
 
-def test_a_machine_that_alone_answers_with_errors_is_backed_off_from_whatever_a_health_check_says() -> None:
+def test_a_machine_that_alone_answers_with_errors_is_in_back_off_even_if_a_health_check_passes() -> None:
     one = placer(entry(1), entry(2))
     for request in (1, 2):
-        one.machines[2].consecutive_failures = 9  # more expensive than the faulty one
+        one.machines[2].consecutive_failures = 9  # ranks it behind the faulty one
         assert machines_that_fail(one, 1.1, request, 1) == [1, 2]
         one.handle(1.1, [api.AttemptAccepted(request, 2, 1, 0.1)])
     one.handle(1.2, [api.HealthCheckResult(1, api.Outcome.OK, 0.1, None)])
@@ -315,8 +315,8 @@
     assert machines_that_fail(one, 2.2, 4, 0) == [1]
 
 
-def test_connections_lost_in_one_moment_are_one_failure() -> None:
-    """A corrupt answer costs a connection and all attempts on it: that ejects no machine."""
+def test_attempts_lost_at_the_same_time_are_one_failure() -> None:
+    """Guards against ejecting a machine for one lost connection with several attempts on it."""
     one = placer(entry(1))
     one.handle(1.0, [ask(request) for request in range(5)])
     one.handle(1.1, [ended(request, 1, api.Outcome.BROKEN) for request in range(4)])
@@ -326,8 +326,8 @@
     assert one.machines[1].ejected_until > 1.2
 
 
-def test_nothing_is_reserved_for_what_no_machine_could_hold() -> None:
-    """Guards against one absurd request that reserves the emptiest machine for a minute."""
+def test_nothing_is_reserved_for_a_task_larger_than_any_machine() -> None:
+    """Guards against one impossible request that reserves the emptiest machine for a minute."""
     one = placer(entry(1), using=settings(placers=2))
     assert answers(one.handle(1.0, [ask(1, cores=1e6, memory=1e6)])) == [api.Reject(1)]
     assert not one.reservations.largest_demands
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,8 +15,8 @@
 
 WITH_KEY = replace(SAFE, idempotency=api.Idempotency.WITH_KEY, idempotency_window_s=5.0)
 NOT_IDEMPOTENT = replace(SAFE, idempotency=api.Idempotency.NEVER)
-PROVEN = (api.Outcome.REFUSED, api.Outcome.NOT_CONNECTED, api.Outcome.NOT_SENT)
-UNPROVEN = (api.Outcome.TIMED_OUT, api.Outcome.ERROR, api.Outcome.BROKEN, api.Outcome.CANCELLED)
+NEVER_RAN_OUTCOMES = (api.Outcome.REFUSED, api.Outcome.NOT_CONNECTED, api.Outcome.NOT_SENT)
+MAY_HAVE_RUN_OUTCOMES = (api.Outcome.TIMED_OUT, api.Outcome.ERROR, api.Outcome.BROKEN, api.Outcome.CANCELLED)
 
 
 def test_rule_1_an_open_request_fails_just_before_its_deadline() -> None:
@@ -28,7 +28,7 @@
     assert not offers(one.handle(3.1, [ended(1, 1, api.Outcome.REFUSED)]))
 
 
-@pytest.mark.parametrize("outcome", UNPROVEN)
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_rule_2_a_non_idempotent_task_that_may_have_run_is_neither_retried_nor_rejected(
     outcome: api.Outcome,
 ) -> None:
@@ -39,7 +39,7 @@
     assert answers(actions) == [api.Fail(1)]
 
 
-@pytest.mark.parametrize("outcome", PROVEN)
+@pytest.mark.parametrize("outcome", NEVER_RAN_OUTCOMES)
 def test_rule_2_a_non_idempotent_task_that_never_ran_is_retried(outcome: api.Outcome) -> None:
     one = placer(entry(1), entry(2), using=settings(NOT_IDEMPOTENT))
     first = offers(one.handle(1.0, [ask(1)]))[0].machine
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize(
-    ("group", "zone", "cell", "sent"),
+    ("scope", "zone", "cell", "sent"),
     [
         (api.Scope.ALL, "there", 2, True),
         (api.Scope.ZONE, "there", 1, False),
@@ -57,9 +57,9 @@
     ],
 )
 def test_rule_2_a_task_with_an_idempotency_key_stays_in_its_scope(
-    group: api.Scope, zone: str, cell: int, sent: bool
+    scope: api.Scope, zone: str, cell: int, sent: bool
 ) -> None:
-    one = placer(entry(1), using=settings(replace(WITH_KEY, idempotency_scope=group)))
+    one = placer(entry(1), using=settings(replace(WITH_KEY, idempotency_scope=scope)))
     one.handle(1.0, [ask(1)])
     one.handle(1.1, [listing(entry(2, zone=zone, cell=cell), complete=False)])
     actions = one.handle(1.5, [ended(1, 1, api.Outcome.TIMED_OUT)])
@@ -84,7 +84,7 @@
 
 
 def test_rule_4_all_placers_together_stay_within_the_slow_start_attempts() -> None:
-    """Few slow-start attempts for many placers: some have none, and the sum is what is allowed."""
+    """With fewer attempts than placers, some placers have none, and the sum is within the limit."""
     sent = 0
     for me in range(20):
         one = placer(entry(1, kind="large", started_at=0.5), using=settings(me=me, placers=20))
@@ -117,7 +117,7 @@
 
 
 class StepKind(enum.Enum):
-    """What happens in a step of a generated sequence."""
+    """The kind of a step in a generated sequence."""
 
     REQUEST = enum.auto()
     END = enum.auto()
@@ -144,7 +144,7 @@
 
 @dataclass
 class ModelAttempt:
-    """An attempt as the model knows it."""
+    """An attempt in the model."""
 
     machine: int
     started_at: float
@@ -153,10 +153,10 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One step of a generated sequence; ``pick`` chooses the request, the machine or the service that it is about."""
+    """One step of a generated sequence; ``choice`` selects its request, machine or service."""
 
     kind: StepKind
-    pick: int
+    choice: int
     outcome: api.Outcome
     health: api.Health
     wait_s: float
@@ -178,7 +178,7 @@
 
 
 class RuleModel:
-    """What surrounds one placer: makes events of steps, and checks each action against the five rules."""
+    """A model of a placer's environment: turns steps into events, and checks actions against the five rules."""
 
     SLOW_START_MACHINE = 3
     DEADLINE_MARGIN_S = 0.005
@@ -199,15 +199,15 @@
         self.deadlines: dict[int, float] = {}  # of the requests that are open
         self.service: dict[int, int] = {}
         self.attempts: dict[int, list[ModelAttempt]] = {}
-        self.slow_start: list[float] = []  # when attempts were started at the machine that is warming up
+        self.slow_start: list[float] = []  # times of attempts at the machine in slow start
 
     def events(self, step: Step) -> list[api.Event]:
-        """Let time pass; the timers that are due then, and the event of the step."""
+        """Advance the clock, and return the timers that are due and the event of the step."""
         self.clock += step.wait_s * 0.4
         due = [request for request in self.deadlines if self._is_due(request)]
         timers: list[api.Event] = [api.TimerFired(request) for request in due]
         if step.kind is StepKind.CANCEL and not timers and self.deadlines:
-            cancelled = sorted(self.deadlines)[step.pick % len(self.deadlines)]
+            cancelled = sorted(self.deadlines)[step.choice % len(self.deadlines)]
             del self.deadlines[cancelled]
             return [api.RequestCancelled(cancelled)]
         return timers + self._step_events(step)
@@ -222,11 +222,11 @@
             case StepKind.ADOPT:
                 return [self._adopt(step)]
             case StepKind.ENDPOINT_UPDATE:
-                machine = step.pick % 6
+                machine = step.choice % 6
                 self.entries[machine] = replace(self.entries[machine], health=step.health)
                 return [listing(self.entries[machine], complete=False)]
             case StepKind.GOSSIP:
-                return [api.GossipMessage(step.pick % 3, bytes([1, *range(step.pick)]))]
+                return [api.GossipMessage(step.choice % 3, bytes([1, *range(step.choice)]))]
             case StepKind.END | StepKind.ACCEPT | StepKind.TASK_UPDATE:
                 return self._attempt_events(step)
             case _:
@@ -236,16 +236,16 @@
         self.last_request += 1
         request = self.last_request
         self.deadlines[request] = self.clock + 1.0 + step.wait_s
-        self.service[request] = step.pick % 3
+        self.service[request] = step.choice % 3
         self.attempts[request] = []
-        return ask(request, service=step.pick % 3, budget_s=1.0 + step.wait_s)
+        return ask(request, service=step.choice % 3, budget_s=1.0 + step.wait_s)
 
     def _adopt(self, step: Step) -> api.Event:
         self.last_request += 1
         request = self.last_request
-        self.service[request] = step.pick % 3
-        self.attempts[request] = [ModelAttempt(step.pick % 6, self.clock, AttemptState.RUNNING)]
-        return api.TaskAdopted(ask(request, service=step.pick % 3), step.pick % 6)
+        self.service[request] = step.choice % 3
+        self.attempts[request] = [ModelAttempt(step.choice % 6, self.clock, AttemptState.RUNNING)]
+        return api.TaskAdopted(ask(request, service=step.choice % 3), step.choice % 6)
 
     def _attempt_events(self, step: Step) -> list[api.Event]:
         active = [
@@ -256,25 +256,25 @@
         ]
         if not active:
             return []
-        request, number, attempt = active[step.pick % len(active)]
+        request, number, attempt = active[step.choice % len(active)]
         machine = attempt.machine
         was_running = attempt.state is AttemptState.RUNNING
         if step.kind is StepKind.TASK_UPDATE:
             kind = api.TaskUpdateKind.CORES_USED
             return [api.TaskUpdate(request, machine, number, kind, step.wait_s)]
         if step.kind is StepKind.END:
-            never_ran = step.outcome in PROVEN and not was_running
+            never_ran = step.outcome in NEVER_RAN_OUTCOMES and not was_running
             attempt.state = AttemptState.NEVER_RAN if never_ran else AttemptState.MAY_HAVE_RUN
             return [ended(request, machine, step.outcome, number, last=was_running)]
         if not was_running and request in self.deadlines:
             attempt.state = AttemptState.RUNNING
             if not self._is_due(request):
-                del self.deadlines[request]  # else its timer, which comes first, has to fail it
+                del self.deadlines[request]  # else its timer, which fires first, must fail it
             return [api.AttemptAccepted(request, machine, number, 0.1)]
         return []
 
     def check(self, action: api.Action) -> None:
-        """Fail the test where an action breaks a rule; others are carried out in the model."""
+        """Fail the test if an action breaks a rule; else apply it to the model."""
         match action:
             case api.StartAttempt(request, machine, _):
                 self._check_attempt(request, machine)
@@ -292,7 +292,7 @@
                 pass
 
     def check_deadlines(self) -> None:
-        """Fail the test where a request was not answered by its deadline."""
+        """Fail the test if a request was not answered by its deadline."""
         assert all(at - self.DEADLINE_MARGIN_S > self.clock for at in self.deadlines.values())
 
     def _check_answer(self, request: int) -> None:
@@ -310,10 +310,10 @@
             assert sum(at > self.clock - 1.0 for at in self.slow_start) <= 2
         attempts.append(ModelAttempt(machine, self.clock, AttemptState.IN_FLIGHT))
         if self.task_class.spread_scope is not api.Scope.NONE:
-            assert self._count_together(request, self.entries[machine]) <= 2
+            assert self._count_in_domain(request, self.entries[machine]) <= 2
 
     def _check_retry(self, attempts: list[ModelAttempt], target: api.Endpoint) -> None:
-        """Rule 2: what may have run is retried only where, and for as long as, its class allows it."""
+        """Check rule 2: a task that may have run is retried only in the scope and window of its class."""
         uncertain = [attempt for attempt in attempts if attempt.state is AttemptState.MAY_HAVE_RUN]
         if not uncertain:
             return
@@ -327,16 +327,16 @@
                 assert scope is not api.Scope.ZONE or before.zone == target.zone
                 assert scope is not api.Scope.CELL or before.cell == target.cell
 
-    def _count_together(self, request: int, target: api.Endpoint) -> int:
-        """Rule 5: active attempts of the request's service in the same failure domain as a machine."""
+    def _count_in_domain(self, request: int, target: api.Endpoint) -> int:
+        """Return the active attempts of the request's service in the machine's failure domain (rule 5)."""
         return sum(
-            attempt.state in ACTIVE and self._is_together(self.entries[attempt.machine], target)
+            attempt.state in ACTIVE and self._are_in_same_domain(self.entries[attempt.machine], target)
             for other, attempts in self.attempts.items()
             if self.service[other] == self.service[request]
             for attempt in attempts
         )
 
-    def _is_together(self, one: api.Endpoint, other: api.Endpoint) -> bool:
+    def _are_in_same_domain(self, one: api.Endpoint, other: api.Endpoint) -> bool:
         scope = self.task_class.spread_scope
         if scope is api.Scope.MACHINE:
             return one.machine == other.machine
@@ -379,7 +379,7 @@
 
 
 def test_rule_4_holds_in_every_window_and_its_quotas_rotate() -> None:
-    """More placers than slow-start attempts: each in turn has one, and no window of the rule has more."""
+    """With more placers than attempts, different placers send in each slot, within the limit of a window."""
     sent = []
     for me in range(40):
         one = placer(entry(1, kind="large", started_at=0.5), using=settings(me=me, placers=40))
@@ -391,8 +391,8 @@
     assert len({me for _, me in sent}) > 12
 
 
-def test_unexpected_input_breaks_no_rule_and_blames_no_machine() -> None:
-    """A clock that jumps, gossip that is truncated, foreign or repeated, and events long after their time."""
+def test_unexpected_input_breaks_no_rule_and_ejects_no_machine() -> None:
+    """A clock that jumps, gossip that is malformed or repeated, and events that arrive far too late."""
     using = settings(placers=3, may_gossip=True)
     one = placer(entry(1), entry(2), using=using)
     messages = [b"", b"\x01", b"\x02abcdefgh", b"\x01short", b"\x01" + b"\xff" * 8, b"\x01" + b"\xff" * 8]
@@ -406,8 +406,8 @@
     assert len(offers(one.handle(500.2, [ask(n, service=n) for n in range(2, 6)]))) == 4
 
 
-def test_a_load_report_does_not_undo_what_is_known_to_run() -> None:
-    """Guards against a delayed report that shows a machine empty while own tasks fill it."""
+def test_a_load_report_does_not_hide_own_running_tasks() -> None:
+    """Guards against a delayed report that shows a machine as empty while own tasks fill it."""
     one = placer(entry(1))
     one.handle(1.0, [api.TaskAdopted(ask(n, cores=2.0), 1) for n in range(4)])
     empty = api.LoadReport(free_cores=8.0, free_memory=16.0)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""What all placers together send a machine in slow start, whatever their number and whoever restarts."""
+"""The attempts of all placers together at a machine in slow start stay within the limit."""
 
 from __future__ import annotations
 
@@ -15,16 +15,20 @@
 from thornshelf.placement.placer import Placer
 
 WINDOW_S, SLOW_START_S = 3.0, 14.0
-STARTED_MACHINE = 7
-COUNTS = [(count, budget) for count in (1, 2, 16, 20, 30, 64, 230) for budget in (5, 29, 51, 59, 119, 300)]
+SLOW_START_MACHINE = 7
+COUNTS = [
+    (count, max_attempts)
+    for count in (1, 2, 16, 20, 30, 64, 230)
+    for max_attempts in (5, 29, 51, 59, 119, 300)
+]
 
 
 class PlacerFleet:
-    """Placers that send the machine in slow start as many attempts as each may, on demand."""
+    """Placers that each use up their quota of attempts at the machine in slow start when told to."""
 
-    def __init__(self, count: int, budget: float) -> None:
+    def __init__(self, count: int, max_attempts: float) -> None:
         self.count = count
-        self.budget = budget
+        self.max_attempts = max_attempts
         self.sent: list[float] = []  # when each attempt was started
         self.requested = 0
         self.machines: tuple[api.Endpoint, ...] = ()
@@ -32,7 +36,7 @@
 
     def start(self, me: int) -> Placer:
         rules = {
-            "slow_start_attempts": float(self.budget),
+            "slow_start_attempts": float(self.max_attempts),
             "slow_start_window_s": WINDOW_S,
             "slow_start_s": SLOW_START_S,
         }
@@ -44,7 +48,7 @@
             one.handle(now, [listing(*machines, complete=complete)])
 
     def send(self, now: float) -> None:
-        """Have each placer use up its quota now."""
+        """Have each placer send as many attempts as it may."""
         for one in self.placers:
             while True:
                 self.requested += 1
@@ -58,91 +62,93 @@
             self.placers[me].handle(now, [listing(*self.machines)])
 
     def max_in_window(self) -> int:
-        """Return the most attempts in any window of the rule's length."""
+        """Return the maximum number of attempts in any window of the rule's length."""
         return max((sum(at <= one < at + WINDOW_S for one in self.sent) for at in set(self.sent)), default=0)
 
 
-def tolerated(budget: float) -> float:
-    """Return the number that the operators still attribute to chance."""
-    return budget + 2.0 * math.sqrt(budget) + 2.0
+def tolerated_attempts(max_attempts: float) -> float:
+    """Return the number of attempts that is still within statistical fluctuation of the limit."""
+    return max_attempts + 2.0 * math.sqrt(max_attempts) + 2.0
 
 
-def up(started_at: float) -> api.Endpoint:
-    return entry(STARTED_MACHINE, started_at=started_at)
+def warming_up_entry(started_at: float) -> api.Endpoint:
+    return entry(SLOW_START_MACHINE, started_at=started_at)
 
 
-@pytest.mark.parametrize(("count", "budget"), COUNTS)
-def test_the_sum_of_all_quotas_is_within_the_budget(count: int, budget: int) -> None:
-    """Sent at the end of one slot and the start of the next: remainders of both must not add up to a full quota."""
+@pytest.mark.parametrize(("count", "max_attempts"), COUNTS)
+def test_the_sum_of_all_quotas_is_within_the_limit(count: int, max_attempts: int) -> None:
+    """Guards against remainders of two adjacent slots that add up to more than the limit."""
     for first in (1003.3, 1003.5, 1006.0, 1007.9):  # slots begin at 1003.5 and 1008
-        fleet = PlacerFleet(count, budget)
+        fleet = PlacerFleet(count, max_attempts)
         fleet.update_endpoints(990.0)
-        fleet.update_endpoints(first, up(first - 0.1))
+        fleet.update_endpoints(first, warming_up_entry(first - 0.1))
         for step in (0.0, 0.2, 1.5, 3.0, 4.4, 4.6, 6.0):
             fleet.send(first + step)
-        assert fleet.max_in_window() <= budget
-        if budget >= 2 * count:
-            assert fleet.max_in_window() >= budget - count  # and the quota is usable
-
-
-@pytest.mark.parametrize(("count", "budget"), COUNTS)
-@pytest.mark.parametrize("share", [0.1, 0.7, 1.0])
-def test_a_restarted_placer_does_not_use_its_quota_twice(count: int, budget: int, share: float) -> None:
-    """Guards against a node overloaded by dispatchers that are killed at once as a release begins."""
-    fleet = PlacerFleet(count, budget)
+        assert fleet.max_in_window() <= max_attempts
+        if max_attempts >= 2 * count:
+            assert fleet.max_in_window() >= max_attempts - count  # the quota can be used up
+
+
+@pytest.mark.parametrize(("count", "max_attempts"), COUNTS)
+@pytest.mark.parametrize("restarted_fraction", [0.1, 0.7, 1.0])
+def test_a_restarted_placer_does_not_use_its_quota_twice(
+    count: int, max_attempts: int, restarted_fraction: float
+) -> None:
+    """Guards against overload of a node by dispatchers that all restart at once."""
+    fleet = PlacerFleet(count, max_attempts)
     fleet.update_endpoints(990.0)
-    fleet.update_endpoints(1001.0, up(1000.9))
+    fleet.update_endpoints(1001.0, warming_up_entry(1000.9))
     fleet.send(1001.0)
-    fleet.restart(1002.0, range(math.ceil(share * count)))
+    fleet.restart(1002.0, range(math.ceil(restarted_fraction * count)))
     for at in (1002.0, 1003.0, 1003.9):
         fleet.send(at)
-    assert fleet.max_in_window() <= tolerated(budget)
-    fleet.send(1006.0)  # later its share is its own
-    assert fleet.max_in_window() <= tolerated(budget)
-    assert budget < count or fleet.sent[-1] == 1006.0
+    assert fleet.max_in_window() <= tolerated_attempts(max_attempts)
+    fleet.send(1006.0)  # the quota of the next window
+    assert fleet.max_in_window() <= tolerated_attempts(max_attempts)
+    assert max_attempts < count or fleet.sent[-1] == 1006.0
 
 
-def test_a_first_start_among_warm_machines_delays_nothing() -> None:
+def test_a_first_start_among_warmed_up_machines_delays_nothing() -> None:
     fleet = PlacerFleet(1, 51)
-    fleet.update_endpoints(1000.0, up(0.0))
+    fleet.update_endpoints(1000.0, warming_up_entry(0.0))
     fleet.restart(1000.1, range(1))
     fleet.placers[0].handle(1000.1, [ask(5)])
     (made,) = offers(fleet.placers[0].handle(1000.2, [ask(6)]))
-    assert made.machine == STARTED_MACHINE
+    assert made.machine == SLOW_START_MACHINE
 
 
-def test_attempts_before_a_start_was_listed_count_as_well() -> None:
-    """Guards against a second quota: the machine's process is new since the time of its start."""
+def test_attempts_before_a_start_was_listed_count_too() -> None:
+    """Guards against a second quota once the endpoint list shows the restart."""
     fleet = PlacerFleet(4, 40)
-    fleet.update_endpoints(990.0, up(0.0))
+    fleet.update_endpoints(990.0, warming_up_entry(0.0))
     for one in fleet.placers:
         for number in range(10):
             fleet.requested += 1
             made = offers(one.handle(1001.0 + number / 100, [ask(fleet.requested, cores=0.01, memory=0.01)]))
             fleet.sent += [1001.0] * len(made)
     assert fleet.max_in_window() == 40
-    fleet.update_endpoints(1002.0, up(1000.9), complete=False)  # listed a second late
+    fleet.update_endpoints(1002.0, warming_up_entry(1000.9), complete=False)  # listed a second late
     fleet.send(1002.0)
     fleet.send(1003.5)
     assert fleet.max_in_window() == 40
 
 
-def test_all_processes_partition_by_one_clock_whenever_each_has_started() -> None:
-    """Guards against slots that come at the same time for all: each counted them from its own start."""
+def test_all_processes_compute_slots_on_one_clock_whenever_each_has_started() -> None:
+    """Guards against slots counted from the start of each process, which would coincide."""
 
     def no_node(machine: int, entry: NodeEndpoint, core: Dispatcher) -> NodeConnection:
         raise AssertionError
 
-    cores, offset = [], time.time_ns() // 1000 - time.monotonic_ns() // 1000
+    cores, unix_offset_us = [], time.time_ns() // 1000 - time.monotonic_ns() // 1000
     for later_us in (0, 7_300_000):
         loop, clock = a_loop()
         clock.ns = time.monotonic_ns() + later_us * 1000
         loop.turn(True)
-        core = Dispatcher(loop, settings(), 1, no_node, lambda *_: None, unix_offset_us=offset)
+        core = Dispatcher(loop, settings(), 1, no_node, lambda *_: None, unix_offset_us=unix_offset_us)
         core.update_endpoints(EndpointListUpdate(True, 1, ()))
         cores.append((core, loop.now))
     (one, at), (other, _) = cores
-    assert one.unix_seconds(at) == other.unix_seconds(at) == (at + offset) / 1e6
+    assert one.unix_seconds(at) == other.unix_seconds(at) == (at + unix_offset_us) / 1e6
     assert all(
         core.unix_seconds(core.placement.loop_us(at_s)) >= at_s
         for core, _ in cores
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter: a transcript end to end, bad input, and the same actions under any hash seed."""
+"""The simulator's adapter: a transcript, malformed input, and the same actions under any hash seed."""
 
 from __future__ import annotations
 
@@ -49,32 +49,32 @@
         "zones=room-a,room-b",
     ]
 )
-LIST = (
+ENDPOINT_LIST = (
     "ROSTER\t0\t2\nM\tU\tstd-40\troom-a\t3.5\t12\t1\t-\t51530247\t0\n"
     "M\tU\tstd-40\troom-b\t4.5\t12\t1.5\t6.1\t747639282\t0"
 )
-START = f"TICK\t6.2\n{BORN}\n{LIST}\nROSTER_CHANGE\t3\tC\t41\t0\nEOB\n"
+START = f"TICK\t6.2\n{BORN}\n{ENDPOINT_LIST}\nROSTER_CHANGE\t3\tC\t41\t0\nEOB\n"
 SUBMIT = "SUBMIT\t3\t1564119492\tkeyed\t-\t4569004829183723\t0.24\t0.012\t4050608788307276\t2\t1.5\t1"
 
 
 def run_simulator(text: str, seed: str = "0") -> subprocess.CompletedProcess[str]:
-    """Run the adapter on some input."""
+    """Run the adapter with the text as its input."""
     env = {**os.environ, "PYTHONHASHSEED": seed}
     command = [sys.executable, "-m", "thornshelf.placement.simulator"]
     return subprocess.run(command, input=text, capture_output=True, text=True, env=env, check=False)
 
 
-def test_a_transcript_from_start_to_refusal() -> None:
+def test_a_transcript_from_start_to_rejection() -> None:
     done = run_simulator(f"TICK\t6.1\nEOB\n{START}TICK\t8.41225\n{SUBMIT}\nEOB\n")
     assert done.returncode == 0
     assert done.stderr == ""
     replies = done.stdout.split("DONE\n")
     assert replies[0] == ""
-    tried = [line.split("\t") for line in replies[2].splitlines() if line.startswith("TRY")]
-    assert len(tried) == 1
-    assert tried[0][1:3] == ["3", "1564119492"]
+    attempts = [line.split("\t") for line in replies[2].splitlines() if line.startswith("TRY")]
+    assert len(attempts) == 1
+    assert attempts[0][1:3] == ["3", "1564119492"]
     assert "REMIND\t3\t8.64825\t1564119492\n" in replies[2]
-    host = tried[0][4]
+    host = attempts[0][4]
     end = f"TICK\t8.5\nRESULT\t3\t1564119492\t{host}\t1\t0\tF\t0\t0.02\t0.4,1.25\nEOB\n"
     other = ({"51530247", "747639282"} - {host}).pop()
     last = f"TICK\t8.6\nRESULT\t3\t1564119492\t{other}\t2\t0\tF\t1\t0.02\t-\nEOB\n"
@@ -83,7 +83,7 @@
     assert "BOUNCE\t3\t1564119492\t-\n" in replies[3]
 
 
-def test_every_event_is_read_and_a_kill_and_start_share_a_batch() -> None:
+def test_every_event_is_decoded_and_a_shutdown_and_start_share_a_batch() -> None:
     running = "RUNNING\t3\t242166553\t-\t1\t747639282\t40506\t45690\tkeyed\t0.012\t2\t0.24\t1.5"
     lines = [
         running,
@@ -109,7 +109,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "fault"),
+    ("line", "error"),
     [
         ("WHAT\t3", "message is not known"),
         ("ALARM\t3", "ALARM has 1 values where 2 are expected"),
@@ -125,24 +125,24 @@
         (BORN.replace("me=0", "you=0"), "setting missing: me"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(line: str, fault: str) -> None:
+def test_malformed_input_ends_with_one_error_line(line: str, error: str) -> None:
     done = run_simulator(f"{START}TICK\t9\n{line}\nEOB\n")
     assert done.returncode not in (0, None)
     number = START.count("\n") + 2
     assert done.stderr.startswith(f"thornshelf: line {number}: ")
-    assert fault in done.stderr
+    assert error in done.stderr
     assert done.stderr.count("\n") == 1
 
 
-def test_input_that_ends_within_a_batch_is_a_fault() -> None:
+def test_input_that_ends_within_a_batch_is_an_error() -> None:
     done = run_simulator(START + "TICK\t9\n")
     assert done.returncode != 0
     assert "ends within a batch" in done.stderr
 
 
 def test_the_same_actions_under_any_hash_seed() -> None:
-    asks = "\n".join(
+    requests = "\n".join(
         SUBMIT.replace("1564119492", str(n)).replace("405060878830", f"40506087{n}") for n in range(40)
     )
-    text = f"{START}TICK\t8.5\n{asks}\nEOB\n"
+    text = f"{START}TICK\t8.5\n{requests}\nEOB\n"
     assert len({run_simulator(text, seed).stdout for seed in ("0", "1", "4711")}) == 1
