--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -26,16 +26,16 @@
             if attempt.live:
                 placer_counts[attempt.machine.id, attempt.state] += 1
                 attempts.append((attempt.machine.id, request.demand[0]))
-    running = Counter(
+    bound = Counter(
         t.machine for t in core.tasks_by_uid.values() if t.state in (TaskState.RUNNING, TaskState.CANCELLING)
     )
     for machine, node in core.endpoints.nodes.items():
         on_connection = len(node.in_flight) + len(node.pending)  # type: ignore[attr-defined]
         assert placer_counts[machine, AttemptState.PENDING] == on_connection, "in flight"
-        assert placer_counts[machine, AttemptState.BOUND] == running[machine], "running"
+        assert placer_counts[machine, AttemptState.BOUND] == bound[machine], "bound"
         cores_in_use = sum(cores for where, cores in attempts if where == machine)
         assert abs(core.placer.machines[machine].own_demand[0] - cores_in_use) < 1e-6, "cores"
-        totals += Counter(in_flight=on_connection, running=running[machine])
+        totals += Counter(in_flight=on_connection, bound=bound[machine])
     return totals
 
 
@@ -68,7 +68,7 @@
             totals += check_placement_state(world)
     assert drained
     assert totals["in_flight"] > 20
-    assert totals["running"] > 20
+    assert totals["bound"] > 20
     world.update_lifecycle(2, "terminated")
     for number in range(1, uid + 1):
         world.client.give_up(number)
--- a/thornshelf/placement/candidates.py
+++ b/thornshelf/placement/candidates.py
@@ -72,11 +72,11 @@
         pool = self._pool(request, excluded, used)
         lowest = self._lowest_ranked(request, pool, Fit.UNCROWDED)
         if lowest:
-            return self._draw(lowest)
+            return self._choose_at_random(lowest)
         for group, minimum in self._fallback_groups(request, excluded, reserved):
             lowest = self._lowest_ranked(request, group, minimum)
             if lowest:
-                return self._draw(lowest)
+                return self._choose_at_random(lowest)
         return None
 
     def _tried_machines(self, request: PendingRequest) -> set[Machine]:
@@ -108,7 +108,7 @@
             (unreported, Fit.NONE),
         )
 
-    def _draw(self, machines: Sequence[Machine]) -> Machine:
+    def _choose_at_random(self, machines: Sequence[Machine]) -> Machine:
         """Return one of the equally ranked machines at random."""
         if len(machines) == 1:
             return machines[0]
@@ -119,8 +119,8 @@
     ) -> list[Machine]:
         """Return the machines that tasks are packed onto [D1]; the others may run empty.
 
-        They are the shortest prefix, of an order that all placers share, that has capacity for ``used``, the
-        summed usage, and the request.
+        All placers order machines alike; the pool is the shortest prefix with capacity for the request and
+        for ``used``, the summed usage.
         """
         settings = self._context.settings
         index = self._endpoints.index
--- a/thornshelf/placement/connect_pacing.py
+++ b/thornshelf/placement/connect_pacing.py
@@ -22,8 +22,8 @@
 
 def initial_connect_delay_s(me: int, machine: int, placers: int) -> float:
     """Return the delay of the first connect after a machine is first listed, if no task waits for it."""
-    round_s = max(0.0, (placers - MAX_SIMULTANEOUS_CONNECTS) / CONNECTS_PER_S)
-    return round_s * slot_offset(me, machine, placers)
+    cycle_s = max(0.0, (placers - MAX_SIMULTANEOUS_CONNECTS) / CONNECTS_PER_S)
+    return cycle_s * slot_offset(me, machine, placers)
 
 
 def reconnect_delay_s(usual_s: float, placers: int) -> float:
--- a/thornshelf/placement/placer.py
+++ b/thornshelf/placement/placer.py
@@ -163,7 +163,10 @@
         self.accounting.divide_quotas(placers)
 
     def handle(self, now: float, events: Sequence[Event]) -> list[Action]:
-        """Handle the events up to ``now``, in seconds, and return the actions to carry out, in order."""
+        """Handle the events up to ``now``, in seconds, and return the actions to carry out, in order.
+
+        Placement requests are handled after all other events, and retries before new requests.
+        """
         context = self._context
         context.now = now
         context.actions = []
--- a/thornshelf/placement/pricing.py
+++ b/thornshelf/placement/pricing.py
@@ -28,11 +28,11 @@
 CACHED_PROGRAM_EXPONENT = 0.25
 UNCACHED_PROGRAM_EXPONENT = 1.0
 AFFINITY_PLACES_PER_EXPONENT = 5  # [D3] machines in a service's order of preference per unit of the exponent
-MAX_LINEAR_AFFINITY = 16.0  # [D3] grows logarithmically above: other terms still matter
+MAX_LINEAR_AFFINITY = 16.0  # [D3] above it the exponent grows logarithmically: other terms still count
 
 
 def unit_costs(usage: Sequence[float], capacity: Sequence[float], demand: Sequence[float]) -> list[float]:
-    """Return the paper's unit cost of each requested resource; one without capacity has the highest cost."""
+    """Return the paper's unit cost of each requested resource; without capacity it is ``COST_BASE**2``."""
     return [
         COST_BASE ** (used / size) * (COST_BASE ** min(requested / size, MAX_RANK_EXPONENT) - 1.0)
         if size > 0.0
@@ -81,7 +81,7 @@
         self.affinity_scale = 1.0  # [D3] the exponent of the last machine in a service's order of preference
 
     def rank(self, request: PendingRequest, machine: Machine) -> float:
-        """Return the paper's mean cost, multiplied by the base to the power of the other disadvantages."""
+        """Return the paper's mean cost, times ``COST_BASE`` to the power of all other disadvantages."""
         context = self._context
         exponent = self.program_exponent(request, machine) + self._cross_zone_exponent * machine.in_other_zone
         exponent += (
--- a/thornshelf/placement/settings.py
+++ b/thornshelf/placement/settings.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points that each unit of a cost takes off the deployment's score."""
+    """The price of one unit of each cost, in points deducted from the score."""
 
     fleet: float = 0.0
     migrations: float = 0.0
--- a/thornshelf/placement/usage.py
+++ b/thornshelf/placement/usage.py
@@ -29,10 +29,7 @@
         self._usage_ratio = [1.0 / max(1.0, ratio) for ratio in overcommit]
         max_core_utilization = min((one.full_speed_utilization for one in classes), default=1.0)
         self._usable_fraction = (max_core_utilization, MAX_MEMORY_UTILIZATION)
-        self._mean_utilization = [
-            0.0,
-            0.0,
-        ]  # of the fleet: used cores and memory as fractions of the capacity
+        self._mean_utilization = [0.0, 0.0]  # of the fleet's cores and memory
         self._unreported_fraction = 0.0  # the fraction of placers without a current digest
         self.utilization_steps = UTILIZATION_STEPS
 
@@ -75,7 +72,7 @@
         return self._context.now - machine.reported_at
 
     def limit(self, machine: Machine) -> ResourcePair:
-        """Return the demand up to which usage is expected to slow no task and to fill no memory [D2]."""
+        """Return the demand at which usage is expected to reach the usable part of the hardware [D2]."""
         if machine.usage_limit is None:
             machine.usage_limit = self._resource_limit(machine, 0), self._resource_limit(machine, 1)
         return machine.usage_limit
