--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -131,7 +131,7 @@
 
 
 class AttemptState(enum.Enum):
-    """What is known of an attempt."""
+    """The state of an attempt in the model."""
 
     IN_FLIGHT = enum.auto()
     RUNNING = enum.auto()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -24,7 +24,7 @@
 
 
 class PlacerFleet:
-    """Placers that each use up their quota of attempts at the machine in slow start when told to."""
+    """A number of placers that share the limit on attempts at one machine in slow start."""
 
     def __init__(self, count: int, max_attempts: float) -> None:
         self.count = count
--- a/thornshelf/placement/candidates.py
+++ b/thornshelf/placement/candidates.py
@@ -155,14 +155,14 @@
         mean_cost = self._pricing.mean_cost
         demand = request.demand
         service = request.spec.service
-        bound = self._lowest_rank_with_program(request, group, minimum) * RANK_TOLERANCE
-        found: list[tuple[float, Machine]] = []
+        max_rank = self._lowest_rank_with_program(request, group, minimum) * RANK_TOLERANCE
+        ranked: list[tuple[float, Machine]] = []
         for machine in group:
             cost, fit = machine.cost_by_demand.get(demand) or mean_cost(machine, demand)
-            if cost > bound or fit < minimum:
+            if cost > max_rank or fit < minimum:
                 continue
             if (
-                cost * COST_BASE > bound
+                cost * COST_BASE > max_rank
                 and service not in machine.tasks_by_service
                 and service not in machine.last_ended_by_service
             ):
@@ -170,10 +170,10 @@
             if machine.rejections_by_class and self._pricing.fit(request, machine) < minimum:
                 continue
             machine_rank = rank(request, machine)
-            if machine_rank <= bound:
-                found.append((machine_rank, machine))
-                bound = min(bound, machine_rank * RANK_TOLERANCE)
-        return [machine for machine_rank, machine in found if machine_rank <= bound]
+            if machine_rank <= max_rank:
+                ranked.append((machine_rank, machine))
+                max_rank = min(max_rank, machine_rank * RANK_TOLERANCE)
+        return [machine for machine_rank, machine in ranked if machine_rank <= max_rank]
 
     def _lowest_rank_with_program(
         self, request: PendingRequest, group: Sequence[Machine], minimum: Fit
--- a/thornshelf/placement/load_digest.py
+++ b/thornshelf/placement/load_digest.py
@@ -52,7 +52,7 @@
         self._context = context
         self._endpoints = endpoints
         self.digests: dict[int, PeerDigest] = {}  # by peer, the oldest digest first
-        self._next_at = 0.0
+        self._next_send_at = 0.0
         self._requests_per_s = 0.0  # a moving average
         self._last_request_at = 0.0
 
@@ -67,14 +67,14 @@
         """Send a digest to a random peer if the interval has passed."""
         context = self._context
         settings = context.settings
-        if not settings.limits.may_gossip or settings.placers <= 1 or context.now < self._next_at:
+        if not settings.limits.may_gossip or settings.placers <= 1 or context.now < self._next_send_at:
             return
         data = self._encode()
         peer = (settings.me + context.random.randrange(1, settings.placers)) % settings.placers
         context.actions.append(SendGossip(peer, data))
         cost = settings.prices.gossip * len(data) / PRICED_MESSAGE_BYTES
         interval_s = cost / MAX_COST_PER_REQUEST / max(self._requests_per_s, MIN_REQUESTS_PER_S)
-        self._next_at = context.now + max(MIN_GOSSIP_INTERVAL_S / settings.placers, interval_s)
+        self._next_send_at = context.now + max(MIN_GOSSIP_INTERVAL_S / settings.placers, interval_s)
 
     def _encode(self) -> bytes:
         """Return a digest of own demand, on a random choice of machines if there are more than fit."""
@@ -87,7 +87,7 @@
         data = bytes((VERSION,))
         for machine in machines[:MAX_ENTRIES]:
             cores, memory = machine.own_demand
-            data += ENTRY.pack(machine.id, _to_units(cores), _to_units(memory))
+            data += ENTRY.pack(machine.id, _encode_demand(cores), _encode_demand(memory))
         return data
 
     def record_digest(self, event: GossipMessage) -> None:
@@ -121,7 +121,7 @@
                 _add_peer_demand(demand, -1.0)
 
 
-def _to_units(demand: float) -> int:
+def _encode_demand(demand: float) -> int:
     return min(MAX_ENCODED_DEMAND, max(0, round(demand * DEMAND_RESOLUTION)))
 
 
--- a/thornshelf/placement/machine_index.py
+++ b/thornshelf/placement/machine_index.py
@@ -1,4 +1,4 @@
-"""An index of the machines that are up: sums of usage and capacity, and an order, updated as machines change.
+"""An index of the machines that are up: their summed usage and capacity, and their order.
 
 Functions passed in compute a machine's usage and its group in the order. The cost of an update depends on
 the number of machines that changed since the last decision, not on the size of the fleet. As estimates of
@@ -49,7 +49,7 @@
         self.serial = 0  # unique among machines that are up, to order equal keys; 0: not up
         self.indexed_usage: tuple[float, ...] = (0.0, 0.0)  # the values that the sums contain
         self.indexed_capacity: ResourcePair = (0.0, 0.0)
-        self.group = (False, 0)
+        self.group = (False, 0)  # as returned by the index's ``group_of``
         self._changed = changed
 
     def invalidate(self) -> None:
--- a/thornshelf/placement/rules.py
+++ b/thornshelf/placement/rules.py
@@ -1,4 +1,9 @@
-"""The rules for every attempt: health, machine kind, eligibility, idempotency, slow start and spread."""
+"""The rules for every attempt: health, machine kind, eligibility, idempotency, slow start and spread.
+
+Rule 2 forbids attempts that may double an effect, and rule 3 attempts on draining machines; rule 4 limits
+attempts during slow start, and rule 5 the tasks of a service in one failure domain. Rule 1, a single answer
+before the deadline, is kept by ``scheduling``.
+"""
 
 from __future__ import annotations
 
