--- a/thornshelf/lab/__init__.py
+++ b/thornshelf/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-in clients and nodes on loopback, and the experiments that use them."""
+"""Experiments with fake clients and nodes on loopback, and the testbeds that they use."""
--- a/thornshelf/lab/fakes/__init__.py
+++ b/thornshelf/lab/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Fake clients and nodes of all wire forms, for tests and experiments."""
+"""Fake clients, nodes and network links for tests and experiments."""
--- a/thornshelf/lab/fakes/behavior.py
+++ b/thornshelf/lab/fakes/behavior.py
@@ -1,4 +1,4 @@
-"""What the fakes of all wire forms share: the names of the forms, and what a node is to do with a task."""
+"""Names of the wire forms, and the behaviors that a request can ask of a fake node."""
 
 from __future__ import annotations
 
@@ -12,7 +12,10 @@
 
 
 class NodeBehavior(enum.Enum):
-    """What a node does with an attempt; the value is the task's description."""
+    """What a fake node does with an attempt.
+
+    The value is the request's task description, by which the node recognizes the behavior.
+    """
 
     RUN = b"run"
     END = b"run, then end"
@@ -35,7 +38,6 @@
     CUT_BEFORE = b"break off before running"
 
 
-COMMON_BEHAVIORS = list(NodeBehavior)[
-    :12
-]  # of nodes of all wire forms; the others are for tests of translation
-DESCRIPTION = "v=0\r\no=\u00e9".encode()  # of every answer
+# Behaviors that every wire form supports; the others are for tests of translation.
+COMMON_BEHAVIORS = list(NodeBehavior)[:12]
+DESCRIPTION = "v=0\r\no=\u00e9".encode()  # the description in every binding
--- a/thornshelf/lab/fakes/clients.py
+++ b/thornshelf/lab/fakes/clients.py
@@ -1,4 +1,4 @@
-"""Fake clients in all wire forms, on the same loop as the dispatcher."""
+"""Fake clients for JSON lines and gRPC, on the same loop as the dispatcher."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 
 
 class FakeClient:
-    """A client; ``heard`` holds the events of each task by uid, in terms that all wire forms share.
+    """A client that connects at once and records what it receives.
 
-    ``said`` holds the messages themselves; ``placed`` the uids of tasks that run; ``hears``: the client acknowledges
-    releases; ``on_closed`` is called with whether it was ever connected, ``on_traffic`` with the bytes and lines of
-    JSON lines.
+    ``heard``: events by request id, such as ``("placed", description)``, in the same terms for all wire forms;
+    ``said``: the received messages themselves, by request id; ``placed``: ids of requests that were placed;
+    ``hears``: the client acknowledges releases; ``on_closed``: called with whether the client was ever connected;
+    ``on_traffic``: called with the bytes and lines sent or received, by a client of JSON lines only.
     """
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
@@ -34,8 +35,8 @@
         self.on_traffic: Callable[[int, int], None] = lambda size, lines: None
         self.loop.spawn(self._run())
 
-    def hear(self, uid: int, *what: Any) -> None:
-        self.heard.setdefault(uid, []).append(what)
+    def on_event(self, uid: int, *event: Any) -> None:
+        self.heard.setdefault(uid, []).append(event)
 
     def _run(self) -> Generator[Wait, int, None]:
         stream = yield from connect(self.loop, *self.address, self.loop.now + 5_000_000)
@@ -58,27 +59,29 @@
     def take(self, data: bytes) -> None:
         raise NotImplementedError
 
-    def ask(self, uid: int, conduct: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
+    def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
         raise NotImplementedError
 
     def give_up(self, uid: int) -> None:
         raise NotImplementedError
 
-    def ask_for(self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any) -> None:
-        """Request a task; ``size``: cores and memory."""
+    def request_task(
+        self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any
+    ) -> None:
+        """Send a request with all its fields; ``size``: cores and memory."""
         raise NotImplementedError
 
 
-_CAUSES = {34: "refused", 42: "refused", 102: "refused"}
-_ENDS = {16: pb.ENDED, 31: pb.CANCELLED, 41: pb.RESET}
+_ANSWERS_BY_REASON = {34: "refused", 42: "refused", 102: "refused"}
+_RELEASE_OUTCOMES = {16: pb.ENDED, 31: pb.CANCELLED, 41: pb.RESET}
 
 
 class FakeJsonLinesClient(FakeClient):
-    """A client that speaks the platform's JSON lines."""
+    """A client that uses JSON lines."""
 
     def begin(self, stream: Stream) -> None:
         self.reader = jsonl.LineReader()
-        if self.hears:  # sent at once, so that it holds from the first release on
+        if self.hears:  # announces that this client acknowledges releases
             stream.send(jsonl.encode_line("stopped", jsonl.UNKNOWN_UID))
 
     def send(self, data: bytes) -> None:
@@ -86,20 +89,22 @@
         self.on_traffic(len(data), data.count(b"\n"))
         self.stream.send(data)
 
-    def ask(self, uid: int, conduct: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
+    def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
         extras = f"cores:1;memory:2;service:{7:016x}"
         if "at" in changes:
             extras += f";at:{changes.pop('at')}"
         meta = {"class": task_class, "left": "8000", "tenant": "hollis-county", "key": f"{uid:016x}"}
         meta |= {"hint": "8200.0", "extras": extras} | changes
         meta = {name: value for name, value in meta.items() if value is not None}
-        line = {"kind": "launch", "uid": f"{uid:016x}", "meta": meta, "body": conduct.value.decode()}
+        line = {"kind": "launch", "uid": f"{uid:016x}", "meta": meta, "body": behavior.value.decode()}
         self.send(json.dumps(line).encode() + b"\n")
 
     def give_up(self, uid: int) -> None:
         self.send(jsonl.encode_line("stop", uid, reason=16))
 
-    def ask_for(self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any) -> None:
+    def request_task(
+        self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any
+    ) -> None:
         extras = f"cores:{size[0]:g};memory:{size[1]:g};service:{service:016x}"
         meta = {"class": task_class, "left": "8000", "tenant": "hollis-county", "key": f"{key:016x}"}
         meta |= {"extras": extras} | ({} if hint is None else {"hint": hint})
@@ -113,27 +118,29 @@
             placed = line.uid in self.placed
             if line.kind == "running":
                 self.placed.add(line.uid)
-                self.hear(line.uid, "placed", line.body)
+                self.on_event(line.uid, "placed", line.body)
             elif line.kind == "stop" and placed:
                 if self.hears:
                     self.send(jsonl.encode_line("stopped", line.uid))
-                self.hear(line.uid, "released", _ENDS[line.reason or 0])
+                self.on_event(line.uid, "released", _RELEASE_OUTCOMES[line.reason or 0])
             elif line.kind == "stop":
-                self.hear(line.uid, _CAUSES.get(line.reason or 0, "failed"), line.meta.get("wait"))
+                self.on_event(
+                    line.uid, _ANSWERS_BY_REASON.get(line.reason or 0, "failed"), line.meta.get("wait")
+                )
             elif line.kind == "checked":
-                self.hear(line.uid, "checked", line.reason)
+                self.on_event(line.uid, "checked", line.reason)
 
 
 class FakeGrpcV1Client(FakeClient):
-    """A client that speaks gRPC of the first generation, on one Dispatch stream."""
+    """A client that uses gRPC v1, on one Dispatch stream."""
 
     form = "thornshelf.v1"
-    words: Any = pb
+    protobuf: Any = pb
 
     def begin(self, stream: Stream) -> None:
         self.h2 = http2.Http2(True, stream.send)
         self.call = self.open("Dispatch")
-        if self.hears and self.words is pb2:
+        if self.hears and self.protobuf is pb2:
             self.h2.send(self.call, grpc.frame(pb2.ClientMessage(heard=0)))
         self.status: dict[int, dict[str, str]] = {}
 
@@ -143,29 +150,31 @@
         headers += [("te", "trailers"), ("content-type", "application/grpc")]
         return self.h2.call(headers + [(name.replace("_", "-"), value) for name, value in more.items()])
 
-    def message(self, uid: int, conduct: NodeBehavior, task_class: str, **changes: Any) -> Any:
+    def message(self, uid: int, behavior: NodeBehavior, task_class: str, **changes: Any) -> Any:
         values: dict[str, Any] = {"left_ms": float(changes.pop("left", 8000)), "tenant": "hollis-county"}
         key, hint = changes.pop("key", f"{uid:x}"), changes.pop("hint", "8200")
         values |= {"key": int(key, 16)} | changes
         if hint is not None:
-            values["hint_ms" if self.words is pb else "hint"] = (
-                float(hint) if self.words is pb else pb2.Hint(ms=float(hint))
+            values["hint_ms" if self.protobuf is pb else "hint"] = (
+                float(hint) if self.protobuf is pb else pb2.Hint(ms=float(hint))
             )
-        return self.words.Ask(
-            uid=uid, task_class=task_class, cores=1.0, memory=2.0, service=7, description=conduct.value, **values,
+        return self.protobuf.Ask(
+            uid=uid, task_class=task_class, cores=1.0, memory=2.0, service=7, description=behavior.value, **values,
         )  # fmt: skip
 
-    def ask(self, uid: int, conduct: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
-        said = self.words.ClientMessage(ask=self.message(uid, conduct, task_class, **changes))
-        self.h2.send(self.call, grpc.frame(said))
+    def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
+        message = self.protobuf.ClientMessage(ask=self.message(uid, behavior, task_class, **changes))
+        self.h2.send(self.call, grpc.frame(message))
 
     def give_up(self, uid: int) -> None:
-        self.h2.send(self.call, grpc.frame(self.words.ClientMessage(give_up=uid)))
+        self.h2.send(self.call, grpc.frame(self.protobuf.ClientMessage(give_up=uid)))
 
-    def ask_for(self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any) -> None:
+    def request_task(
+        self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any
+    ) -> None:
         ask = self.message(uid, NodeBehavior.RUN, task_class, key=f"{key:x}", hint=hint)
         ask.service, (ask.cores, ask.memory) = service, size
-        self.h2.send(self.call, grpc.frame(self.words.ClientMessage(ask=ask)))
+        self.h2.send(self.call, grpc.frame(self.protobuf.ClientMessage(ask=ask)))
 
     def take(self, data: bytes) -> None:
         for event in self.h2.receive(data):
@@ -174,29 +183,29 @@
             elif isinstance(event, http2.Opened) and "grpc-status" in event.headers:
                 self.status[event.stream] = event.headers
             elif isinstance(event, http2.Received):
-                self._verdict(grpc.parse(self.words.Verdict, event.data))
+                self._handle_verdict(grpc.parse(self.protobuf.Verdict, event.data))
 
-    def _verdict(self, verdict: Any) -> None:
+    def _handle_verdict(self, verdict: Any) -> None:
         self.said.setdefault(verdict.uid, []).append(verdict)
         match verdict.WhichOneof("kind"):
             case "binding":
-                self.hear(verdict.uid, "placed", verdict.binding.description)
+                self.on_event(verdict.uid, "placed", verdict.binding.description)
             case "refusal":
-                wait = str(verdict.refusal.wait_ms) if verdict.refusal.HasField("wait_ms") else None
-                self.hear(verdict.uid, "refused", wait)
+                retry_after_ms = str(verdict.refusal.wait_ms) if verdict.refusal.HasField("wait_ms") else None
+                self.on_event(verdict.uid, "refused", retry_after_ms)
             case "failure":
-                self.hear(verdict.uid, "failed", None)
+                self.on_event(verdict.uid, "failed", None)
             case "release":
-                if self.hears and self.words is pb2:
-                    self.h2.send(self.call, grpc.frame(self.words.ClientMessage(heard=verdict.uid)))
-                self.hear(verdict.uid, "released", verdict.release.outcome)
+                if self.hears and self.protobuf is pb2:
+                    self.h2.send(self.call, grpc.frame(self.protobuf.ClientMessage(heard=verdict.uid)))
+                self.on_event(verdict.uid, "released", verdict.release.outcome)
 
 
 class FakeGrpcV2Client(FakeGrpcV1Client):
-    """A client that speaks gRPC of the second generation."""
+    """A client that uses gRPC v2."""
 
     form = "thornshelf.v2"
-    words = pb2
+    protobuf = pb2
 
 
 CLIENT_TYPES: dict[str, type[FakeClient]] = {
--- a/thornshelf/lab/fakes/cluster.py
+++ b/thornshelf/lab/fakes/cluster.py
@@ -36,34 +36,36 @@
 from thornshelf.translation.translator import TranslationConfig
 
 EXAMPLE_CONFIG = Path(__file__).parents[3] / "examples" / "config.json"
-TIMEOUT_S = 20.0  # nothing in a test waits longer
+TIMEOUT_S = 20.0  # after which a condition that a test waits for counts as not met
 
 
-open_clusters: list[FakeCluster] = []  # to be closed at each test's end
+open_clusters: list[FakeCluster] = []  # closed after each test
 
 
 class FakeCluster:
-    """A dispatcher with two nodes and one client, all on one loop."""
+    """A dispatcher with fake nodes and one connected client, all on one loop; ``logged``: its log lines."""
 
     def __init__(
         self,
-        front: str = JSON,
+        client_format: str = JSON,
         node: str = BINARY,
         nodes: int = 2,
         terms: TranslationConfig | None = None,
         manners: Callable[[FakeNode], None] = lambda _: None,
-        **more: Any,
+        **config_fields: Any,
     ) -> None:
-        """``front``: the client's wire form; ``node``: the nodes'; ``terms``: the translation layer, which nodes
-        of the second generation need in any case; ``manners``: prepares a node; ``more``: further fields of the
-        configuration.
+        """Start the dispatcher and connect the client.
+
+        ``client_format``: the client's wire form; ``node``: the nodes' wire form; ``terms``: the configuration of the
+        translation layer, on by default for v2 nodes only; ``manners``: prepares each node; ``config_fields``: other
+        fields of ``Config``.
         """
         open_clusters.append(self)
         self.loop = Loop()
         self.logged: list[tuple[int, str, dict[str, object], str]] = []
         self.nodes = [FakeNode(self.loop, node) for _ in range(nodes)]
-        for one in self.nodes:
-            manners(one)
+        for fake_node in self.nodes:
+            manners(fake_node)
         if terms is None and node == GRPC2:
             terms = TranslationConfig()
         if terms is not None and not terms.node_formats and terms.default_formats == (WireFormat.BINARY,):
@@ -76,10 +78,10 @@
             initial_endpoints={"seq": 1, "results": [events]},
             grpc=GrpcConfig(listen=(HOST, 0), all_nodes=node == GRPC),
             translation=terms,
-            **more,
+            **config_fields,
         )
         self.service = Service(config, self.loop, lambda *line: self.logged.append(line))
-        self.client = self.connect_client(front)
+        self.client = self.connect_client(client_format)
 
     def close(self) -> None:
         """Close all sockets."""
@@ -88,7 +90,7 @@
             node.sock.close()
 
     def endpoint(self, index: int, lifecycle: str = "in_service", started: int = 0) -> dict[str, Any]:
-        """A node as the endpoint list shows it."""
+        """Return a node's entry for the endpoint list."""
         return {
             "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{self.nodes[index].port}",
             "zone": "jackson-dc", "machineType": "node-small", "cell": 1, "lifecycle": lifecycle,
@@ -104,31 +106,31 @@
         entry = decode_endpoint(value, self.service.monotonic_us)
         self.service.core.update_endpoints(EndpointListUpdate(False, 2, [entry]))
 
-    def connect_client(self, front: str) -> Any:
-        """One more client, once it is connected."""
-        at = self.service.frontends[0 if front == JSON else 1].listener.address
-        client = CLIENT_TYPES[front](self.loop, at)
+    def connect_client(self, wire_format: str) -> Any:
+        """Return a further client, once it is connected."""
+        address = self.service.frontends[0 if wire_format == JSON else 1].listener.address
+        client = CLIENT_TYPES[wire_format](self.loop, address)
         self.run_until(lambda: client.stream is not None)
         return client
 
     def run_until(self, done: Callable[[], bool]) -> None:
         """Run the loop until a condition holds; fails after ``TIMEOUT_S``."""
-        limit = time.monotonic() + TIMEOUT_S
+        deadline = time.monotonic() + TIMEOUT_S
         while not done():
-            assert time.monotonic() < limit, "it did not come about in time"
+            assert time.monotonic() < deadline, "the condition did not hold in time"
             self.loop.after(20_000, lambda: None)
             self.loop.turn()
 
     def run_for(self, milliseconds: int = 50) -> None:
-        """Run the loop for a while, to see that nothing more happens."""
+        """Run the loop for a while, for instance to check that nothing more happens."""
         end = self.loop.now + milliseconds * 1000
         self.run_until(lambda: self.loop.now >= end)
 
     def offer_count(self, uid: int) -> int:
-        """How many attempts of a task have come, at all nodes together."""
+        """Return the number of offers of a request that all nodes together received."""
         return sum(node.offers(uid) for node in self.nodes)
 
     def wait_for_events(self, uid: int, count: int = 1) -> list[tuple[Any, ...]]:
-        """The events of a task at the client, once there are ``count``."""
+        """Return the client's events for a request, once there are at least ``count``."""
         self.run_until(lambda: len(self.client.heard.get(uid, [])) >= count)
         return list(self.client.heard[uid])
--- a/thornshelf/lab/fakes/network.py
+++ b/thornshelf/lab/fakes/network.py
@@ -1,4 +1,4 @@
-"""Links between processes with injected faults: relays of datagrams, and an endpoint source for each member."""
+"""Datagram relays between members and endpoint sources for them, both with injectable faults."""
 
 from __future__ import annotations
 
@@ -15,38 +15,40 @@
 
 
 def public(index: int) -> str:
-    """The host by which the other members reach a member; datagrams to it go through a relay."""
+    """Return the address at which other members reach a member; datagrams to it go through a relay."""
     return f"127.0.101.{index + 1}"
 
 
 def private(index: int) -> str:
-    """The host that a member itself uses, by which a relay identifies the sender."""
+    """Return the address that a member itself binds, by which a relay identifies the sender."""
     return f"127.0.102.{index + 1}"
 
 
 def free_port(hosts: list[str]) -> int:
-    """A UDP port that is free on all of the hosts."""
+    """Return a UDP port that is free on all of the hosts."""
     while True:
-        first = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        first.bind((hosts[0], 0))
-        port = int(first.getsockname()[1])
-        others = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in hosts[1:]]
+        first_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        first_socket.bind((hosts[0], 0))
+        port = int(first_socket.getsockname()[1])
+        other_sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in hosts[1:]]
         try:
-            for sock, host in zip(others, hosts[1:], strict=True):
+            for sock, host in zip(other_sockets, hosts[1:], strict=True):
                 sock.bind((host, port))
             return port
         except OSError:
             continue
         finally:
-            for sock in (first, *others):
+            for sock in (first_socket, *other_sockets):
                 sock.close()
 
 
 class DatagramRelays:
-    """Relays all datagrams between members, and can lose, duplicate, delay and record them.
+    """Relays all datagrams between members, and can drop, duplicate, delay and record them.
 
-    ``cut(sender, receiver)``: whether a link is cut; ``loss`` and ``doubles``: fractions of the datagrams; ``kept``:
-    (receiver, datagram) of those recorded while ``keep`` is set, for a replay.
+    ``cut(sender, receiver)``: whether that direction of a link is cut; ``loss`` and ``doubles``: fractions of the
+    datagrams that are dropped or duplicated; ``late_us``: exclusive upper limit of the random delay; ``kept``: the
+    receiver and the data of each datagram recorded while ``keep`` is set, at most 500, for a replay; ``bytes`` and
+    ``sent``: bytes with UDP and IP headers, of all members and by member; ``datagrams``: their number by member.
     """
 
     def __init__(self, loop: Loop, count: int, seed: int) -> None:
@@ -56,7 +58,7 @@
         self.loss = self.doubles = 0.0
         self.late_us = 0
         self.bytes = 0
-        self.sent: Counter[int] = Counter()  # bytes, by member
+        self.sent: Counter[int] = Counter()
         self.datagrams: Counter[int] = Counter()
         self.kept: list[tuple[int, bytes]] = []
         self.keep = False
@@ -95,7 +97,7 @@
                     self.deliver(receiver, data)
 
     def deliver(self, receiver: int, data: bytes) -> None:
-        """Deliver a datagram to a member."""
+        """Send a datagram to a member, without injected faults."""
         with suppress(OSError):  # its process may have ended
             self._socks[receiver].sendto(data, (private(receiver), self.port))
 
@@ -107,16 +109,16 @@
 
 
 class FakeEndpointSource:
-    """A fake change log with an address for each member, so that it can stop responding to one.
+    """A fake change log with an address of its own for each member.
 
-    ``silent``: the members to which it does not respond.
+    ``silent``: the members to which it does not respond; ``sent``: bytes in both directions, by member.
     """
 
     def __init__(self, loop: Loop, count: int) -> None:
         self.loop = loop
         self.events: list[dict[str, Any]] = []
         self.silent: set[int] = set()
-        self.sent: Counter[int] = Counter()  # bytes in both directions, by member
+        self.sent: Counter[int] = Counter()
         self.ports: list[int] = []
         self._socks: list[socket.socket] = []
         for index in range(count):
@@ -127,10 +129,10 @@
             loop.spawn(self._accept(index, sock))
 
     def publish(self, instances: list[dict[str, Any]], reset: bool = False) -> None:
-        """Publish an event; ``reset``: it replaces the whole list."""
-        number = len(self.events) + 1
-        fleet = {"generation": number, "reset": reset, "instances": instances}
-        self.events.append({"seq": number, "fleet": fleet})
+        """Publish an event; ``reset``: it replaces the whole endpoint list."""
+        sequence_number = len(self.events) + 1
+        fleet = {"generation": sequence_number, "reset": reset, "instances": instances}
+        self.events.append({"seq": sequence_number, "fleet": fleet})
 
     def _accept(self, index: int, sock: socket.socket) -> Generator[Wait, int, None]:
         while True:
@@ -154,9 +156,9 @@
                     if not stream.open:
                         return
                 body = json.dumps({"seq": len(self.events), "results": self.events[since:]}).encode()
-                answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
-                self.sent[index] += len(answer)
-                stream.send(answer)
+                response = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body
+                self.sent[index] += len(response)
+                stream.send(response)
         stream.close()
 
     def close(self) -> None:
--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -1,7 +1,7 @@
-"""Fake nodes in all wire forms, on the same loop as the dispatcher.
+"""Fake nodes for all wire forms, on the same loop as the dispatcher.
 
-The description of a task says what the node does with it: a value of ``NodeBehavior``. A node's wire form may change
-while it runs, as if it were upgraded or downgraded in place.
+A task's description is a value of ``NodeBehavior`` and determines what the node does with the task. A node's wire
+form may change while it runs, which simulates an upgrade or a downgrade in place.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from thornshelf.wire import placement_v2_pb2 as pb2
 from thornshelf.wire.errors import WireError
 
-# Behaviors that start the task and say so.
-_STARTING = frozenset(
+# Behaviors that start the task and send its binding.
+_STARTING_BEHAVIORS = frozenset(
     (NodeBehavior.RUN, NodeBehavior.END, NodeBehavior.EVICT, NodeBehavior.TWICE, NodeBehavior.STRAY)
 )
-# How a behavior ends an offer or a task: the binary form's cause and note, gRPC's outcome, reason and text.
-_ENDS: dict[NodeBehavior, tuple[Any, ...]] = {
+# Arguments of the responder's ``end``: cause (binary), outcome (gRPC), note (binary), reason and text (gRPC).
+_END_ARGUMENTS: dict[NodeBehavior, tuple[Any, ...]] = {
     NodeBehavior.END: (16, pb.ENDED),
     NodeBehavior.EVICT: (41, pb.RESET, "killed", pb.EVICTED),
     NodeBehavior.FULL: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
@@ -41,7 +41,12 @@
 
 @dataclass(slots=True)
 class ReceivedOrder:
-    """A message of the dispatcher to a node, with the fields that the node's wire form has."""
+    """A message from the dispatcher to a node; fields that the node's wire form lacks keep their defaults.
+
+    ``kind``: ``offer``, ``release`` or ``question`` (whether a task with ``key`` runs or ran here); ``assumed``: the
+    hint is the operator's, not the client's; ``never_twice``: the task must not be started twice; ``more``: the
+    whole v2 offer.
+    """
 
     kind: str
     uid: int
@@ -56,9 +61,10 @@
 
 @dataclass(slots=True)
 class NodeProfile:
-    """What a node of the second generation says of itself, true or not.
+    """How a v2 node describes itself to the dispatcher; a test may make it describe itself falsely.
 
-    ``standings``: false answers to queries, by idempotency key.
+    ``requires``: fields that every offer must have; ``answers``: claims to answer queries about tasks; ``greets``:
+    sends a hello message; ``standings``: false states for its answers to queries, by idempotency key.
     """
 
     generation: int = 2
@@ -70,18 +76,21 @@
 
 
 class FakeNode:
-    """A node; ``seen`` holds the kinds and ids of the messages that came, in order."""
+    """A node that records what it receives: ``orders``, and in ``seen`` the kind and request id of each.
+
+    ``form``: its wire form; ``address``: port 0 for any free port.
+    """
 
     def __init__(self, loop: Loop, form: str = BINARY, address: tuple[str, int] = (HOST, 0)) -> None:
         self.loop, self.form = loop, form
         self.host, self.port = address
         self.manners = NodeProfile()
         self.orders: list[ReceivedOrder] = []
-        self.runs: dict[int, int] = {}  # by key: the id under which it runs
-        self.ran: dict[int, tuple[int, int]] = {}  # by key: the id, and the outcome
-        self.waiting: dict[int, tuple[ReceivedOrder, Any]] = {}  # by id: those that start when told to
-        self.voices: list[Any] = []  # on its open connections, the newest last
-        self.deaf = False  # it reads, and does nothing at all
+        self.runs: dict[int, int] = {}  # request id of each running task, by idempotency key
+        self.ran: dict[int, tuple[int, int]] = {}  # request id and outcome of each ended task, by key
+        self.waiting: dict[int, tuple[ReceivedOrder, Any]] = {}  # delayed tasks, by request id
+        self.voices: list[Any] = []  # of the open connections, the newest last
+        self.deaf = False  # reads from its connections, and ignores what it reads
         self.seen: list[tuple[str, int]] = []
         self.running: set[int] = set()
         self.streams: list[Stream] = []
@@ -89,30 +98,30 @@
         self.rise()
 
     def _bind(self) -> socket.socket:
-        """A socket at the node's address that does not listen."""
+        """Return a socket that is bound to the node's address and does not listen."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self.host, self.port))
         return sock
 
     def rise(self) -> None:
-        """Listen, at the same address if it has listened before."""
+        """Listen; after ``die``, at the same address as before."""
         self.sock.listen()
         self.sock.setblocking(False)
         self.port = self.sock.getsockname()[1]
         self._accepting = self.loop.spawn(self._accept())
 
-    def came(self, say: Any) -> None:
-        """Note a connection on which messages can be sent."""
-        self.voices.append(say)
+    def add_responder(self, responder: Any) -> None:
+        """Add a connection on which messages can be sent."""
+        self.voices.append(responder)
 
-    def went(self, say: Any) -> None:
-        """Forget a connection that has closed."""
-        if say in self.voices:
-            self.voices.remove(say)
+    def remove_responder(self, responder: Any) -> None:
+        """Remove a connection that has closed."""
+        if responder in self.voices:
+            self.voices.remove(responder)
 
     def offers(self, uid: int) -> int:
-        """How many attempts of a task have come."""
+        """Return the number of offers received for a request id."""
         return self.seen.count(("offer", uid))
 
     def die(self) -> None:
@@ -120,7 +129,7 @@
         self.loop.cancel(self._accepting)
         self.loop.unregister(self.sock.fileno())
         self.sock.close()
-        self.sock = self._bind()  # connections are refused, and no other socket gets the port meanwhile
+        self.sock = self._bind()  # keeps the port, and refuses connections
         self.break_streams()
 
     def break_streams(self) -> None:
@@ -139,23 +148,23 @@
             self.loop.spawn(self.serve(stream))
 
     def connected(self, sock: socket.socket) -> Stream:
-        """The stream of an accepted connection; subclasses may return one that counts."""
+        """Return the stream for an accepted connection; a subclass may return one that counts its traffic."""
         return Stream(self.loop, sock, "dispatcher")
 
     def serve(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Serve a connection in the wire form that the node has now."""
+        """Serve a connection in the node's current wire form."""
         return _serve_binary(self, stream) if self.form == BINARY else _serve_grpc(self, stream)
 
-    def begin(self, order: ReceivedOrder, say: Any, tell: bool = True) -> None:
-        """Start a task; ``tell``: send its binding."""
+    def begin(self, order: ReceivedOrder, responder: Any, tell: bool = True) -> None:
+        """Record a task as running; ``tell``: send its progress and its binding."""
         self.running.add(order.uid)
         self.runs[order.key] = order.uid
         if tell:
-            say.progress(order.uid)
-            say.bind(order.uid)
+            responder.progress(order.uid)
+            responder.bind(order.uid)
 
     def over(self, uid: int, outcome: int) -> None:
-        """Note that a task has ended."""
+        """Record the outcome of a running task."""
         self.running.discard(uid)
         for key, running in list(self.runs.items()):
             if running == uid:
@@ -163,7 +172,7 @@
                 self.ran[key] = uid, outcome
 
     def order(self, order: ReceivedOrder, say: Any) -> None:
-        """Handle what came from the dispatcher; ``say`` sends on the connection on which it came."""
+        """Handle a message from the dispatcher; ``say`` sends on the connection of that message."""
         self.seen.append((order.kind, order.uid))
         self.orders.append(order)
         match order.kind:
@@ -172,68 +181,68 @@
             case "release":
                 self._cancel_task(order.uid, say)
             case _:
-                self._carry_out(order, say, NodeBehavior(order.description))
+                self._apply_behavior(order, say, NodeBehavior(order.description))
 
-    def _cancel_task(self, uid: int, say: Any) -> None:
-        """End a task, or forget one that has not started."""
+    def _cancel_task(self, uid: int, responder: Any) -> None:
+        """Cancel a running task, or discard a delayed one."""
         self.waiting.pop(uid, None)
         if uid in self.running:
             self.over(uid, pb.CANCELLED)
-            say.end(uid, 31, pb.CANCELLED)
+            responder.end(uid, 31, pb.CANCELLED)
 
-    def _carry_out(self, order: ReceivedOrder, say: Any, behavior: NodeBehavior) -> None:
-        """Do with an offer what its description says."""
+    def _apply_behavior(self, order: ReceivedOrder, responder: Any, behavior: NodeBehavior) -> None:
+        """Handle an offer as its description requires."""
         uid = order.uid
         if behavior is NodeBehavior.STRAY:
-            say.bind(uid ^ 0xFF00)
-        if behavior in _STARTING:
-            self.begin(order, say)
+            responder.bind(uid ^ 0xFF00)
+        if behavior in _STARTING_BEHAVIORS:
+            self.begin(order, responder)
         if behavior is NodeBehavior.TWICE:
-            say.bind(uid)
+            responder.bind(uid)
         if behavior is NodeBehavior.FULL_TWICE:
-            say.end(uid, *_ENDS[behavior])
+            responder.end(uid, *_END_ARGUMENTS[behavior])
         if behavior is NodeBehavior.LATE:
-            self.waiting[uid] = order, say
-        if behavior in _ENDS:
+            self.waiting[uid] = order, responder
+        if behavior in _END_ARGUMENTS:
             if uid in self.running:
-                self.over(uid, _ENDS[behavior][1])
-            say.end(uid, *_ENDS[behavior])
-        self._break_connection(order, say, behavior)
+                self.over(uid, _END_ARGUMENTS[behavior][1])
+            responder.end(uid, *_END_ARGUMENTS[behavior])
+        self._break_connection(order, responder, behavior)
 
-    def _break_connection(self, order: ReceivedOrder, say: Any, behavior: NodeBehavior) -> None:
-        """Break the connection in the middle of a binding, after a start or before it, where the behavior is so."""
+    def _break_connection(self, order: ReceivedOrder, responder: Any, behavior: NodeBehavior) -> None:
+        """Break the connection for the behaviors that do: within a binding, after the start or before it."""
         if behavior is NodeBehavior.CUT:
-            self.begin(order, say, tell=False)
-            say.cut(order.uid)
+            self.begin(order, responder, tell=False)
+            responder.cut(order.uid)
         if behavior is NodeBehavior.CUT_AFTER:
-            self.begin(order, say, tell=False)
+            self.begin(order, responder, tell=False)
             self.break_streams()
         if behavior is NodeBehavior.CUT_BEFORE:
             self.break_streams()
 
-    def answer(self, order: ReceivedOrder, say: Any) -> None:
-        """Answer a query whether a task runs or ran here, by its idempotency key."""
+    def answer(self, order: ReceivedOrder, responder: Any) -> None:
+        """Answer a query whether the task with an idempotency key runs or ran here."""
         key = order.key
         if key in self.manners.standings:
-            say.standing(order, self.manners.standings[key], 0, 0)
+            responder.standing(order, self.manners.standings[key], 0, 0)
         elif key in self.runs:
-            say.standing(order, pb2.RUNS_NOW, self.runs[key], 0)
+            responder.standing(order, pb2.RUNS_NOW, self.runs[key], 0)
         elif key in self.ran:
-            say.standing(order, pb2.RAN, *self.ran[key])
-        elif any(one.key == key for one, _ in self.waiting.values()):
-            say.standing(order, pb2.WAITING, 0, 0)
+            responder.standing(order, pb2.RAN, *self.ran[key])
+        elif any(delayed.key == key for delayed, _ in self.waiting.values()):
+            responder.standing(order, pb2.WAITING, 0, 0)
         else:
-            say.standing(order, pb2.NEVER, 0, 0)
+            responder.standing(order, pb2.NEVER, 0, 0)
 
     def start(self, uid: int) -> None:
-        """Start a delayed task, whether or not its attempt was withdrawn."""
-        order, say = self.waiting.pop(uid)
-        self.begin(order, say)
+        """Start a delayed task; the dispatcher may have withdrawn the attempt meanwhile."""
+        order, responder = self.waiting.pop(uid)
+        self.begin(order, responder)
 
 
 def _serve_binary(node: FakeNode, stream: Stream) -> Generator[Wait, int, None]:
-    reader, say = binary.MessageReader(), BinaryResponder(node.loop, stream)
-    node.came(say)
+    reader, responder = binary.MessageReader(), BinaryResponder(node.loop, stream)
+    node.add_responder(responder)
     while data := (yield from stream.read()):
         reader.feed(b"" if node.deaf else data)
         try:
@@ -251,16 +260,16 @@
                             int(message.text(binary.KEY) or "0", 16),
                             message.text(binary.CLASS) or "",
                         ),
-                        say,
+                        responder,
                     )
         except WireError:
-            break  # the dispatcher speaks another wire form
-    node.went(say)
+            break  # the dispatcher uses another wire form
+    node.remove_responder(responder)
     stream.close()
 
 
 class BinaryResponder:
-    """Sends a node's messages in the platform's binary form."""
+    """Sends a node's messages in the binary form."""
 
     def __init__(self, loop: Loop, stream: Stream) -> None:
         self.loop, self.stream = loop, stream
@@ -279,17 +288,17 @@
         self.stream.send(binary.encode(binary.RELEASE, uid, values))
 
     def cut(self, uid: int) -> None:
-        whole = binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: DESCRIPTION})
-        self.stream.send(whole[: len(whole) // 2])
+        encoded = binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: DESCRIPTION})
+        self.stream.send(encoded[: len(encoded) // 2])
         self.stream.end()
 
 
 def _serve_grpc(node: FakeNode, stream: Stream) -> Generator[Wait, int, None]:
     h2 = http2.Http2(False, stream.send)
-    newer = node.form == GRPC2
-    form = "thornshelf.v2" if newer else "thornshelf.v1"
+    is_v2 = node.form == GRPC2
+    package = "thornshelf.v2" if is_v2 else "thornshelf.v1"
     paths: dict[int, str] = {}
-    says: dict[int, GrpcResponder] = {}
+    responders: dict[int, GrpcResponder] = {}
     headers = [(":status", "200"), ("content-type", "application/grpc")]
     while data := (yield from stream.read()):
         try:
@@ -299,40 +308,42 @@
         for event in events:
             if isinstance(event, http2.Opened):
                 service, _, paths[event.stream] = event.headers[":path"].rpartition("/")
-                if service != f"/{form}.Node":
-                    unknown = [*headers, ("grpc-status", str(grpc.UNIMPLEMENTED))]
-                    h2.respond(event.stream, unknown, end=True)
+                if service != f"/{package}.Node":
+                    trailers = [*headers, ("grpc-status", str(grpc.UNIMPLEMENTED))]
+                    h2.respond(event.stream, trailers, end=True)
                     continue
                 h2.respond(event.stream, headers)
                 if paths[event.stream] == "Bind":
-                    say = says[event.stream] = GrpcResponder(h2, event.stream, pb2 if newer else pb)
-                    if newer and node.manners.greets:
-                        say.hello(node.manners)
-                    node.came(say)
+                    responder = responders[event.stream] = GrpcResponder(
+                        h2, event.stream, pb2 if is_v2 else pb
+                    )
+                    if is_v2 and node.manners.greets:
+                        responder.hello(node.manners)
+                    node.add_responder(responder)
             elif isinstance(event, http2.Received) and paths[event.stream] == "Probe":
                 h2.send(event.stream, grpc.frame(pb.Load(fields={"x0": 12.0, "x1": 40.0})))
                 h2.finish(event.stream, [("grpc-status", "0")])
-            elif isinstance(event, http2.Received) and newer:
-                node.order(_read_order2(event.data), says[event.stream])
+            elif isinstance(event, http2.Received) and is_v2:
+                node.order(_parse_v2_order(event.data), responders[event.stream])
             elif isinstance(event, http2.Received):
-                said = grpc.parse(pb.NodeOrder, event.data)
-                offer, kind = said.offer, said.WhichOneof("kind") or ""
-                order = ReceivedOrder(kind, said.uid, offer.description, offer.key, offer.task_class)
-                node.order(order, says[event.stream])
-    for one in says.values():
-        node.went(one)
+                message = grpc.parse(pb.NodeOrder, event.data)
+                offer, kind = message.offer, message.WhichOneof("kind") or ""
+                order = ReceivedOrder(kind, message.uid, offer.description, offer.key, offer.task_class)
+                node.order(order, responders[event.stream])
+    for responder in responders.values():
+        node.remove_responder(responder)
     stream.close()
 
 
-def _read_order2(data: bytes) -> ReceivedOrder:
-    said = grpc.parse(pb2.NodeOrder, data)
-    kind, offer = said.WhichOneof("kind") or "", said.offer
+def _parse_v2_order(data: bytes) -> ReceivedOrder:
+    message = grpc.parse(pb2.NodeOrder, data)
+    kind, offer = message.WhichOneof("kind") or "", message.offer
     if kind != "offer":
-        return ReceivedOrder(kind, said.uid, key=said.question.key)
+        return ReceivedOrder(kind, message.uid, key=message.question.key)
     hint = offer.hint.ms if offer.HasField("hint") else None
     return ReceivedOrder(
         kind,
-        said.uid,
+        message.uid,
         offer.description,
         offer.key,
         offer.task_class,
@@ -344,35 +355,37 @@
 
 
 class GrpcResponder:
-    """Sends a node's messages by gRPC, in either generation."""
+    """Sends a node's messages by gRPC; ``protobuf``: the message types of v1 or v2."""
 
-    def __init__(self, h2: http2.Http2, stream: int, words: Any) -> None:
-        self.h2, self.stream, self.pb = h2, stream, words
+    def __init__(self, h2: http2.Http2, stream: int, protobuf: Any) -> None:
+        self.h2, self.stream, self.protobuf = h2, stream, protobuf
         self.load = {"x0": 3.0, "x1": 4.0}
 
     def _send(self, **kind: Any) -> None:
-        self.h2.send(self.stream, grpc.frame(self.pb.NodeReport(**kind)))
+        self.h2.send(self.stream, grpc.frame(self.protobuf.NodeReport(**kind)))
 
-    def hello(self, manners: NodeProfile) -> None:
+    def hello(self, profile: NodeProfile) -> None:
         self._send(
             hello=pb2.Hello(
-                generation=manners.generation,
-                name=manners.name,
-                requires=manners.requires,  # type: ignore[arg-type]
-                answers_questions=manners.answers,
+                generation=profile.generation,
+                name=profile.name,
+                requires=profile.requires,  # type: ignore[arg-type]
+                answers_questions=profile.answers,
             )
         )
 
     def progress(self, uid: int) -> None:
-        self._send(uid=uid, progress=self.pb.Progress())
+        self._send(uid=uid, progress=self.protobuf.Progress())
 
     def bind(self, uid: int) -> None:
-        self._send(uid=uid, binding=self.pb.Binding(description=DESCRIPTION))
+        self._send(uid=uid, binding=self.protobuf.Binding(description=DESCRIPTION))
 
     def end(self, uid: int, _: int, outcome: Any, __: str = "", reason: Any = 0, text: str = "") -> None:
-        more = {"text": text} if self.pb is pb2 else {}
-        number = reason if self.pb is pb2 or reason <= pb.SENT_AWAY else pb.UNFIT
-        end = self.pb.End(outcome=outcome, reason=number, load=self.pb.Load(fields=self.load), **more)
+        text_field = {"text": text} if self.protobuf is pb2 else {}
+        reason_code = reason if self.protobuf is pb2 or reason <= pb.SENT_AWAY else pb.UNFIT
+        end = self.protobuf.End(
+            outcome=outcome, reason=reason_code, load=self.protobuf.Load(fields=self.load), **text_field
+        )
         self._send(uid=uid, end=end)
 
     def standing(self, order: ReceivedOrder, standing: Any, uid: int, outcome: Any) -> None:
@@ -383,6 +396,8 @@
         self._send(uid=order.uid, answer=answer)
 
     def cut(self, uid: int) -> None:
-        whole = grpc.frame(self.pb.NodeReport(uid=uid, binding=self.pb.Binding(description=DESCRIPTION)))
-        self.h2.send(self.stream, whole[: len(whole) // 2])
+        encoded = grpc.frame(
+            self.protobuf.NodeReport(uid=uid, binding=self.protobuf.Binding(description=DESCRIPTION))
+        )
+        self.h2.send(self.stream, encoded[: len(encoded) // 2])
         self.h2.reset(self.stream)
--- a/thornshelf/lab/fleet.py
+++ b/thornshelf/lab/fleet.py
@@ -1,4 +1,4 @@
-"""Experiment: a fleet of dispatchers with faults, with membership and without it side by side."""
+"""Experiment: a fleet of dispatchers under faults, once with membership and once without, in parallel."""
 
 from __future__ import annotations
 
@@ -14,51 +14,51 @@
 
 from thornshelf.lab.fleet_testbed import FleetTestbed
 
-MAX_SETTLING_MS = 5_000  # within which a crash is agreed on, and a partition healed
+MAX_SETTLING_MS = 5_000  # until all members agree after a crash, a return, a stall or the end of a partition
 LATENCY_OBJECTIVE_US = 800_000
-# Of the replayed datagrams: some go to processes that end before they have logged their count.
+# Of the replayed datagrams; a process that ends does not log the last ones that it rejected.
 MIN_REJECTED_FRACTION = 0.75
 
 
-def script(testbed: FleetTestbed) -> dict[str, Any]:
-    """The faults, one after another, under load; returns how long the members took to agree after each."""
+def run_phases(testbed: FleetTestbed) -> dict[str, Any]:
+    """Inject the faults one after another under load; returns the results and the settling time after each fault."""
     phases: dict[str, int] = {}
     members = testbed.members
     testbed.start(*members)
     phases["join"] = testbed.settle()
     testbed.loading = True
     testbed.load()
-    testbed.watch = True
+    testbed.counts_false_detections = True
     testbed.rest(1.0)
-    before, at = testbed.relays.bytes, time.monotonic()
+    before, started_at = testbed.relays.bytes, time.monotonic()
     testbed.rest(3.0)
-    rate = (testbed.relays.bytes - before) / len(members) / (time.monotonic() - at)
+    bytes_per_s = (testbed.relays.bytes - before) / len(members) / (time.monotonic() - started_at)
     testbed.relays.keep = True
-    dead = testbed.chance.sample(members[2:-1], 3)
-    testbed.kill(*dead)
+    killed = testbed.rng.sample(members[2:-1], 3)
+    testbed.kill(*killed)
     phases["crash"] = testbed.settle()
-    testbed.start(*dead)
+    testbed.start(*killed)
     phases["return"] = testbed.settle()
     phases["replay"] = _replay(testbed)
-    stopped = next(one for one in members[2:-1] if one not in dead)
+    stopped = next(one for one in members[2:-1] if one not in killed)
     testbed.kill(stopped, number=signal.SIGSTOP)
     testbed.rest(4.0)
     os.kill(stopped.process.process.pid, signal.SIGCONT)  # type: ignore[union-attr]
-    testbed.until(lambda: False, 0.3)  # so that it hears of its declared death
+    testbed.until(lambda: False, 0.3)  # time to learn that it was declared dead
     testbed.absent.discard(stopped.name)
     phases["stall"] = testbed.settle()
     phases["one-way"] = _one_way(testbed)
     phases["liar"] = _liar(testbed)
-    late = _unresponsive_endpoint_source(testbed)
+    late_attempts = _unresponsive_endpoint_source(testbed)
     phases["partition"], phases["heal"] = _partition(testbed)
     testbed.loading = False
     testbed.rest(3.0)
     report = _counts(testbed)
-    return report | {"phases": phases, "bytes_per_s": round(rate), "late_sends": late}
+    return report | {"phases": phases, "bytes_per_s": round(bytes_per_s), "late_sends": late_attempts}
 
 
 def _replay(testbed: FleetTestbed) -> int:
-    """Replay all datagrams recorded while some members were killed, also to those started since."""
+    """Replay the datagrams recorded since the kills, also to processes that were started later."""
     testbed.relays.keep = False
     for receiver, data in testbed.relays.kept:
         testbed.relays.deliver(receiver, data)
@@ -67,8 +67,8 @@
 
 
 def _one_way(testbed: FleetTestbed) -> int:
-    """Cut one direction of a link."""
-    pair = testbed.chance.sample(range(len(testbed.members)), 2)
+    """Cut one direction of a random link for a while."""
+    pair = testbed.rng.sample(range(len(testbed.members)), 2)
     testbed.relays.cut = lambda sender, receiver: [sender, receiver] == pair
     testbed.rest(4.0)
     testbed.relays.cut = lambda sender, receiver: False
@@ -76,119 +76,122 @@
 
 
 def _liar(testbed: FleetTestbed) -> int:
-    """Have a member make false reports, for as long as a file exists."""
-    sign = testbed.folder / "lie"
-    sign.touch()
+    """Have the last member make false reports for a while, which it does while the file ``lie`` exists."""
+    lie_file = testbed.folder / "lie"
+    lie_file.touch()
     testbed.rest(4.0)
-    sign.unlink()
+    lie_file.unlink()
     return testbed.settle()
 
 
 def _unresponsive_endpoint_source(testbed: FleetTestbed) -> int:
-    """Stop one member's endpoint source while a node drains; returns the attempts that come too late."""
+    """Stop one member's endpoint source while a node drains; returns the number of attempts that came too late."""
     testbed.keeper.silent.add(4)
     testbed.rest(3.2)
     node = testbed.nodes[3]
     testbed.keeper.publish([testbed.entry(3, "terminating")])
     node.draining_since_us = testbed.loop.now
     testbed.rest(4.0)
-    late = node.late_attempts
+    late_attempts = node.late_attempts
     testbed.keeper.silent.clear()
     testbed.rest(0.5)
     node.draining_since_us, node.slow_start_until_us = 0, testbed.loop.now + 14_000_000
     testbed.keeper.publish([testbed.entry(3, "in_service", time.time_ns() // 1_000_000)])
-    return late
+    return late_attempts
 
 
 def _partition(testbed: FleetTestbed) -> tuple[int, int]:
-    """Cut the fleet into halves, then restore all links; returns the milliseconds for each."""
+    """Cut the fleet into halves, then restore all links; returns the settling time of each, in milliseconds."""
     half = set(range(len(testbed.members) // 2))
-    testbed.watch = False
+    testbed.counts_false_detections = False
     testbed.relays.cut = lambda sender, receiver: (sender in half) != (receiver in half)
 
-    def parted() -> bool:
+    def is_partitioned() -> bool:
         sides = [
-            {one.name for one in testbed.members if (one.index in half) == side} for side in (True, False)
+            {one.name for one in testbed.members if (one.index in half) == is_first_half}
+            for is_first_half in (True, False)
         ]
-        return not testbed.view or all(one.live == sides[one.index not in half] for one in testbed.members)
+        return not testbed.has_membership or all(
+            one.live == sides[one.index not in half] for one in testbed.members
+        )
 
     testbed.resubmit()
-    took = testbed.until(parted, 15.0)
+    elapsed_s = testbed.until(is_partitioned, 15.0)
     testbed.rest(2.0)
     testbed.relays.cut = lambda sender, receiver: False
-    healed = testbed.settle()
-    testbed.watch = True
-    return int((15.0 if took is None else took) * 1000), healed
+    heal_ms = testbed.settle()
+    testbed.counts_false_detections = True
+    return int((15.0 if elapsed_s is None else elapsed_s) * 1000), heal_ms
 
 
 def _counts(testbed: FleetTestbed) -> dict[str, Any]:
-    """The results, as the fakes count them."""
+    """Return the counts of the oracle, the nodes and the logs, with the keys of the report."""
     oracle, now = testbed.truth, testbed.loop.now
     lookups = [one for one in oracle.asked.values() if not one.at_most_once and not one.void]
-    served = sum(
+    in_time = sum(
         one.answers[:1] == ["placed"] and one.answered_us - one.sent_us <= LATENCY_OBJECTIVE_US
         for one in lookups
     )
-    replayed = sum(
+    rejected_replays = sum(
         sum(map(int, re.findall(r'replayed="(\d+)"', path.read_text(errors="replace"))[-1:]))
         for member in testbed.members
         for path in member.logs
     )
     return {
         "views_equal": testbed.agreed(),
-        "wrongly_dead": testbed.wrong,
+        "wrongly_dead": testbed.false_detections,
         "asked": len(lookups),
-        "worth": round(served / max(1, len(lookups)), 4),
+        "worth": round(in_time / max(1, len(lookups)), 4),
         "lost": len(oracle.lost(now, 2_000_000)),
         "doubled": len(oracle.doubled()),
         "rules_broken": sum(node.excess_attempts for node in testbed.nodes),
         "ledger_batch_max_starts": max(oracle.starts.values(), default=0),
         "replays": len(testbed.relays.kept),
-        "replays_refused": replayed,
+        "replays_refused": rejected_replays,
     }
 
 
-def play(
+def run_testbed(
     seed: int, has_membership: bool, injected_fault: str | None, members: int, nodes: int
 ) -> dict[str, Any]:
-    """Run one testbed, in a process of its own."""
+    """Run the experiment on one testbed, in a process of its own; returns its results."""
     with tempfile.TemporaryDirectory() as folder:
         testbed = FleetTestbed(seed, has_membership, injected_fault, members, nodes, Path(folder))
-        testbed.lies = has_membership
+        testbed.has_liar = has_membership
         try:
-            report = script(testbed)
+            report = run_phases(testbed)
         finally:
-            code = testbed.end()
-        return report | {"exit": code}
+            exit_code = testbed.end()
+        return report | {"exit": exit_code}
 
 
-def run(seed: int, plant: str | None = None, members: int = 12, nodes: int = 10) -> dict[str, Any]:
-    """The whole experiment: both testbeds at once; returns the report that is printed."""
+def run(seed: int, injected_fault: str | None = None, members: int = 12, nodes: int = 10) -> dict[str, Any]:
+    """Run both testbeds in parallel; returns the report of the experiment."""
     began = time.monotonic()
     with ProcessPoolExecutor(2, mp_context=get_context("spawn")) as pool:
-        on = pool.submit(play, seed, True, plant, members, nodes)
-        off = pool.submit(play, seed, False, None, members, nodes)
-        report, without = on.result(), off.result()
-    found = {
+        with_membership = pool.submit(run_testbed, seed, True, injected_fault, members, nodes)
+        without_membership = pool.submit(run_testbed, seed, False, None, members, nodes)
+        measured, baseline = with_membership.result(), without_membership.result()
+    result = {
         "seed": seed,
         "processes": members,
-        "phases": {k: {"settled_ms": v} for k, v in report["phases"].items()},
+        "phases": {phase: {"settled_ms": settled_ms} for phase, settled_ms in measured["phases"].items()},
     }
     for name in ("views_equal", "wrongly_dead", "lost", "doubled", "rules_broken", "ledger_batch_max_starts"):
-        found[name] = report[name]
-    found |= {
-        "bytes_per_s": report["bytes_per_s"],
-        "replays": report["replays"],
-        "replays_refused": report["replays_refused"],
-        "exit": report["exit"],
+        result[name] = measured[name]
+    result |= {
+        "bytes_per_s": measured["bytes_per_s"],
+        "replays": measured["replays"],
+        "replays_refused": measured["replays_refused"],
+        "exit": measured["exit"],
     }
-    found |= {"worth_on": report["worth"], "worth_off": without["worth"], "asked": report["asked"]}
-    found |= {"late_sends_on": report["late_sends"], "late_sends_off": without["late_sends"]}
-    return found | {"plant": plant, "seconds": round(time.monotonic() - began, 1)}
+    result |= {"worth_on": measured["worth"], "worth_off": baseline["worth"], "asked": measured["asked"]}
+    result |= {"late_sends_on": measured["late_sends"], "late_sends_off": baseline["late_sends"]}
+    return result | {"plant": injected_fault, "seconds": round(time.monotonic() - began, 1)}
 
 
 def passed(report: dict[str, Any]) -> bool:
-    """Whether all requirements are met."""
+    """Whether a report of ``run`` meets all requirements."""
     settled = {name: phase["settled_ms"] for name, phase in report["phases"].items()}
     return bool(
         report["views_equal"]
--- a/thornshelf/lab/fleet_testbed.py
+++ b/thornshelf/lab/fleet_testbed.py
@@ -1,7 +1,7 @@
-"""Dispatchers in processes of their own that form a fleet, with fake nodes, clients and links between them.
+"""A fleet of dispatcher processes with fake nodes, clients and links between them.
 
-Members talk through relays; each has an endpoint source of its own. What happened is counted by the fake nodes and
-clients, what members believe is read from their logs.
+Members exchange datagrams through relays, and each has its own endpoint source. An oracle records requests and tasks
+independently of the dispatchers; the states that members assign to each other are read from their logs.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
     r' member-state-changed \[thornshelf@32473 name="([^"]+)" before="(\w+)" after="(\w+)"\]'
 )
 LIVE_STATES = ("alive", "suspect", "doomed")
-# How long after a drain attempts may still come from a member whose endpoint source does not respond.
+# How long after a drain starts its node may still receive attempts from a member whose endpoint source is silent.
 LATE_AFTER_US = 1_500_000
-# Attempts that a node in slow start accepts within a period, from all members together.
+# The most attempts that a node in slow start may receive within a period, from all members together.
 SLOW_START_US = 3_000_000
 SLOW_START_ATTEMPTS = 51
 
 
 class FleetNode(LoadNode):
-    """A node that drains, and counts attempts that come too late or too fast."""
+    """A node that can drain, and counts attempts that arrive too late for a drain or too fast for a slow start."""
 
     draining_since_us = 0
     slow_start_until_us = 0
@@ -46,59 +46,60 @@
         super().__init__(*args)
         self.recent_attempts: list[int] = []
 
-    def _handle_offer(self, order: ReceivedOrder, say: Any) -> None:
+    def _handle_offer(self, order: ReceivedOrder, responder: Any) -> None:
         now = self.loop.now
         if now < self.slow_start_until_us:
             self.recent_attempts = [at for at in self.recent_attempts if now - at < SLOW_START_US] + [now]
             self.excess_attempts += len(self.recent_attempts) > SLOW_START_ATTEMPTS
         if self.draining_since_us:
             self.late_attempts += now - self.draining_since_us > LATE_AFTER_US
-            say.end(order.uid, 34, 0, "unfit")
+            responder.end(order.uid, 34, 0, "unfit")
             return
-        super()._handle_offer(order, say)
+        super()._handle_offer(order, responder)
 
 
 class MemberProcess:
-    """A dispatcher, its clients, and the states of the other members by its log."""
+    """A member's dispatcher process, its clients, and the states of the other members according to its log."""
 
     def __init__(self, index: int) -> None:
         self.index, self.name = index, f"m{index:02d}"
         self.process: DispatcherProcess | None = None
         self.states: dict[str, str] = {}
-        self.county: ClientPopulation | None = None
-        self.starts = self._read = 0
+        self.clients: ClientPopulation | None = None
+        self.starts = self._read_offset = 0
         self.logs: list[Path] = []
 
     @property
     def live(self) -> set[str]:
-        """The members that it believes to be live, itself among them."""
+        """The names of the members that it considers live, including its own."""
         return {self.name} | {name for name, state in self.states.items() if state in LIVE_STATES}
 
-    def read(self) -> list[tuple[str, str, str]]:
-        """The changes of members that it has logged since the last call."""
+    def read_log(self) -> list[tuple[str, str, str]]:
+        """Return the state changes logged since the last call: name, state before, state after."""
         if self.process is None:
             return []
         with self.process.log_path.open("rb") as log:
-            log.seek(self._read)
+            log.seek(self._read_offset)
             data = log.read()
         lines = data[: data.rfind(b"\n") + 1]
-        self._read += len(lines)
-        found = MEMBER_LINE.findall(lines.decode(errors="replace"))
-        for name, _, after in found:
+        self._read_offset += len(lines)
+        changes = MEMBER_LINE.findall(lines.decode(errors="replace"))
+        for name, _, after in changes:
             self.states[name] = after
-        return found
+        return changes
 
-    def forget(self) -> None:
-        """Forget the states of a process that has ended."""
-        self.states, self._read = {}, 0
+    def reset_states(self) -> None:
+        """Discard the states, before a new process starts."""
+        self.states, self._read_offset = {}, 0
 
 
 class FleetTestbed:
-    """The members, the nodes and the links of one run.
+    """The members, nodes and links of one run.
 
-    ``absent``: members that were killed, stopped or cut off, so that declaring them dead is right; ``watch``: count
-    false declarations into ``wrong``; ``lies``: the last member makes false reports; ``more``: lines for the
-    operator's table of the fleet; ``pause_us``: between two requests at one member.
+    ``absent``: names of members that were killed, stopped or cut off, which others rightly declare dead;
+    ``counts_false_detections``: whether ``false_detections`` counts other members that are declared dead;
+    ``has_liar``: the last member can make false reports; ``more``: lines to add to the operator's file;
+    ``pause_us``: between two requests at one member; ``seeds``: the first members, that many, are the seeds.
     """
 
     def __init__(
@@ -110,8 +111,8 @@
         nodes: int,
         folder: Path,
     ) -> None:
-        self.loop, self.chance, self.folder = Loop(), random.Random(seed), folder
-        self.view, self.plant, self.truth = has_membership, injected_fault, Oracle()
+        self.loop, self.rng, self.folder = Loop(), random.Random(seed), folder
+        self.has_membership, self.injected_fault, self.truth = has_membership, injected_fault, Oracle()
         self.members = [MemberProcess(index) for index in range(members)]
         self.relays, self.keeper = (
             DatagramRelays(self.loop, members, seed),
@@ -124,30 +125,30 @@
         self.key = folder / "fleet.key"
         self.key.write_text(KEY)
         self.key.chmod(0o600)
-        self.asks = self.wrong = 0
+        self.request_count = self.false_detections = 0
         self.loading = False
         self.absent: set[str] = set()
-        self.watch = False
-        self.lies = False
+        self.counts_false_detections = False
+        self.has_liar = False
         self.more = ""
         self.pause_us = 150_000
         self.seeds = 2
 
     def entry(self, node: int, lifecycle: str = "in_service", started_ms: int = 0) -> dict[str, Any]:
-        """A node as the endpoint list shows it."""
+        """Return a node's entry for the endpoint list."""
         return {
             "instanceId": f"s-{node + 1:08x}", "hostPort": f"{HOST}:{self.nodes[node].port}", "zone": "jackson-dc",
             "machineType": "node-small", "cell": 1, "lifecycle": lifecycle, "weight": 1, "startedAtMs": started_ms,
         }  # fmt: skip
 
     def start(self, *members: MemberProcess, odd: str = "") -> None:
-        """Start processes, with the injected fault ``odd`` if any, and wait until they serve."""
+        """Start members' processes, with the injected fault ``odd`` if any, and wait until they serve."""
         for member in members:
             member.starts += 1
             folder = self.folder / f"{member.name}-{member.starts}"
             folder.mkdir()
             operator = ""
-            if self.view:
+            if self.has_membership:
                 seeds = ", ".join(f'"{public(i)}:{self.relays.port}"' for i in range(self.seeds))
                 operator = (
                     f'[fleet]\nname = "lab"\nlisten = "{private(member.index)}:{self.relays.port}"\n'
@@ -163,46 +164,46 @@
                 value["settings"] |= {"n-instances": len(self.members), "me": member.index}
                 value["settings"]["limits"]["peer-messages"] = True
 
-            lies = "liar" if self.lies and member is self.members[-1] else ""
-            plant = ",".join(one for one in (lies, odd, self.plant) if one) or None
-            member.process = DispatcherProcess(folder, [], operator, plant, changes=changes, wait=False)
-            member.forget()
+            liar_fault = "liar" if self.has_liar and member is self.members[-1] else ""
+            fault_names = ",".join(one for one in (liar_fault, odd, self.injected_fault) if one) or None
+            member.process = DispatcherProcess(folder, [], operator, fault_names, changes=changes, wait=False)
+            member.reset_states()
             member.logs.append(folder / "log")
             self.absent.discard(member.name)
         self.until(lambda: all(one.process is not None and one.process.ready() for one in members), 20.0)
         for member in members:
             assert member.process is not None
-            member.county = ClientPopulation(
+            member.clients = ClientPopulation(
                 self.loop, member.process.addresses, JSON, self.truth, random.Random(member.index)
             )
-            member.county.next_uid = (member.index + 1 << 40) + (member.starts << 32)
+            member.clients.next_uid = (member.index + 1 << 40) + (member.starts << 32)
 
     def kill(self, *members: MemberProcess, number: int = signal.SIGKILL) -> None:
-        """Send a signal to processes; after SIGKILL the requests of their clients are void."""
+        """Send a signal to members' processes; SIGKILL makes the requests of their clients void."""
         for member in members:
             assert member.process is not None
-            assert member.county is not None
+            assert member.clients is not None
             self.absent.add(member.name)
             os.kill(member.process.process.pid, number)
             if number == signal.SIGKILL:
                 member.process.process.wait()
-                county, member.county = member.county, None
-                for task in county.tasks.values():
+                clients, member.clients = member.clients, None
+                for task in clients.tasks.values():
                     task["done"] = True
-                for uid, asked in self.truth.asked.items():
+                for uid, request in self.truth.asked.items():
                     if uid >> 40 == member.index + 1:
-                        asked.void = True
+                        request.void = True
 
     def until(self, done: Callable[[], bool], limit_s: float) -> float | None:
-        """Run the loop until a condition holds; returns the seconds that it took, None after the limit."""
+        """Run the loop until a condition holds; returns the seconds that it took, or None after ``limit_s``."""
         began = time.monotonic()
-        look = 0.0
+        last_check = 0.0
         while time.monotonic() - began < limit_s:
             self.loop.after(10_000, lambda: None)
             self.loop.turn()
-            if time.monotonic() - look >= 0.05:
-                look = time.monotonic()
-                self.read()
+            if time.monotonic() - last_check >= 0.05:
+                last_check = time.monotonic()
+                self.read_logs()
                 if done():
                     return time.monotonic() - began
         return None
@@ -211,45 +212,53 @@
         """Run the loop for a while."""
         self.until(lambda: False, seconds)
 
-    def read(self) -> None:
-        """Read all logs, and count members that are declared dead though they run."""
+    def read_logs(self) -> None:
+        """Read all new log lines, and count running members that are declared dead."""
         for member in self.members:
-            for name, _, after in member.read():
-                gone = after not in LIVE_STATES and name not in self.absent and member.name not in self.absent
-                self.wrong += self.watch and gone and any(one.name == name for one in self.members)
+            for name, _, after in member.read_log():
+                is_false_detection = (
+                    after not in LIVE_STATES and name not in self.absent and member.name not in self.absent
+                )
+                self.false_detections += (
+                    self.counts_false_detections
+                    and is_false_detection
+                    and any(one.name == name for one in self.members)
+                )
 
     def agreed(self) -> bool:
-        """Whether all running members agree that exactly they are live."""
-        there = {one.name for one in self.members if one.name not in self.absent}
-        return not self.view or all(one.live == there for one in self.members if one.name in there)
+        """Whether all running members consider exactly each other live; true without membership."""
+        running_names = {member.name for member in self.members if member.name not in self.absent}
+        return not self.has_membership or all(
+            member.live == running_names for member in self.members if member.name in running_names
+        )
 
     def settle(self, limit_s: float = 15.0) -> int:
-        """Run until all members agree; returns the milliseconds, those of the limit where they do not."""
-        took = self.until(self.agreed, limit_s)
-        return int((limit_s if took is None else took) * 1000)
+        """Run the loop until ``agreed``; returns the milliseconds that it took, at most those of ``limit_s``."""
+        elapsed_s = self.until(self.agreed, limit_s)
+        return int((limit_s if elapsed_s is None else elapsed_s) * 1000)
 
     def resubmit(self) -> None:
-        """At every member, cancel the tasks of half of all services and request them again within a second."""
+        """At each running member, cancel the lookups of half of its services and request them again within 1 s."""
         for member in self.members:
-            if member.county is not None and member.name not in self.absent and member.county.tasks:
-                member.county.resubmit(0.5, 1_000_000, ledgers=False)
+            if member.clients is not None and member.name not in self.absent and member.clients.tasks:
+                member.clients.resubmit(0.5, 1_000_000, include_ledger_batches=False)
 
     def load(self) -> None:
-        """Send a request to every running member, again and again while ``loading`` is set."""
+        """Send a request to every running member, every ``pause_us`` while ``loading`` is set."""
         if not self.loading:
             return
         for member in self.members:
-            if member.county is not None and member.name not in self.absent:
-                self.asks += 1
-                ledger = self.chance.random() < 0.04
-                hint, service = ("8200" if ledger else None), self.chance.randrange(30)
-                member.county.ask(self.asks, LEDGER if ledger else LOOKUP, hint, service)
+            if member.clients is not None and member.name not in self.absent:
+                self.request_count += 1
+                is_ledger = self.rng.random() < 0.04
+                hint, service = ("8200" if is_ledger else None), self.rng.randrange(30)
+                member.clients.ask(self.request_count, LEDGER if is_ledger else LOOKUP, hint, service)
         self.loop.after(self.pause_us, self.load)
 
     def end(self) -> int:
-        """Shut all processes down gracefully; returns the greatest exit code."""
-        self.watch = False
-        codes = [0]
+        """Shut all processes down, gracefully if they end in time; returns the greatest absolute exit code."""
+        self.counts_false_detections = False
+        exit_codes = [0]
         running = [
             one.process
             for one in self.members
@@ -261,7 +270,7 @@
         for process in running:
             if process.process.poll() is None:
                 process.process.kill()
-            codes.append(abs(process.process.wait()))
+            exit_codes.append(abs(process.process.wait()))
         self.relays.close()
         self.keeper.close()
-        return max(codes)
+        return max(exit_codes)
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -1,4 +1,4 @@
-"""Stand-ins under load: nodes with room, lives and faults, and county clients that ask, lose heart and ask again."""
+"""Fake nodes and clients for load tests: nodes with limited resources and faults, clients that cancel and retry."""
 
 from __future__ import annotations
 
@@ -19,13 +19,17 @@
 from thornshelf.wire import placement_v2_pb2 as pb2
 
 LEDGER, LOOKUP = "ledger-batch", "lookup"
-TASK_SIZES = {LOOKUP: (1.0, 2.0), LEDGER: (6.0, 14.0)}  # cores and memory that a task of each class asks for
-CONNECTIONS_PER_FORM = 4  # of the clients, in each form
+TASK_SIZES = {LOOKUP: (1.0, 2.0), LEDGER: (6.0, 14.0)}  # cores and memory that a task of each class requests
+CONNECTIONS_PER_FORM = 4  # of the clients, for each wire form
 NODE_CORES, NODE_MEMORY, CORES_OVERCOMMIT, MEMORY_OVERCOMMIT = 27.0, 43.0, 4.0, 2.0
 
 
 class LoadNode(FakeNode):
-    """A node with a size, which takes time to start tasks, and ends them; faults come by calls."""
+    """A node with limited cores and memory, whose tasks take time to start and end by themselves.
+
+    The caller causes faults: it sets ``unresponsive_until_us`` or a fraction, or calls ``break_streams`` or
+    ``restart``.
+    """
 
     def __init__(
         self, loop: Loop, form: str, oracle: Oracle, rng: random.Random, address: tuple[str, int] = (HOST, 0)
@@ -33,21 +37,21 @@
         super().__init__(loop, form, address)
         self.oracle, self.random = oracle, rng
         self.unresponsive_until_us = 0
-        self.cut_binding_fraction = 0.0  # share of ledger-batch starts whose binding is cut midway
+        self.cut_binding_fraction = 0.0  # of the starts of ledger batches: the binding is truncated
         self.rejected_fraction = 0.02
-        self.mean_lifetime_us = 3_000_000  # of a task, on average
-        self.tasks: dict[int, tuple[ReceivedOrder, Any]] = {}  # running, by id
+        self.mean_lifetime_us = 3_000_000  # of the tasks
+        self.tasks: dict[int, tuple[ReceivedOrder, Any]] = {}  # running, by request id
         self.starting: dict[int, tuple[ReceivedOrder, Any]] = {}
         self.used = [0.0, 0.0]
-        self.unreported_ends: list[tuple[int, int, int]] = []  # ends since the last connection came
-        self.epoch = 0  # a restart: what was begun before is gone
+        self.unreported_ends: list[
+            tuple[int, int, int]
+        ] = []  # arguments of ``end``, since the last connection opened
+        self.epoch = 0  # incremented at a restart; timers of an earlier epoch do nothing
 
     def order(self, order: ReceivedOrder, say: Any) -> None:
-        """Take an offer, a release or a question."""
+        """Handle an offer, a release or a question; deferred while the node is unresponsive."""
         if self.loop.now < self.unresponsive_until_us:
-            self.loop.at(
-                self.unresponsive_until_us, lambda: self.order(order, say)
-            )  # it hangs, and goes on later
+            self.loop.at(self.unresponsive_until_us, lambda: self.order(order, say))
             return
         match order.kind:
             case "question":
@@ -61,7 +65,7 @@
             case "offer":
                 self._handle_offer(order, say)
 
-    def _handle_offer(self, order: ReceivedOrder, say: Any) -> None:
+    def _handle_offer(self, order: ReceivedOrder, responder: Any) -> None:
         cores, memory = TASK_SIZES[order.task_class]
         if (
             order.hint_ms is not None
@@ -69,27 +73,27 @@
             and not self.oracle.has_client_hint.get(order.key, True)
         ):
             self.oracle.unmarked_hints += 1
-        self._update_load_report(say)
+        self._update_load_report(responder)
         needs_hint = pb2.HINT in self.manners.requires and order.hint_ms is None
         if needs_hint and self.form == GRPC2:
-            say.end(order.uid, 34, pb.FULL, "unfit", pb2.HINT_NEEDED, "no hint")
+            responder.end(order.uid, 34, pb.FULL, "unfit", pb2.HINT_NEEDED, "no hint")
         elif (
             self.used[0] + cores > NODE_CORES * CORES_OVERCOMMIT
             or self.used[1] + memory > NODE_MEMORY * MEMORY_OVERCOMMIT
         ):
-            say.end(order.uid, 34, pb.FULL, "lack_ram", pb.NO_MEMORY)
+            responder.end(order.uid, 34, pb.FULL, "lack_ram", pb.NO_MEMORY)
         elif self.random.random() < self.rejected_fraction:
-            say.end(order.uid, 34, pb.FULL, "backlog", pb.BACKLOG)
+            responder.end(order.uid, 34, pb.FULL, "backlog", pb.BACKLOG)
         else:
-            self.starting[order.uid] = order, say
+            self.starting[order.uid] = order, responder
             self.used = [self.used[0] + cores, self.used[1] + memory]
             epoch = self.epoch
             self.loop.after(self.random.randrange(5_000, 30_000), lambda: self._start_task(order, epoch))
 
-    def _update_load_report(self, say: Any) -> None:
+    def _update_load_report(self, responder: Any) -> None:
         free = NODE_CORES - self.used[0], NODE_MEMORY - self.used[1]
-        say.load = {"x0": free[0], "x1": free[1]}
-        say.report = b"x0:%.1f;x1:%.1f" % free
+        responder.load = {"x0": free[0], "x1": free[1]}
+        responder.report = b"x0:%.1f;x1:%.1f" % free
 
     def _start_task(self, order: ReceivedOrder, epoch: int) -> None:
         if epoch != self.epoch:
@@ -97,22 +101,22 @@
         if self.loop.now < self.unresponsive_until_us:
             self.loop.at(self.unresponsive_until_us, lambda: self._start_task(order, epoch))
             return
-        found = self.starting.pop(order.uid, None)
-        if found is None:
-            self._release_resources(order)  # given up before it ran
+        entry = self.starting.pop(order.uid, None)
+        if entry is None:
+            self._release_resources(order)  # cancelled before it ran
             return
-        say, ledger = found[1], order.task_class == LEDGER
-        if ledger:
+        responder, is_ledger = entry[1], order.task_class == LEDGER
+        if is_ledger:
             self.oracle.starts[order.key] += 1
-        self.tasks[order.uid] = found
+        self.tasks[order.uid] = entry
         self.runs[order.key] = order.uid
-        if ledger and self.random.random() < self.cut_binding_fraction:
-            say.cut(order.uid)
-            self.went(say)
-            if isinstance(say, BinaryResponder):
-                say.stream.flush()
+        if is_ledger and self.random.random() < self.cut_binding_fraction:
+            responder.cut(order.uid)
+            self.remove_responder(responder)
+            if isinstance(responder, BinaryResponder):
+                responder.stream.flush()
         else:
-            say.bind(order.uid)
+            responder.bind(order.uid)
         self.loop.after(
             int(self.random.expovariate(1 / self.mean_lifetime_us)) + 100_000,
             lambda: self._end_task(order, epoch),
@@ -124,28 +128,29 @@
         if self.loop.now < self.unresponsive_until_us:
             self.loop.at(self.unresponsive_until_us, lambda: self._end_task(order, epoch))
             return
-        say = self.tasks[order.uid][1]
+        responder = self.tasks[order.uid][1]
         self._finish_task(order.uid, pb.ENDED)
-        # What concerns a standing task goes on the connection of its set-up, else on any, and on the next as well.
+        # The end of a task is sent on the connection of its offer, or else on the newest one; it is sent again on the
+        # next connection that opens, because it may not have arrived.
         self.unreported_ends.append((order.uid, 16, pb.ENDED))
-        if say not in self.voices:
+        if responder not in self.voices:
             if not self.voices:
                 return
-            say = self.voices[-1]
-        self._update_load_report(say)
-        say.end(order.uid, 16, pb.ENDED)
+            responder = self.voices[-1]
+        self._update_load_report(responder)
+        responder.end(order.uid, 16, pb.ENDED)
 
     def break_streams(self) -> None:
         """Reset all connections."""
         super().break_streams()
         self.voices.clear()
 
-    def came(self, say: Any) -> None:
-        """A connection is open: ends since the last one opened are told on it, too."""
-        super().came(say)
-        unsaid, self.unreported_ends = self.unreported_ends, []
-        for one in unsaid:
-            say.end(*one)
+    def add_responder(self, responder: Any) -> None:
+        """Add a connection, and send on it the ends of tasks since the previous one opened."""
+        super().add_responder(responder)
+        unreported_ends, self.unreported_ends = self.unreported_ends, []
+        for end_arguments in unreported_ends:
+            responder.end(*end_arguments)
 
     def _finish_task(self, uid: int, outcome: int) -> None:
         order = self.tasks.pop(uid)[0]
@@ -159,14 +164,14 @@
         self.used = [max(0.0, self.used[0] - cores), max(0.0, self.used[1] - memory)]
 
     def restart(self, form: str) -> None:
-        """The process dies, and another comes up at the same address, which may speak another form."""
+        """Crash, and start again at the same address with an empty state, perhaps in another wire form."""
         self.die()
         self.forget_tasks()
         self.form = form
         self.loop.after(60_000, self.rise)
 
     def forget_tasks(self) -> None:
-        """All that it knew is gone with its process."""
+        """Discard all tasks, as at a crash of the process."""
         for uid in list(self.tasks):
             self._finish_task(uid, pb.RESET)
         self.epoch += 1
@@ -178,7 +183,11 @@
 
 
 class ClientPopulation:
-    """The clients of the counties: set-ups by one front on several connections, some repeats by another front."""
+    """Clients that send requests on several connections, and retry what is refused or unanswered.
+
+    Requests use one wire form; ``resubmit`` sends the ledger batches again in another one. ``clients``: by wire form
+    and connection number; ``tasks``: state by idempotency key; ``outcomes``: number of tasks by outcome.
+    """
 
     def __init__(
         self,
@@ -197,41 +206,43 @@
         )
         self.next_uid = 1 << 32
         self.clients: dict[tuple[str, int], FakeClient] = {}
-        self.connections = self.refused_connections = 0  # made so far
-        self.bytes = self.messages = 0  # passed in both directions, as JSON lines
-        self.placed: set[int] = set()  # known on all connections: a release may come on any
-        self.starts = HdrHistogram(1, 60_000_000, 3)  # microseconds from a set-up to its binding, lookups
-        self.outcomes: Counter[str] = Counter()  # of tasks, by key
-        self.tasks: dict[int, dict[str, Any]] = {}  # by key
-
-    def client(self, front: str, service: int) -> FakeClient:
-        """An open connection in some form, made anew where it was closed."""
-        name = front, service % CONNECTIONS_PER_FORM
-        found = self.clients.get(name)
-        if found is None or found.closed:
-            found = self.clients[name] = CLIENT_TYPES[front](self.loop, self.addresses[front])
-            found.on_closed = partial(self._on_close, name)
-            found.placed, found.hears, found.on_traffic = self.placed, True, self._count_traffic
+        self.connections = self.refused_connections = 0  # number so far
+        self.bytes = self.messages = 0  # in both directions, of JSON lines only
+        self.placed: set[int] = set()  # request ids, shared by all connections: a release may arrive on any
+        self.starts = HdrHistogram(1, 60_000_000, 3)  # microseconds from a lookup's request to its binding
+        self.outcomes: Counter[str] = Counter()
+        self.tasks: dict[int, dict[str, Any]] = {}
+
+    def client(self, wire_form: str, service: int) -> FakeClient:
+        """Return the client for a service's connection; a closed one is replaced."""
+        connection_key = wire_form, service % CONNECTIONS_PER_FORM
+        client = self.clients.get(connection_key)
+        if client is None or client.closed:
+            client = self.clients[connection_key] = CLIENT_TYPES[wire_form](
+                self.loop, self.addresses[wire_form]
+            )
+            client.on_closed = partial(self._on_close, connection_key)
+            client.placed, client.hears, client.on_traffic = self.placed, True, self._count_traffic
             self.connections += 1
-            found.hear = partial(self._handle_answer, self.connections)  # type: ignore[method-assign]
-        return found
+            client.on_event = partial(self._handle_answer, self.connections)  # type: ignore[method-assign]
+        return client
 
     def ask(self, key: int, task_class: str, hint: str | None, service: int) -> None:
-        """A new task."""
+        """Create a task with an idempotency key, and request it."""
         self.oracle.has_client_hint[key] = hint is not None
         self.tasks[key] = {"class": task_class, "hint": hint, "service": service, "front": self.wire_form}
         self.tasks[key] |= {"until": self.loop.now + 9_000_000, "done": False, "uid": 0}
         self.send_request(key)
 
     def send_request(self, key: int) -> None:
-        """A set-up under a new id."""
+        """Request a task under a new request id, unless it is done."""
         task = self.tasks[key]
         if task["done"]:
             return
-        left = 8_000 if task["class"] == LOOKUP else 10_000
+        time_left_ms = 8_000 if task["class"] == LOOKUP else 10_000
         self.next_uid += 1
         uid = task["uid"] = self.next_uid
-        deadline = self.loop.now + left * 1000
+        deadline = self.loop.now + time_left_ms * 1000
         self.oracle.asked[uid] = ObservedRequest(uid, key, task["class"] == LEDGER, self.loop.now, deadline)
         client = self.client(task["front"], task["service"])
         if client.stream is None:
@@ -248,32 +259,34 @@
     def _send(self, client: Any, key: int, uid: int) -> None:
         task = self.tasks[key]
         if not self.oracle.asked[uid].void:
-            client.ask_for(uid, key, task["class"], task["hint"], task["service"], TASK_SIZES[task["class"]])
+            client.request_task(
+                uid, key, task["class"], task["hint"], task["service"], TASK_SIZES[task["class"]]
+            )
 
-    def _handle_answer(self, connection: int, uid: int, word: str, *_: Any) -> None:
-        asked = self.oracle.asked.get(uid)
-        if asked is None:
+    def _handle_answer(self, connection: int, uid: int, answer: str, *_: Any) -> None:
+        request = self.oracle.asked.get(uid)
+        if request is None:
             self.oracle.unknown_answers += 1
             return
-        if word == "released":
+        if answer == "released":
             self.oracle.record_release(uid, connection)
-            self._record_outcome(asked.key, "placed")
+            self._record_outcome(request.key, "placed")
             return
-        self.oracle.record_answer(uid, word, self.loop.now)
-        task = self.tasks[asked.key]
-        if asked.void or task["uid"] != uid:
+        self.oracle.record_answer(uid, answer, self.loop.now)
+        task = self.tasks[request.key]
+        if request.void or task["uid"] != uid:
             return
-        if word == "placed":
-            if not asked.at_most_once:
-                self.starts.record_value(max(1, self.loop.now - asked.sent_us))
+        if answer == "placed":
+            if not request.at_most_once:
+                self.starts.record_value(max(1, self.loop.now - request.sent_us))
             task["placed"] = True
-        elif asked.at_most_once and word == "failed":
-            self._record_outcome(asked.key, "failed")  # it may have run: it is never asked for again
+        elif request.at_most_once and answer == "failed":
+            self._record_outcome(request.key, "failed")  # it may have run, and is never requested again
         elif self.loop.now < task["until"]:
-            wait = self.rng.randrange(300_000, 1_200_000)
-            self.loop.after(wait, lambda: self.send_request(asked.key))
+            delay_us = self.rng.randrange(300_000, 1_200_000)
+            self.loop.after(delay_us, lambda: self.send_request(request.key))
         else:
-            self._record_outcome(asked.key, word)
+            self._record_outcome(request.key, answer)
 
     def _record_outcome(self, key: int, outcome: str) -> None:
         task = self.tasks[key]
@@ -281,64 +294,74 @@
             task["done"] = True
             self.outcomes[outcome] += 1
 
-    def resubmit(self, share: float, within_us: int, ledgers: bool = True) -> int:
-        """Stop a share of the services and ask for all their tasks again, ledger batches by another front, or not."""
+    def resubmit(self, fraction: float, within_us: int, include_ledger_batches: bool = True) -> int:
+        """Cancel the tasks of a fraction of the services and request them again; returns the number of tasks.
+
+        Lookups are requested within ``within_us``, ledger batches at once and in another wire form. Ledger batches
+        that are placed go on; without ``include_ledger_batches`` all of them do.
+        """
         services = sorted({task["service"] for task in self.tasks.values()})
-        chosen = set(self.rng.sample(services, round(share * len(services))))
+        chosen_services = set(self.rng.sample(services, round(fraction * len(services))))
         count = 0
         for key, task in list(self.tasks.items()):
-            if task["service"] not in chosen or task["done"]:
+            if task["service"] not in chosen_services or task["done"]:
+                continue
+            is_ledger = task["class"] == LEDGER
+            if is_ledger and (task.get("placed") or not include_ledger_batches):
                 continue
-            ledger = task["class"] == LEDGER
-            if ledger and (task.get("placed") or not ledgers):
-                continue  # it stands, or may: its owner lets it run
             uid = task["uid"]
-            asked = self.oracle.asked[uid]
-            asked.void = True
+            request = self.oracle.asked[uid]
+            request.void = True
             client = self.clients.get((task["front"], task["service"] % CONNECTIONS_PER_FORM))
             if client is not None and client.stream is not None and client.stream.open:
                 client.give_up(uid)
-            if ledger:
+            if is_ledger:
                 task["front"] = JSON if task["front"] != JSON else GRPC2
             task["until"] = self.loop.now + 9_000_000
             task["placed"] = False
             count += 1
-            delay = 0 if ledger else self.rng.randrange(within_us)
-            self.loop.after(delay, lambda key=key: self.send_request(key))  # type: ignore[misc]
+            delay_us = 0 if is_ledger else self.rng.randrange(within_us)
+            self.loop.after(delay_us, lambda key=key: self.send_request(key))  # type: ignore[misc]
         return count
 
     def _count_traffic(self, size: int, lines: int) -> None:
         self.bytes += size
         self.messages += lines
 
-    def _on_close(self, name: tuple[str, int], connected: bool) -> None:
-        """A connection that the dispatcher closed: what is unanswered is sent again, once, on a new one."""
+    def _on_close(self, connection_key: tuple[str, int], connected: bool) -> None:
+        """Request again what was unanswered on a connection that the dispatcher closed or refused."""
         if not connected:
             self.refused_connections += 1
         for key, task in list(self.tasks.items()):
-            asked = self.oracle.asked.get(task["uid"])
-            mine = (task["front"], task["service"] % CONNECTIONS_PER_FORM) == name
-            if mine and asked is not None and not (task["done"] or asked.answers or asked.void):
-                asked.void = True
+            request = self.oracle.asked.get(task["uid"])
+            is_on_connection = (task["front"], task["service"] % CONNECTIONS_PER_FORM) == connection_key
+            if (
+                is_on_connection
+                and request is not None
+                and not (task["done"] or request.answers or request.void)
+            ):
+                request.void = True
                 self.loop.after(2_000, lambda key=key: self.send_request(key))  # type: ignore[misc]
 
     def drop_connection(self) -> None:
-        """Close a connection: what is open on it is asked for again on another, what stands goes on."""
-        number = self.rng.randrange(CONNECTIONS_PER_FORM)
-        client = self.clients.get((self.wire_form, number))
+        """Close a connection, and request its unanswered tasks again on a new one; placed tasks go on."""
+        connection = self.rng.randrange(CONNECTIONS_PER_FORM)
+        client = self.clients.get((self.wire_form, connection))
         if client is None or client.stream is None or not client.stream.open:
             return
         client.stream.close()
         client.closed = True
         for key, task in self.tasks.items():
-            asked = self.oracle.asked.get(task["uid"])
-            mine = task["front"] == self.wire_form and task["service"] % CONNECTIONS_PER_FORM == number
-            if mine and asked is not None and not task["done"] and not asked.answers:
-                asked.void = True
+            request = self.oracle.asked.get(task["uid"])
+            is_on_connection = (
+                task["front"] == self.wire_form and task["service"] % CONNECTIONS_PER_FORM == connection
+            )
+            if is_on_connection and request is not None and not task["done"] and not request.answers:
+                request.void = True
                 self.loop.after(50_000, lambda key=key: self.send_request(key))  # type: ignore[misc]
 
     def finish(self) -> None:
-        """The run is over: what stands has been placed, what is open has no outcome yet."""
+        """Record the outcome of all remaining tasks: ``placed``, or ``none`` without a final answer."""
         for key, task in self.tasks.items():
             if not task["done"]:
                 self._record_outcome(key, "placed" if task.get("placed") else "none")
--- a/thornshelf/lab/oracle.py
+++ b/thornshelf/lab/oracle.py
@@ -1,4 +1,4 @@
-"""What really happened in an experiment, as its fake clients and nodes count it; the dispatcher is not asked."""
+"""An independent record of an experiment, kept by its fake clients and nodes, not by the dispatcher under test."""
 
 from __future__ import annotations
 
@@ -12,8 +12,9 @@
 class ObservedRequest:
     """One request for a task, and what its client received; times are those of the experiment's loop.
 
-    ``answers``: the final ones; ``releases``: the connection on which each came; ``void``: the client has cancelled
-    the request or closed its connection, and is owed nothing.
+    ``key``: its idempotency key; ``at_most_once``: its task must not be started twice; ``answers``: final answers;
+    ``releases``: number of the connection of each release; ``void``: the client has cancelled the request or closed
+    its connection, so that a missing answer or release is not a fault; ``answered_us``: time of the first answer.
     """
 
     uid: int
@@ -31,10 +32,10 @@
 class Oracle:
     """All requests, starts and ends of one run.
 
-    ``asked``: requests by uid; ``starts``: of tasks that must not be started twice, by idempotency key;
-    ``has_client_hint``: by key, whether the client gave a lifetime hint; ``unmarked_hints``: how often a node got
-    an assumed hint as if it were the client's; ``over``: when the node ended a task, by key;
-    ``unknown_answers``: how many answers had the id of no request.
+    ``asked``: requests by id; ``starts``: starts of each task that must not be started twice, by idempotency key;
+    ``has_client_hint``: whether the client gave a lifetime hint, by key; ``unmarked_hints``: number of offers
+    with an assumed hint that was not marked as assumed; ``over``: when the node ended a task, by key;
+    ``unknown_answers``: number of answers and releases whose id belongs to no request.
     """
 
     asked: dict[int, ObservedRequest] = field(default_factory=dict)
@@ -57,8 +58,8 @@
     def record_release(self, uid: int, connection: int) -> None:
         """Record a release.
 
-        A release may be sent again on another connection, where it is not known whether the first one arrived; the
-        client recognizes it by the id. A second one on the same connection is a fault.
+        The dispatcher may send a release again on another connection if it does not know whether the first one
+        arrived. A second release on the same connection is a fault.
         """
         request = self.asked.get(uid)
         if request is None:
@@ -67,7 +68,11 @@
             request.releases.append(connection)
 
     def lost(self, now_us: int, slack_us: int) -> list[int]:
-        """Ids of requests without a final answer after their deadline, and of placed ones without a release."""
+        """Return the ids of requests that lack their answer or release.
+
+        A final answer is due at the deadline, the release of a placed request when the node has ended its task;
+        ``slack_us`` is allowed after either.
+        """
         found = []
         for request in self.asked.values():
             if request.void:
@@ -83,7 +88,7 @@
         return found
 
     def doubled(self) -> list[int]:
-        """Ids of requests with two final answers, or with two releases on one connection."""
+        """Return the ids of requests with several final answers, or with several releases on one connection."""
         return [
             request.uid
             for request in self.asked.values()
--- a/thornshelf/lab/process.py
+++ b/thornshelf/lab/process.py
@@ -1,4 +1,4 @@
-"""A dispatcher in a process of its own, for experiments and tests."""
+"""A dispatcher as a child process, for experiments and tests."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")  # of processor time in /proc
 START_TIMEOUT_S = 20
 END_TIMEOUT_S = 15
-LOG_TAIL_CHARS = 2000  # that an error quotes
+LOG_TAIL_CHARS = 2000  # at the end of the log, which an error quotes
 
 
 def example_config() -> dict[str, Any]:
-    """The configuration that experiments start from."""
+    """Return a new copy of the example configuration."""
     return dict(json.loads(EXAMPLE_CONFIG.read_text()))
 
 
 def write_config(folder: Path, value: dict[str, Any], operator: str) -> None:
-    """Write the configuration and the operator's file of a dispatcher into a folder."""
+    """Write ``config.json`` and ``operator.toml`` for a dispatcher into a folder."""
     (folder / "config.json").write_text(json.dumps(value))
     (folder / "operator.toml").write_text(operator)
 
 
 class DispatcherProcess:
-    """A running dispatcher that is configured for some nodes."""
+    """A dispatcher process; ``addresses``: of its frontends, by wire form, once it serves."""
 
     def __init__(
         self,
@@ -50,10 +50,10 @@
     ) -> None:
         """Start the dispatcher; raises ``StartupError`` where ``wait`` is set and it does not start.
 
-        ``nodes``: their ports; ``operator``: the text of the operator's file; ``injected_fault``: names as
-        ``fault_injection`` takes them; ``own_limit``: the process's limit of descriptors where it is to be lower than
-        the configured one, ``sockets``; ``changes``: changes the configuration; ``wait``: until it serves, otherwise
-        ``ready`` tells; ``tree``: the folder of another version's sources.
+        ``nodes``: ports of the nodes; ``operator``: text of the operator's file; ``injected_fault``: names of faults,
+        as ``fault_injection`` takes them; ``sockets``: the configured limit of sockets; ``own_limit``: the process's
+        descriptor limit, if it is to differ; ``changes``: modifies the configuration in place; ``wait``: wait until
+        the dispatcher serves, otherwise call ``ready``; ``tree``: working directory, for another version's sources.
         """
         config = example_config()
         config["limits"]["sockets"] = sockets
@@ -77,32 +77,32 @@
         self._cpu_at_start = self.cpu_us
 
     def ready(self) -> bool:
-        """Whether it serves; raises ``StartupError`` where its process has ended."""
+        """Whether the dispatcher serves; raises ``StartupError`` if its process has ended."""
         if self.process.poll() is not None:
             raise StartupError(self._log()[-LOG_TAIL_CHARS:])
-        found = re.search(r' listen="([^"]*):(\d+)"', self._log())
-        if found and not self.addresses:
-            self.addresses = {JSON: (found[1], int(found[2]))}
+        match = re.search(r' listen="([^"]*):(\d+)"', self._log())
+        if match and not self.addresses:
+            self.addresses = {JSON: (match[1], int(match[2]))}
         return bool(self.addresses)
 
     def _wait_until_ready(self) -> dict[str, tuple[str, int]]:
-        """The addresses of its frontends, from its log; raises ``StartupError``."""
+        """Return the addresses of the frontends, from the log; raises ``StartupError`` if it does not start."""
         deadline = time.monotonic() + START_TIMEOUT_S
         while time.monotonic() < deadline and self.process.poll() is None:
-            found = re.search(r'listen="[^"]*:(\d+)" grpc="[^"]*:(\d+)"', self._log())
-            if found:
-                return {JSON: (HOST, int(found[1])), GRPC2: (HOST, int(found[2]))}
+            match = re.search(r'listen="[^"]*:(\d+)" grpc="[^"]*:(\d+)"', self._log())
+            if match:
+                return {JSON: (HOST, int(match[1])), GRPC2: (HOST, int(match[2]))}
             time.sleep(0.02)
         self.process.kill()
         raise StartupError(f"the dispatcher did not start: {self._log()[-LOG_TAIL_CHARS:]}")
 
     def _log(self) -> str:
-        """What it has logged so far."""
+        """Return all that the process has logged so far."""
         return self.log_path.read_text(errors="replace")
 
     @property
     def cpu_us(self) -> float:
-        """Processor time so far, in microseconds; 0 where it has ended."""
+        """Processor time so far, in microseconds; 0 if the process has ended."""
         try:
             fields = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         except OSError:
@@ -111,12 +111,12 @@
 
     @property
     def cpu_spent_us(self) -> float:
-        """Processor time since it was ready, in microseconds."""
+        """Processor time since the constructor returned, in microseconds."""
         return self.cpu_us - self._cpu_at_start
 
     @property
     def descriptors(self) -> int:
-        """How many descriptors it has open; 0 where it has ended."""
+        """The number of open descriptors; 0 if the process has ended."""
         try:
             return len(os.listdir(f"/proc/{self.process.pid}/fd"))
         except OSError:
@@ -124,12 +124,12 @@
 
     @property
     def rss_kb(self) -> int:
-        """Its resident memory in kB."""
-        text = Path(f"/proc/{self.process.pid}/status").read_text()
-        return int(re.search(r"VmRSS:\s+(\d+)", text)[1])  # type: ignore[index]
+        """The resident memory, in kB."""
+        status = Path(f"/proc/{self.process.pid}/status").read_text()
+        return int(re.search(r"VmRSS:\s+(\d+)", status)[1])  # type: ignore[index]
 
     def terminate(self) -> int:
-        """Shut it down gracefully, or kill it where that takes too long; returns the exit code."""
+        """Shut down gracefully, or kill the process after ``END_TIMEOUT_S``; returns the exit code."""
         self.process.terminate()
         try:
             return self.process.wait(END_TIMEOUT_S)
@@ -138,13 +138,13 @@
             return self.process.wait()
 
     def log_counts(self) -> dict[str, int]:
-        """How many log lines there are, by message id."""
-        found = re.findall(r"^<\d+>1 \S+ \S+ \S+ \S+ (\S+) ", self._log(), re.M)
-        return dict(Counter(found))
+        """Return the number of log lines by message id."""
+        message_ids = re.findall(r"^<\d+>1 \S+ \S+ \S+ \S+ (\S+) ", self._log(), re.M)
+        return dict(Counter(message_ids))
 
 
 def _endpoints(ports: list[int]) -> list[dict[str, Any]]:
-    """Nodes on loopback as the change log shows them."""
+    """Return the endpoint list's entries for nodes on loopback."""
     return [
         {
             "instanceId": f"s-{index + 1:08x}", "hostPort": f"{HOST}:{port}", "zone": "jackson-dc",
