--- a/thornshelf/lab/admission.py
+++ b/thornshelf/lab/admission.py
@@ -1,7 +1,7 @@
-"""Experiment: a flood of hostile clients, while two known client networks go on as usual.
+"""Experiment: a flood of hostile clients, while clients of two known networks send requests as usual.
 
-The flood comes from addresses of the loopback range that no rule lists as known; the known clients connect from
-prefixes that the operator's file lists. What is counted is what the clients saw.
+The known networks are prefixes in the operator's file; the flood comes from other loopback addresses. All figures
+are what the clients observed.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from hdrh.histogram import HdrHistogram
 
 from thornshelf.lab.fakes.cluster import BINARY, JSON
-from thornshelf.lab.flood import KINDS, PHASE_S, connect_from, launch, run_flood
+from thornshelf.lab.flood import KINDS, PHASE_S, connect_from, encode_request, run_flood
 from thornshelf.lab.load import LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
@@ -32,7 +32,7 @@
 WARM_UP_S = 1.0
 CALM_S = 5.0
 TARGET_US = 800_000
-VISIT_INTERVAL_US = 60_000  # between two connections of one client network
+VISIT_INTERVAL_US = 60_000  # between two connections from one network
 
 GRPC_CONFIG = """
 [grpc]
@@ -69,87 +69,92 @@
 
 @dataclass
 class Tally:
-    """What the known clients saw in one part of the run."""
+    """What the known clients observed in one part of the run.
+
+    ``visits``: attempted connections; ``connected``: those with an answer; ``asked``: requests; ``in_time``: those
+    placed within ``TARGET_US``; ``outcomes``: number of requests and failed connections by outcome; ``latencies``:
+    microseconds from the start of a visit to an answer.
+    """
 
     visits: int = 0
     connected: int = 0
     asked: int = 0
     in_time: int = 0
-    words: Counter[str] = field(default_factory=Counter)
-    answers: Any = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
+    outcomes: Counter[str] = field(default_factory=Counter)
+    latencies: Any = field(default_factory=lambda: HdrHistogram(1, 60_000_000, 3))
 
 
-def merged(parts: list[Tally]) -> Tally:
-    """Several parts of the run as one."""
+def merge_tallies(tallies: list[Tally]) -> Tally:
+    """Return the sum of several tallies."""
     total = Tally()
-    for part in parts:
-        total.visits += part.visits
-        total.connected += part.connected
-        total.asked += part.asked
-        total.in_time += part.in_time
-        total.words.update(part.words)
-        total.answers.add(part.answers)
+    for tally in tallies:
+        total.visits += tally.visits
+        total.connected += tally.connected
+        total.asked += tally.asked
+        total.in_time += tally.in_time
+        total.outcomes.update(tally.outcomes)
+        total.latencies.add(tally.latencies)
     return total
 
 
 class KnownClients:
-    """The known clients: short visits, each on a connection of its own."""
+    """Clients of the known networks: one connection and up to three requests each; ``tally``: the current one."""
 
-    def __init__(self, loop: Loop, to: tuple[str, int], rng: random.Random) -> None:
-        self.loop, self.to, self.rng = loop, to, rng
+    def __init__(self, loop: Loop, address: tuple[str, int], rng: random.Random) -> None:
+        self.loop, self.address, self.rng = loop, address, rng
         self.tally = Tally()
         self.uid = 1 << 40
         self.running = True
-        for county in KNOWN_CLIENT_PREFIXES:
-            loop.spawn(self._visits(county))
+        for network in KNOWN_CLIENT_PREFIXES:
+            loop.spawn(self._visits(network))
 
-    def _visits(self, county: str) -> Generator[Wait, int, None]:
+    def _visits(self, network: str) -> Generator[Wait, int, None]:
         while self.running:
-            self.loop.spawn(self._visit(county, self.tally))
+            self.loop.spawn(self._visit(network, self.tally))
             yield Wait(until=self.loop.now + VISIT_INTERVAL_US)
 
-    def _visit(self, county: str, tally: Tally) -> Generator[Wait, int, None]:
+    def _visit(self, network: str, tally: Tally) -> Generator[Wait, int, None]:
         tally.visits += 1
-        source = KNOWN_CLIENT_PREFIXES[county] + str(self.rng.randrange(1, 20))
-        began = self.loop.now
-        stream = yield from connect_from(self.loop, source, self.to, 2_000_000)
+        source = KNOWN_CLIENT_PREFIXES[network] + str(self.rng.randrange(1, 20))
+        started_us = self.loop.now
+        stream = yield from connect_from(self.loop, source, self.address, 2_000_000)
         if isinstance(stream, int):
-            tally.words[errno.errorcode.get(stream, str(stream))] += 1
+            tally.outcomes[errno.errorcode.get(stream, str(stream))] += 1
             return
         open_uids = set()
         for _ in range(self.rng.randrange(1, 4)):
             self.uid += 1
             open_uids.add(self.uid)
-            stream.send(launch(self.uid, county, self.rng.randrange(1, 20)))
+            stream.send(encode_request(self.uid, network, self.rng.randrange(1, 20)))
         tally.asked += len(open_uids)
-        reader, standing, until = jsonl.LineReader(), set[int](), began + 4_000_000
-        answered = False
-        while (open_uids or standing) and (data := (yield from stream.read(until))):
+        reader, placed, deadline_us = jsonl.LineReader(), set[int](), started_us + 4_000_000
+        has_answer = False
+        while (open_uids or placed) and (data := (yield from stream.read(deadline_us))):
             reader.feed(data)
             while (line := reader.next()) is not None:
-                if line.uid in open_uids and not answered:
-                    # A connection counts once somebody has answered on it; one that the backlog took and nobody
-                    # served does not.
-                    answered = True
+                if line.uid in open_uids and not has_answer:
+                    # The kernel's backlog accepts connections that the dispatcher never serves: only an answer
+                    # shows that one was served.
+                    has_answer = True
                     tally.connected += 1
                 if line.uid in open_uids:
                     open_uids.discard(line.uid)
-                    tally.words[line.kind if line.kind == "running" else f"stop {line.reason}"] += 1
-                    taken = max(1, self.loop.now - began)
-                    tally.answers.record_value(taken)
+                    tally.outcomes[line.kind if line.kind == "running" else f"stop {line.reason}"] += 1
+                    latency_us = max(1, self.loop.now - started_us)
+                    tally.latencies.record_value(latency_us)
                     if line.kind == "running":
-                        standing.add(line.uid)
-                        tally.in_time += taken <= TARGET_US
+                        placed.add(line.uid)
+                        tally.in_time += latency_us <= TARGET_US
                 elif line.uid == jsonl.UNKNOWN_UID:
-                    tally.words["turned away"] += 1
+                    tally.outcomes["turned away"] += 1
                 else:
-                    standing.discard(line.uid)
-        tally.words["unanswered"] += len(open_uids)
+                    placed.discard(line.uid)
+        tally.outcomes["unanswered"] += len(open_uids)
         stream.close()
 
 
 class FloodRun:
-    """A dispatcher under load by known clients; ``peak_descriptors``: the most that it had open."""
+    """A dispatcher with known clients and a flood; ``peak_descriptors``: the most that the dispatcher had open."""
 
     def __init__(self, seed: int, operator: str, folder: Path) -> None:
         self.loop = Loop()
@@ -160,12 +165,12 @@
             node.mean_lifetime_us = 300_000
         ports = [node.port for node in nodes]
         self.dispatcher = DispatcherProcess(folder, ports, operator, sockets=SOCKETS)
-        self.known = KnownClients(self.loop, self.dispatcher.addresses[JSON], rng)
+        self.known_clients = KnownClients(self.loop, self.dispatcher.addresses[JSON], rng)
         self.peak_descriptors = 0
 
     def run_for(self, seconds: float) -> Tally:
-        """Run the loop for a while; returns what the known clients saw meanwhile."""
-        self.known.tally = tally = Tally()
+        """Run the loop for a while; returns the known clients' tally of that time."""
+        self.known_clients.tally = tally = Tally()
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.loop.after(10_000, lambda: None)
@@ -175,81 +180,99 @@
         return tally
 
     def flood(self, seed: int) -> tuple[list[Tally], dict[str, int]]:
-        """Run the flood; returns what the known clients saw during each kind, and what the flood saw."""
+        """Run the flood; returns the known clients' tally for each kind of hostile client, and the flood's counts."""
         context = get_context("spawn")
         results = context.Queue()
         process = context.Process(target=run_flood, args=(self.dispatcher.addresses, seed, results))
         process.start()
         self.run_for(0.5)
-        parts = [self.run_for(PHASE_S) for _ in range(KINDS)]
+        tallies = [self.run_for(PHASE_S) for _ in range(KINDS)]
         counts = results.get(timeout=10)
         process.join(10)
-        return parts, counts
+        return tallies, counts
 
 
-def run(seed: int, door: bool = True, plant: str | None = None) -> dict[str, Any]:
-    """The whole experiment; returns the report that is printed.
+def run(seed: int, with_admission: bool = True, injected_fault: str | None = None) -> dict[str, Any]:
+    """Run the experiment; returns its report.
 
-    ``door``: with admission; ``plant``: ``no-reserve`` for admission without reserved connections.
+    ``with_admission``: with admission control; ``injected_fault``: ``no-reserve`` for no reserved connections.
     """
     operator = GRPC_CONFIG
-    if door:
-        operator += ADMISSION_CONFIG.format(**(WITHOUT_RESERVE if plant == "no-reserve" else WITH_RESERVE))
+    if with_admission:
+        operator += ADMISSION_CONFIG.format(
+            **(WITHOUT_RESERVE if injected_fault == "no-reserve" else WITH_RESERVE)
+        )
     with tempfile.TemporaryDirectory() as folder:
         experiment = FloodRun(seed, operator, Path(folder))
         dispatcher = experiment.dispatcher
         experiment.run_for(WARM_UP_S)
-        calm = experiment.run_for(CALM_S)
+        baseline = experiment.run_for(CALM_S)
         rss_kb = dispatcher.rss_kb
-        parts, counts = experiment.flood(seed)
-        experiment.known.running = False
+        tallies, counts = experiment.flood(seed)
+        experiment.known_clients.running = False
         experiment.run_for(2.5)
         is_up = dispatcher.process.poll() is None
-        grown_mb = (dispatcher.rss_kb - rss_kb) / 1024 if is_up else 0.0
+        rss_growth_mb = (dispatcher.rss_kb - rss_kb) / 1024 if is_up else 0.0
         exit_code = dispatcher.terminate()
-        log = dispatcher.log_counts()
+        log_counts = dispatcher.log_counts()
     experiment.loop.close()
-    phases = [float(round(part.answers.get_value_at_percentile(99) / 1000, 1)) for part in parts]
+    p99_by_phase = [float(round(tally.latencies.get_value_at_percentile(99) / 1000, 1)) for tally in tallies]
     report = _report(
-        seed, calm, merged(parts), counts, experiment.peak_descriptors, grown_mb, is_up and exit_code == 0
+        seed,
+        baseline,
+        merge_tallies(tallies),
+        counts,
+        experiment.peak_descriptors,
+        rss_growth_mb,
+        is_up and exit_code == 0,
     )
-    return report | {"p99_by_phase": phases, "log": log, "door": door}
+    return report | {"p99_by_phase": p99_by_phase, "log": log_counts, "door": with_admission}
 
 
 def _report(
-    seed: int, calm: Tally, stormy: Tally, counts: dict[str, int], peak: int, grown: float, up: bool
+    seed: int,
+    baseline: Tally,
+    flooded: Tally,
+    counts: dict[str, int],
+    peak_descriptors: int,
+    rss_growth_mb: float,
+    is_healthy: bool,
 ) -> dict[str, Any]:
-    clean = counts.get("turned away with a word", 0) + counts.get("closed", 0)
-    unclean = counts.get("reset", 0) + sum(
-        n for name, n in counts.items() if name.startswith("not connected")
+    clean_rejections = counts.get("turned away with a word", 0) + counts.get("closed", 0)
+    other_rejections = counts.get("reset", 0) + sum(
+        count for name, count in counts.items() if name.startswith("not connected")
     )
-    answers = stormy.answers
+    latencies = flooded.latencies
 
-    def worth(tally: Tally) -> float:
+    def in_time_fraction(tally: Tally) -> float:
         return tally.in_time / max(1, tally.asked)
 
-    def ms(share: float) -> float:
-        return float(round(answers.get_value_at_percentile(share) / 1000, 1))
+    def ms(percentile: float) -> float:
+        return float(round(latencies.get_value_at_percentile(percentile) / 1000, 1))
 
     return {
         "seed": seed,
-        "known_visits": stormy.visits,
-        "known_connected_share": round(stormy.connected / max(1, stormy.visits), 5),
+        "known_visits": flooded.visits,
+        "known_connected_share": round(flooded.connected / max(1, flooded.visits), 5),
         "known_answer_ms": {"p50": ms(50), "p99": ms(99)},
-        "known_words": dict(stormy.words),
-        "known_worth_vs_calm": round(worth(stormy) / worth(calm), 4) if worth(calm) else 0.0,
-        "calm_worth": round(worth(calm), 4),
+        "known_words": dict(flooded.outcomes),
+        "known_worth_vs_calm": round(in_time_fraction(flooded) / in_time_fraction(baseline), 4)
+        if in_time_fraction(baseline)
+        else 0.0,
+        "calm_worth": round(in_time_fraction(baseline), 4),
         "flood": counts,
-        "flood_refused_cleanly_share": round(clean / max(1, clean + unclean), 4),
-        "peak_descriptors": peak,
+        "flood_refused_cleanly_share": round(
+            clean_rejections / max(1, clean_rejections + other_rejections), 4
+        ),
+        "peak_descriptors": peak_descriptors,
         "descriptor_limit": SOCKETS,
-        "rss_growth_mb": round(grown, 2),
-        "process_up": up,
+        "rss_growth_mb": round(rss_growth_mb, 2),
+        "process_up": is_healthy,
     }
 
 
 def passed(report: dict[str, Any]) -> bool:
-    """The known counties did not feel it, and the process kept within its limit and stayed up."""
+    """Whether known clients were served as before, within the descriptor limit, and the process ended normally."""
     return bool(
         report["known_connected_share"] == 1
         and report["known_answer_ms"]["p99"] <= 800
--- a/thornshelf/lab/flood.py
+++ b/thornshelf/lab/flood.py
@@ -1,4 +1,4 @@
-"""A flood of hostile clients in a process of its own, of several kinds one after another."""
+"""Hostile clients of several kinds, one kind after another, in a process of their own."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from thornshelf.wire.errors import WireError
 
 FLOOD_SOURCE = "127.9.0.1"
-CROWD_PREFIX = "127.9.1."  # of many sources, which send few requests each
-PHASE_S = 3.0  # of each kind
+CROWD_PREFIX = "127.9.1."  # many sources, with few requests from each
+PHASE_S = 3.0  # for each kind
 KINDS = 6
 STREAMS = 50  # gRPC streams of one connection
 
 
 def connect_from(
-    loop: Loop, source: str, to: tuple[str, int], wait_us: int
+    loop: Loop, source: str, address: tuple[str, int], wait_us: int
 ) -> Generator[Wait, int, Stream | int]:
-    """Connect from one of this host's addresses; returns the stream, or the number of the error."""
+    """Connect from one of this host's addresses; returns the stream, or an ``errno`` value."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     try:
@@ -36,7 +36,7 @@
     except OSError as error:
         sock.close()
         return error.errno or errno.EIO
-    code = sock.connect_ex(to)
+    code = sock.connect_ex(address)
     try:
         if code == errno.EINPROGRESS:
             code = errno.ETIMEDOUT
@@ -49,18 +49,24 @@
     return code or Stream(loop, sock, source)
 
 
-def launch(uid: int, tenant: str, service: int, left_ms: int = 4000) -> bytes:
-    """A line that requests a lookup."""
-    meta = {"class": LOOKUP, "left": str(left_ms), "tenant": tenant, "key": f"{uid:016x}", "hint": "300"}
-    meta["extras"] = f"cores:1;memory:2;service:{service:016x}"
-    return jsonl.encode_line("launch", uid, meta, body=b"x")
+def encode_request(uid: int, tenant: str, service: int, time_left_ms: int = 4000) -> bytes:
+    """Return a JSON line that requests a lookup."""
+    fields = {
+        "class": LOOKUP,
+        "left": str(time_left_ms),
+        "tenant": tenant,
+        "key": f"{uid:016x}",
+        "hint": "300",
+    }
+    fields["extras"] = f"cores:1;memory:2;service:{service:016x}"
+    return jsonl.encode_line("launch", uid, fields, body=b"x")
 
 
 class Flood:
-    """The hostile clients of one process; ``counts``: what happened to them, with the keys of the report."""
+    """The hostile clients; ``counts``: number of outcomes, with the keys of the report."""
 
     def __init__(self, addresses: dict[str, tuple[str, int]], seed: int) -> None:
-        """``addresses``: of the frontends, by wire form."""
+        """Prepare a flood; ``addresses``: of the frontends, by wire form."""
         self.loop = Loop()
         self.addresses = addresses
         self.rng = random.Random(seed)
@@ -92,10 +98,10 @@
         return dict(self.counts)
 
     def _repeat(self, kind: Any, source: Any) -> Generator[Wait, int, None]:
-        """Connect and behave in one way, again and again."""
+        """Connect and run one kind of client, again and again."""
         while self.running:
-            front = GRPC2 if kind == self.open_streams else JSON
-            stream = yield from connect_from(self.loop, source(), self.addresses[front], 1_000_000)
+            wire_form = GRPC2 if kind == self.open_streams else JSON
+            stream = yield from connect_from(self.loop, source(), self.addresses[wire_form], 1_000_000)
             if isinstance(stream, int):
                 self.counts["not connected: " + errno.errorcode.get(stream, str(stream))] += 1
                 yield Wait(until=self.loop.now + 5_000)
@@ -107,11 +113,11 @@
                 stream.close()
             yield Wait(until=self.loop.now + self.rng.randrange(500, 4_000))
 
-    def _read_until_closed(self, stream: Stream, until: int) -> Generator[Wait, int, None]:
-        """Read until the dispatcher closes, and count how: with a rejection, without, or by a reset."""
+    def _read_until_closed(self, stream: Stream, deadline_us: int) -> Generator[Wait, int, None]:
+        """Read until the dispatcher closes, and count how: with a rejection, without one, or by a reset."""
         received = b""
         while True:
-            data = yield from stream.read(until)
+            data = yield from stream.read(deadline_us)
             if data is None:
                 self.counts["left alone"] += 1
                 return
@@ -137,17 +143,17 @@
         yield Wait()
 
     def send_half_lines(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Begin a message, and never end it."""
-        stream.send(launch(1, "hollis-county", 1)[:40])
+        """Send the beginning of a message only."""
+        stream.send(encode_request(1, "hollis-county", 1)[:40])
         yield from self._read_until_closed(stream, self.loop.now + 2_500_000)
 
     def send_requests(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Send requests as fast as they are read."""
-        until = self.loop.now + 1_000_000
-        while self.running and stream.open and self.loop.now < until:
+        """Send requests as fast as the dispatcher reads them."""
+        deadline_us = self.loop.now + 1_000_000
+        while self.running and stream.open and self.loop.now < deadline_us:
             for _ in range(20):
                 self.uid += 1
-                stream.send(launch(self.uid, "hollis-county", 77))
+                stream.send(encode_request(self.uid, "hollis-county", 77))
                 self.counts["set-ups"] += 1
             data = yield from stream.read(self.loop.now + 20_000)
             if data == b"":
@@ -158,13 +164,13 @@
                 self.counts["set-ups placed"] += data.count(b'"running"')
 
     def open_streams(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Send many requests on many gRPC streams of one connection."""
+        """Send requests on many gRPC streams of one connection."""
         h2 = http2.Http2(True, stream.send)
         headers = [(":method", "POST"), (":scheme", "http"), (":path", "/thornshelf.v2.Placement/Dispatch")]
         headers += [(":authority", HOST), ("te", "trailers"), ("content-type", "application/grpc")]
         calls = [h2.call(headers) for _ in range(STREAMS)]
-        until = self.loop.now + 1_000_000
-        while self.running and stream.open and self.loop.now < until:
+        deadline_us = self.loop.now + 1_000_000
+        while self.running and stream.open and self.loop.now < deadline_us:
             for call in calls:
                 self.uid += 1
                 request = pb2.Ask(
@@ -194,5 +200,5 @@
 
 
 def run_flood(addresses: dict[str, tuple[str, int]], seed: int, results: Any) -> None:
-    """The body of the process: puts the counts into the queue ``results``."""
+    """Run a flood, and put its counts into the queue ``results``; the entry point of the process."""
     results.put(Flood(addresses, seed).run())
--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -1,4 +1,4 @@
-"""Experiment: hand-overs under load, in which successors take over the listening sockets again and again."""
+"""Experiment: repeated graceful restarts under load, in which successors take over the listening sockets."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 HANDOVER_INTERVAL_S = 1.5
 REQUESTS_PER_S = 60
 LEDGER_FRACTION = 0.05  # of the requests
-SLACK_US = 3_000_000  # after which an answer or a release counts as lost
+SLACK_US = 3_000_000  # after which a missing answer or release counts as lost
 END_TIMEOUT_S = 15
-LOG_LINES, LOG_LINE_CHARS = 12, 400  # that the report quotes where something failed
+LOG_LINES, LOG_LINE_CHARS = 12, 400  # quoted in the report if something failed
 _HANDED_OVER = re.compile(r'successor-started \[\S+ pid="(\d+)"\] a successor')
 _TAKEN_OVER = re.compile(r'tasks="(\d+)"\] taken over')
 
 
 class HandoverRun:
-    """A dispatcher under load whose successors take its sockets over, one after another.
+    """A dispatcher under load that is restarted gracefully again and again.
 
-    ``pids``: of the dispatcher and its successors; ``failed``: hand-overs that did not happen; ``peak_descriptors``:
-    of a predecessor and its successor together.
+    ``pids``: process ids of the dispatcher and its successors, in order; ``failed_handovers``: number of restarts
+    without a successor; ``peak_descriptors``: most open descriptors of the last two processes together.
     """
 
     def __init__(self, seed: int, folder: Path) -> None:
@@ -47,10 +47,10 @@
         self.clients = ClientPopulation(self.loop, self.dispatcher.addresses, JSON, self.oracle, self.rng)
         self.pids = [self.dispatcher.process.pid]
         self.peak_descriptors = 0
-        self.failed = 0
+        self.failed_handovers = 0
 
     def schedule_requests(self, seed: int, seconds: float) -> None:
-        """Spread all requests over the run."""
+        """Schedule requests evenly over the run."""
         for number in range(int(seconds * REQUESTS_PER_S)):
             key = seed * 1_000_003 + number * 7919 + 1
             task_class = LEDGER if self.rng.random() < LEDGER_FRACTION else LOOKUP
@@ -59,7 +59,7 @@
             self.loop.after(at_us, lambda request=request: self.clients.ask(*request))  # type: ignore[misc]
 
     def run_until(self, deadline: float) -> None:
-        """Run the loop, and watch the descriptors of the last two processes."""
+        """Run the loop, and record the peak number of descriptors of the last two processes."""
         while time.monotonic() < deadline:
             self.loop.after(10_000, lambda: None)
             self.loop.turn()
@@ -67,22 +67,22 @@
             self.peak_descriptors = max(self.peak_descriptors, descriptors)
 
     def hand_over(self, handovers: int) -> None:
-        """Have a successor started again and again."""
-        at = time.monotonic() + HANDOVER_INTERVAL_S
-        self.run_until(at)
+        """Restart the dispatcher gracefully, ``handovers`` times."""
+        next_handover_s = time.monotonic() + HANDOVER_INTERVAL_S
+        self.run_until(next_handover_s)
         for _ in range(handovers):
             os.kill(self.pids[-1], signal.SIGUSR2)
-            at += HANDOVER_INTERVAL_S
-            self.run_until(at)
+            next_handover_s += HANDOVER_INTERVAL_S
+            self.run_until(next_handover_s)
             successors = _HANDED_OVER.findall(self.dispatcher.log_path.read_text())
             if len(successors) < len(self.pids):
-                self.failed += 1
+                self.failed_handovers += 1
             elif _descriptors(int(successors[-1])):
                 self.pids.append(int(successors[-1]))
         self.run_until(time.monotonic() + HANDOVER_INTERVAL_S + 4.0)
 
     def end(self) -> None:
-        """End the last successor, and the dispatcher that was started first."""
+        """End the last successor, and the original process."""
         if self.pids[-1] != self.dispatcher.process.pid:
             os.kill(self.pids[-1], signal.SIGTERM)
             deadline = time.monotonic() + END_TIMEOUT_S
@@ -91,7 +91,7 @@
         self.dispatcher.terminate()
 
     def report(self, seed: int, handovers: int, log: str) -> dict[str, Any]:
-        """What happened, as the fakes count it."""
+        """Return the report, from what the fakes counted and the log."""
         lost = self.oracle.lost(self.loop.now, SLACK_US)
         doubled = self.oracle.doubled()
         without_outcome = [
@@ -100,12 +100,12 @@
             if not (task.get("placed") or task["done"])
         ]
         self.clients.finish()
-        has_failed = lost or self.failed or len(self.pids) <= handovers
+        quotes_log = lost or self.failed_handovers or len(self.pids) <= handovers
         log_tail = [line[:LOG_LINE_CHARS] for line in log.splitlines()[-LOG_LINES:]]
         return {
             "seed": seed,
             "handovers": len(self.pids) - 1,
-            "failed_handovers": self.failed,
+            "failed_handovers": self.failed_handovers,
             "tasks": len(self.clients.tasks),
             "asked": len(self.oracle.asked),
             "outcomes": dict(self.clients.outcomes),
@@ -116,14 +116,14 @@
             "ledger_batch_max_starts": max(self.oracle.starts.values(), default=0),
             "peak_descriptors": self.peak_descriptors,
             "descriptor_limit": SOCKETS,
-            "log": log_tail if has_failed else [],
+            "log": log_tail if quotes_log else [],
             "none": without_outcome[:5],
             "details": [str(self.oracle.asked[uid]) for uid in (*lost, *doubled)][:10],
         }
 
 
 def run(seed: int, handovers: int = 10) -> dict[str, Any]:
-    """The whole experiment; returns the report that is printed."""
+    """Run the experiment; returns its report."""
     with tempfile.TemporaryDirectory() as folder:
         experiment = HandoverRun(seed, Path(folder))
         experiment.schedule_requests(seed, (handovers + 2) * HANDOVER_INTERVAL_S)
@@ -136,7 +136,7 @@
 
 
 def _operator_file() -> str:
-    """An operator's file with admission whose limits the load does not reach."""
+    """Return an operator's file whose admission limits are above the load of the experiment."""
     operator = GRPC_CONFIG + ADMISSION_CONFIG.format(**WITH_RESERVE)
     operator += '[translate]\notherwise = ["binary"]\n'
     for old, new in (
@@ -150,7 +150,7 @@
 
 
 def _descriptors(pid: int) -> int:
-    """How many descriptors a process has open; 0 where it has ended."""
+    """Return the number of open descriptors of a process; 0 if it has ended."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
