--- a/thornshelf/lab/show.py
+++ b/thornshelf/lab/show.py
@@ -1,4 +1,4 @@
-"""The main job on loopback, to be seen: a dispatcher, an old and a new node, an old and a new client."""
+"""A demonstration of translation on loopback: one dispatcher, two v2 nodes, an old and a new client."""
 
 from __future__ import annotations
 
@@ -11,54 +11,60 @@
 from thornshelf.translation.translator import TranslationConfig
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-ROWS = [
-    # client, what the node does, class, hint, what it shows
+SCENARIOS = [
+    # client's wire form, node's behavior, class, hint, explanation
     (JSON, NodeBehavior.RUN, "lookup", "1500", "an old client's task runs on the new node"),
-    (GRPC2, NodeBehavior.RUN, "ledger-batch", "9000", "a new client's likewise"),
-    (JSON, NodeBehavior.END, "lookup", "1500", "it ends, and its release comes back"),
-    (JSON, NodeBehavior.RUN, "lookup", None, "no hint: the operator's figure is used, and marked as assumed"),
+    (GRPC2, NodeBehavior.RUN, "ledger-batch", "9000", "and so does a new client's task"),
+    (JSON, NodeBehavior.END, "lookup", "1500", "the task ends, and the client receives its release"),
+    (JSON, NodeBehavior.RUN, "lookup", None, "no hint: the operator's value is used, and marked as assumed"),
     (
         JSON,
         NodeBehavior.RUN,
         "ledger-batch",
         None,
-        "no hint, and none may be assumed: refused, with the reason",
+        "no hint, and none may be assumed: refused with the reason",
     ),
     (
         JSON,
         NodeBehavior.LICENCE,
         "lookup",
         "1500",
-        "a reason without an old word: the old answer, and its text",
+        "a reason that old clients lack: their general answer, with the text",
     ),
     (GRPC2, NodeBehavior.LICENCE, "lookup", "1500", "the same to a new client"),
-    (JSON, NodeBehavior.CUT, "ledger-batch", "9000", "its binding is cut midway: the node is asked what ran"),
+    (
+        JSON,
+        NodeBehavior.CUT,
+        "ledger-batch",
+        "9000",
+        "its binding is truncated: the node is queried about the task",
+    ),
 ]
 
 
-def show(say: Callable[[str], None]) -> bool:
-    """Play the rows against one dispatcher; true where each was answered."""
-    gaps = {"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000_000)}
-    terms = TranslationConfig(
-        missing_field_policies=gaps, default_formats=(WIRE_FORMATS[GRPC2], WireFormat.BINARY)
+def show(write: Callable[[str], None]) -> bool:
+    """Run the scenarios against one dispatcher, and write what the clients receive; true if all were answered."""
+    policies = {"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000_000)}
+    translation = TranslationConfig(
+        missing_field_policies=policies, default_formats=(WIRE_FORMATS[GRPC2], WireFormat.BINARY)
     )
 
-    def manners(node: object) -> None:
+    def require_hint(node: object) -> None:
         node.manners.requires = (pb2.HINT,)  # type: ignore[attr-defined]
 
-    world = FakeCluster(JSON, GRPC2, nodes=2, terms=terms, manners=manners)
-    clients = {JSON: world.client, GRPC2: world.connect_client(GRPC2)}
+    cluster = FakeCluster(JSON, GRPC2, nodes=2, terms=translation, manners=require_hint)
+    clients = {JSON: cluster.client, GRPC2: cluster.connect_client(GRPC2)}
     try:
-        for number, (front, conduct, task_class, hint, what) in enumerate(ROWS, 1):
-            client = clients[front]
-            client.ask(number, conduct, task_class, hint=hint)
-            wanted = 2 if conduct is NodeBehavior.END else 1
-            world.run_until(lambda c=client, n=number, w=wanted: len(c.heard.get(n, [])) >= w)  # type: ignore[misc]
-            say(f"{number}. {'old' if front == JSON else 'new'} client, {task_class}: {what}")
+        for number, (wire_format, behavior, task_class, hint, explanation) in enumerate(SCENARIOS, 1):
+            client = clients[wire_format]
+            client.ask(number, behavior, task_class, hint=hint)
+            event_count = 2 if behavior is NodeBehavior.END else 1
+            cluster.run_until(lambda c=client, n=number, w=event_count: len(c.heard.get(n, [])) >= w)  # type: ignore[misc]
+            write(f"{number}. {'old' if wire_format == JSON else 'new'} client, {task_class}: {explanation}")
             for message in client.said[number]:
-                text = message if front == GRPC2 else (message.kind, message.reason, message.meta)
-                say("     " + " ".join(str(text).split()))
-        say("The dispatcher's account: " + json.dumps(dict(world.service.core.translator.counters)))  # type: ignore[union-attr]
+                text = message if wire_format == GRPC2 else (message.kind, message.reason, message.meta)
+                write("     " + " ".join(str(text).split()))
+        write("Translation counters: " + json.dumps(dict(cluster.service.core.translator.counters)))  # type: ignore[union-attr]
         return True
     finally:
-        world.close()
+        cluster.close()
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -1,7 +1,7 @@
-"""Old clients against new nodes, and the three other pairings, across a mass resubmission with faults.
+"""Experiment: all pairings of old and new clients and nodes, with faults and a mass resubmission.
 
-Each pairing has a dispatcher process of its own, with both fronts open, and one process of stand-ins that counts
-what really happened. All pairings run at once, so that what they cost can be compared.
+Each pairing has a dispatcher process of its own, with both frontends, and one process of fakes that records what
+happens. All pairings run in parallel, so that their processor times can be compared.
 """
 
 from __future__ import annotations
@@ -38,9 +38,9 @@
 LEDGER_SHARE = 0.05
 NO_HINT_SHARE = 0.1
 SLACK_US = 2_500_000
-PLANTS = ("double-start", "drop-answer", "silent-hint")
+INJECTABLE_FAULTS = ("double-start", "drop-answer", "silent-hint")
 
-OPERATOR = """
+OPERATOR_FILE = """
 [grpc]
 listen = "127.0.0.1:0"
 [translate]
@@ -57,7 +57,7 @@
 
 @dataclass
 class Plan:
-    """One pairing's run."""
+    """The parameters of one pairing's run; ``name``: a key of ``PAIRINGS``."""
 
     name: str
     seed: int
@@ -69,7 +69,14 @@
 
 @dataclass
 class Result:
-    """What the stand-ins counted."""
+    """What one pairing's fakes counted.
+
+    ``asked``: requests, of which a task may need several; ``lost`` and ``doubled``: see ``Oracle``; ``unknown``:
+    answers whose id belongs to no request; ``silent_hints``: assumed hints that were not marked as assumed;
+    ``histogram``: encoded, of microseconds from a lookup's request to its binding; ``resubmitted``: tasks;
+    ``log``: log lines by message id; ``dispatcher_ended``: its exit code; ``details``: the requests that were lost
+    or doubled.
+    """
 
     name: str
     tasks: int = 0
@@ -86,92 +93,94 @@
     resubmitted: int = 0
     log: dict[str, int] = field(default_factory=dict)
     dispatcher_ended: int = 0
-    details: list[str] = field(default_factory=list)  # of what was lost or doubled
+    details: list[str] = field(default_factory=list)
 
 
-def _faults(
-    loop: Loop, rng: random.Random, nodes: list[LoadNode], county: ClientPopulation, plan: Plan, newer: bool
+def _schedule_faults(
+    loop: Loop, rng: random.Random, nodes: list[LoadNode], clients: ClientPopulation, plan: Plan, is_v2: bool
 ) -> None:
-    """What goes wrong, and when: shares of the run's length."""
+    """Schedule all faults, at fractions of the run's length."""
 
-    def at(share: float, call: Any) -> None:
-        loop.after(int(share * plan.seconds * 1e6), call)
+    def at_fraction(fraction: float, action: Any) -> None:
+        loop.after(int(fraction * plan.seconds * 1e6), action)
 
-    hung, restarted, broken, changed = rng.sample(nodes, 4)
+    unresponsive, restarted, broken, downgraded = rng.sample(nodes, 4)
     for node in nodes:
         node.cut_binding_fraction = 0.08
-    at(0.15, lambda: setattr(hung, "unresponsive_until_us", loop.now + 700_000))
-    at(0.3, lambda: restarted.restart(restarted.form))
-    at(0.45, broken.break_streams)
-    at(0.6, broken.break_streams)
-    for share in (0.2, 0.4, 0.7):
-        at(share, county.drop_connection)
-    if newer:  # a node is downgraded in place, and upgraded again
-        at(0.35, lambda: changed.restart(BINARY))
-        at(0.65, lambda: changed.restart(GRPC2))
+    at_fraction(0.15, lambda: setattr(unresponsive, "unresponsive_until_us", loop.now + 700_000))
+    at_fraction(0.3, lambda: restarted.restart(restarted.form))
+    at_fraction(0.45, broken.break_streams)
+    at_fraction(0.6, broken.break_streams)
+    for fraction in (0.2, 0.4, 0.7):
+        at_fraction(fraction, clients.drop_connection)
+    if is_v2:  # a node is downgraded in place, and upgraded again
+        at_fraction(0.35, lambda: downgraded.restart(BINARY))
+        at_fraction(0.65, lambda: downgraded.restart(GRPC2))
 
 
 def run(plan: Plan) -> Result:
-    """One pairing, in this process, with its dispatcher in another."""
+    """Run one pairing in this process, with its dispatcher in another."""
     rng = random.Random(f"{plan.seed} {plan.name}")
-    front, form = PAIRINGS[plan.name]
-    loop, truth, result = Loop(), Oracle(), Result(plan.name)
-    nodes = [LoadNode(loop, form, truth, rng) for _ in range(NODES)]
+    frontend, form = PAIRINGS[plan.name]
+    loop, oracle, result = Loop(), Oracle(), Result(plan.name)
+    nodes = [LoadNode(loop, form, oracle, rng) for _ in range(NODES)]
     if form == GRPC2:
         for node in nodes[: NODES // 2]:
             node.manners.requires = (pb2.HINT,)
     with tempfile.TemporaryDirectory() as folder:
-        operator = OPERATOR.format(forms=json.dumps(["v2", "binary"] if form == GRPC2 else ["binary"]))
+        operator = OPERATOR_FILE.format(forms=json.dumps(["v2", "binary"] if form == GRPC2 else ["binary"]))
         dispatcher = DispatcherProcess(Path(folder), [node.port for node in nodes], operator, plan.plant)
         try:
-            county = ClientPopulation(loop, dispatcher.addresses, front, truth, rng)
-            _load(loop, rng, county, plan, result)
+            clients = ClientPopulation(loop, dispatcher.addresses, frontend, oracle, rng)
+            _schedule_requests(loop, rng, clients, plan, result)
             if plan.faults:
-                _faults(loop, rng, nodes, county, plan, form == GRPC2)
-            _turn(loop, plan.seconds)
-            spent = dispatcher.cpu_spent_us
-            _turn(loop, 4.0)
+                _schedule_faults(loop, rng, nodes, clients, plan, form == GRPC2)
+            _run_for(loop, plan.seconds)
+            cpu_us = dispatcher.cpu_spent_us
+            _run_for(loop, 4.0)
         finally:
             result.dispatcher_ended = dispatcher.terminate()
-        county.finish()
+        clients.finish()
         result.log = dispatcher.log_counts()
-    lost = truth.lost(loop.now, SLACK_US)
-    for uid in (*lost, *truth.doubled()):
-        one = truth.asked[uid]
-        result.details.append(f"{one}, run over at {truth.over.get(one.key)}, it is {loop.now}")
-    result.tasks, result.asked = len(county.tasks), len(truth.asked)
-    result.outcomes = dict(county.outcomes)
-    result.lost, result.doubled = len(lost), len(truth.doubled())
-    result.unknown, result.silent_hints = truth.unknown_answers, truth.unmarked_hints
-    result.ledger_batch = sum(task["class"] == LEDGER for task in county.tasks.values())
-    result.ledger_batch_max_starts = max(truth.starts.values(), default=0)
-    result.cpu_us_a_task = spent / max(1, result.asked)
-    result.histogram = county.starts.encode().decode()
+    lost = oracle.lost(loop.now, SLACK_US)
+    for uid in (*lost, *oracle.doubled()):
+        request = oracle.asked[uid]
+        result.details.append(f"{request}, task ended at {oracle.over.get(request.key)}, now {loop.now}")
+    result.tasks, result.asked = len(clients.tasks), len(oracle.asked)
+    result.outcomes = dict(clients.outcomes)
+    result.lost, result.doubled = len(lost), len(oracle.doubled())
+    result.unknown, result.silent_hints = oracle.unknown_answers, oracle.unmarked_hints
+    result.ledger_batch = sum(task["class"] == LEDGER for task in clients.tasks.values())
+    result.ledger_batch_max_starts = max(oracle.starts.values(), default=0)
+    result.cpu_us_a_task = cpu_us / max(1, result.asked)
+    result.histogram = clients.starts.encode().decode()
     loop.close()
     return result
 
 
-def _load(loop: Loop, rng: random.Random, county: ClientPopulation, plan: Plan, result: Result) -> None:
-    """Tasks arrive evenly on the whole, at random in the small; half-way comes the mass resubmission."""
-    at = 0.0
-    step = 0.85 * plan.seconds / plan.tasks
+def _schedule_requests(
+    loop: Loop, rng: random.Random, clients: ClientPopulation, plan: Plan, result: Result
+) -> None:
+    """Schedule requests at exponentially distributed intervals, and a mass resubmission half-way."""
+    at_s = 0.0
+    interval_s = 0.85 * plan.seconds / plan.tasks
     for number in range(plan.tasks):
-        at += rng.expovariate(1 / step)
+        at_s += rng.expovariate(1 / interval_s)
         key = (plan.seed * 1_000_003 + number * 7919 + 1) & 0xFFFFFFFFFFFFFFFF
-        ledger = rng.random() < LEDGER_SHARE
+        is_ledger = rng.random() < LEDGER_SHARE
         hint = None if rng.random() < NO_HINT_SHARE else "1500"
         service = rng.randrange(SERVICES) + 1
-        args = (key, LEDGER if ledger else LOOKUP, hint, service)
-        loop.after(int(min(at, 0.95 * plan.seconds) * 1e6), lambda args=args: county.ask(*args))  # type: ignore[misc]
-    share, within = rng.uniform(0.22, 0.56), rng.uniform(0.38, 3.0)
+        request = (key, LEDGER if is_ledger else LOOKUP, hint, service)
+        loop.after(int(min(at_s, 0.95 * plan.seconds) * 1e6), lambda request=request: clients.ask(*request))  # type: ignore[misc]
+    fraction, within_s = rng.uniform(0.22, 0.56), rng.uniform(0.38, 3.0)
 
     def resubmit() -> None:
-        result.resubmitted = county.resubmit(share, int(within * 1e6))
+        result.resubmitted = clients.resubmit(fraction, int(within_s * 1e6))
 
     loop.after(int(0.5 * plan.seconds * 1e6), resubmit)
 
 
-def _turn(loop: Loop, seconds: float) -> None:
+def _run_for(loop: Loop, seconds: float) -> None:
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         loop.after(20_000, lambda: None)
@@ -179,7 +188,7 @@
 
 
 def summary(results: list[Result]) -> dict[str, Any]:
-    """All pairings together, as it is printed."""
+    """Return the report of all pairings together."""
     starts = HdrHistogram(1, 60_000_000, 3)
     for one in results:
         starts.decode_and_add(one.histogram)
@@ -187,13 +196,13 @@
     for one in results:
         outcomes.update(one.outcomes)
     by_name = {one.name: one for one in results}
-    old, new = by_name["old to old"].cpu_us_a_task, by_name["old to new"].cpu_us_a_task
+    old_cpu_us, new_cpu_us = by_name["old to old"].cpu_us_a_task, by_name["old to new"].cpu_us_a_task
 
-    def ms(one: HdrHistogram, share: float) -> float:
-        return float(round(one.get_value_at_percentile(share) / 1000, 1))
+    def ms(histogram: HdrHistogram, percentile: float) -> float:
+        return float(round(histogram.get_value_at_percentile(percentile) / 1000, 1))
 
-    def tail(one: HdrHistogram) -> dict[str, float]:
-        return {"p50": ms(one, 50), "p99": ms(one, 99), "p99.9": ms(one, 99.9)}
+    def percentiles(histogram: HdrHistogram) -> dict[str, float]:
+        return {"p50": ms(histogram, 50), "p99": ms(histogram, 99), "p99.9": ms(histogram, 99.9)}
 
     return {
         "tasks": sum(one.tasks for one in results),
@@ -206,45 +215,47 @@
         "unknown": sum(one.unknown for one in results),
         "silent_hints": sum(one.silent_hints for one in results),
         "ledger_batch_max_starts": max(one.ledger_batch_max_starts for one in results),
-        "start_ms": tail(starts),
-        "cost_ratio": round(new / old, 3) if old else None,
+        "start_ms": percentiles(starts),
+        "cost_ratio": round(new_cpu_us / old_cpu_us, 3) if old_cpu_us else None,
         "cpu_us_a_set_up": {one.name: round(one.cpu_us_a_task) for one in results},
-        "pairings": {one.name: tail(HdrHistogram.decode(one.histogram)) for one in results},
+        "pairings": {one.name: percentiles(HdrHistogram.decode(one.histogram)) for one in results},
         "exits": [one.dispatcher_ended for one in results],
     }
 
 
-def passed(said: dict[str, Any]) -> bool:
-    """Nothing lost, nothing doubled, nothing guessed in silence, and no task without its one outcome."""
-    nothing = ("lost", "doubled", "unknown", "silent_hints")
+def passed(report: dict[str, Any]) -> bool:
+    """Whether a report of ``summary`` meets all requirements."""
+    must_be_zero = ("lost", "doubled", "unknown", "silent_hints")
     return (
-        not any(said[name] for name in nothing)
-        and said["ledger_batch_max_starts"] <= 1
-        and "none" not in said["outcomes"]
-        and not any(said["exits"])
+        not any(report[name] for name in must_be_zero)
+        and report["ledger_batch_max_starts"] <= 1
+        and "none" not in report["outcomes"]
+        and not any(report["exits"])
     )
 
 
-def experiment(seed: int, tasks: int, seconds: float, plant: str | None, faults: bool = True) -> list[Result]:
-    """All pairings at once."""
-    share = -(-tasks // len(PAIRINGS))
-    plans = [Plan(name, seed, share, seconds, plant, faults) for name in PAIRINGS]
+def experiment(
+    seed: int, tasks: int, seconds: float, injected_fault: str | None, faults: bool = True
+) -> list[Result]:
+    """Run all pairings in parallel, with ``tasks`` in total; returns a result for each."""
+    tasks_per_pairing = -(-tasks // len(PAIRINGS))
+    plans = [Plan(name, seed, tasks_per_pairing, seconds, injected_fault, faults) for name in PAIRINGS]
     with ProcessPoolExecutor(len(plans), get_context("spawn")) as pool:
         return list(pool.map(run, plans))
 
 
 def lines(results: list[Result]) -> Iterator[str]:
-    """For people."""
-    for one in results:
+    """Yield a text for each pairing, its details and its log counts."""
+    for result in results:
         yield (
-            f"{one.name}: {one.tasks} tasks ({one.ledger_batch} ledger-batch), {one.asked} set-ups, {one.outcomes}, "
-            f"lost {one.lost}, doubled {one.doubled}, most starts {one.ledger_batch_max_starts}, "
-            f"{one.cpu_us_a_task:.0f} us of CPU a set-up"
+            f"{result.name}: {result.tasks} tasks ({result.ledger_batch} ledger-batch), {result.asked} requests, "
+            f"{result.outcomes}, lost {result.lost}, doubled {result.doubled}, "
+            f"most starts {result.ledger_batch_max_starts}, {result.cpu_us_a_task:.0f} us of CPU per request"
         )
-        yield from (f"  {text}" for text in one.details)
-        yield f"  log: {dict(sorted(one.log.items()))}"
+        yield from (f"  {text}" for text in result.details)
+        yield f"  log: {dict(sorted(result.log.items()))}"
 
 
 def as_dicts(results: list[Result]) -> list[dict[str, Any]]:
-    """For a file."""
-    return [asdict(one) for one in results]
+    """Return the results as dictionaries, for JSON."""
+    return [asdict(result) for result in results]
