--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -1,7 +1,7 @@
 """A dispatcher with injected faults: python -m thornshelf.lab.fault_injection NAME,... FILE.
 
-An experiment must notice each of them, which shows that it can fail. Where a doc comment says "not to be noticed",
-the function prepares a situation that a correct dispatcher handles.
+Each fault must make an experiment fail, which shows that the experiment can detect it. A function whose doc comment
+ends with "must not be noticed" prepares a situation that a correct dispatcher handles instead.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 def double_start() -> None:
-    """Broken attempts count as never run, and idempotency keys are ignored."""
+    """Attempts that may have run count as never run, and idempotency keys are ignored."""
     report_outcome = Attempts.report_outcome
 
     def report_as_never_run(self: Any, task: Any, attempt: Any, outcome: Outcome, *more: Any) -> None:
@@ -62,7 +62,7 @@
 
 
 def drop_answer() -> None:
-    """Each fiftieth answer is not sent."""
+    """Every fiftieth answer is not sent."""
     for client_type in (JsonLinesConnection, DispatchCall):
         count = itertools.count(1)
         send_running = client_type.send_running
@@ -95,12 +95,12 @@
 
 
 def no_refute() -> None:
-    """A member does not refute reports of its death."""
+    """A member does not refute reports that it is dead."""
     LocalMember.refute = lambda self, *_: False  # type: ignore[method-assign]
 
 
 def no_heal() -> None:
-    """Dead members are not contacted any more, once the member has found any live one."""
+    """A member does not contact dead members while it knows any live one."""
     reconnect = MembershipProtocol._reconnect
 
     def reconnect_if_alone(self: MembershipProtocol) -> None:
@@ -111,7 +111,7 @@
 
 
 def trust_liar() -> None:
-    """Another's report that a member is dead is believed at once."""
+    """Another member's report that a member is dead is accepted without suspicion."""
     for state in LIVE_STATES:
         TRANSITIONS[state, MemberEvent.REPORTED_DEAD] = MemberState.DEAD
 
@@ -126,19 +126,19 @@
     query_sessions.QueryEnd = lambda number, answered, missing: framing.QueryEnd(number, answered, [])  # type: ignore[assignment, attr-defined]
 
 
-def newer() -> None:
-    """A member of a later version, whose datagrams have another form: not to be noticed."""
+def later_version() -> None:
+    """A member of a later version, whose datagrams have another version number: must not be noticed."""
     datagrams.VERSION += 1
 
 
 def clock_back() -> None:
-    """A process whose wall clock was set back by an hour: not to be noticed."""
-    real = time.time_ns
-    time.time_ns = lambda: real() - 3_600 * 10**9
+    """A process whose wall clock is an hour slow: must not be noticed."""
+    real_time_ns = time.time_ns
+    time.time_ns = lambda: real_time_ns() - 3_600 * 10**9
 
 
 def many_tasks() -> None:
-    """A dispatcher that knows 100,000 running tasks from its start: not to be noticed."""
+    """A dispatcher with 100,000 running tasks from its start: must not be noticed."""
     make_core = Service._make_core
 
     def make_with_tasks(self: Service, config: Config) -> Dispatcher:
@@ -160,20 +160,20 @@
 
 
 def liar() -> None:
-    """A member that reports falsely that all others and all nodes are dead, and invents members: not to be noticed.
+    """A member that falsely reports other members as dead and nodes as unresponsive, and invents members.
 
-    It does so while a file ``lie`` exists beside its folder, in every experiment of the fleet.
+    It does so while a file ``lie`` exists in the parent of its folder; it must not be noticed.
     """
     tick = MembershipProtocol.tick
-    sign = Path(sys.argv[2]).parent.parent / "lie"
+    lie_file = Path(sys.argv[2]).parent.parent / "lie"
 
     def tick_and_lie(self: MembershipProtocol, now_us: int) -> int:
-        due = tick(self, now_us)
-        if sign.exists() and now_us >= getattr(self, "lied_us", 0) + 300_000:
+        due_us = tick(self, now_us)
+        if lie_file.exists() and now_us >= getattr(self, "lied_us", 0) + 300_000:
             vars(self)["lied_us"] = now_us
             records = [
-                msgspec.structs.replace(one.record, status=int(RecordStatus.DEAD), reported_by=self.name)
-                for one in self.table.members.values()
+                msgspec.structs.replace(known.record, status=int(RecordStatus.DEAD), reported_by=self.name)
+                for known in self.table.members.values()
             ]
             records += [MemberRecord(f"x{now_us}-{n}", "127.0.0.1:9", 1, 1, 0, 0) for n in range(30)]
             observations = [ObservationRow(f"s-{n + 1:08x}", 1, 8.0) for n in range(16)]
@@ -181,8 +181,8 @@
             for member in list(self.table.members.values()):
                 for first in range(0, len(records), 10):
                     self.sender.counter += 1
-                    rows = records[first : first + 10]
-                    head = [
+                    record_batch = records[first : first + 10]
+                    header = [
                         int(MessageKind.GOSSIP),
                         self.local.record,
                         member.record.instance_id,
@@ -190,25 +190,27 @@
                         0,
                         "",
                     ]
-                    data = self.sender.sealer.seal(self.sender.sealer.encode([*head, rows, [], b""]))
+                    data = self.sender.sealer.seal(
+                        self.sender.sealer.encode([*header, record_batch, [], b""])
+                    )
                     self.sender.outgoing.append(OutgoingDatagram(member.record.address, data))
-        return due
+        return due_us
 
     MembershipProtocol.tick = tick_and_lie  # type: ignore[method-assign]
 
 
 def all_to_all() -> None:
-    """A member gossips with all others in place of a sample."""
+    """A member gossips with all others instead of a sample."""
     MemberTable.sample = lambda self, count, without="": list(self.live_names)  # type: ignore[method-assign]
 
 
 def leak() -> None:
-    """The names of nodes that have been removed stay in memory."""
+    """The names of removed nodes stay in memory."""
     EndpointRegistry.discard = lambda self, machine: None  # type: ignore[method-assign]
 
 
 def no_subset() -> None:
-    """A dispatcher with a subset connects to all nodes of the list."""
+    """A dispatcher with a subset connects to all nodes of the endpoint list."""
 
     def apply_all(self: Any, complete: bool, entries: Any, now_us: int) -> list[Any]:
         return list(entries)
@@ -218,14 +220,14 @@
 
 INJECTED_FAULTS = {
     "all-to-all": all_to_all, "leak": leak, "hold-all": no_subset,
-    "liar": liar, "newer": newer, "clock-back": clock_back, "crowd": many_tasks,
+    "liar": liar, "newer": later_version, "clock-back": clock_back, "crowd": many_tasks,
     "double-start": double_start, "drop-answer": drop_answer, "silent-hint": unmarked_hint, "no-refute": no_refute,
     "no-heal": no_heal, "trust-liar": trust_liar, "replay": replay, "silent-gap": hidden_gap,
 }  # fmt: skip
 
 
 def main() -> None:
-    """Inject the faults that the command line names, and serve."""
+    """Inject the faults named on the command line, and run the dispatcher."""
     for fault_name in sys.argv[1].split(","):
         INJECTED_FAULTS[fault_name]()
 
