--- a/thornshelf/lab/membership.py
+++ b/thornshelf/lab/membership.py
@@ -1,6 +1,6 @@
-"""Fleets of members in virtual time, at any size: real datagrams over a seeded network, without any real clock.
+"""Simulation of the membership protocol in virtual time, at any size: real datagrams over a seeded network.
 
-The same seed gives the same run, bit for bit: ``digest`` is over every datagram that arrived, with its time.
+The same seed gives the same run: ``digest`` is a hash of all received datagrams and their times.
 """
 
 from __future__ import annotations
@@ -28,13 +28,13 @@
 KEY = b"a key for an experiment only...."
 UDP_HEADER_BYTES = 28  # of UDP and IP
 MIN_TIMER_US = 1_000
-STOPPED_RETRY_US = 50_000  # a stopped member's events are tried again so often
+STOPPED_RETRY_US = 50_000  # between two attempts to deliver an event to a stopped member
 MAX_JOIN_US = 120 * SECOND
 MAX_PARTITION_US = 40 * SECOND
 MAX_HEAL_US = 60 * SECOND
 MAX_DETECTION_US = 30 * SECOND
 JOIN_SETTLING_US = 4 * SECOND
-MAX_JOINING = 64  # members that are simulated as they join; larger fleets start as if they had
+MAX_JOINING = 64  # larger fleets start as if all members had joined
 MAX_HALVED = 4 * MAX_JOINING  # larger fleets are not cut in halves
 MINORITY = 8  # members that are cut off from a larger fleet instead
 BASELINE_MEMBERS = 16
@@ -44,7 +44,7 @@
 
 
 class Event(NamedTuple):
-    """A datagram that arrives at a member, or without data its timer. ``order`` tells events of one time apart."""
+    """A datagram that arrives at a member, or its timer (no data); ``order`` makes simultaneous events unique."""
 
     at_us: int
     order: int
@@ -53,10 +53,11 @@
 
 
 class Network:
-    """Members on one virtual clock, with links that lose, delay, duplicate and cut.
+    """Members on one virtual clock, with links that drop, delay and duplicate datagrams.
 
-    ``is_cut`` decides by the names of sender and receiver, ``on_send`` sees each datagram, ``on_change`` each change
-    of a member's state, with the name of its observer. Members in ``stopped`` do not run.
+    ``is_cut(sender, receiver)``: whether that direction of a link is cut; ``on_send``: called with each datagram;
+    ``on_change``: called with each change of a member's state and the name of its observer; ``stopped``: names of
+    members that do not run; ``delay_us``: range of the delay; ``sent`` and ``bytes``: totals that were sent.
     """
 
     def __init__(self, seed: int, **config: Any) -> None:
@@ -68,7 +69,7 @@
         self.delay_us = (200, 2_000)
         self.is_cut: Callable[[str, str], bool] = lambda sender, receiver: False
         self.stopped: set[str] = set()
-        self.bytes = 0  # sent by all
+        self.bytes = 0
         self.sent = 0
         self.hash = xxhash.xxh3_64()
         self.on_change: Callable[[str, MemberChange], None] = lambda observer, change: None
@@ -79,12 +80,12 @@
         self._timers: dict[str, int] = {}
 
     def address(self, name: str) -> str:
-        """The address of a member; the network knows names only."""
+        """Return the address of a member; the network uses its host part, the name."""
         return f"{name}:1"
 
     def start(self, name: str, seeds: Iterable[str] = (), **config: Any) -> MembershipProtocol:
-        """Start a member's process."""
-        given: dict[str, Any] = {
+        """Start a member; ``config``: fields of ``MembershipConfig`` that differ."""
+        settings: dict[str, Any] = {
             "fleet": "lab",
             "name": name,
             "address": self.address(name),
@@ -92,7 +93,7 @@
             "seeds": tuple(self.address(seed) for seed in seeds),
         }
         member = MembershipProtocol(
-            MembershipConfig(**(given | self._config | config)),
+            MembershipConfig(**(settings | self._config | config)),
             self.random.randrange(1, 1 << 62),
             self.now,
             random.Random(self.random.randrange(1 << 62)),
@@ -102,7 +103,7 @@
         return member
 
     def kill(self, name: str) -> None:
-        """Crash a member's process."""
+        """Crash a member."""
         del self.members[name]
 
     def leave(self, name: str) -> None:
@@ -113,14 +114,14 @@
         del self.members[name]
 
     def run(self, until_us: int) -> None:
-        """Let time pass."""
+        """Advance the virtual clock, and deliver all events until then."""
         while self._events and self._events[0].at_us <= until_us:
             at_us, _, name, data = heapq.heappop(self._events)
             member = self.members.get(name)
             if member is None:
                 continue
             self.now = max(self.now, at_us)
-            if name in self.stopped:  # datagrams stay in its socket, and its timers wait
+            if name in self.stopped:  # its datagrams and timers wait
                 self._schedule(at_us + STOPPED_RETRY_US, name, data)
                 continue
             if data is not None:
@@ -151,7 +152,7 @@
             self.on_change(name, change)
         member.take_received_entries()
         member.rejected_datagrams.clear()
-        # What was received may have made something due earlier than it was planned.
+        # A received datagram can make the next tick due earlier than the timer.
         due_us = member.next_due_us()
         if due_us < self._timers.get(name, 0):
             self._set_timer(name, max(due_us, self.now + MIN_TIMER_US))
@@ -167,14 +168,14 @@
                 self._schedule(self.now + self.random.randrange(*self.delay_us), receiver, data)
 
     def agreed(self, names: Iterable[str] | None = None) -> bool:
-        """Whether to each of some members exactly these are live; by default of all that run."""
+        """Whether each of some members considers exactly these live; by default all that run."""
         expected = sorted(self.members if names is None else names)
         return all(self.members[name].live_names() == expected for name in expected)
 
     def until_agreed(
         self, limit_us: int, names: Iterable[str] | None = None, step_us: int = 50_000
     ) -> int | None:
-        """How long it takes until they agree, in microseconds; None where it takes longer than the limit."""
+        """Run until ``agreed``; returns the microseconds that it took, or None after ``limit_us``."""
         start_us = self.now
         chosen = None if names is None else list(names)
         while self.now - start_us < limit_us:
@@ -185,21 +186,21 @@
 
 
 def run_until_settled(network: Network, names: list[str], limit_us: int) -> int | None:
-    """Start members with the first two as seeds, and wait until all know each other."""
+    """Start members with the first two as seeds, and run until all agree; returns the microseconds, or None."""
     for name in names:
-        network.start(name, [one for one in names[:2] if one != name])
+        network.start(name, [other for other in names[:2] if other != name])
     return network.until_agreed(limit_us, step_us=250_000)
 
 
 def run_settled(network: Network, names: list[str]) -> None:
-    """Start members that know each other already, as the joins of a thousand take one processor too long."""
+    """Start members that know each other already, because simulating many joins takes too long."""
     members = [network.start(name, names[:2]) for name in names]
     network._events.clear()
     known: BucketIndex[RumorKey] = BucketIndex()
     for member in members:
         known.record(RecordKey(member.name), member.local.record.precedence)
     for member in members:
-        # Nothing of it is to be disseminated: it would be a million rumors that all know.
+        # No rumors: all members know these records already.
         on_record_change = member.table._on_record_change
         member.table._on_record_change = lambda name: None
         for other in members:
@@ -213,9 +214,9 @@
 
 
 def at_size(members: int, seed: int, quiet_s: int = 10, faults: bool = True) -> dict[str, Any]:
-    """Measure a fleet: joins, ``quiet_s`` seconds at rest, crashes one after another, a partition and its end."""
+    """Measure joins, traffic for ``quiet_s`` seconds at rest and, with ``faults``, crashes and a partition."""
     start = time.monotonic()
-    gc.disable()  # a run makes no reference cycles that matter, and its process ends after it
+    gc.disable()  # its pauses would dominate a run, and the process ends afterwards
     network = Network(seed)
     names = [f"m{number:04d}" for number in range(members)]
     if members <= MAX_JOINING:
@@ -223,7 +224,7 @@
     else:
         join_us = run_until_settled(Network(seed), names[:MAX_JOINING], MAX_JOIN_US)
         run_settled(network, names)
-    network.run(network.now + JOIN_SETTLING_US)  # until the rumors of the joins are no longer sent
+    network.run(network.now + JOIN_SETTLING_US)  # until the rumors of the joins have expired
     bytes_before = network.bytes
     network.run(network.now + quiet_s * SECOND)
     result: dict[str, Any] = {
@@ -242,7 +243,7 @@
 
 
 def memory_kb(network: Network, name: str) -> int:
-    """The memory of one more member that knows the same as this one."""
+    """Return the memory, in kB, of a further member with the same records as this one."""
     known = network.members[name]
     tracemalloc.start()
     member = MembershipProtocol(known.config, 1, network.now, random.Random(1))
@@ -257,7 +258,7 @@
 
 
 class Detection(NamedTuple):
-    """A member has declared another one dead, rightly or not."""
+    """A member, ``observer``, has declared the member ``name`` dead, rightly or not."""
 
     observer: str
     name: str
@@ -265,7 +266,7 @@
 
 
 def _crashes(network: Network, names: list[str], count: int = CRASHES) -> dict[str, Any]:
-    """How long each member takes to detect each crash, and how often one that is up is declared dead."""
+    """Crash members one after another; returns detection times, and the numbers of missed and false detections."""
     times = HdrHistogram(1, 120_000, 3)
     crashed_us: dict[str, int] = {}
     detections: list[Detection] = []
@@ -297,12 +298,12 @@
 
 
 def _partition(network: Network, names: list[str]) -> dict[str, Any]:
-    """Cut the fleet in halves (a large one into a minority and the rest), then restore all links."""
+    """Cut the fleet into halves (a large one: cut off a minority), then restore all links."""
     is_halved = len(names) <= MAX_HALVED
     first = set(names[: len(names) // 2 if is_halved else MINORITY])
     network.is_cut = lambda sender, receiver: (sender in first) != (receiver in first)
     sides = [[name for name in names if name not in first]]
-    if is_halved:  # a minority takes minutes to detect that a thousand others are away
+    if is_halved:  # a minority takes minutes to detect that all others are gone
         sides.append([name for name in names if name in first])
     is_parted = all(network.until_agreed(MAX_PARTITION_US, side, 500_000) is not None for side in sides)
     network.is_cut = lambda sender, receiver: False
@@ -311,7 +312,7 @@
 
 
 def run(members: int, seed: int, plot: Path | None = None) -> dict[str, Any]:
-    """Measure a fleet of one size, and compare its traffic with that of a small one."""
+    """Measure a fleet, and compare its traffic with that of a small one; ``plot``: path of a chart to write."""
     baseline = at_size(BASELINE_MEMBERS, seed)
     result = {"seed": seed} | (at_size(members, seed) if members != BASELINE_MEMBERS else baseline)
     result["bytes_per_s_16"] = baseline["bytes_per_s"]
@@ -320,7 +321,7 @@
     if plot is not None:
         known = {BASELINE_MEMBERS: baseline, members: result}
         sizes = sorted({BASELINE_MEMBERS, 64, members})
-        picture(plot, [known.get(size) or at_size(size, seed) for size in sizes])
+        plot_sizes(plot, [known.get(size) or at_size(size, seed) for size in sizes])
     return result
 
 
@@ -337,8 +338,8 @@
     )
 
 
-def picture(path: Path, rows: list[dict[str, Any]]) -> None:
-    """Plot detection, healing and traffic against the size of the fleet."""
+def plot_sizes(path: Path, rows: list[dict[str, Any]]) -> None:
+    """Write a chart of detection, healing and traffic against the size of the fleet."""
     import matplotlib
 
     matplotlib.use("Agg")
