--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Short ways to make settings and events."""
+"""Builders of settings, events and placers for tests of the decision module."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def settings(*classes: api.TaskClass, **changes: Any) -> api.Settings:
-    """A small deployment; ``changes`` replace fields of it, of its limits or of its rules."""
+    """Return settings of a small deployment; ``changes`` replace fields of them, their limits, rules or prices."""
     limits = api.Limits(max_attempts=3, may_cancel=True, may_probe=True)
     rules = api.Rules(0.008, 0.5, 0.25, 10.0, 3.0, 1.0, 12.0, 10.0)
     base = api.Settings(
@@ -53,26 +53,26 @@
         tick_s=0.002,
     )
     for name in list(changes):
-        for part in ("limits", "rules", "prices"):
-            if hasattr(getattr(base, part), name):
-                base = replace(base, **{part: replace(getattr(base, part), **{name: changes.pop(name)})})
+        for group in ("limits", "rules", "prices"):
+            if hasattr(getattr(base, group), name):
+                base = replace(base, **{group: replace(getattr(base, group), **{name: changes.pop(name)})})
                 break
     return replace(base, **changes)
 
 
 def entry(machine: int, **changes: Any) -> api.Endpoint:
-    """A line of the list: a small machine that is up."""
+    """Return an endpoint list entry of a small machine that is up; ``changes`` replace its fields."""
     base = api.Endpoint(machine, api.Health.UP, "small", "here", 1, 0.0, 0.0, 1.0, 0.0)
     return replace(base, **changes)
 
 
 def listing(*entries: api.Endpoint, complete: bool = True) -> api.EndpointUpdate:
-    """A list event."""
+    """Return an update of the endpoint list; ``complete``: it replaces the whole list."""
     return api.EndpointUpdate(complete, 1, entries)
 
 
 def ask(request: int, **changes: Any) -> api.PlacementRequest:
-    """A small task of the class ``safe``."""
+    """Return a request for a small task of the class ``safe``; ``changes`` replace its fields."""
     base = api.PlacementRequest(request, "safe", None, request, 6.0, None, 7, 1.0, 1.0)
     return replace(base, **changes)
 
@@ -80,31 +80,31 @@
 def ended(
     request: int, machine: int, outcome: api.Outcome, attempt: int = 0, **changes: Any
 ) -> api.AttemptEnded:
-    """The outcome of an attempt."""
+    """Return the end of an attempt; ``changes`` replace its fields."""
     base = api.AttemptEnded(request, machine, attempt, outcome, api.Reason.UNSPECIFIED, False, 0.1, None)
     return replace(base, **changes)
 
 
 def placer(*machines: api.Endpoint, using: api.Settings | None = None) -> Placer:
-    """A placer that has had its list at time 0."""
-    one = Placer(using or settings(), 1)
-    one.handle(0.0, [listing(*machines)])
-    return one
+    """Return a placer that received its endpoint list at time 0."""
+    new_placer = Placer(using or settings(), 1)
+    new_placer.handle(0.0, [listing(*machines)])
+    return new_placer
 
 
 def offers(actions: list[api.Action]) -> list[api.StartAttempt]:
-    """The offers among some actions."""
+    """Return the offers among some actions."""
     return [action for action in actions if isinstance(action, api.StartAttempt)]
 
 
 def answers(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
-    """The final answers among some actions."""
+    """Return the negative final answers among some actions."""
     return [action for action in actions if isinstance(action, api.Reject | api.Fail)]
 
 
 @pytest.fixture(autouse=True)
-def _close_worlds() -> Iterator[None]:
-    """No test leaves sockets to the next."""
+def _close_clusters() -> Iterator[None]:
+    """Close the clusters of each test, so that none leaves sockets to the next."""
     yield
     while cluster.open_clusters:
         cluster.open_clusters.pop().close()
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a real fault which is not mended yet, as KNOWN-RED.txt at the root lists them.
+"""A pytest plugin for known failures, which are listed in KNOWN-RED.txt at the root.
 
-One line each, ``tests/file.py::test | cause | issue``, three at most. Just these may fail, and their lines are
-printed; one that passes again fails the run, and so does a line that is malformed or names no test.
+The file has at most three lines of the form ``tests/file.py::test | cause | issue``. Only these tests may fail, and
+their lines are printed. A listed test that passes fails the run, as does a line that is malformed or names no test.
 """
 
 from __future__ import annotations
@@ -13,49 +13,53 @@
 import pytest
 from _pytest.terminal import TerminalReporter
 
-FILE = "KNOWN-RED.txt"
-MOST = 3
+FILE_NAME = "KNOWN-RED.txt"
+MAX_ENTRIES = 3
 _LINE = re.compile(r"(?P<test>[^|\s]+::[^|\s]+) \| (?P<cause>[^|]*\S) \| (?P<issue>[^|]*\S)")
 
 
 @dataclass(frozen=True)
 class Entry:
-    """One test that is known to fail."""
+    """A known failure; ``test``: a node id, which may lack the parameters; ``line``: the whole line."""
 
     test: str
     line: str
 
 
 def read(path: Path) -> list[Entry]:
-    """The entries of the file; none where there is no file."""
+    """Return the entries of the file, none if it does not exist; raises ``UsageError`` if it is malformed."""
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
-    found = []
+    entries = []
     for line in lines:
         if not line.strip():
             continue
         if (match := _LINE.fullmatch(line.strip())) is None:
-            raise pytest.UsageError(f"{FILE}: not of the form 'test | cause | issue': {line!r}")
-        found.append(Entry(match["test"], line.strip()))
-    if len(found) > MOST:
-        raise pytest.UsageError(f"{FILE}: {len(found)} entries, where {MOST} at most are allowed")
-    if len({one.test for one in found}) < len(found):
-        raise pytest.UsageError(f"{FILE}: a test is listed twice")
-    return found
+            raise pytest.UsageError(f"{FILE_NAME}: not of the form 'test | cause | issue': {line!r}")
+        entries.append(Entry(match["test"], line.strip()))
+    if len(entries) > MAX_ENTRIES:
+        raise pytest.UsageError(
+            f"{FILE_NAME}: {len(entries)} entries, where {MAX_ENTRIES} at most are allowed"
+        )
+    if len({entry.test for entry in entries}) < len(entries):
+        raise pytest.UsageError(f"{FILE_NAME}: a test is listed twice")
+    return entries
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expect just the listed tests to fail, strictly."""
+    """Mark the listed tests as strictly expected to fail."""
     files = {item.nodeid.partition("::")[0] for item in items}
-    for entry in read(config.rootpath / FILE):
-        named = [item for item in items if entry.test in (item.nodeid, item.nodeid.partition("[")[0])]
+    for entry in read(config.rootpath / FILE_NAME):
+        matching_items = [
+            item for item in items if entry.test in (item.nodeid, item.nodeid.partition("[")[0])
+        ]
         path = entry.test.partition("::")[0]
-        if not named and (path in files or not (config.rootpath / path).exists()):
-            raise pytest.UsageError(f"{FILE}: there is no such test: {entry.test}")
-        for item in named:
+        if not matching_items and (path in files or not (config.rootpath / path).exists()):
+            raise pytest.UsageError(f"{FILE_NAME}: there is no such test: {entry.test}")
+        for item in matching_items:
             item.add_marker(pytest.mark.xfail(reason=entry.line, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter, config: pytest.Config) -> None:
-    """Say which failures were let pass."""
-    for entry in read(config.rootpath / FILE):
+    """Print the listed failures."""
+    for entry in read(config.rootpath / FILE_NAME):
         terminalreporter.write_line(f"known red: {entry.line}")
