--- a/thornshelf/lab/fakes/clients.py
+++ b/thornshelf/lab/fakes/clients.py
@@ -36,6 +36,7 @@
         self.loop.spawn(self._run())
 
     def on_event(self, uid: int, *event: Any) -> None:
+        """Record an event; an owner may replace this method."""
         self.heard.setdefault(uid, []).append(event)
 
     def _run(self) -> Generator[Wait, int, None]:
@@ -54,24 +55,29 @@
             self.on_closed(True)
 
     def begin(self, stream: Stream) -> None:
+        """Prepare the protocol on a new connection."""
         raise NotImplementedError
 
     def take(self, data: bytes) -> None:
+        """Handle received data."""
         raise NotImplementedError
 
     def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
+        """Send a request for a small task; ``changes`` replace fields of the message."""
         raise NotImplementedError
 
     def give_up(self, uid: int) -> None:
+        """Cancel a request."""
         raise NotImplementedError
 
     def request_task(
         self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any
     ) -> None:
-        """Send a request with all its fields; ``size``: cores and memory."""
+        """Send a request with the given fields; ``hint``: expected lifetime, in ms; ``size``: cores and memory."""
         raise NotImplementedError
 
 
+# Reason of a ``stop`` line: before a placement it gives the answer, after one the outcome of the release.
 _ANSWERS_BY_REASON = {34: "refused", 42: "refused", 102: "refused"}
 _RELEASE_OUTCOMES = {16: pb.ENDED, 31: pb.CANCELLED, 41: pb.RESET}
 
@@ -144,13 +150,17 @@
             self.h2.send(self.call, grpc.frame(pb2.ClientMessage(heard=0)))
         self.status: dict[int, dict[str, str]] = {}
 
-    def open(self, method: str, **more: str) -> int:
+    def open(self, method: str, **extra_headers: str) -> int:
+        """Open a stream for a method; returns its id."""
         path = f"/{self.form}.Placement/{method}"
         headers = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", HOST)]
         headers += [("te", "trailers"), ("content-type", "application/grpc")]
-        return self.h2.call(headers + [(name.replace("_", "-"), value) for name, value in more.items()])
+        return self.h2.call(
+            headers + [(name.replace("_", "-"), value) for name, value in extra_headers.items()]
+        )
 
     def message(self, uid: int, behavior: NodeBehavior, task_class: str, **changes: Any) -> Any:
+        """Return an ``Ask`` message; ``changes`` replace its fields, and ``hint=None`` omits the hint."""
         values: dict[str, Any] = {"left_ms": float(changes.pop("left", 8000)), "tenant": "hollis-county"}
         key, hint = changes.pop("key", f"{uid:x}"), changes.pop("hint", "8200")
         values |= {"key": int(key, 16)} | changes
--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -92,7 +92,7 @@
         self.voices: list[Any] = []  # of the open connections, the newest last
         self.deaf = False  # reads from its connections, and ignores what it reads
         self.seen: list[tuple[str, int]] = []
-        self.running: set[int] = set()
+        self.running: set[int] = set()  # request ids
         self.streams: list[Stream] = []
         self.sock = self._bind()
         self.rise()
@@ -269,25 +269,29 @@
 
 
 class BinaryResponder:
-    """Sends a node's messages in the binary form."""
+    """Sends a node's messages in the binary form; ``report``: the load report in rejections and ends."""
 
     def __init__(self, loop: Loop, stream: Stream) -> None:
         self.loop, self.stream = loop, stream
         self.report = b"x0:3;x1:4"
 
     def progress(self, uid: int) -> None:
+        """Report that the offer was received."""
         self.stream.send(binary.encode(binary.PROGRESS, uid))
 
     def bind(self, uid: int) -> None:
+        """Report that the task runs."""
         self.stream.send(binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: DESCRIPTION}))
 
     def end(self, uid: int, cause: int, _: object, note: str = "", *__: object) -> None:
+        """Report the rejection of an offer or the end of a task."""
         values = {binary.CAUSE: bytes((cause,)), binary.REPORT: self.report}
         if note:
             values[binary.NOTE_NAME] = note.encode()
         self.stream.send(binary.encode(binary.RELEASE, uid, values))
 
     def cut(self, uid: int) -> None:
+        """Send half of a binding, and end the connection."""
         encoded = binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: DESCRIPTION})
         self.stream.send(encoded[: len(encoded) // 2])
         self.stream.end()
@@ -330,8 +334,8 @@
                 offer, kind = message.offer, message.WhichOneof("kind") or ""
                 order = ReceivedOrder(kind, message.uid, offer.description, offer.key, offer.task_class)
                 node.order(order, responders[event.stream])
-    for responder in responders.values():
-        node.remove_responder(responder)
+    for closed_responder in responders.values():
+        node.remove_responder(closed_responder)
     stream.close()
 
 
@@ -355,7 +359,7 @@
 
 
 class GrpcResponder:
-    """Sends a node's messages by gRPC; ``protobuf``: the message types of v1 or v2."""
+    """Sends a node's messages by gRPC; ``protobuf``: the message types of v1 or v2; ``load``: the load report."""
 
     def __init__(self, h2: http2.Http2, stream: int, protobuf: Any) -> None:
         self.h2, self.stream, self.protobuf = h2, stream, protobuf
@@ -365,6 +369,7 @@
         self.h2.send(self.stream, grpc.frame(self.protobuf.NodeReport(**kind)))
 
     def hello(self, profile: NodeProfile) -> None:
+        """Send the hello message of a v2 node."""
         self._send(
             hello=pb2.Hello(
                 generation=profile.generation,
@@ -375,12 +380,15 @@
         )
 
     def progress(self, uid: int) -> None:
+        """Report that the offer was received."""
         self._send(uid=uid, progress=self.protobuf.Progress())
 
     def bind(self, uid: int) -> None:
+        """Report that the task runs."""
         self._send(uid=uid, binding=self.protobuf.Binding(description=DESCRIPTION))
 
     def end(self, uid: int, _: int, outcome: Any, __: str = "", reason: Any = 0, text: str = "") -> None:
+        """Report the rejection of an offer or the end of a task; v1 lacks the text and the newer reasons."""
         text_field = {"text": text} if self.protobuf is pb2 else {}
         reason_code = reason if self.protobuf is pb2 or reason <= pb.SENT_AWAY else pb.UNFIT
         end = self.protobuf.End(
@@ -389,6 +397,7 @@
         self._send(uid=uid, end=end)
 
     def standing(self, order: ReceivedOrder, standing: Any, uid: int, outcome: Any) -> None:
+        """Answer a query about a task; ``uid``: the request id under which it runs or ran."""
         description = DESCRIPTION if standing in (pb2.RUNS_NOW, pb2.RAN) else b""
         answer = pb2.Answer(
             key=order.key, standing=standing, uid=uid, description=description, outcome=outcome
@@ -396,6 +405,7 @@
         self._send(uid=order.uid, answer=answer)
 
     def cut(self, uid: int) -> None:
+        """Send half of a binding, and reset the stream."""
         encoded = grpc.frame(
             self.protobuf.NodeReport(uid=uid, binding=self.protobuf.Binding(description=DESCRIPTION))
         )
--- a/thornshelf/lab/fleet_testbed.py
+++ b/thornshelf/lab/fleet_testbed.py
@@ -44,12 +44,14 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.recent_attempts: list[int] = []
+        self.recent_attempts: list[int] = []  # times of the loop
 
     def _handle_offer(self, order: ReceivedOrder, responder: Any) -> None:
         now = self.loop.now
         if now < self.slow_start_until_us:
-            self.recent_attempts = [at for at in self.recent_attempts if now - at < SLOW_START_US] + [now]
+            self.recent_attempts = [then for then in self.recent_attempts if now - then < SLOW_START_US] + [
+                now
+            ]
             self.excess_attempts += len(self.recent_attempts) > SLOW_START_ATTEMPTS
         if self.draining_since_us:
             self.late_attempts += now - self.draining_since_us > LATE_AFTER_US
@@ -67,7 +69,7 @@
         self.states: dict[str, str] = {}
         self.clients: ClientPopulation | None = None
         self.starts = self._read_offset = 0
-        self.logs: list[Path] = []
+        self.logs: list[Path] = []  # of all its processes so far
 
     @property
     def live(self) -> set[str]:
@@ -165,7 +167,7 @@
                 value["settings"]["limits"]["peer-messages"] = True
 
             liar_fault = "liar" if self.has_liar and member is self.members[-1] else ""
-            fault_names = ",".join(one for one in (liar_fault, odd, self.injected_fault) if one) or None
+            fault_names = ",".join(name for name in (liar_fault, odd, self.injected_fault) if name) or None
             member.process = DispatcherProcess(folder, [], operator, fault_names, changes=changes, wait=False)
             member.reset_states()
             member.logs.append(folder / "log")
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -27,8 +27,8 @@
 class LoadNode(FakeNode):
     """A node with limited cores and memory, whose tasks take time to start and end by themselves.
 
-    The caller causes faults: it sets ``unresponsive_until_us`` or a fraction, or calls ``break_streams`` or
-    ``restart``.
+    The caller causes faults: it sets ``unresponsive_until_us`` or ``cut_binding_fraction``, or calls
+    ``break_streams`` or ``restart``.
     """
 
     def __init__(
@@ -41,11 +41,10 @@
         self.rejected_fraction = 0.02
         self.mean_lifetime_us = 3_000_000  # of the tasks
         self.tasks: dict[int, tuple[ReceivedOrder, Any]] = {}  # running, by request id
-        self.starting: dict[int, tuple[ReceivedOrder, Any]] = {}
-        self.used = [0.0, 0.0]
-        self.unreported_ends: list[
-            tuple[int, int, int]
-        ] = []  # arguments of ``end``, since the last connection opened
+        self.starting: dict[int, tuple[ReceivedOrder, Any]] = {}  # accepted, by request id
+        self.used = [0.0, 0.0]  # cores and memory
+        # Arguments of ``end`` for the tasks that ended since the last connection opened.
+        self.unreported_ends: list[tuple[int, int, int]] = []
         self.epoch = 0  # incremented at a restart; timers of an earlier epoch do nothing
 
     def order(self, order: ReceivedOrder, say: Any) -> None:
@@ -242,8 +241,10 @@
         time_left_ms = 8_000 if task["class"] == LOOKUP else 10_000
         self.next_uid += 1
         uid = task["uid"] = self.next_uid
-        deadline = self.loop.now + time_left_ms * 1000
-        self.oracle.asked[uid] = ObservedRequest(uid, key, task["class"] == LEDGER, self.loop.now, deadline)
+        deadline_us = self.loop.now + time_left_ms * 1000
+        self.oracle.asked[uid] = ObservedRequest(
+            uid, key, task["class"] == LEDGER, self.loop.now, deadline_us
+        )
         client = self.client(task["front"], task["service"])
         if client.stream is None:
             self.loop.spawn(self._send_when_connected(client, key, uid))
