--- a/thornshelf/lab/fleet_testbed.py
+++ b/thornshelf/lab/fleet_testbed.py
@@ -167,7 +167,7 @@
                 value["settings"]["limits"]["peer-messages"] = True
 
             liar_fault = "liar" if self.has_liar and member is self.members[-1] else ""
-            fault_names = ",".join(name for name in (liar_fault, odd, self.injected_fault) if name) or None
+            fault_names = ",".join(one for one in (liar_fault, odd, self.injected_fault) if one) or None
             member.process = DispatcherProcess(folder, [], operator, fault_names, changes=changes, wait=False)
             member.reset_states()
             member.logs.append(folder / "log")
--- a/thornshelf/lab/membership.py
+++ b/thornshelf/lab/membership.py
@@ -216,7 +216,7 @@
 def at_size(members: int, seed: int, quiet_s: int = 10, faults: bool = True) -> dict[str, Any]:
     """Measure joins, traffic for ``quiet_s`` seconds at rest and, with ``faults``, crashes and a partition."""
     start = time.monotonic()
-    gc.disable()  # its pauses would dominate a run, and the process ends afterwards
+    gc.disable()  # a run leaves few reference cycles, and the process ends after it
     network = Network(seed)
     names = [f"m{number:04d}" for number in range(members)]
     if members <= MAX_JOINING:
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -34,10 +34,10 @@
     "new to new": (GRPC2, GRPC2),
 }
 NODES = 8
-SERVICES = 60
-LEDGER_SHARE = 0.05
-NO_HINT_SHARE = 0.1
-SLACK_US = 2_500_000
+SERVICES = 60  # of the clients
+LEDGER_SHARE = 0.05  # of the tasks
+NO_HINT_SHARE = 0.1  # of the tasks
+SLACK_US = 2_500_000  # after which a missing answer or release counts as lost
 INJECTABLE_FAULTS = ("double-start", "drop-answer", "silent-hint")
 
 OPERATOR_FILE = """
