--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -229,8 +229,8 @@
     def ask(self, key: int, task_class: str, hint: str | None, service: int) -> None:
         """Create a task with an idempotency key, and request it."""
         self.oracle.has_client_hint[key] = hint is not None
-        self.tasks[key] = {"class": task_class, "hint": hint, "service": service, "front": self.wire_form}
-        self.tasks[key] |= {"until": self.loop.now + 9_000_000, "done": False, "uid": 0}
+        self.tasks[key] = {"class": task_class, "hint": hint, "service": service, "wire_form": self.wire_form}
+        self.tasks[key] |= {"retry_until_us": self.loop.now + 9_000_000, "done": False, "uid": 0}
         self.send_request(key)
 
     def send_request(self, key: int) -> None:
@@ -245,7 +245,7 @@
         self.oracle.asked[uid] = ObservedRequest(
             uid, key, task["class"] == LEDGER, self.loop.now, deadline_us
         )
-        client = self.client(task["front"], task["service"])
+        client = self.client(task["wire_form"], task["service"])
         if client.stream is None:
             self.loop.spawn(self._send_when_connected(client, key, uid))
         else:
@@ -283,7 +283,7 @@
             task["placed"] = True
         elif request.at_most_once and answer == "failed":
             self._record_outcome(request.key, "failed")  # it may have run, and is never requested again
-        elif self.loop.now < task["until"]:
+        elif self.loop.now < task["retry_until_us"]:
             delay_us = self.rng.randrange(300_000, 1_200_000)
             self.loop.after(delay_us, lambda: self.send_request(request.key))
         else:
@@ -313,12 +313,12 @@
             uid = task["uid"]
             request = self.oracle.asked[uid]
             request.void = True
-            client = self.clients.get((task["front"], task["service"] % CONNECTIONS_PER_FORM))
+            client = self.clients.get((task["wire_form"], task["service"] % CONNECTIONS_PER_FORM))
             if client is not None and client.stream is not None and client.stream.open:
                 client.give_up(uid)
             if is_ledger:
-                task["front"] = JSON if task["front"] != JSON else GRPC2
-            task["until"] = self.loop.now + 9_000_000
+                task["wire_form"] = JSON if task["wire_form"] != JSON else GRPC2
+            task["retry_until_us"] = self.loop.now + 9_000_000
             task["placed"] = False
             count += 1
             delay_us = 0 if is_ledger else self.rng.randrange(within_us)
@@ -335,7 +335,7 @@
             self.refused_connections += 1
         for key, task in list(self.tasks.items()):
             request = self.oracle.asked.get(task["uid"])
-            is_on_connection = (task["front"], task["service"] % CONNECTIONS_PER_FORM) == connection_key
+            is_on_connection = (task["wire_form"], task["service"] % CONNECTIONS_PER_FORM) == connection_key
             if (
                 is_on_connection
                 and request is not None
@@ -355,7 +355,7 @@
         for key, task in self.tasks.items():
             request = self.oracle.asked.get(task["uid"])
             is_on_connection = (
-                task["front"] == self.wire_form and task["service"] % CONNECTIONS_PER_FORM == connection
+                task["wire_form"] == self.wire_form and task["service"] % CONNECTIONS_PER_FORM == connection
             )
             if is_on_connection and request is not None and not task["done"] and not request.answers:
                 request.void = True
