--- a/thornshelf/admission/controller.py
+++ b/thornshelf/admission/controller.py
@@ -1,9 +1,10 @@
-"""Admission decisions on connections and requests: by source, by prefix and by the connections in reserve.
+"""Admission decisions on connections and requests: by source, by prefix and by reserved connections.
 
-A source is an IPv4 address or an IPv6 /64, of which a client has one, while a flood could use any number of addresses
-in it. All limits that apply to a source are checked before any of them is used up, so that a rejection by one costs
-nothing of the others. The state of sources is bounded: a source without an open connection whose rates have recovered
-is evicted, and when ``max_sources`` are tracked, new unknown ones share one state.
+A source is an IPv4 address or an IPv6 /64. Single IPv6 addresses are not limited, because a client can use any number
+of addresses of its /64. All limits that apply to a source are checked before any of them is charged, so that a
+rejection by one limit consumes nothing of the others. The number of tracked sources is bounded: a source without an
+open connection is evicted after its rates have recovered, and when ``max_sources`` are tracked, further unknown
+sources share one state.
 """
 
 from __future__ import annotations
@@ -16,19 +17,18 @@
 from thornshelf.admission.reputation import Reputation, ReputationConfig
 from thornshelf.admission.reserved_connections import ReservedConnections, ReservedConnectionsConfig
 
-Source = tuple[int, int]  # IP version, and the IPv4 address or the IPv6 /64
+Source = tuple[int, int]  # IP version; the IPv4 address, or the upper 64 bits of the IPv6 address
 UNREADABLE_SOURCE: Source = (0, 0)  # shared by peers whose address can't be parsed
 OVERFLOW_SOURCE: Source = (0, 1)  # shared by unknown sources beyond ``max_sources``
-FULL_RETRY_AFTER_US = 1_000_000  # for what is rejected until another connection closes
+FULL_RETRY_AFTER_US = 1_000_000  # for a connection that can't be admitted until another one closes
 _MAX_CACHED_ADDRESSES = 4096
-_EVICTIONS_PER_INSERT = (
-    2  # more than one, so that the table shrinks; few, so that each new source costs little
-)
+# More than one, so that the table shrinks again; few, so that tracking a new source takes little time.
+_EVICTIONS_PER_INSERT = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of one source, or of all sources of a prefix together; None is no limit."""
+    """Limits of one source, or of all sources of a prefix together; None means no limit."""
 
     max_connections: int | None = None
     connection_rate: Rate | None = None
@@ -37,13 +37,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefixRule:
-    """What applies to a prefix: whether its sources are known, their common limits, and those of each source."""
+    """The settings of a prefix: whether its sources are known, their common limits, and the limits of each source."""
 
     name: str
     prefix: Prefix
     known: bool = False
     prefix_limits: Limits = field(default_factory=Limits)
-    source_limits: Limits | None = None  # in place of those of a shorter prefix
+    source_limits: Limits | None = None  # replace those of shorter prefixes; None keeps them
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,8 +62,9 @@
 class Decision:
     """Whether a connection or request is admitted.
 
-    ``reason`` and ``retry_after_us``: set if it is rejected; ``replaces_idle``: it is admitted if an idle connection
-    of an unknown source is closed for it; ``known``: if it is rejected, whether its source is known.
+    ``reason``, ``retry_after_us`` and ``known`` (whether the source is known) are set only for a rejection.
+    ``replaces_idle``: the connection is admitted on condition that the caller closes an idle connection of an unknown
+    source.
     """
 
     admitted: bool
@@ -84,17 +85,18 @@
 
     def __init__(self, rules: tuple[PrefixRule, ...] = (), epoch: int = 0) -> None:
         self.open_count = 0
-        self.connection_arrival = 0  # theoretical arrival times, see gcra
+        self.connection_arrival = 0  # theoretical arrival times, as in ``gcra``
         self.request_arrival = 0
-        self.rules = rules  # that apply to a source, as of the epoch
-        self.epoch = epoch
+        self.rules = rules  # that apply to the source; empty in the state of a rule
+        self.epoch = epoch  # number of the reconfiguration that ``rules`` are from
 
 
-_Scope = tuple[Limits, _LimitState, str]  # limits, their usage, and of what they are, for texts
+# Limits, their usage, and the name of what they limit, for messages.
+_Scope = tuple[Limits, _LimitState, str]
 
 
 class ConnectionPermit:
-    """One admitted connection; it has to be released when the connection closes."""
+    """One admitted connection; the caller releases it when the connection closes."""
 
     __slots__ = ("epoch", "known", "rates", "released", "rules", "source", "state")
 
@@ -106,27 +108,27 @@
         self.rules = rules
         self.known = known
         self.released = False
-        self.epoch = -1  # of the rules that ``rates`` are of
+        self.epoch = -1  # number of the reconfiguration that ``rates`` are from; -1 before the first request
         self.rates: list[tuple[Rate, _LimitState, str]] = []
 
 
 class AdmissionController:
-    """Decides on connections and requests, and counts what is open."""
+    """Decides on connections and requests, and counts open connections."""
 
     def __init__(self, config: AdmissionConfig, now_us: int = 0) -> None:
         self.config = config
         self.reputation = Reputation(config.reputation, now_us)
         self.reserved_connections = ReservedConnections(config.reserved_connections)
         self.counts: Counter[str] = Counter()
-        self._sources: OrderedDict[Source, _LimitState] = OrderedDict()  # the last seen source is last
-        self._rules: dict[str, _LimitState] = {}  # by name, so that they outlive a reconfiguration
-        self._unknown_arrival = 0
+        self._sources: OrderedDict[Source, _LimitState] = OrderedDict()  # least recently seen first
+        self._rules: dict[str, _LimitState] = {}  # by name, so that usage survives a reconfiguration
+        self._unknown_arrival = 0  # theoretical arrival time of the rate that unknown sources share
         self._addresses: OrderedDict[str, Source] = OrderedDict()
         self._epoch = 0
         self.reconfigure(config)
 
     def reconfigure(self, config: AdmissionConfig) -> None:
-        """Applies new rules; no connection is closed, and open ones stay counted."""
+        """Applies new settings. Open connections stay open and keep counting towards the limits."""
         self.config = config
         self.reserved_connections.config = config.reserved_connections
         self._epoch += 1
@@ -139,7 +141,7 @@
         return len(self._sources)
 
     def source_of(self, address: str) -> Source:
-        """The source of a peer's address; all addresses that can't be parsed share one."""
+        """Returns the source of a peer's address; all addresses that can't be parsed share ``UNREADABLE_SOURCE``."""
         source = self._addresses.get(address)
         if source is None:
             try:
@@ -153,14 +155,17 @@
         return source
 
     def rules_for(self, source: Source) -> tuple[PrefixRule, ...]:
-        """The rules that apply to a source, that of the shortest prefix first."""
+        """Returns the rules that apply to a source, that of the shortest prefix first."""
         version, value = source
         if version not in (4, 6):
             return ()
         return tuple(self._table.matches(version, value if version == 4 else value << 64))
 
     def is_known(self, source: Source, now_us: int, rules: tuple[PrefixRule, ...] | None = None) -> bool:
-        """Whether a source is known, by a rule or by its reputation."""
+        """Returns whether a source is known, by one of its rules or by its reputation.
+
+        ``rules``: those of the source if the caller has them already; None looks them up.
+        """
         for rule in reversed(self.rules_for(source) if rules is None else rules):
             if rule.known:
                 return True
@@ -169,9 +174,9 @@
     def admit_connection(
         self, address: str, now_us: int, busy_unknown: int
     ) -> tuple[Decision, ConnectionPermit | None]:
-        """Decides on a new connection; the permit is None if it is rejected.
+        """Decides on a new connection, and returns its permit if it is admitted.
 
-        ``busy_unknown``: connections of unknown sources that can't be closed now.
+        ``busy_unknown``: number of open connections of unknown sources that can't be closed now.
         """
         source = self.source_of(address)
         state = self._sources.get(source)
@@ -193,7 +198,7 @@
         decision = ADMIT
         if not self.reserved_connections.can_open(known, busy_unknown):
             if not known or not self.reserved_connections.can_replace(busy_unknown):
-                return self._reject("no place is left", FULL_RETRY_AFTER_US, known), None
+                return self._reject("no free connection is left", FULL_RETRY_AFTER_US, known), None
             decision = ADMIT_REPLACING_IDLE
         for limits, usage, _ in scopes:
             usage.open_count += 1
@@ -205,7 +210,7 @@
         return decision, ConnectionPermit(source, state, rules, known)
 
     def release(self, permit: ConnectionPermit) -> None:
-        """An admitted connection was closed; releasing its permit again has no effect."""
+        """Records that an admitted connection was closed; releasing its permit again has no effect."""
         if permit.released:
             return
         permit.released = True
@@ -221,13 +226,13 @@
         for rate, usage, name in permit.rates:
             if next_arrival_time(rate, usage.request_arrival, now_us) is None:
                 wait = wait_us(rate, usage.request_arrival, now_us)
-                return self._reject(f"set-ups of {name} come too fast", wait, permit.known)
+                return self._reject(f"the request rate of {name} is exceeded", wait, permit.known)
         shared = None if permit.known else self.config.unknown_request_rate
         if shared is not None:
             arrival = next_arrival_time(shared, self._unknown_arrival, now_us)
             if arrival is None:
                 wait = wait_us(shared, self._unknown_arrival, now_us)
-                return self._reject("set-ups of unknown sources come too fast", wait, known=False)
+                return self._reject("the request rate of unknown sources is exceeded", wait, known=False)
             self._unknown_arrival = arrival
         for rate, usage, _ in permit.rates:
             usage.request_arrival = (
@@ -236,7 +241,10 @@
         return ADMIT
 
     def record_placement(self, permit: ConnectionPermit, now_us: int) -> None:
-        """A task was placed for a source; if that makes it known, its connection counts as known from now on."""
+        """Records that a task was placed for a source.
+
+        If that makes the source known, this connection counts as known from now on.
+        """
         if permit.source in (OVERFLOW_SOURCE, UNREADABLE_SOURCE):
             return
         self.reputation.record_placement(permit.source, now_us)
@@ -245,7 +253,7 @@
             self.reserved_connections.record_promotion()
 
     def _update_rates(self, permit: ConnectionPermit) -> None:
-        """Collects the request rates that apply to a connection, once after each reconfiguration."""
+        """Collects the request rates that apply to a connection; needed once after each reconfiguration."""
         permit.epoch = self._epoch
         rates = [(self._source_limits(permit.rules).request_rate, permit.state, "its address")]
         rates += [
@@ -260,14 +268,14 @@
         return self.config.source_limits
 
     def _connection_rejection(self, scopes: list[_Scope], known: bool, now_us: int) -> Decision | None:
-        """The rejection by the first limit that a new connection exceeds; None if there is none."""
+        """Returns the rejection by the first limit that a new connection exceeds; None if it exceeds none."""
         for limits, usage, name in scopes:
             if limits.max_connections is not None and usage.open_count >= limits.max_connections:
-                return self._reject(f"too many connections of {name}", FULL_RETRY_AFTER_US, known)
+                return self._reject(f"too many connections from {name}", FULL_RETRY_AFTER_US, known)
             rate = limits.connection_rate
             if rate is not None and next_arrival_time(rate, usage.connection_arrival, now_us) is None:
                 wait = wait_us(rate, usage.connection_arrival, now_us)
-                return self._reject(f"connections of {name} come too fast", wait, known)
+                return self._reject(f"the connection rate of {name} is exceeded", wait, known)
         return None
 
     def _reject(self, reason: str, retry_after_us: int, known: bool) -> Decision:
@@ -288,7 +296,7 @@
         return source, state
 
     def _evict_idle(self, now_us: int) -> None:
-        """Evicts the sources that were not seen for longest, if they are idle."""
+        """Evicts the least recently seen sources, if they are idle."""
         for _ in range(_EVICTIONS_PER_INSERT):
             if not self._sources:
                 return
@@ -298,11 +306,11 @@
             elif len(self._sources) < self.config.max_sources:
                 return
             else:
-                # It must not keep the others behind it from eviction.
+                # A busy source at the front must not keep the idle ones behind it from eviction.
                 self._sources.move_to_end(source)
 
     def _is_idle(self, state: _LimitState, now_us: int) -> bool:
-        """Whether a source has no open connection, and its rates have recovered."""
+        """Returns whether a source has no open connection and its rates have recovered."""
         if state.open_count:
             return False
         limits = self._source_limits(state.rules)
--- a/thornshelf/admission/descriptors.py
+++ b/thornshelf/admission/descriptors.py
@@ -1,7 +1,6 @@
-"""A ledger of all file descriptors: each kind has a floor that no other kind can use.
+"""Accounting of file descriptors by kind: each kind has a floor that no other kind can use.
 
-The limit is the smaller of the configured one and that of the process. Descriptors are counted where they are opened
-and closed; the ledger never queries the system.
+Callers report each descriptor that they open or close; the ledger never queries the operating system.
 """
 
 from __future__ import annotations
@@ -18,8 +17,9 @@
 class DescriptorLedgerConfig:
     """The limits of a ledger, in descriptors.
 
-    ``limit``: for all of them; ``baseline``: open at the start and not counted by kind; ``floors``: by kind, reserved
-    for it. Raises ``InvalidParameterError`` for an unknown kind, or if the floors exceed the limit.
+    ``limit``: the total that the process may open; ``baseline``: those that belong to no kind, open since the start;
+    ``floors``: how many are reserved for each kind. Raises ``InvalidParameterError`` for an unknown kind, or if the
+    floors and the baseline exceed the limit.
     """
 
     limit: int
@@ -28,13 +28,13 @@
 
     def __post_init__(self) -> None:
         if unknown := set(self.floors) - set(DESCRIPTOR_KINDS):
-            raise InvalidParameterError(f"no such kind: {sorted(unknown)}")
+            raise InvalidParameterError(f"unknown kinds of descriptors: {sorted(unknown)}")
         if sum(self.floors.values()) + self.baseline > self.limit:
-            raise InvalidParameterError("the floors are more than there is")
+            raise InvalidParameterError("the floors and the baseline exceed the limit")
 
 
 class DescriptorLedger:
-    """Counts of open descriptors by kind, and of rejected requests for one."""
+    """Counts open descriptors and failed acquisitions by kind."""
 
     def __init__(self, config: DescriptorLedgerConfig) -> None:
         self.config = config
@@ -44,18 +44,18 @@
 
     @property
     def open_count(self) -> int:
-        """Open descriptors of all kinds, with the baseline."""
+        """Number of open descriptors of all kinds, including the baseline."""
         return self.config.baseline + sum(self.used.values())
 
     def available(self, kind: str) -> int:
-        """How many more of a kind may be opened without using the floors of other kinds."""
+        """Returns how many more descriptors of a kind may be opened without using the floors of other kinds."""
         reserved_for_others = sum(
             max(0, floor - self.used[other]) for other, floor in self.config.floors.items() if other != kind
         )
         return max(0, self.config.limit - self.open_count - reserved_for_others)
 
     def acquire(self, kind: str) -> bool:
-        """Counts one more of a kind as open; false if none is available."""
+        """Counts one more descriptor of a kind as open; returns false if none is available."""
         if self.available(kind) <= 0:
             self.rejected[kind] += 1
             return False
@@ -64,10 +64,10 @@
         return True
 
     def release(self, kind: str) -> None:
-        """A descriptor of a kind was closed."""
+        """Records that a descriptor of a kind was closed."""
         self.used[kind] -= 1
 
     def reconfigure(self, config: DescriptorLedgerConfig) -> int:
-        """Applies new limits; returns how many open descriptors exceed them. None of these is closed."""
+        """Applies new limits; returns by how many the open descriptors exceed the new limit. None is closed."""
         self.config = config
         return max(0, self.open_count - config.limit)
--- a/thornshelf/admission/fair_queue.py
+++ b/thornshelf/admission/fair_queue.py
@@ -1,9 +1,9 @@
-"""A queue of requests for the placement module, fair between tenants: by weight, quota and deadline.
+"""A queue of requests for the placement module that shares capacity between tenants by weight and quota.
 
-Requests within their tenant's quota are taken first, by weight (stride scheduling: the tenant that has had least for
-its weight is next); requests beyond a quota follow when nobody within a quota waits, again by weight. Of one tenant
-the highest priority is first, then the nearest deadline. What can't start in time any more is returned at once, and
-in an overload so are requests beyond a quota, the last of their order first.
+Requests within their tenant's quota are taken first, by weight (stride scheduling: the tenant that was served least
+in proportion to its weight is next). Requests beyond a quota follow when no request within a quota waits, again by
+weight. Among the requests of one tenant the highest priority is first, then the nearest deadline. ``pop_expired``
+returns requests that can't start in time any more and, during an overload, requests beyond a quota that were shed.
 """
 
 from __future__ import annotations
@@ -20,14 +20,18 @@
 T = TypeVar("T")
 STRIDE_SCALE = 1 << 20
 MIN_WEIGHT = 1e-6
-UNASSIGNED_TENANT = ""  # of requests that name no tenant, or one without a weight
-_STALE_DEADLINES = 64  # deadlines of requests taken since, beyond which the heap is rebuilt
+UNASSIGNED_TENANT = ""  # for requests that name no tenant, or a tenant without a weight
+_STALE_DEADLINES = 64  # how many entries of removed requests the heap of deadlines holds before it is rebuilt
 
 
 @dataclass(frozen=True, slots=True)
 class FairQueueConfig:
-    """``weights``: by tenant; ``quotas``: rate of requests that are within the quota, by tenant (none: all are);
-    ``batch_size``, ``min_remaining_us`` and ``max_waiting`` as in ``retries.deadline_queue``."""
+    """The settings of a ``FairQueue``.
+
+    ``weights``: by tenant; ``quotas``: by tenant, the rate of requests that count as within its quota (all requests
+    of a tenant with a weight and no quota do); ``batch_size``, ``min_remaining_us`` and ``max_waiting``: as in
+    ``retries.deadline_queue``.
+    """
 
     weights: Mapping[str, float] = field(default_factory=dict)
     quotas: Mapping[str, Rate] = field(default_factory=dict)
@@ -39,6 +43,8 @@
 
 @dataclass(slots=True)
 class _Waiting(Generic[T]):
+    """A request in the queue."""
+
     item: T
     within_quota: bool
     priority: int
@@ -52,13 +58,13 @@
     __slots__ = ("heap", "stride", "virtual_time")
 
     def __init__(self, weight: float) -> None:
-        self.heap: list[tuple[int, int, int]] = []  # negated priority, deadline, ticket
+        self.heap: list[tuple[int, int, int]] = []  # negated priority, deadline in microseconds, ticket
         self.stride = max(1, int(STRIDE_SCALE / max(weight, MIN_WEIGHT)))
         self.virtual_time = 0
 
 
 class FairQueue(Generic[T]):
-    """Waiting requests; implements ``RequestQueue`` like ``retries.deadline_queue.DeadlineQueue``."""
+    """Waiting requests; implements ``RequestQueue`` as ``retries.deadline_queue.DeadlineQueue`` does."""
 
     def __init__(self, config: FairQueueConfig) -> None:
         self.config = config
@@ -69,9 +75,9 @@
         self._items: dict[int, _Waiting[T]] = {}
         self._lanes: dict[tuple[str, bool], _Lane] = {}
         self._deadlines: list[tuple[int, int]] = []  # a heap of deadlines and tickets
-        self._arrival_times: dict[str, int] = {}  # of the tenants' quotas
-        self._virtual_times = {True: 0, False: 0}  # within the quotas, and beyond
-        self._shed: list[T] = []  # to be returned by pop_expired
+        self._arrival_times: dict[str, int] = {}  # theoretical arrival times of the quotas, by tenant
+        self._virtual_times = {True: 0, False: 0}  # by whether requests are within their quota
+        self._shed: list[T] = []  # returned by the next call of ``pop_expired``
 
     def __len__(self) -> int:
         return len(self._items)
@@ -88,7 +94,7 @@
         lane = self._lane(name, within_quota)
         ticket = next(self._tickets)
         if not lane.heap:
-            # A tenant that was idle has no claim on what it did not request then.
+            # An idle tenant earns no credit.
             lane.virtual_time = max(lane.virtual_time, self._virtual_times[within_quota])
         self._items[ticket] = _Waiting(item, within_quota, priority, deadline_us, now_us)
         heapq.heappush(lane.heap, (-priority, deadline_us, ticket))
@@ -96,11 +102,11 @@
         return ticket
 
     def remove(self, ticket: int) -> None:
-        """A client cancelled its request."""
+        """Removes a cancelled request; does nothing if it was taken already."""
         self._items.pop(ticket, None)
 
     def pop_expired(self, now_us: int) -> list[T]:
-        """Requests that can't start in time, those beyond the maximum, and those shed in an overload."""
+        """Removes and returns requests that can't start in time, exceed ``max_waiting`` or were shed."""
         expired = self._shed
         self._shed = []
         while self._deadlines and self._deadlines[0][0] - now_us < self.config.min_remaining_us:
@@ -116,7 +122,7 @@
         return expired
 
     def pop_batch(self, now_us: int = 0) -> list[T]:
-        """The next requests for the placement module."""
+        """Removes and returns the next requests, at most ``batch_size``."""
         batch: list[T] = []
         while len(batch) < self.config.batch_size and (ticket := self._next_ticket()) is not None:
             waiting = self._items.pop(ticket)
@@ -128,7 +134,7 @@
         return batch
 
     def _use_quota(self, tenant: str, now_us: int) -> bool:
-        """Whether a request is within its tenant's quota, which it uses up then."""
+        """Returns whether a request is within its tenant's quota, and charges the quota if it is."""
         quota = self.config.quotas.get(tenant)
         if quota is None:
             return tenant in self.config.weights or not self.config.weights
@@ -146,12 +152,13 @@
         return lane
 
     def _has_waiting(self, lane: _Lane) -> bool:
-        """Whether a lane has a request; drops the tickets of removed ones from its top."""
+        """Returns whether a lane has a request; drops tickets of removed requests from the top of its heap."""
         while lane.heap and lane.heap[0][2] not in self._items:
             heapq.heappop(lane.heap)
         return bool(lane.heap)
 
     def _next_ticket(self) -> int | None:
+        """Takes the ticket of the request to serve next; None if there is none."""
         for within_quota in (True, False):
             best: tuple[int, str] | None = None
             for (tenant, kind), lane in self._lanes.items():
@@ -166,7 +173,7 @@
         return None
 
     def _shed_one(self) -> None:
-        """Sheds the request beyond a quota that is last in the order, if there is one."""
+        """Sheds the last in order of the requests beyond a quota, if there is one."""
         beyond_quota = [ticket for ticket, waiting in self._items.items() if not waiting.within_quota]
         if beyond_quota:
             last = max(beyond_quota, key=self._order)
@@ -174,5 +181,6 @@
             self.shed_count += 1
 
     def _order(self, ticket: int) -> tuple[bool, int, int, int]:
+        """Returns the sort key of a request; the one with the highest key is rejected first."""
         waiting = self._items[ticket]
         return not waiting.within_quota, -waiting.priority, waiting.deadline_us, ticket
--- a/thornshelf/admission/gcra.py
+++ b/thornshelf/admission/gcra.py
@@ -1,8 +1,8 @@
 """Rate limits by the generic cell rate algorithm (ITU-T I.371, annex A, virtual scheduling), in integers.
 
-A limit is ``count`` in ``period_us`` microseconds, with a burst of up to ``burst``. The theoretical arrival time is
-held in units of 1/count microseconds, so that no rate is rounded. A clock that stands still, is late or jumps ahead
-never allows more than the burst, as idle time earns nothing beyond it.
+A rate is ``count`` events in ``period_us`` microseconds, with a burst of up to ``burst``. The theoretical arrival
+time is held in units of 1/count microseconds, so that no rate is rounded. A clock that stops or jumps never allows
+more than the burst at once, as idle time earns no credit beyond it.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 
 def next_arrival_time(rate: Rate, arrival_time: int, now_us: int) -> int | None:
-    """The new theoretical arrival time if one more conforms now; None if it does not.
+    """Returns the new theoretical arrival time if one more event conforms to the rate now; None if it does not.
 
-    ``arrival_time``: the previous one, 0 initially. Both in units of 1/rate.count microseconds.
+    ``arrival_time``: the previous one, 0 initially. Both are in units of 1/rate.count microseconds.
     """
     now = now_us * rate.count
     arrival_time = max(arrival_time, now)
@@ -38,11 +38,11 @@
 
 
 def wait_us(rate: Rate, arrival_time: int, now_us: int) -> int:
-    """Microseconds until one more would conform; 0 if it would now."""
+    """Returns the microseconds until one more event would conform; 0 if it would now."""
     excess = arrival_time - now_us * rate.count - (rate.burst - 1) * rate.period_us
     return max(0, -(-excess // rate.count))
 
 
 def is_idle(rate: Rate, arrival_time: int, now_us: int) -> bool:
-    """Whether the state equals the initial one by now, so that it need not be stored."""
+    """Returns whether the rate has recovered, so that its arrival time is equivalent to 0 and need not be stored."""
     return arrival_time <= now_us * rate.count
--- a/thornshelf/admission/heavy_hitters.py
+++ b/thornshelf/admission/heavy_hitters.py
@@ -1,8 +1,8 @@
 """Heavy hitters in bounded memory: the space-saving algorithm (Metwally, Agrawal, El Abbadi 2005), with decay.
 
-At most ``capacity`` sources are tracked. A new one replaces the one with the lowest count and inherits that count, so
-that a count is never too low, and too high by at most the total divided by the capacity. Sources of equal count share
-a bucket, so that an addition takes constant time.
+At most ``capacity`` sources are tracked. A new source replaces the one with the lowest count and inherits that count.
+So a count is never too low, and it is too high by at most the total divided by the capacity. Sources with equal
+counts share a bucket, so that an addition takes amortised constant time.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
     def __init__(self, capacity: int) -> None:
         if capacity < 1:
-            raise InvalidParameterError("at least one source has to be kept")
+            raise InvalidParameterError("the capacity is less than 1")
         self.capacity = capacity
         self.total = 0
         self._counts: dict[K, int] = {}
-        self._errors: dict[K, int] = {}  # how much of a count may belong to replaced sources
+        self._errors: dict[K, int] = {}  # the part of a count that was inherited from replaced sources
         self._buckets: dict[int, dict[K, None]] = {}  # by count; in each the oldest source is first
         self._lowest_count = 0
 
@@ -32,19 +32,19 @@
         return len(self._counts)
 
     def upper_bound(self, source: K) -> int:
-        """At least the true count of a tracked source; 0 for others."""
+        """Returns an upper bound of the true count of a tracked source; 0 for others."""
         return self._counts.get(source, 0)
 
     def lower_bound(self, source: K) -> int:
-        """At most the true count of a source."""
+        """Returns a lower bound of the true count of a source."""
         return self._counts.get(source, 0) - self._errors.get(source, 0)
 
     def add(self, source: K, count: int = 1) -> int:
-        """Adds to the count of a source; returns its count, as ``upper_bound``."""
+        """Adds to the count of a source; returns the new upper bound."""
         self.total += count
         previous = self._counts.get(source)
         if previous is None:
-            previous = self._errors[source] = self._replaced_count()
+            previous = self._errors[source] = self._make_room()
         else:
             self._remove_from_bucket(source, previous)
         new_count = previous + count
@@ -57,7 +57,7 @@
         return new_count
 
     def decay(self) -> None:
-        """Halves all counts; sources without a count left are dropped."""
+        """Halves all counts; sources whose count becomes 0 are dropped."""
         counts = self._counts
         errors = self._errors
         self._counts = {}
@@ -72,11 +72,11 @@
         self._lowest_count = min(self._buckets, default=0)
 
     def top(self, count: int) -> list[tuple[K, int]]:
-        """The ``count`` sources with the highest counts, and these counts, the highest first."""
+        """Returns the ``count`` sources with the highest upper bounds, with these bounds, the highest first."""
         return sorted(self._counts.items(), key=lambda item: -item[1])[:count]
 
-    def _replaced_count(self) -> int:
-        """Makes place for a new source; returns the count that it inherits."""
+    def _make_room(self) -> int:
+        """Makes room for a new source; returns the count that it inherits."""
         if len(self._counts) < self.capacity:
             return 0
         lowest = self._find_lowest_count()
@@ -93,7 +93,7 @@
             del self._buckets[count]
 
     def _find_lowest_count(self) -> int:
-        # Counts only grow between two decays, so the search advances by few steps in all.
+        # Counts only grow between two decays, so the search goes on from where the last one ended.
         while self._lowest_count not in self._buckets:
             self._lowest_count += 1
             if self._lowest_count > self.total:
--- a/thornshelf/admission/overload.py
+++ b/thornshelf/admission/overload.py
@@ -1,7 +1,7 @@
 """Overload detection by the time that requests wait in the queue, after CoDel (RFC 8289, section 5).
 
-While the shortest wait of an interval stays under the target there is no overload, however long the queue may be for
-a moment. Otherwise requests are shed one after another, at a rate that grows while the overload lasts.
+There is an overload when every wait of an interval has reached the target; a queue that is long only for a moment is
+none. During an overload requests are shed one after another, at a rate that grows while it lasts.
 """
 
 from __future__ import annotations
@@ -9,30 +9,31 @@
 import math
 from dataclasses import dataclass
 
-# Overload that returns within so many intervals continues at nearly the rate reached before.
+# An overload that returns within this many intervals resumes at nearly the rate of shedding reached before.
 _RESUME_INTERVALS = 8
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadConfig:
-    """``target_us``: acceptable wait; ``interval_us``: how long it must be exceeded to count as overload."""
+    """``target_us``: shorter waits are acceptable; ``interval_us``: how long waits must reach it for an overload."""
 
     target_us: int = 20_000
     interval_us: int = 200_000
 
 
 class OverloadDetector:
-    """The control law; gets the wait of each request that is taken from the queue."""
+    """Detects overload from the wait of each request that is taken from the queue, and paces the shedding."""
 
     def __init__(self, config: OverloadConfig) -> None:
         self.config = config
         self.shed_in_episode = 0
         self.is_overloaded = False
-        self._overload_from_us: int | None = None  # when the target will have been exceeded for an interval
+        # When the waits will have reached the target for an interval; None while they are acceptable.
+        self._overload_from_us: int | None = None
         self._next_shed_us = 0
 
     def record_wait(self, wait_us: int, now_us: int) -> bool:
-        """A request was taken from the queue; true if another one is to be shed now."""
+        """Records the wait of a request taken from the queue; returns whether to shed another request now."""
         if wait_us < self.config.target_us:
             self.reset()
             return False
@@ -51,7 +52,7 @@
         return True
 
     def reset(self) -> None:
-        """The queue is empty or the wait acceptable: there is no overload."""
+        """Ends an overload, as the queue is empty or the wait acceptable."""
         self._overload_from_us = None
         self.is_overloaded = False
 
--- a/thornshelf/admission/prefixes.py
+++ b/thornshelf/admission/prefixes.py
@@ -1,8 +1,8 @@
-"""Tables of address prefixes (IPv4 and IPv6), to find all rules that apply to an address.
+"""Tables of IPv4 and IPv6 address prefixes that find all prefixes containing an address.
 
-``PrefixTable`` is a path-compressed binary trie: the prefix of a child extends that of its parent. One walk finds
-all prefixes that contain an address, however many lengths there are. ``PerLengthPrefixTable`` is the plain
-alternative that tests and ``benchmarks`` compare it with.
+``PrefixTable`` is a path-compressed binary trie: the prefix of a child extends that of its parent, so one walk finds
+all matches, however many prefix lengths there are. ``PerLengthPrefixTable`` is a simple implementation that tests and
+``benchmarks`` compare it with.
 """
 
 from __future__ import annotations
@@ -13,13 +13,16 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-Prefix = tuple[int, int, int]  # IP version, significant bits (right-aligned), their number
+Prefix = tuple[int, int, int]  # IP version, leading bits (right-aligned), prefix length
 
 
 def parse_address(text: str) -> tuple[int, int]:
-    """IP version and value of an address; an IPv4-mapped address counts as IPv4. Raises ``ValueError``."""
+    """Returns the IP version and the value of an address; raises ``ValueError`` if the text is none.
+
+    An IPv4-mapped IPv6 address counts as IPv4, and a zone after ``%`` is ignored.
+    """
     try:
-        # Nearly all addresses are IPv4, and this is much faster than ``ipaddress``.
+        # Much faster than ``ipaddress`` for IPv4 addresses, the common case.
         return 4, int.from_bytes(socket.inet_pton(socket.AF_INET, text), "big")
     except OSError:
         pass
@@ -30,7 +33,7 @@
 
 
 def parse_prefix(text: str) -> Prefix:
-    """A prefix as in 10.0.0.0/8 or fd00::/8; raises ``ValueError``, also for bits beyond its length."""
+    """Parses a prefix such as 10.0.0.0/8; raises ``ValueError``, also if bits beyond the length are set."""
     network = ipaddress.ip_network(text)
     host_bits = network.max_prefixlen - network.prefixlen
     return network.version, int(network.network_address) >> host_bits, network.prefixlen
@@ -40,6 +43,8 @@
 
 
 class _Node(Generic[T]):
+    """A node of the trie; ``value`` is None if its prefix was not inserted."""
+
     __slots__ = ("bits", "children", "length", "value")
 
     def __init__(self, bits: int, length: int) -> None:
@@ -68,21 +73,21 @@
                 self._count += node.value is None
                 node.value = value
                 return
-            side = bits >> (length - node.length - 1) & 1
-            child = node.children[side]
+            branch = bits >> (length - node.length - 1) & 1
+            child = node.children[branch]
             if child is None:
-                child = node.children[side] = _Node(bits, length)
+                child = node.children[branch] = _Node(bits, length)
             else:
                 common = _common_length(child.bits, child.length, bits, length)
                 if common < child.length:
-                    # The paths diverge within this edge, or the new prefix ends in it.
+                    # The new prefix diverges from this edge or ends within it: the edge is split.
                     middle: _Node[T] = _Node(bits >> (length - common), common)
                     middle.children[child.bits >> (child.length - common - 1) & 1] = child
-                    node.children[side] = child = middle
+                    node.children[branch] = child = middle
             node = child
 
     def matches(self, version: int, address: int) -> Iterator[T]:
-        """The values of all prefixes that contain an address, the shortest prefix first."""
+        """Yields the values of all prefixes that contain an address, the shortest prefix first."""
         width = ADDRESS_BITS[version]
         node: _Node[T] | None = self._roots[version]
         while node is not None:
@@ -95,7 +100,7 @@
             node = node.children[address >> (width - node.length - 1) & 1]
 
     def longest_match(self, version: int, address: int) -> T | None:
-        """The value of the longest prefix that contains an address; None if there is none."""
+        """Returns the value of the longest prefix that contains an address; None if there is none."""
         found = None
         for found in self.matches(version, address):  # noqa: B007
             pass
@@ -103,7 +108,7 @@
 
 
 def _common_length(first: int, first_length: int, second: int, second_length: int) -> int:
-    """Number of leading bits that two prefixes share."""
+    """Returns the number of leading bits that two prefixes share."""
     length = min(first_length, second_length)
     difference = (first >> (first_length - length)) ^ (second >> (second_length - length))
     return length - difference.bit_length()
@@ -122,7 +127,7 @@
         self._by_length[version] = dict(sorted(self._by_length[version].items()))
 
     def matches(self, version: int, address: int) -> Iterator[T]:
-        """The values of all prefixes that contain an address, the shortest prefix first."""
+        """Yields the values of all prefixes that contain an address, the shortest prefix first."""
         width = ADDRESS_BITS[version]
         for length, table in self._by_length[version].items():
             if (value := table.get(address >> (width - length))) is not None:
--- a/thornshelf/admission/rejection_log.py
+++ b/thornshelf/admission/rejection_log.py
@@ -1,6 +1,6 @@
-"""Summaries of rejections for the log, in place of a line for each: a flood of clients must not fill the log.
+"""Summaries of rejections for the log, instead of a line for each, so that a flood of clients does not fill the log.
 
-Bounded in memory: a summary names the sources with the most rejections, and a lower bound of the count of each.
+Memory is bounded: a summary names only the sources with the most rejections, with a lower bound of the count of each.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectionLogConfig:
-    """``interval_us``: between two summaries; ``top_sources``: named in each; ``max_sources``: counted apart."""
+    """``interval_us``: between summaries; ``top_sources``: how many each names; ``max_sources``: tracked at once."""
 
     interval_us: int = 1_000_000
     top_sources: int = 3
@@ -23,10 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectionSummary:
-    """Rejections since the last summary, by kind; the top sources with a lower bound of their rejections."""
+    """Rejections since the last summary, by kind, and the top sources with lower bounds of their rejections."""
 
     counts: dict[str, int]
-    known_count: int  # of known sources: what an operator should look at first
+    known_count: int  # rejections of known sources, which an operator should look into first
     top_sources: list[tuple[Source, int]]
 
 
@@ -41,7 +41,10 @@
         self._sources: SpaceSavingCounter[Source] = SpaceSavingCounter(config.max_sources)
 
     def record(self, kind: str, source: Source, known: bool, now_us: int) -> int | None:
-        """Counts a rejection; returns when a summary is due if this is the first since the last one."""
+        """Counts a rejection.
+
+        Returns when the next summary is due if this is the first rejection since the last summary, None otherwise.
+        """
         is_first = not self._counts
         self._counts[kind] = self._counts.get(kind, 0) + 1
         self._known_count += known
@@ -49,7 +52,7 @@
         return max(now_us, self._last_summary_us + self.config.interval_us) if is_first else None
 
     def take_summary(self, now_us: int) -> RejectionSummary | None:
-        """The summary to log now, and a new start; None without rejections."""
+        """Returns the summary to log now, and starts the next one; None if nothing was rejected."""
         if not self._counts:
             return None
         candidates = self._sources.top(self.config.top_sources)
@@ -64,7 +67,7 @@
 
 
 def format_source(source: Source) -> str:
-    """A source as an IPv4 address, as an IPv6 /64, or as the name of a shared source."""
+    """Formats a source as an IPv4 address, as an IPv6 /64, or as the name of a shared source."""
     version, value = source
     if version == 4:
         return ".".join(str(value >> shift & 255) for shift in (24, 16, 8, 0))
--- a/thornshelf/admission/reputation.py
+++ b/thornshelf/admission/reputation.py
@@ -1,8 +1,8 @@
-"""Sources that are known by their reputation: tasks were placed for them recently.
+"""Sources that are known by their reputation: enough tasks were placed for them recently.
 
-Bounded and decaying: a client network that moves to another address is known there after a few placements, and a
-network that left is forgotten. Only the placements that surely belong to a source count, so that many new addresses
-can't become known by evicting others.
+The counts decay: a client network that moves to another address becomes known there after a few placements, and its
+old address is forgotten. The lower bound of a source's placements decides, so that a flood of new addresses can't
+become known by inheriting the counts of evicted ones.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReputationConfig:
-    """``known_after``: placements that make a source known; ``half_life_us``: after which they count half;
+    """``known_after``: placements that make a source known; ``half_life_us``: interval at which counts are halved;
     ``max_sources``: tracked at once."""
 
     known_after: int = 4
@@ -34,17 +34,17 @@
         self._halved_us = now_us
 
     def record_placement(self, source: Hashable, now_us: int) -> None:
-        """A task was placed for a source."""
+        """Records that a task was placed for a source."""
         self._decay(now_us)
         self._placements.add(source)
 
     def is_known(self, source: Hashable, now_us: int) -> bool:
-        """Whether enough tasks were placed for a source recently."""
+        """Returns whether enough tasks were placed for a source recently."""
         self._decay(now_us)
         return self._placements.lower_bound(source) >= self.config.known_after
 
     def _decay(self, now_us: int) -> None:
-        # After that many halvings nothing is left, however long the pause was.
+        # This many halvings leave no count, so a longer pause needs no more steps.
         steps = min(_MAX_HALVINGS, max(0, now_us - self._halved_us) // self.config.half_life_us)
         for _ in range(steps):
             self._placements.decay()
--- a/thornshelf/frontends/listener.py
+++ b/thornshelf/frontends/listener.py
@@ -29,7 +29,7 @@
     """The decision on connections that come when the process can open no more descriptors."""
 
     admitted = False
-    reason = "no descriptor is left"
+    reason = "no file descriptor is left"
     retry_after_us = FULL_RETRY_AFTER_US
     replaces_idle = False
 
