--- a/thornshelf/wire/__init__.py
+++ b/thornshelf/wire/__init__.py
@@ -1,1 +1,4 @@
-"""Pure incremental parsers and encoders: no sockets, no clock, one error type."""
+"""Incremental parsers and encoders of the protocols, without sockets or a clock.
+
+All parsers raise ``WireError`` for malformed input.
+"""
--- a/thornshelf/wire/binary.py
+++ b/thornshelf/wire/binary.py
@@ -1,6 +1,6 @@
-"""The nodes' wire: length, type, task id and parameters, big-endian.
+"""The binary protocol of nodes: length, message type, task id and parameters, big-endian.
 
-The constants have the names of the platform's description of this wire.
+The constants have the names that the platform's description of the protocol uses.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 MAX_MESSAGE = 16 * 1024
 
-# Types of messages.
+# Message types.
 SET_UP = 1
 PROGRESS = 6
 ANSWER = 9
@@ -24,7 +24,7 @@
 TEST = 52
 TESTED = 53
 
-# Codes of parameters.
+# Parameter codes.
 CLASS = 129
 WAIT = 132
 KEY = 141
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message; ``values`` are its parameters by code, the first of each."""
+    """One message; ``values``: its parameters by code, the first of each where one is repeated."""
 
     type: int
     uid: int
@@ -48,18 +48,18 @@
 
     @property
     def cause(self) -> int | None:
-        """The cause, where the message carries one."""
+        """The cause code; None if the message has none."""
         value = self.values.get(CAUSE)
         return value[0] if value else None
 
     def text(self, code: int) -> str | None:
-        """A parameter as text, where the message carries it."""
+        """Return a parameter as text, with replacement characters for invalid UTF-8; None if the message has none."""
         value = self.values.get(code)
         return None if value is None else value.decode("utf-8", "replace")
 
 
 def encode(kind: int, uid: int, values: dict[int, bytes] | None = None) -> bytes:
-    """A complete message, with the parameters in their order. Raises ``WireError`` where it is too long."""
+    """Encode a complete message, with the parameters in the given order. Raises ``WireError`` if it is too long."""
     body = b"".join(_PARAMETER.pack(code, len(value)) + value for code, value in (values or {}).items())
     if len(body) + _HEADER.size > MAX_MESSAGE:
         raise WireError(f"message is longer than {MAX_MESSAGE} bytes", uid=uid)
@@ -67,27 +67,27 @@
 
 
 def parse(body: bytes) -> Message:
-    """Decode a message without its length. Raises ``WireError`` where it is malformed."""
+    """Decode a message without its length field. Raises ``WireError`` if it is malformed."""
     if len(body) < 9:
-        raise WireError(f"message of {len(body)} bytes has no room for type and task", fatal=True)
+        raise WireError(f"message of {len(body)} bytes is too short for a type and a task id", fatal=True)
     values: dict[int, bytes] = {}
-    at = 9
-    while at < len(body):
-        if at + 3 > len(body):
-            raise WireError("parameter breaks off", fatal=True)
-        code, length = _PARAMETER.unpack_from(body, at)
-        at += 3
-        if at + length > len(body):
-            raise WireError(f"parameter {code} breaks off", fatal=True)
-        values.setdefault(code, body[at : at + length])
-        at += length
+    offset = 9
+    while offset < len(body):
+        if offset + 3 > len(body):
+            raise WireError("parameter header is truncated", fatal=True)
+        code, length = _PARAMETER.unpack_from(body, offset)
+        offset += 3
+        if offset + length > len(body):
+            raise WireError(f"parameter {code} is truncated", fatal=True)
+        values.setdefault(code, body[offset : offset + length])
+        offset += length
     if CAUSE in values and len(values[CAUSE]) != 1:
-        raise WireError("cause is not one byte", fatal=True)
+        raise WireError("cause is not exactly one byte long", fatal=True)
     return Message(body[0], int.from_bytes(body[1:9], "big"), values)
 
 
 def parse_number(text: str | None) -> float | None:
-    """The number of a note where it is finite, else None."""
+    """Parse the number of a note; None if it is missing, malformed or not finite."""
     try:
         number = float(text) if text is not None else math.nan
     except ValueError:
@@ -96,7 +96,7 @@
 
 
 def parse_load_report(text: str | None) -> dict[str, float]:
-    """The fields of a load report; those that can't be read are left out."""
+    """Parse the fields of a load report; malformed ones are left out."""
     fields = {}
     for part in (text or "").split(";"):
         name, _, value = part.partition(":")
@@ -107,22 +107,25 @@
 
 
 class MessageReader:
-    """Splits a stream of bytes into messages; its buffer is bounded by one message."""
+    """Splits a stream of bytes into messages.
+
+    Between two calls of ``feed`` it holds at most one incomplete message, if the caller takes the complete ones.
+    """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Buffer more bytes of the stream."""
+        """Add bytes to the buffer."""
         self._buffer += data
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether bytes of an incomplete message are buffered."""
         return bool(self._buffer)
 
     def next(self) -> Message | None:
-        """The next message, or None until more bytes come. Raises ``WireError`` for a malformed one."""
+        """Return the next message; None if it is incomplete. Raises ``WireError`` if it is malformed."""
         if len(self._buffer) < 2:
             return None
         length = int.from_bytes(self._buffer[:2], "big")
--- a/thornshelf/wire/errors.py
+++ b/thornshelf/wire/errors.py
@@ -1,4 +1,4 @@
-"""Errors that input raises, and why a connection ended, as log lines state it."""
+"""The error of malformed input, and the reasons for the end of a connection."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class DisconnectCause(enum.Enum):
-    """What ended a connection, as far as the next attempt to connect depends on it."""
+    """The cause of the end of a connection, as far as reconnecting depends on it."""
 
     IDLE = enum.auto()
     EVICTED = enum.auto()
     CLOSED_BY_PEER = enum.auto()
     INVALID_INPUT = enum.auto()
-    UNUSABLE = enum.auto()  # anything else: the text says what
+    UNUSABLE = enum.auto()  # any other cause, which the text of the reason states
 
 
 class DisconnectReason(NamedTuple):
-    """Why a connection ended; ``text`` is the sentence of the log line."""
+    """Why a connection ended; ``text`` is the text of the log line."""
 
     cause: DisconnectCause
     text: str
 
     @classmethod
     def unusable(cls, text: str) -> DisconnectReason:
-        """The connection can't serve any longer, for the reason that the text states."""
+        """Return the reason for ending a connection that can't be used any longer; ``text`` says why."""
         return cls(DisconnectCause.UNUSABLE, text)
 
     @classmethod
     def invalid_input(cls, error: Exception) -> DisconnectReason:
-        """The peer sent what its format does not allow."""
-        return cls(DisconnectCause.INVALID_INPUT, f"unreadable: {error}")
+        """Return the reason for ending a connection on which the peer sent malformed input."""
+        return cls(DisconnectCause.INVALID_INPUT, f"invalid input: {error}")
 
     @property
     def log_fields(self) -> dict[str, object]:
-        """The code of ``WireError`` as a field of a log line, where invalid input ended the connection."""
+        """Fields for the log line: the code of ``WireError`` if invalid input ended the connection."""
         return {"code": WireError.code} if self.cause is DisconnectCause.INVALID_INPUT else {}
 
 
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -1,4 +1,4 @@
-"""gRPC's own formats: length-prefixed messages, time-outs, status codes and their percent-coded texts."""
+"""The formats of gRPC over HTTP/2: length-prefixed messages, timeouts, status codes and status messages."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 MAX_MESSAGE = 16 * 1024
 
-# Status codes.
+# gRPC status codes.
 OK = 0
 CANCELLED = 1
 INVALID_ARGUMENT = 3
@@ -36,7 +36,7 @@
 
 
 def frame(message: Message) -> bytes:
-    """A message with its prefix, uncompressed. Raises ``WireError`` where it is too long."""
+    """Encode a message with its length prefix, uncompressed. Raises ``WireError`` if it is too long."""
     data = message.SerializeToString()
     if len(data) > MAX_MESSAGE:
         raise WireError(f"message is longer than {MAX_MESSAGE} bytes")
@@ -44,53 +44,56 @@
 
 
 def parse(kind: type[_Message], data: bytes) -> _Message:
-    """Decode a message without its prefix. Raises ``WireError`` where it is malformed."""
+    """Decode a message without its length prefix. Raises ``WireError`` if it is malformed."""
     try:
         return kind.FromString(data)
     except DecodeError as error:
-        raise WireError(f"no {kind.__name__}: {error}", fatal=True) from None
+        raise WireError(f"not a valid {kind.__name__} message: {error}", fatal=True) from None
 
 
 def read_timeout(text: str) -> int:
-    """The value of grpc-timeout in microseconds. Raises ``WireError`` where it is malformed."""
+    """Decode the value of grpc-timeout; returns microseconds. Raises ``WireError`` if it is malformed."""
     match = _TIMEOUT.fullmatch(text)
     if match is None:
-        raise WireError(f"grpc-timeout is not understood: {text!r:.20}", fatal=True)
+        raise WireError(f"grpc-timeout is malformed: {text!r:.20}", fatal=True)
     return int(match[1]) * _UNIT_NS[match[2]] // 1000
 
 
 def write_timeout(microseconds: int) -> str:
-    """The value of grpc-timeout: at most 8 digits, never longer than what is left."""
-    left = max(0, microseconds)
-    return f"{left}u" if left < 100_000_000 else f"{min(left // 1000, 99_999_999)}m"
+    """Encode a remaining time as the value of grpc-timeout: at most 8 digits, rounded down if necessary."""
+    remaining_us = max(0, microseconds)
+    return f"{remaining_us}u" if remaining_us < 100_000_000 else f"{min(remaining_us // 1000, 99_999_999)}m"
 
 
 def encode_text(text: str) -> str:
-    """A status text, percent-coded."""
+    """Percent-encode the text of a status for grpc-message."""
     return _UNSAFE.sub(lambda found: b"%%%02X" % found[0][0], text.encode("utf-8", "replace")).decode("ascii")
 
 
 class Framer:
-    """Splits the data of one stream into messages; its buffer is bounded by one message."""
+    """Splits the data of one HTTP/2 stream into messages, without their prefixes.
+
+    Between two calls of ``feed`` it holds at most one incomplete message, if the caller takes the complete ones.
+    """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> None:
-        """Buffer more bytes of the stream."""
+        """Add bytes to the buffer."""
         self._buffer += data
 
     @property
     def mid_message(self) -> bool:
-        """Whether a message has begun and not ended."""
+        """Whether bytes of an incomplete message are buffered."""
         return bool(self._buffer)
 
     def next(self) -> bytes | None:
-        """The next message, or None until more bytes come. Raises ``WireError`` for one that can't be accepted."""
+        """Return the next message; None if it is incomplete. Raises ``WireError`` if it is compressed or too long."""
         if len(self._buffer) < 5:
             return None
         if self._buffer[0] != 0:
-            raise WireError("compressed messages are not taken", fatal=True)
+            raise WireError("compressed messages are not supported", fatal=True)
         length = int.from_bytes(self._buffer[1:5], "big")
         if length > MAX_MESSAGE:
             raise WireError(f"message is longer than {MAX_MESSAGE} bytes", fatal=True)
--- a/thornshelf/wire/http2.py
+++ b/thornshelf/wire/http2.py
@@ -1,8 +1,8 @@
-"""HTTP/2 for gRPC: h2 without sockets, and for each stream a queue of messages that obeys flow control.
+"""HTTP/2 for gRPC without sockets: the h2 library, and for each stream a queue of messages under flow control.
 
-DATA frames within an open stream, which are nearly all frames, are decoded and encoded here, as h2 would take most of
-the time that a message costs. The windows for receiving are kept here (RFC 9113, section 5.2); for sending h2's own
-figures are used, as it processes the peer's WINDOW_UPDATE frames. Everything else is left to h2.
+DATA frames of open streams, the great majority of frames, are decoded and encoded here for speed. The windows for
+receiving are accounted here (RFC 9113, section 5.2). The windows for sending are those of h2, which processes the
+peer's WINDOW_UPDATE frames. Everything else is left to h2.
 """
 
 from __future__ import annotations
@@ -37,17 +37,17 @@
     "rejection_frames",
 ]
 
-MAX_CONCURRENT_STREAMS = 128  # opened by one client
-MAX_FRAMES = 1 << 20  # processed by one call of ``receive``, where the caller sets no limit
-MAX_QUEUED_BYTES = 256 * 1024  # on one stream, for a peer that doesn't read
-# Bytes received before the peer's window is opened again: a quarter of what it begins with.
+MAX_CONCURRENT_STREAMS = 128  # that the peer may have open on one connection
+MAX_FRAMES = 1 << 20  # processed by one call of ``receive`` if the caller sets no limit
+MAX_QUEUED_BYTES = 256 * 1024  # on one stream; a stream whose peer reads too slowly is reset beyond it
+# Received bytes after which a WINDOW_UPDATE is sent: a quarter of the initial window of the protocol.
 WINDOW_UPDATE_BYTES = 16 * 1024
 
 _PREFACE_LENGTH = 24
 _FRAME_HEADER_LENGTH = 9
 _GOAWAY_MIN_LENGTH = _FRAME_HEADER_LENGTH + 8
 _STREAM_ID_MASK = 0x7FFFFFFF
-# Types and flags of frames.
+# Frame types and flags.
 _DATA = 0
 _GOAWAY = 7
 _END_STREAM = 1
@@ -58,7 +58,7 @@
 
 
 class OutgoingMessage:
-    """One message on its way out; ``chunks`` are the parts that were emitted so far."""
+    """A message that is queued or sent; ``chunks``: the writes of the parts emitted so far."""
 
     __slots__ = ("chunks", "data", "offset")
 
@@ -69,7 +69,7 @@
 
     @property
     def fully_sent(self) -> bool:
-        """Whether all of it was given to the operating system, so that the peer may have it."""
+        """Whether all bytes were handed to the operating system, so that the peer may have received them."""
         return self.offset == len(self.data) and all(chunk.fully_sent for chunk in self.chunks)
 
 
@@ -79,20 +79,21 @@
     __slots__ = ("consumed", "ended", "framer", "queue", "queued", "receiving", "trailers")
 
     def __init__(self) -> None:
-        self.consumed = 0  # bytes of DATA frames since the window was opened last
-        self.receiving = False  # the peer has sent headers, and has not ended the stream
-        self.ended = False  # this side has ended the stream
+        self.consumed = 0  # bytes of DATA frames since the last WINDOW_UPDATE of the stream
+        self.receiving = False  # the peer has sent headers and not ended its side of the stream
+        self.ended = False  # this side of the stream has been ended
         self.framer = Framer()
         self.queue: deque[OutgoingMessage] = deque()
         self.queued = 0
-        self.trailers: list[tuple[str, str]] | None = None
+        self.trailers: list[tuple[str, str]] | None = None  # to be sent after the queue, see ``finish``
 
 
 class Http2:
-    """One connection without its socket.
+    """One HTTP/2 connection without its socket.
 
-    ``emit`` is called with the bytes to be sent, and returns by what it can be learned whether they were.
-    ``peer_settings_received``: the peer's SETTINGS frame has come, so that it speaks HTTP/2.
+    ``client``: whether this side is the client; ``emit``: sends bytes, and returns the write, which knows whether it
+    has completed. ``peer_settings_received``: whether the peer has sent its SETTINGS frame, which proves that it
+    supports HTTP/2.
     """
 
     def __init__(self, client: bool, emit: Callable[[bytes], PendingWrite]) -> None:
@@ -104,7 +105,7 @@
         self._buffer = b""  # input that is not yet a complete frame
         self._preface_length = 0 if client else _PREFACE_LENGTH
         self._last_peer_stream = 0
-        self._consumed = 0  # on the whole connection
+        self._consumed = 0  # bytes of DATA frames since the last WINDOW_UPDATE of the connection
         self.peer_settings_received = False
         self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = MAX_CONCURRENT_STREAMS
         self._h2.initiate_connection()
@@ -112,11 +113,11 @@
 
     @property
     def streams(self) -> int:
-        """How many streams are open."""
+        """Number of open streams."""
         return len(self._streams)
 
     def call(self, headers: list[tuple[str, str]]) -> int:
-        """Open a stream as a client; returns its number."""
+        """Open a stream as a client; returns its id."""
         stream = self._h2.get_next_available_stream_id()
         self._h2.send_headers(stream, headers)
         self._streams[stream] = _Stream()
@@ -124,7 +125,7 @@
         return stream
 
     def respond(self, stream: int, headers: list[tuple[str, str]], end: bool = False) -> None:
-        """Send headers as a server; with ``end`` they end the stream."""
+        """Send the response headers as a server; ``end``: they also end the stream. No effect on a closed stream."""
         if stream in self._streams:
             self._h2.send_headers(stream, headers, end_stream=end)
             if end:
@@ -132,7 +133,10 @@
             self._flush()
 
     def send(self, stream: int, data: bytes) -> OutgoingMessage:
-        """Queue a message, and emit as much of it as flow control allows."""
+        """Queue a framed message, and emit as much of the queue as flow control allows.
+
+        On a closed or ended stream the message is discarded.
+        """
         message = OutgoingMessage(data)
         state = self._streams.get(stream)
         if state is not None and state.trailers is None and not state.ended:
@@ -144,7 +148,7 @@
         return message
 
     def retract(self, stream: int, message: OutgoingMessage) -> bool:
-        """Take a message out of the queue; False where some of it was emitted."""
+        """Remove a message from the queue; returns false if a part of it was emitted or it is not queued."""
         state = self._streams.get(stream)
         if message.offset or state is None or message not in state.queue:
             return False
@@ -153,56 +157,56 @@
         return True
 
     def finish(self, stream: int, trailers: list[tuple[str, str]]) -> None:
-        """End the stream behind the queued messages; a client sends no trailers."""
+        """End this side of the stream after the queued messages; a client passes no trailers."""
         state = self._streams.get(stream)
         if state is not None and state.trailers is None:
             state.trailers = trailers
             self._try_send_queued(stream)
 
     def reset(self, stream: int, code: int = CANCEL) -> None:
-        """Send RST_STREAM, where the stream is still open."""
+        """Send RST_STREAM if the stream is open."""
         if self._streams.pop(stream, None) is not None:
             try:
                 self._h2.reset_stream(stream, code)
             except h2.exceptions.ProtocolError:
-                return  # it is closed already
+                return  # h2 has closed the stream already
             self._flush()
 
     def close(self) -> None:
-        """The connection has ended: nothing more is sent."""
+        """Discard all streams, as the connection has ended; messages sent later are dropped."""
         self._streams.clear()
 
     def ping(self) -> None:
-        """Send PING, which any peer answers."""
+        """Send a PING frame, which a live peer acknowledges."""
         self._h2.ping(b"thornshf")
         self._flush()
 
     def go_away(self) -> None:
-        """Accept no new streams. The open ones go on, which h2's own close would not allow."""
+        """Announce that no new streams are accepted; open ones continue, which h2's own close would not allow."""
         frame = GoAwayFrame(0, last_stream_id=self._last_peer_stream, error_code=0)
         self._emit(frame.serialize())
 
     @property
     def mid_message(self) -> bool:
-        """Whether a frame, or a message on some stream, has begun and not ended."""
-        return bool(self._buffer) or any(one.framer.mid_message for one in self._streams.values())
+        """Whether an incomplete frame is buffered, or an incomplete message on any stream."""
+        return bool(self._buffer) or any(stream.framer.mid_message for stream in self._streams.values())
 
     @property
     def has_buffered_frame(self) -> bool:
-        """Whether a complete frame is buffered that ``receive`` left for its next call."""
+        """Whether a complete frame is buffered for the next call of ``receive``."""
         return self._frame_length() > 0
 
     def receive(self, data: bytes, max_frames: int = MAX_FRAMES) -> list[Event]:
-        """Buffer received bytes, and process at most ``max_frames`` of the buffered frames.
+        """Buffer received bytes, process at most ``max_frames`` of the buffered frames, and return their events.
 
-        Raises ``WireError`` for a broken frame, after which the connection can't go on.
+        Raises ``WireError`` for a malformed frame; the connection can't be used any longer then.
         """
         events: list[Event] = []
         self._buffer += data
         while max_frames > 0 and (frame := self._next_frame()) is not None:
             max_frames -= 1
             if not self._preface_length and frame[3:4] == bytes((_GOAWAY,)):
-                # h2 closes the whole connection on this, but the open streams are to go on.
+                # h2 would close the connection on GOAWAY, but the open streams continue.
                 events.append(_decode_goaway(frame))
                 continue
             if not self._preface_length and frame[3] == _DATA and not frame[4] & (_END_STREAM | _PADDED):
@@ -211,7 +215,7 @@
                     self._data_received(stream, state, frame[_FRAME_HEADER_LENGTH:], events)
                     continue
                 if state is None and 0 < stream <= self._last_peer_stream and stream % 2:
-                    # What was under way as the stream ended here counts towards the connection's window alone
+                    # Data in transit when this side closed the stream counts only towards the connection's window
                     # (RFC 9113, section 5.1). h2 would answer each such frame.
                     self._window_consumed(len(frame) - _FRAME_HEADER_LENGTH)
                     continue
@@ -219,9 +223,9 @@
             try:
                 h2_events = self._h2.receive_data(frame)
             except (h2.exceptions.ProtocolError, ValueError) as error:
-                self._flush()  # h2 has prepared its answer to the peer
+                self._flush()  # sends the GOAWAY frame that h2 has prepared
                 self.close()
-                raise WireError(f"no HTTP/2: {type(error).__name__} {error}", fatal=True) from None
+                raise WireError(f"invalid HTTP/2: {type(error).__name__} {error}", fatal=True) from None
             for event in h2_events:
                 self._process_event(event, events)
         for stream, state in list(self._streams.items()):
@@ -231,7 +235,7 @@
         return events
 
     def _next_frame(self) -> bytes | None:
-        """The preface, or the next complete frame, or None."""
+        """Take the connection preface or the next complete frame from the buffer; None if it is incomplete."""
         length = self._frame_length()
         if not length:
             return None
@@ -239,7 +243,7 @@
         return frame
 
     def _frame_length(self) -> int:
-        """The length of the complete frame that is buffered first; 0 where there is none."""
+        """Return the length of the complete frame at the start of the buffer; 0 if there is none."""
         length = self._preface_length
         if not length:
             if len(self._buffer) < _FRAME_HEADER_LENGTH:
@@ -250,44 +254,45 @@
         return length if len(self._buffer) >= length else 0
 
     def _process_event(self, event: h2.events.Event, events: list[Event]) -> None:
+        """Translate an event of h2, and append the results to ``events``."""
         match event:
             case h2.events.RequestReceived(stream_id=stream, headers=headers):
                 opened = self._streams[stream] = _Stream()
                 opened.receiving = True
                 self._last_peer_stream = max(self._last_peer_stream, stream)
-                events.append(Opened(stream, _texts(headers)))
+                events.append(Opened(stream, _decode_headers(headers)))
             case h2.events.ResponseReceived(stream_id=stream, headers=headers):
                 if (state := self._streams.get(stream)) is not None:
                     state.receiving = True
-                events.append(Opened(stream, _texts(headers)))
+                events.append(Opened(stream, _decode_headers(headers)))
             case h2.events.DataReceived(stream_id=stream, data=data, flow_controlled_length=length):
                 if length:
                     self._h2.acknowledge_received_data(length, stream)
                 if (state := self._streams.get(stream)) is not None:
                     self._extract_messages(stream, state, data, events)
             case h2.events.TrailersReceived(stream_id=stream, headers=headers):
-                events.append(Ended(stream, _texts(headers)))
+                events.append(Ended(stream, _decode_headers(headers)))
             case h2.events.StreamEnded(stream_id=stream):
                 state = self._streams.get(stream)
                 if state is not None:
                     state.receiving = False
                 if state is not None and state.framer.mid_message:
                     self.reset(stream)
-                    events.append(Broken(stream, CANCEL, "ended within a message"))
+                    events.append(Broken(stream, CANCEL, "the peer ended the stream within a message"))
                 elif not (events and isinstance(events[-1], Ended) and events[-1].stream == stream):
                     events.append(Ended(stream, {}))
                 if self.client:
-                    self.reset(stream)  # where this side has not ended it, nobody reads from it any more
+                    self.reset(stream)  # ends this side too: the server has finished the call
             case h2.events.StreamReset(stream_id=stream, error_code=code):
                 self._streams.pop(stream, None)
                 events.append(Broken(stream, int(code), "reset by the peer"))
             case h2.events.RemoteSettingsChanged():
                 self.peer_settings_received = True
             case _:
-                pass  # h2 itself answers pings and keeps the windows for sending
+                pass  # h2 itself answers PING and updates the windows for sending
 
     def _data_received(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
-        """Process a DATA frame; the peer's windows are opened again when enough of them is used up."""
+        """Process the payload of a DATA frame; sends WINDOW_UPDATE when enough of the windows is used up."""
         state.consumed += len(data)
         self._window_consumed(len(data))
         step = min(WINDOW_UPDATE_BYTES, self._h2.local_settings.initial_window_size // 4)
@@ -297,13 +302,14 @@
         self._extract_messages(stream, state, data, events)
 
     def _window_consumed(self, count: int) -> None:
-        """Count what the peer has used of the connection's window, and open that again when it is enough."""
+        """Count received bytes towards the connection's window; sends WINDOW_UPDATE when enough is used up."""
         self._consumed += count
         if self._consumed >= WINDOW_UPDATE_BYTES:
             self._emit(WindowUpdateFrame(0, window_increment=self._consumed).serialize())
             self._consumed = 0
 
     def _extract_messages(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
+        """Append the messages that the data completes; an invalid one resets the stream."""
         state.framer.feed(data)
         try:
             while (message := state.framer.next()) is not None:
@@ -313,13 +319,14 @@
             events.append(Broken(stream, CANCEL, str(error)))
 
     def _try_send_queued(self, stream: int) -> None:
-        """Emit what the windows allow."""
+        """Emit as much of a stream's queue as the windows allow; discards the stream if the peer has closed it."""
         try:
             self._send_queued(stream)
-        except h2.exceptions.ProtocolError:  # closed by the peer in this very input
+        except h2.exceptions.ProtocolError:  # the peer closed the stream with the input just processed
             self._discard(stream)
 
     def _send_queued(self, stream: int) -> None:
+        """Emit queued messages, then the trailers; raises ``ProtocolError`` if h2 considers the stream closed."""
         state = self._streams.get(stream)
         if state is None:
             return
@@ -343,8 +350,8 @@
             message.offset += size
             state.queued -= size
             self._flush()
-            head = size.to_bytes(3, "big") + b"\0\0" + stream.to_bytes(4, "big")
-            message.chunks.append(self._emit(head + part))
+            header = size.to_bytes(3, "big") + b"\0\0" + stream.to_bytes(4, "big")
+            message.chunks.append(self._emit(header + part))
             if message.offset == len(message.data):
                 state.queue.popleft()
         if state.trailers is not None:
@@ -361,26 +368,27 @@
         self._streams.pop(stream, None)
 
     def _flush(self) -> None:
+        """Emit the frames that h2 has prepared."""
         if data := self._h2.data_to_send():
             self._emit(data)
 
 
 def rejection_frames() -> bytes:
-    """All that a server sends to a rejected client: SETTINGS, and GOAWAY with ENHANCE_YOUR_CALM."""
-    calm = int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
-    return SettingsFrame(0).serialize() + GoAwayFrame(0, last_stream_id=0, error_code=calm).serialize()
+    """Return all that a server sends on a rejected connection: SETTINGS, and GOAWAY with ENHANCE_YOUR_CALM."""
+    code = int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM)
+    return SettingsFrame(0).serialize() + GoAwayFrame(0, last_stream_id=0, error_code=code).serialize()
 
 
 def _decode_goaway(frame: bytes) -> GoAway:
     if len(frame) < _GOAWAY_MIN_LENGTH:
-        raise WireError("GOAWAY frame breaks off", fatal=True)
+        raise WireError("GOAWAY frame is truncated", fatal=True)
     last = int.from_bytes(frame[9:13], "big") & _STREAM_ID_MASK
     return GoAway(last, int.from_bytes(frame[13:17], "big"))
 
 
-def _texts(headers: object) -> dict[str, str]:
-    """Headers by name; the first of equals counts."""
-    texts: dict[str, str] = {}
+def _decode_headers(headers: object) -> dict[str, str]:
+    """Return headers by name; the first of several with one name counts."""
+    values: dict[str, str] = {}
     for name, value in headers or ():  # type: ignore[attr-defined]
-        texts.setdefault(str(name), str(value))
-    return texts
+        values.setdefault(str(name), str(value))
+    return values
--- a/thornshelf/wire/http2_events.py
+++ b/thornshelf/wire/http2_events.py
@@ -1,4 +1,4 @@
-"""What an HTTP/2 connection reports to the program above it."""
+"""The events that an HTTP/2 connection reports to its user; ``stream`` is the stream id."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """Headers have come: of a call at the server, of the response at the client."""
+    """Headers were received: those of a request on a server, those of a response on a client."""
 
     stream: int
     headers: dict[str, str]
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Received:
-    """One complete gRPC message has come."""
+    """One complete gRPC message was received; ``data`` is without its length prefix."""
 
     stream: int
     data: bytes
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """The peer has ended its side of the stream; at the client with the trailers."""
+    """The peer has ended its side of the stream; ``trailers`` is empty if it sent none."""
 
     stream: int
     trailers: dict[str, str]
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """The stream is over: it was reset by the peer, or by this side for what the peer sent."""
+    """The stream was reset by the peer, or by this side for invalid input; ``code``: the HTTP/2 error code."""
 
     stream: int
     code: int
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GoAway:
-    """The peer takes no stream after ``last``; it goes on with the others."""
+    """The peer accepts no stream with an id above ``last``; streams up to it continue."""
 
     last: int
     code: int
--- a/thornshelf/wire/jsonl.py
+++ b/thornshelf/wire/jsonl.py
@@ -1,4 +1,4 @@
-"""The clients' wire: one JSON object on each line, decoded once into the few values that are used."""
+"""The JSON lines protocol of clients: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """One message of a client, or to one."""
+    """One message from or to a client."""
 
     kind: str
     uid: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchFields:
-    """The fields of a request to start a task, in the units of the wire (milliseconds)."""
+    """The fields of a launch request, in the units of the wire; ``at``: the node that runs the task already."""
 
     task_class: str
     left_ms: float
@@ -43,7 +43,7 @@
     at: str | None
 
 
-# All kinds of lines, and the fields and causes of lines to clients: the field mapping lists them.
+# All kinds of lines, and the fields and causes of lines to clients, which the field mapping covers.
 KINDS = ("launch", "running", "stop", "stopped", "migrate", "check", "checked")
 OUT_FIELDS = ("wait", "why", "hint", "assumed")
 REFUSED = 34
@@ -53,41 +53,46 @@
 CANCELLED = 31
 CAUSES = (REFUSED, FAILED, UNREADABLE, ENDED, CANCELLED)
 
-UNKNOWN_UID = 0  # in a rejection, in place of the id of a message whose own could not be decoded
+UNKNOWN_UID = 0  # in a rejection of a message whose id is missing or could not be decoded
 
 
-def read_hex(text: object, what: str) -> int:
-    """An idempotency key or a service: 1 to 16 hex digits. Raises ``WireError`` for anything else."""
+def read_hex(text: object, field_name: str) -> int:
+    """Parse a number of 1 to 16 hex digits; ``field_name`` names it in the ``WireError`` raised for anything else."""
     if not isinstance(text, str) or not 0 < len(text) <= 16 or not _HEX.issuperset(text):
-        raise WireError(f"{what} is not made of up to 16 hex digits: {text!r:.40}")
+        raise WireError(f"{field_name} is not a number of up to 16 hex digits: {text!r:.40}")
     return int(text, 16)
 
 
-def _finite(value: object, what: str) -> float:
+def _finite_number(value: object, field_name: str) -> float:
+    """Convert a number or its text; raises ``WireError`` if the value is neither, or not finite."""
     try:
         number = float(value) if isinstance(value, str | int | float) else math.nan
     except (ValueError, OverflowError):
         number = math.nan
     if not math.isfinite(number) or isinstance(value, bool):
-        raise WireError(f"{what} is no finite number: {value!r:.40}")
+        raise WireError(f"{field_name} is not a finite number: {value!r:.40}")
     return number
 
 
-def _amount(value: object, what: str) -> float:
-    number = _finite(value, what)
+def _bounded_number(value: object, field_name: str) -> float:
+    """Convert a number or its text; raises ``WireError`` unless it is between 0 and ``MAX_NUMBER``."""
+    number = _finite_number(value, field_name)
     if not 0.0 <= number <= MAX_NUMBER:
-        raise WireError(f"{what} is not between 0 and {MAX_NUMBER:g}: {number:g}")
+        raise WireError(f"{field_name} is not between 0 and {MAX_NUMBER:g}: {number:g}")
     return number
 
 
 def parse_line(text: bytes) -> Line:
-    """Decode one line without its end. Raises ``WireError``, with the task's id where that could be decoded."""
+    """Decode one line without its line end.
+
+    Raises ``WireError`` if it is malformed, with the task's id if that could be decoded.
+    """
     try:
         value: Any = json.loads(text.decode("utf-8"))
     except (ValueError, RecursionError) as error:
-        raise WireError(f"line is no JSON: {error!s:.80}") from None
+        raise WireError(f"line is not valid JSON: {error!s:.80}") from None
     if not isinstance(value, dict):
-        raise WireError("line is no JSON object")
+        raise WireError("line is not a JSON object")
     uid_text = value.get("uid")
     if not isinstance(uid_text, str) or len(uid_text) != 16:
         raise WireError(f"uid is not 16 hex digits: {uid_text!r:.40}")
@@ -97,32 +102,35 @@
     reason = value.get("reason")
     body = value.get("body")
     if not isinstance(kind, str):
-        raise WireError("kind is no text", uid=uid)
-    if not isinstance(meta, dict) or not all(isinstance(one, str | int | float) for one in meta.values()):
-        raise WireError("meta is not an object of texts and numbers", uid=uid)
+        raise WireError("kind is not a string", uid=uid)
+    if not isinstance(meta, dict) or not all(isinstance(item, str | int | float) for item in meta.values()):
+        raise WireError("meta is not an object of strings and numbers", uid=uid)
     if reason is not None and (not isinstance(reason, int) or isinstance(reason, bool)):
-        raise WireError("reason is no whole number", uid=uid)
+        raise WireError("reason is not an integer", uid=uid)
     if body is not None and not isinstance(body, str):
-        raise WireError("body is no text", uid=uid)
+        raise WireError("body is not a string", uid=uid)
     return Line(kind, uid, meta, reason, None if body is None else body.encode("utf-8", "surrogatepass"))
 
 
 def launch_fields(line: Line) -> LaunchFields:
-    """The fields of a request. Raises ``WireError`` with the task's id, so that the client can be answered."""
+    """Decode the fields of a launch request.
+
+    Raises ``WireError`` if one is missing or malformed, with the task's id, so that the client can be answered.
+    """
     meta = line.meta
     try:
         extras = dict(part.partition(":")[::2] for part in str(meta.get("extras", "")).split(";") if part)
         if not isinstance(meta.get("class"), str):
-            raise WireError("class is missing")
+            raise WireError("class is missing or not a string")
         tenant = meta.get("tenant")
         return LaunchFields(
             task_class=str(meta["class"]),
-            left_ms=_amount(meta.get("left"), "left"),
+            left_ms=_bounded_number(meta.get("left"), "left"),
             tenant=None if tenant in (None, "") else str(tenant),
             key=read_hex(meta.get("key", "0"), "key"),
-            hint_ms=_amount(meta["hint"], "hint") if meta.get("hint") not in (None, "") else None,
-            cores=_amount(extras.get("cores", 0.0), "cores"),
-            memory=_amount(extras.get("memory", 0.0), "memory"),
+            hint_ms=_bounded_number(meta["hint"], "hint") if meta.get("hint") not in (None, "") else None,
+            cores=_bounded_number(extras.get("cores", 0.0), "cores"),
+            memory=_bounded_number(extras.get("memory", 0.0), "memory"),
             service=read_hex(extras.get("service", "0"), "service"),
             at=extras.get("at") or None,
         )
@@ -131,9 +139,9 @@
 
 
 def is_plain_launch(text: bytes) -> bool:
-    """Whether a line is surely a request without ``at``, found in a hundredth of the time that a decoder takes.
+    """Return whether a line is certainly a launch request without ``at``, by a fast check without decoding.
 
-    False where only a decoder can say: with an escaped character, a second field ``kind``, or what may be an ``at``.
+    Returns false if only a decoder can tell: for an escaped character, a repeated ``kind`` or a possible ``at``.
     """
     return (
         _LAUNCH.search(text) is not None
@@ -150,40 +158,43 @@
     reason: int | None = None,
     body: bytes | None = None,
 ) -> bytes:
-    """Encode a line with its end."""
+    """Encode a line with its line end."""
     value: dict[str, object] = {"kind": kind, "uid": f"{uid:016x}", "meta": meta or {}}
     if reason is not None:
         value["reason"] = reason
     if body is not None:
         try:
             value["body"] = body.decode("utf-8", "surrogatepass")
-        except UnicodeDecodeError:  # not UTF-8: each such byte becomes a lone surrogate, so that none is lost
+        except UnicodeDecodeError:  # each invalid byte becomes a lone surrogate, so that none is lost
             value["body"] = body.decode("utf-8", "surrogateescape")
     return json.dumps(value, separators=(",", ":")).encode("ascii") + b"\n"
 
 
 class LineReader:
-    """Splits a stream of bytes into lines and decodes them; its buffer is bounded by one message.
+    """Splits a stream of bytes into lines and decodes them.
 
-    ``abandoned``: the client has gone, and lines that only ask for an answer are skipped.
+    ``abandoned``: whether the client has disconnected, so that launch requests, which need an answer, are skipped.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._searched = 0
+        self._searched = 0  # bytes of the buffer that contain no line end
         self.abandoned = False
 
     def feed(self, data: bytes) -> None:
-        """Buffer more bytes of the stream."""
+        """Add bytes to the buffer."""
         self._buffer += data
 
     @property
     def mid_message(self) -> bool:
-        """Whether a line has begun and not ended."""
+        """Whether bytes of an incomplete line are buffered."""
         return bool(self._buffer)
 
     def next(self) -> Line | None:
-        """The next message, or None until more bytes come. A bad line raises ``WireError`` and is skipped by that."""
+        """Return the next message; None if no line is complete.
+
+        Raises ``WireError`` for a malformed line, which is skipped; the error is fatal if the line is too long.
+        """
         while True:
             end = self._buffer.find(b"\n", self._searched)
             if end < 0:
--- a/thornshelf/wire/pending_write.py
+++ b/thornshelf/wire/pending_write.py
@@ -1,4 +1,4 @@
-"""What a sender can learn of a message that it handed over."""
+"""The interface by which a sender learns whether its data was sent."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class PendingWrite(Protocol):
-    """A message on its way out."""
+    """Data that is queued to be sent, or was sent."""
 
     @property
     def fully_sent(self) -> bool:
-        """Whether all of it was given to the operating system, so that the peer may have it."""
+        """Whether all bytes were handed to the operating system, so that the peer may have received them."""
