--- a/thornshelf/frontends/__init__.py
+++ b/thornshelf/frontends/__init__.py
@@ -1,1 +1,1 @@
-"""Frontends: the sides of the dispatcher that clients connect to, in JSON lines and gRPC."""
+"""Frontends: the listeners that clients connect to, for JSON lines and gRPC."""
--- a/thornshelf/frontends/admission_filter.py
+++ b/thornshelf/frontends/admission_filter.py
@@ -1,4 +1,4 @@
-"""Applies admission decisions to accepted sockets, within the file descriptor budget."""
+"""Applies admission control to client connections and requests, and accounts for file descriptors."""
 
 from __future__ import annotations
 
@@ -22,18 +22,19 @@
 from thornshelf.loop import Loop, Stream
 from thornshelf.translation.failures import FailureCause, FailureReason, failure_cause
 
-INITIAL_PAUSE_US = 20_000  # in reading from a connection whose requests are rejected; doubles each time
+# Pauses in reading a connection whose requests are rejected: each is twice as long as the previous one.
+INITIAL_PAUSE_US = 20_000
 MAX_PAUSE_US = 640_000
 MIN_RETRY_AFTER_US = 1000
-_UNCOUNTED_DESCRIPTORS = 8  # kept free beside what is open at the start
-_WARNING = 4  # severity of syslog
+_UNCOUNTED_DESCRIPTORS = 8  # kept free for descriptors that the ledger does not count
+_WARNING = 4  # syslog severity
 
 
 class ReadBackoff:
     """Slows down reading from a connection whose requests are rejected.
 
-    Otherwise a flood would take the turns of all other connections merely by being rejected. What is not read yet
-    waits in the client's own buffers.
+    Otherwise rejecting the requests of a flood would take the time of all other connections. Unread input stays in
+    the buffers of the socket and of the client.
     """
 
     __slots__ = ("_pause_us", "rejected_count")
@@ -43,12 +44,12 @@
         self._pause_us = 0
 
     def record_admission(self) -> None:
-        """A request was admitted."""
+        """Record that a request was admitted, which ends the backoff if none was rejected since the last pause."""
         if not self.rejected_count:
             self._pause_us = 0
 
     def next_pause_us(self) -> int:
-        """How long to pause reading now; 0 if nothing was rejected since the last pause."""
+        """Return the microseconds to pause reading; 0 if nothing was rejected since the last pause."""
         if not self.rejected_count:
             return 0
         self.rejected_count = 0
@@ -57,24 +58,24 @@
 
 
 class EvictableConnection(Protocol):
-    """A client's connection, as far as admission uses it."""
+    """The part of a client connection's interface that admission uses."""
 
     @property
     def stream(self) -> Stream:
-        """Its byte stream."""
+        """The connection's byte stream."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether its client loses no answer if it is closed."""
+        """Whether the connection can be closed without losing an answer to the client."""
 
     @property
     def retention_rank(self) -> int:
-        """Of idle connections the one with the lowest rank is closed first."""
+        """Of idle connections, those of the lowest rank are closed first."""
 
 
 @dataclass(frozen=True, slots=True)
 class AdmissionFilterConfig:
-    """The settings of the controller, and the descriptor floors by kind."""
+    """The settings of the controller, and the floors of descriptors by kind."""
 
     controller: AdmissionConfig
     descriptor_floors: dict[str, int]
@@ -83,7 +84,8 @@
 class AdmissionFilter:
     """The admission control of one dispatcher.
 
-    ``predecessor_descriptors``: those that a predecessor still has open; both keep within the limit together.
+    ``sockets``: the configured limit of descriptors; ``predecessor_descriptors``: how many a predecessor still has
+    open, as both processes keep within the limit together.
     """
 
     def __init__(
@@ -110,6 +112,7 @@
         self.reserve_spare()
 
     def _ledger_config(self, config: AdmissionFilterConfig, sockets: int) -> DescriptorLedgerConfig:
+        """Return the limits of the ledger, within the configured limit and that of the process."""
         process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         if process_limit == resource.RLIM_INFINITY:
             process_limit = sockets
@@ -117,26 +120,30 @@
         floors = dict(config.descriptor_floors)
         minimum = self.baseline + _UNCOUNTED_DESCRIPTORS
         if sum(floors.values()) + minimum > limit:
-            # A process that may open less than its configuration says still has to serve: all floors shrink alike.
+            # If the process may open fewer than configured, all floors shrink in proportion.
             fraction = max(0, limit - minimum) / max(1, sum(floors.values()))
             floors = {kind: int(floor * fraction) for kind, floor in floors.items()}
         return DescriptorLedgerConfig(max(limit, minimum), self.baseline, floors)
 
     def reconfigure(self, config: AdmissionFilterConfig, sockets: int) -> None:
-        """Applies new settings; no connection is closed."""
+        """Apply new settings; no connection is closed."""
         self.controller.reconfigure(config.controller)
         self.descriptor_ledger.reconfigure(self._ledger_config(config, sockets))
 
     def predecessor_ended(self, config: AdmissionFilterConfig | None, sockets: int) -> None:
-        """The predecessor has exited: its descriptors are available."""
+        """Make the descriptors of the predecessor available, as it has exited.
+
+        ``config``: None keeps the limits until the next reconfiguration.
+        """
         self._predecessor_descriptors = 0
         if config is not None:
             self.descriptor_ledger.reconfigure(self._ledger_config(config, sockets))
 
-    # connections
-
     def admit_connection(self, peer: str) -> tuple[Decision, ConnectionPermit | None]:
-        """Decides on an accepted connection; the permit is None if it is rejected."""
+        """Decide on an accepted connection, and return its permit if it is admitted.
+
+        May close an idle connection of an unknown source to make room.
+        """
         if self.descriptor_ledger.available("clients") <= 0 and not self.evict_idle(unknown_only=True):
             self.descriptor_ledger.rejected["clients"] += 1
             self._record_rejection("descriptors", self.controller.source_of(peer), known=False)
@@ -153,14 +160,14 @@
         return decision, permit
 
     def release(self, permit: ConnectionPermit) -> None:
-        """An admitted connection was closed; releasing its permit again has no effect."""
+        """Record that an admitted connection was closed; releasing its permit again has no effect."""
         if not permit.released:
             self.controller.release(permit)
             self.descriptor_ledger.release("clients")
 
     @property
     def busy_unknown(self) -> int:
-        """Connections of unknown sources that can't be closed now; counted once a turn."""
+        """Number of connections of unknown sources that can't be closed now; counted once per turn."""
         if self._busy_counted_us != self.loop.now:
             self._busy_counted_us = self.loop.now
             self._busy_unknown = sum(
@@ -173,7 +180,7 @@
         return min(self._busy_unknown, self.controller.reserved_connections.unknown_count)
 
     def evict_idle(self, unknown_only: bool) -> bool:
-        """Closes an idle connection, of unknown sources and of low rank first; false if there is none."""
+        """Close an idle connection, of unknown sources and of low rank first; returns false if there is none."""
         best_rank: tuple[bool, int] | None = None
         best: EvictableConnection | None = None
         for connection in self._connections():
@@ -186,7 +193,7 @@
                 best_rank = rank
                 best = connection
                 if rank == (False, 0):
-                    break  # none can rank lower
+                    break  # the lowest possible rank
         if best is None:
             return False
         best.stream.close()
@@ -196,10 +203,8 @@
         for connections in self.connection_lists:
             yield from list(connections())
 
-    # requests
-
     def admit_request(self, stream: Stream) -> tuple[int, FailureCause] | None:
-        """None if a request is admitted; else the time to retry after, in microseconds, and the cause."""
+        """Return None if a request is admitted, otherwise the microseconds to retry after and the cause."""
         permit = stream.admission_permit
         if permit is None:
             return None
@@ -211,18 +216,16 @@
         return max(MIN_RETRY_AFTER_US, decision.retry_after_us), cause
 
     def record_placement(self, stream: Stream) -> None:
-        """A task was placed for the source of this connection."""
+        """Record that a task was placed for the source of this connection."""
         if (permit := stream.admission_permit) is not None:
             self.controller.record_placement(permit, self.loop.now)
 
     def new_read_backoff(self) -> ReadBackoff:
-        """The read backoff of one connection."""
+        """Return the read backoff of a new connection."""
         return ReadBackoff()
 
-    # the log
-
     def _record_rejection(self, kind: str, source: Source, known: bool) -> None:
-        """Counts a rejection; summaries are logged at most once a second, so that no flood fills the log."""
+        """Count a rejection, and schedule the log line that summarises it."""
         due_us = self.rejection_log.record(kind, source, known, self.loop.now)
         if due_us is not None:
             self.loop.at(due_us, self._log_summary)
@@ -235,12 +238,10 @@
         values: dict[str, object] = dict(summary.counts)
         values["known"] = summary.known_count
         values["heaviest"] = ",".join(sources)
-        self.log(_WARNING, "connections-rejected", values, "rejected since the last summary")
-
-    # the spare descriptor
+        self.log(_WARNING, "connections-rejected", values, "rejections since the last summary")
 
     def reserve_spare(self) -> None:
-        """Opens a spare descriptor: closing it allows one accept when descriptors have run out, to reject it."""
+        """Open a spare descriptor, to be closed when descriptors have run out and a connection is to be rejected."""
         if self._spare < 0:
             try:
                 self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
@@ -249,7 +250,7 @@
                 self._spare = -1
 
     def release_spare(self) -> bool:
-        """Closes the spare descriptor for one accept; false if there is none."""
+        """Close the spare descriptor, so that one connection can be accepted; returns false if there is none."""
         if self._spare < 0:
             return False
         os.close(self._spare)
@@ -258,5 +259,5 @@
         return True
 
     def close(self) -> None:
-        """Closes the spare descriptor."""
+        """Close the spare descriptor."""
         self.release_spare()
--- a/thornshelf/frontends/grpc.py
+++ b/thornshelf/frontends/grpc.py
@@ -1,7 +1,7 @@
-"""The gRPC frontend: accepts connections of clients of both generations, and reads them.
+"""The gRPC frontend: accepts client connections of both protocol generations, and reads their frames.
 
-``grpc_connection`` has one connection, ``grpc_calls`` and ``grpc_streams`` the calls on it, ``grpc_messages`` what
-each generation can express.
+``grpc_connection`` implements one connection, ``grpc_calls`` and ``grpc_streams`` the calls on it, and
+``grpc_messages`` the encoding of each generation.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from thornshelf.frontends.admission_filter import AdmissionFilter
 
-MAX_FRAMES_PER_TURN_REJECTED = 4  # of a connection whose requests admission rejects
+MAX_FRAMES_PER_TURN_REJECTED = 4  # the limit for a connection whose requests admission rejects
 
 
 class GrpcFrontend:
@@ -38,7 +38,10 @@
         admission_filter: AdmissionFilter | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        """``inherited``: a listening socket that a predecessor has handed over; raises OSError without it."""
+        """Listen on ``address``, or on the socket ``inherited`` from a predecessor.
+
+        Raises ``OSError`` if the address can't be bound.
+        """
         self.loop = loop
         self.core = core
         self.admission_filter = admission_filter
@@ -59,13 +62,13 @@
         )
 
     def evict_idle(self) -> bool:
-        """Close one connection without a call, preferably one that never opened any; false where there is none."""
+        """Close one idle connection, preferably one that never opened a call; returns false if there is none."""
         return self._idle_evictor.evict_one()
 
     def close_idle(self) -> None:
-        """Shut down gracefully: GOAWAY to all, and an end to streams without an open request and to idle connections.
+        """Shut down gracefully: send GOAWAY, end streams without an open request, and close idle connections.
 
-        It is called again and again until no connection is left, and closes each as soon as it is idle.
+        Called repeatedly until no connection is left.
         """
         self.shutting_down = True
         for connection in list(self._connections):
@@ -74,29 +77,29 @@
                 connection.http.go_away()
             for call in list(connection.calls.values()):
                 if isinstance(call, DispatchCall) and not call.open_requests:
-                    call.finish(grpc.UNAVAILABLE, "the dispatcher is ending")
+                    call.finish(grpc.UNAVAILABLE, "the dispatcher is shutting down")
             if not _has_pending_work(connection):
                 connection.stream.end()
 
     def log_invalid_message(self, peer: str, error: WireError) -> None:
-        """Write one log line about malformed input."""
+        """Log malformed input of a client."""
         self.core.log(4, "bad-message", {"peer": peer, "code": error.code}, str(error))
 
     def _serve(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Read a connection until it closes."""
+        """Serve a connection until it closes."""
         connection = GrpcConnection(self, stream)
         self._connections[connection] = None
         try:
             yield from self._read(connection)
         except WireError as error:
             self.log_invalid_message(stream.peer, error)
-            stream.flush()  # sends the GOAWAY that says what was wrong
+            stream.flush()  # sends the GOAWAY frame with the error code
         finally:
             del self._connections[connection]
             connection.close()
 
     def _read(self, connection: GrpcConnection) -> Generator[Wait, int, None]:
-        """Handle the client's frames as they come; raises ``WireError`` where the connection is beyond repair."""
+        """Handle the client's frames until the connection closes; raises ``WireError`` for an invalid frame."""
         http = connection.http
         timeout_us: int | None = self.loop.now + FIRST_MESSAGE_TIMEOUT_US
         while data := (yield from connection.stream.read(timeout_us)):
@@ -110,14 +113,14 @@
                 if http.has_buffered_frame or pause_us:
                     yield Wait(until=self.loop.now + pause_us)
                 events = http.receive(b"", connection.max_frames)
-            # As on the JSON lines frontend: a client that has opened no call, or never ends a message, is timed out.
+            # A client that opens no call, or does not complete a message in time, is disconnected.
             if connection.has_served_call and not http.mid_message:
                 timeout_us = None
             elif connection.has_served_call and (has_events or not was_mid_message):
                 timeout_us = self.loop.now + MESSAGE_TIMEOUT_US
 
     def _next_pause_us(self, connection: GrpcConnection) -> int:
-        """How long to leave the connection alone: one whose requests admission rejects is read more slowly."""
+        """Return how long to pause reading; a connection whose requests admission rejects is read more slowly."""
         backoff = connection.read_backoff
         pause_us = backoff.next_pause_us() if backoff is not None else 0
         connection.max_frames = MAX_FRAMES_PER_TURN_REJECTED if pause_us else MAX_FRAMES_PER_TURN
@@ -125,7 +128,7 @@
 
 
 def _has_pending_work(connection: GrpcConnection) -> bool:
-    """Whether a call is open, or input of the client has not been handled yet."""
+    """Return whether a call is open, or received input has not been handled."""
     return bool(
         connection.calls
         or connection.http.mid_message
--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -1,6 +1,6 @@
-"""Calls of gRPC clients: one HTTP/2 stream each, in either generation of the protocol.
+"""Calls of gRPC clients, each on one HTTP/2 stream, in either generation of the protocol.
 
-``Check`` and ``Place`` are here, with what they share with the streaming call of ``grpc_streams``.
+This module has ``Check``, ``Place`` and the base classes of calls; the streaming call is in ``grpc_streams``.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 if TYPE_CHECKING:
     from thornshelf.frontends.grpc_ports import GrpcConnectionPort
 
-DEADLINE_PROXIMITY_US = 20_000  # a task that fails within this time of its deadline failed for lack of time
+DEADLINE_PROXIMITY_US = 20_000  # a failure this close to the deadline is reported as DEADLINE_EXCEEDED
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
 
 
 def status_trailers(code: int, text: str = "", pushback_ms: int | None = None) -> list[tuple[str, str]]:
-    """The trailers that end a call; ``pushback_ms`` asks the client to retry no sooner than that."""
+    """Return the trailers that end a call; ``pushback_ms``: how long the client should wait before a retry."""
     trailers = [("grpc-status", str(code))]
     if text:
         trailers.append(("grpc-message", grpc.encode_text(text)))
@@ -37,28 +37,28 @@
 
 
 def _checked_number(value: float, name: str) -> float:
-    """The value, or ``WireError`` where it is negative, too large or not a number."""
+    """Return the value; raises ``WireError`` if it is negative, too large or NaN."""
     if not 0.0 <= value <= MAX_NUMBER:  # a NaN fails the comparison
         raise WireError(f"{name} is not between 0 and {MAX_NUMBER:g}: {value}")
     return value
 
 
 class _RequestNumbers(NamedTuple):
-    """The numbers of a task request, each within its bounds."""
+    """The validated numbers of a task request."""
 
-    wait_ms: float  # 0: the default of the task's class
+    wait_ms: float  # 0 means the default of the task's class
     hint_ms: float | None
     cores: float
     memory: float
 
 
 class Call:
-    """One call of a client. Calls other than ``Place`` and ``Dispatch`` are answered at once."""
+    """One call of a client."""
 
     def __init__(
         self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
     ) -> None:
-        """``timeout_us``: from grpc-timeout, None where the client set none."""
+        """``timeout_us``: the value of grpc-timeout; None if the client set none."""
         self.connection = connection
         self.stream_id = stream_id
         self.codec = codec
@@ -71,28 +71,28 @@
         self.request_received = False
 
     def on_message(self, data: bytes) -> None:
-        """Handle one message of the client; raises ``WireError`` where it is malformed."""
+        """Handle one message of the client; raises ``WireError`` if it is malformed."""
         raise NotImplementedError
 
     def on_half_close(self) -> None:
-        """Handle the end of the client's messages."""
+        """Handle that the client will send no further messages."""
 
     def on_deadline(self) -> None:
-        """End the call, as the time of grpc-timeout has passed."""
-        self.finish(grpc.DEADLINE_EXCEEDED, "the call's time is up")
+        """End the call, as its timeout has expired."""
+        self.finish(grpc.DEADLINE_EXCEEDED, "the deadline of the call has passed")
 
     def send(self, message: Message) -> http2.OutgoingMessage:
         """Send one message to the client."""
         return self.connection.http.send(self.stream_id, grpc.frame(message))
 
     def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
-        """End the call with a status; does nothing where it has ended already."""
+        """End the call with a status; does nothing if it has ended already."""
         if not self.closed:
             self.connection.http.finish(self.stream_id, status_trailers(code, text, pushback_ms))
             self.on_close()
 
     def on_close(self) -> None:
-        """Forget the call, which either side has ended."""
+        """Remove the call, which either side has ended."""
         self.closed = True
         if self.timer is not None:
             self.timer.cancel()
@@ -100,7 +100,7 @@
 
 
 class CheckCall(Call):
-    """Tells a client whether the dispatcher accepts tasks."""
+    """The health check: reports whether the dispatcher accepts tasks."""
 
     def __init__(
         self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
@@ -109,7 +109,7 @@
         connection.http.respond(stream_id, RESPONSE_HEADERS)
 
     def on_message(self, data: bytes) -> None:
-        """Answer at once."""
+        """Answer the health check."""
         grpc.parse(self.codec.check_request_type, data)
         reply = self.codec.check_reply_type(passed=not self.connection.frontend.shutting_down)
         self.send(reply)
@@ -117,68 +117,68 @@
 
 
 class TaskCall(Call):
-    """A call that requests tasks; to the core it is a ``ClientConnection``."""
+    """A call that requests tasks; implements the core's ``ClientConnection``."""
 
     accepts_any_release = True
 
     @property
     def wire_form(self) -> WireFormat:
-        """The generation of the protocol that the client speaks."""
+        """The protocol generation of the call."""
         return self.codec.wire_form
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Tell the client that its task runs."""
+        """Report that the task runs."""
         raise NotImplementedError
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task did not run, so that a retry is safe."""
+        """Report that the task did not run; ``retry_after_us``: the earliest time for a retry, None for at once."""
         raise NotImplementedError
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task failed and may have run."""
+        """Report that the task failed and may have run."""
         raise NotImplementedError
 
     def reject_duplicate(self, uid: int) -> None:
-        """End the call: the answers to two requests under one id could not be distinguished."""
-        self.finish(grpc.INVALID_ARGUMENT, f"two set-ups under the id {uid:016x}")
+        """End the call, as the client could not distinguish the answers to two requests with one id."""
+        self.finish(grpc.INVALID_ARGUMENT, f"a request with the id {uid:016x} is open already")
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Tell the client that a running task has ended."""
+        """Report that a running task has ended."""
         raise NotImplementedError
 
     def send_migrate(self, uid: int) -> None:
-        """Tell the client that a running task was stopped and should be requested again."""
+        """Report that a running task was stopped and should be requested again."""
         raise NotImplementedError
 
     def task_cancelled(self, uid: int) -> None:
-        """Note that the client ended a running task, on this stream or on another."""
+        """Forget a running task that the client ended, on this stream or on another."""
 
     @property
     def is_connected(self) -> bool:
-        """Whether the call and its connection are open, as far as is known here."""
+        """Whether the call and its connection are open as far as this side knows."""
         return not self.closed and self.connection.stream.open and not self.connection.stream.peer_closed
 
     @property
     def peer(self) -> str:
-        """The client's host."""
+        """The address of the client's host."""
         return self.connection.stream.peer
 
     def awaits_answer(self, uid: int) -> bool:
-        """Whether the client has neither cancelled the request nor disconnected, as far as has been read."""
+        """Return whether the client still waits for the answer to a request."""
         return self.is_connected
 
     def _record_placement(self) -> None:
-        """Count a placed task for the client's source, which admission knows by that."""
+        """Count a placed task towards the reputation of the client's source."""
         admission_filter = self.connection.frontend.admission_filter
         if admission_filter is not None:
             admission_filter.record_placement(self.connection.stream)
 
     def submit(self, request: Any) -> bool:
-        """Hand a task request to the core; false where admission has rejected it.
+        """Pass a task request to the core; returns false if admission has rejected it.
 
-        Raises ``WireError`` with the request's id where a field of it cannot be used.
+        Raises ``WireError`` with the request's id if a field of it is invalid.
         """
         numbers = self._check_request(request)
         if not request.at and self._reject_by_admission(request.uid):
@@ -204,7 +204,7 @@
         return True
 
     def _check_request(self, request: Any) -> _RequestNumbers:
-        """The request's numbers; raises ``WireError`` with its id where a field cannot be used."""
+        """Validate a request, and return its numbers; raises ``WireError`` with its id if a field is invalid."""
         error = self.connection.frontend.core.validation_error(request.task_class, request.tenant or None)
         if error is not None:
             raise WireError(error, uid=request.uid)
@@ -215,12 +215,12 @@
                 hint_ms = _checked_number(hint_ms, "hint_ms")
             cores = _checked_number(request.cores, "cores")
             memory = _checked_number(request.memory, "memory")
-        except WireError as error_of_field:
-            raise WireError(str(error_of_field), uid=request.uid) from None
+        except WireError as field_error:
+            raise WireError(str(field_error), uid=request.uid) from None
         return _RequestNumbers(wait_ms, hint_ms, cores, memory)
 
     def _reject_by_admission(self, uid: int) -> bool:
-        """Whether admission rejects one more request of this client; it is answered then."""
+        """Return whether admission rejects another request of this client; answers it if so."""
         admission_filter = self.connection.frontend.admission_filter
         if admission_filter is None:
             return False
@@ -233,7 +233,7 @@
         return True
 
     def _request_deadline_us(self, task_class: str, wait_ms: float) -> int:
-        """The time on the loop's clock by which the request has to be answered."""
+        """Return the time on the loop's clock by which the request has to be answered."""
         if not wait_ms:
             wait_ms = self.connection.frontend.core.task_classes[task_class].deadline_s * 1000.0
         deadline_us = self.loop.earliest_arrival_us + wait_us(wait_ms)
@@ -243,14 +243,14 @@
 
 
 class PlaceCall(TaskCall):
-    """A call for one task, answered once; the release goes to the client's newest ``Dispatch`` stream."""
+    """A call for one task with one answer; the release is sent on the client's newest ``Dispatch`` stream."""
 
     accepts_any_release = False
 
     def on_message(self, data: bytes) -> None:
         """Submit the request, which is the call's only message."""
         if self.request_received:
-            self.finish(grpc.INVALID_ARGUMENT, "one message is taken")
+            self.finish(grpc.INVALID_ARGUMENT, "the call accepts only one message")
             return
         self.request_received = True
         try:
@@ -262,12 +262,12 @@
             self.finish(grpc.INVALID_ARGUMENT, str(error))
 
     def on_half_close(self) -> None:
-        """End a call that has brought no request."""
+        """End a call without a request."""
         if not self.request_received:
-            self.finish(grpc.INVALID_ARGUMENT, "no message came")
+            self.finish(grpc.INVALID_ARGUMENT, "the call ended without a message")
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Tell the client that its task runs."""
+        """Report that the task runs."""
         self._record_placement()
         self._respond(self.codec.encode_running(uid, description, metadata))
 
@@ -278,7 +278,7 @@
         self.finish(grpc.OK)
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task did not run; the first generation gets a status with a pushback."""
+        """Report that the task did not run; v1 reports it by a status with a pushback."""
         if self.codec.outcomes_in_messages:
             self._respond(self.codec.encode_rejected(uid, retry_after_us, detail))
             return
@@ -287,7 +287,7 @@
         self.connection.end_early(self, grpc.RESOURCE_EXHAUSTED, text, pushback_ms)
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task failed, which close to its deadline is DEADLINE_EXCEEDED."""
+        """Report that the task failed; close to the deadline the status is DEADLINE_EXCEEDED."""
         if self.deadline_us is not None and self.loop.now >= self.deadline_us - DEADLINE_PROXIMITY_US:
             self.on_deadline()
         elif self.codec.outcomes_in_messages:
@@ -299,24 +299,24 @@
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Do nothing: the core sends no release to a call, which ends with its answer."""
+        """Do nothing, as the call ends with its answer; releases are sent on ``Dispatch`` streams."""
 
     def send_migrate(self, uid: int) -> None:
-        """Do nothing, for the same reason."""
+        """Do nothing, as the call ends with its answer."""
 
     def on_deadline(self) -> None:
-        """End the call, and with it the request."""
-        self.connection.end_early(self, grpc.DEADLINE_EXCEEDED, "the call's time is up")
+        """End the call, which cancels the request."""
+        self.connection.end_early(self, grpc.DEADLINE_EXCEEDED, "the deadline of the call has passed")
 
     def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
-        """End the call; an error is a response of trailers alone, as no headers have been sent."""
+        """End the call; an error is sent as a trailers-only response, as no headers have been sent."""
         if code == grpc.OK:
             super().finish(code, text, pushback_ms)
         else:
             self.connection.end_early(self, code, text, pushback_ms)
 
     def on_close(self) -> None:
-        """Cancel the request where it is still open."""
+        """Remove the call, and cancel its request if that is open."""
         if not self.closed:
             super().on_close()
             self.connection.frontend.core.inbox.append(ClientDisconnected(self))
--- a/thornshelf/frontends/grpc_connection.py
+++ b/thornshelf/frontends/grpc_connection.py
@@ -18,12 +18,12 @@
     from thornshelf.frontends.admission_filter import ReadBackoff
     from thornshelf.frontends.grpc_ports import GrpcFrontendPort
 
-MAX_FRAMES_PER_TURN = 32  # of one connection
+MAX_FRAMES_PER_TURN = 32  # that are handled for one connection
 
 
 @dataclass(frozen=True, slots=True)
 class _Method:
-    """What serves one method of one generation."""
+    """The call type and the codec of one method in one generation."""
 
     call_type: type[Call]
     codec: GrpcCodecV1
@@ -38,37 +38,37 @@
 
 
 class GrpcConnection:
-    """One client connection."""
+    """One HTTP/2 connection of a client."""
 
     def __init__(self, frontend: GrpcFrontendPort, stream: Stream) -> None:
         self.frontend = frontend
         self.stream = stream
         self.http = http2.Http2(False, stream.send)
         self.calls: dict[int, Call] = {}  # by stream id
-        self.max_frames = MAX_FRAMES_PER_TURN  # that are handled in one turn
+        self.max_frames = MAX_FRAMES_PER_TURN  # the current limit
         self.read_backoff: ReadBackoff | None = (
             frontend.admission_filter.new_read_backoff() if frontend.admission_filter is not None else None
         )
-        self.has_served_call = False  # a call of a known method has been opened
+        self.has_served_call = False  # whether a call of a known method has been opened
         self.goaway_sent = False
 
     @property
     def is_idle(self) -> bool:
-        """Whether it can be closed without costing the client an answer."""
+        """Whether the connection can be closed without losing an answer to the client."""
         return self.stream.open and not self.calls and (not self.has_served_call or is_quiescent(self.stream))
 
     @property
     def retention_rank(self) -> int:
-        """Of idle connections the lowest is evicted first: those that have opened no call."""
+        """Of idle connections, those of the lowest rank are evicted first: those that never opened a call."""
         return int(self.has_served_call)
 
     def handle_event(self, event: http2.Event) -> None:
-        """Pass an event of the connection on to its call."""
+        """Handle an event of the connection, by its call if it belongs to one."""
         if isinstance(event, http2.Opened):
             self._open_call(event)
             return
         if isinstance(event, http2.GoAway):
-            return  # the client will open no more streams
+            return  # the client accepts no new streams, and a server opens none
         call = self.calls.get(event.stream)
         if call is None:
             return
@@ -85,24 +85,24 @@
                 call.on_close()
 
     def end_early(self, call: Call, code: int, text: str, pushback_ms: int | None = None) -> None:
-        """End a call on which no message was sent, with a response of trailers alone."""
+        """End a call on which nothing was sent, with a trailers-only response."""
         if not call.closed:
             self._send_status(call.stream_id, code, text, pushback_ms)
             call.on_close()
 
     def close(self) -> None:
-        """Release what the connection holds, and end its calls."""
+        """End the calls of a connection that has closed."""
         self.http.close()
         for call in list(self.calls.values()):
             call.on_close()
 
     def _send_status(self, stream_id: int, code: int, text: str, pushback_ms: int | None = None) -> None:
-        """Answer a call with a status alone."""
+        """Send a trailers-only response."""
         headers = RESPONSE_HEADERS + status_trailers(code, text, pushback_ms)
         self.http.respond(stream_id, headers, end=True)
 
     def _open_call(self, event: http2.Opened) -> None:
-        """Open a call, or answer at once where it cannot be served."""
+        """Open a call, or answer at once if it can't be served."""
         if not _is_grpc_request(event.headers):
             self.http.respond(event.stream, [(":status", "415")], end=True)
             return
@@ -111,9 +111,9 @@
         if method is None:
             self._send_status(event.stream, grpc.UNIMPLEMENTED, f"no such method: {path}")
         elif event.headers.get("grpc-encoding", "identity") != "identity":
-            self._send_status(event.stream, grpc.UNIMPLEMENTED, "messages are taken uncompressed only")
+            self._send_status(event.stream, grpc.UNIMPLEMENTED, "compressed messages are not supported")
         elif self.frontend.shutting_down:
-            self._send_status(event.stream, grpc.UNAVAILABLE, "the dispatcher is ending")
+            self._send_status(event.stream, grpc.UNAVAILABLE, "the dispatcher is shutting down")
         else:
             self._start_call(event, method)
 
@@ -130,6 +130,6 @@
 
 
 def _is_grpc_request(headers: Mapping[str, str]) -> bool:
-    """Whether the headers are those of a gRPC call at all."""
+    """Return whether the headers are those of a gRPC call."""
     is_grpc = headers.get("content-type", "").startswith("application/grpc")
     return headers.get(":method") == "POST" and is_grpc
--- a/thornshelf/frontends/grpc_messages.py
+++ b/thornshelf/frontends/grpc_messages.py
@@ -1,6 +1,6 @@
-"""Encodes and decodes the messages of both generations of the clients' gRPC.
+"""Encodes and decodes the messages of both generations of the clients' gRPC interface.
 
-Each codec expresses what its generation has fields for, and leaves out the rest.
+Each codec encodes what its generation has fields for, and leaves out the rest.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 def _retry_after_ms(retry_after_us: int | None) -> int | None:
-    """At least one millisecond; None where the client may retry at once."""
+    """Return whole milliseconds, at least one; None if the client may retry at once."""
     return max(1, retry_after_us // 1000) if retry_after_us else None
 
 
 class GrpcCodecV1:
-    """thornshelf.v1. The numbers of its outcomes and reasons are the same in v2.
+    """The codec of thornshelf.v1, whose numbers of outcomes and reasons are the same in v2.
 
     The encoding methods return a protobuf message.
     """
@@ -35,42 +35,40 @@
     task_request_type: ClassVar[Any] = pb.Ask
     check_request_type: ClassVar[Any] = pb.CheckRequest
     check_reply_type: ClassVar[Any] = pb.CheckReply
-    outcomes_in_messages = (
-        False  # a rejected or failed ``Place`` call ends with a status in place of a message
-    )
+    outcomes_in_messages = False  # a rejected or failed ``Place`` call ends with an error status
 
     def lifetime_hint_ms(self, request: Any) -> float | None:
-        """The lifetime hint of a request in milliseconds; None where it has none."""
+        """Return the lifetime hint of a request in milliseconds; None if it has none."""
         return request.hint_ms if request.HasField("hint_ms") else None
 
     def encode_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None) -> Any:
-        """The task runs; the metadata cannot be expressed."""
+        """Encode that the task runs; v1 can't express the metadata."""
         return pb.Verdict(uid=uid, binding=pb.Binding(description=description))
 
     def encode_rejected(self, uid: int, retry_after_us: int | None, cause: FailureCause | None) -> Any:
-        """The task did not run; the cause cannot be expressed."""
+        """Encode that the task did not run; v1 can't express the cause."""
         return pb.Verdict(uid=uid, refusal=pb.Refusal(wait_ms=_retry_after_ms(retry_after_us)))
 
     def encode_failed(self, uid: int, cause: FailureCause | None) -> Any:
-        """The task failed, with the cause as a text."""
+        """Encode that the task failed, with the message of the cause."""
         return pb.Verdict(uid=uid, failure=pb.Failure(why=cause.message if cause else MAY_HAVE_RUN_TEXT))
 
     def encode_invalid_request(self, uid: int, text: str) -> Any:
-        """The request was malformed."""
+        """Encode that the request was invalid."""
         return pb.Verdict(uid=uid, failure=pb.Failure(why=text))
 
     def encode_release(self, uid: int, outcome: Outcome, reason: Reason, cause: FailureCause | None) -> Any:
-        """The task has ended; the cause cannot be expressed."""
+        """Encode that the task has ended; v1 can't express the cause."""
         release = pb.Release(outcome=_OUTCOMES.get(outcome, pb.RESET), reason=reason.value)
         return pb.Verdict(uid=uid, release=release)
 
     def encode_migrate(self, uid: int) -> Any:
-        """The task was stopped, and should be requested again."""
+        """Encode that the task was stopped and should be requested again."""
         return pb.Verdict(uid=uid, move=pb.Move())
 
 
 class GrpcCodecV2(GrpcCodecV1):
-    """thornshelf.v2."""
+    """The codec of thornshelf.v2."""
 
     wire_form = WireFormat.GRPC_V2
     service_path = "/thornshelf.v2.Placement/"
@@ -81,11 +79,11 @@
     outcomes_in_messages = True
 
     def lifetime_hint_ms(self, request: Any) -> float | None:
-        """The client's own hint in milliseconds; one that another dispatcher assumed is not the client's."""
+        """Return the client's own lifetime hint in milliseconds; None if it has none or the hint was assumed."""
         return request.hint.ms if request.HasField("hint") and not request.hint.assumed else None
 
     def encode_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None) -> Any:
-        """The task runs, with the hint that was assumed for it, and whether it was running before."""
+        """Encode that the task runs, with the hint assumed for it and whether the request joined a running task."""
         binding = pb2.Binding(description=description)
         if metadata is not None:
             binding.joined = metadata.joined_running_task
@@ -95,7 +93,7 @@
         return pb2.Verdict(uid=uid, binding=binding)
 
     def encode_rejected(self, uid: int, retry_after_us: int | None, cause: FailureCause | None) -> Any:
-        """The task did not run, with the cause and the advice on retries."""
+        """Encode that the task did not run, with the cause and advice on retries."""
         refusal = pb2.Refusal(wait_ms=_retry_after_ms(retry_after_us))
         if cause is not None:
             refusal.reason = int(cause.reason)
@@ -104,17 +102,17 @@
         return pb2.Verdict(uid=uid, refusal=refusal)
 
     def encode_failed(self, uid: int, cause: FailureCause | None) -> Any:
-        """The task failed, with the cause."""
+        """Encode that the task failed, with the cause."""
         reason = cause.reason if cause is not None else FailureReason.UNTOLD
         text = cause.text if cause is not None else MAY_HAVE_RUN_TEXT
         return pb2.Verdict(uid=uid, failure=pb2.Failure(reason=int(reason), text=text))
 
     def encode_invalid_request(self, uid: int, text: str) -> Any:
-        """The request was malformed."""
+        """Encode that the request was invalid."""
         return pb2.Verdict(uid=uid, failure=pb2.Failure(text=text))
 
     def encode_release(self, uid: int, outcome: Outcome, reason: Reason, cause: FailureCause | None) -> Any:
-        """The task has ended, with the cause."""
+        """Encode that the task has ended, with the cause."""
         number = int(cause.reason) if cause is not None else reason.value
         release = pb2.Release(
             outcome=int(_OUTCOMES.get(outcome, pb.RESET)),
@@ -124,5 +122,5 @@
         return pb2.Verdict(uid=uid, release=release)
 
     def encode_migrate(self, uid: int) -> Any:
-        """The task was stopped, and should be requested again."""
+        """Encode that the task was stopped and should be requested again."""
         return pb2.Verdict(uid=uid, move=pb2.Move())
--- a/thornshelf/frontends/grpc_ports.py
+++ b/thornshelf/frontends/grpc_ports.py
@@ -1,7 +1,7 @@
-"""What a gRPC connection uses of its frontend, and a call of its connection.
+"""Interfaces of the gRPC frontend for its connections, and of a connection for its calls.
 
-The frontend imports the connection, and the connection the calls; these protocols spare the imports back. Only type
-checkers load this module.
+They avoid import cycles: the frontend imports the connection, which imports the calls. Only type checkers load this
+module.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class GrpcFrontendPort(Protocol):
-    """The frontend, as its connections see it."""
+    """The interface of the frontend that its connections use."""
 
     loop: Loop
     core: Dispatcher
@@ -25,11 +25,11 @@
     shutting_down: bool
 
     def log_invalid_message(self, peer: str, error: WireError) -> None:
-        """Write one log line about malformed input."""
+        """Log malformed input of a client."""
 
 
 class GrpcConnectionPort(Protocol):
-    """A connection, as its calls see it."""
+    """The interface of a connection that its calls use."""
 
     stream: Stream
     http: Http2
@@ -44,4 +44,4 @@
         """The open calls, by stream id."""
 
     def end_early(self, call: Any, code: int, text: str, pushback_ms: int | None = None) -> None:
-        """End a call on which no message was sent, with a response of trailers alone."""
+        """End a call on which nothing was sent, with a trailers-only response."""
--- a/thornshelf/frontends/grpc_streams.py
+++ b/thornshelf/frontends/grpc_streams.py
@@ -1,4 +1,4 @@
-"""The streaming call of gRPC clients: many tasks on one HTTP/2 stream, with their releases."""
+"""The streaming call of gRPC clients: requests, answers and releases of many tasks on one HTTP/2 stream."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class DispatchCall(TaskCall):
-    """A stream on which a client requests tasks and hears of their ends."""
+    """A stream on which a client requests tasks and receives their answers and releases."""
 
     def __init__(
         self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
@@ -35,14 +35,14 @@
         self.open_requests: set[int] = set()
         self.running: set[int] = set()
         self.sent_releases: dict[int, SentRelease] = {}
-        self.acknowledges_releases = False  # the client says which releases have arrived
-        self.client_half_closed = False  # the client will send no more messages
-        self.closing_cleanly = False  # a status has been queued behind all messages
+        self.acknowledges_releases = False  # whether the client has acknowledged a release
+        self.client_half_closed = False  # whether the client has ended its side of the stream
+        self.closing_cleanly = False  # whether a status has been queued after all messages
         connection.frontend.core.inbox.append(ClientConnected(self))
         connection.http.respond(stream_id, RESPONSE_HEADERS)
 
     def awaits_answer(self, uid: int) -> bool:
-        """Whether this request is open: each may be cancelled by itself."""
+        """Return whether the request is open: neither answered nor cancelled, on a call that is open."""
         return uid in self.open_requests and self.is_connected
 
     def on_message(self, data: bytes) -> None:
@@ -57,7 +57,7 @@
             self.sent_releases.pop(message.heard, None)
 
     def _handle_request(self, request: Any) -> None:
-        """Submit a request; one that cannot be used fails without ending the stream."""
+        """Submit a request; an invalid one is answered, and the stream continues."""
         try:
             admitted = self.submit(request)
         except WireError as error:
@@ -76,29 +76,29 @@
         self._finish_if_idle()
 
     def on_half_close(self) -> None:
-        """Keep the stream until all its tasks have ended."""
+        """Keep the call open until all its tasks have ended."""
         self.client_half_closed = True
         self._finish_if_idle()
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Tell the client that its task runs."""
+        """Report that the task runs."""
         self.open_requests.discard(uid)
         self.running.add(uid)
         self.send(self.codec.encode_running(uid, description, metadata))
         self._record_placement()
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task did not run, so that a retry is safe."""
+        """Report that the task did not run; ``retry_after_us``: the earliest time for a retry, None for at once."""
         self._send_final(uid, self.codec.encode_rejected(uid, retry_after_us, detail))
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task failed and may have run."""
+        """Report that the task failed and may have run."""
         self._send_final(uid, self.codec.encode_failed(uid, detail))
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Tell the client that a running task has ended."""
+        """Report that a running task has ended."""
         if not self.acknowledges_releases:
             self.sent_releases = not_fully_sent(self.sent_releases)
         elif len(self.sent_releases) >= MAX_UNACKNOWLEDGED_RELEASES:
@@ -107,32 +107,35 @@
         self.sent_releases[uid] = SentRelease(write, outcome, reason, detail)
 
     def send_migrate(self, uid: int) -> None:
-        """Tell the client that a running task was stopped and should be requested again."""
+        """Report that a running task was stopped and should be requested again."""
         self._send_final(uid, self.codec.encode_migrate(uid))
 
     def task_cancelled(self, uid: int) -> None:
-        """Note that the client ended a running task, on this stream or on another."""
+        """Forget a running task that the client ended, on this stream or on another."""
         self.running.discard(uid)
         self._finish_if_idle()
 
     def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
-        """End the call; the status follows what is queued."""
+        """End the call with a status, which is sent after the queued messages."""
         self.closing_cleanly = True
         super().finish(code, text, pushback_ms)
 
     def on_close(self) -> None:
-        """Cancel open requests; running tasks go on, and their releases go to another stream."""
+        """Remove the call, and cancel its open requests.
+
+        Running tasks continue, and their releases are sent on another stream of the client.
+        """
         if self.closed:
             return
         super().on_close()
-        # After a clean end the buffered releases are still sent: reporting them as pending would send them twice.
+        # After a clean end the buffered releases are still sent. Reporting them as pending would send them twice.
         still_delivered = self.closing_cleanly and self.connection.stream.open
         releases = {} if still_delivered else self.sent_releases
         pending = pending_releases(releases, self.acknowledges_releases)
         self.connection.frontend.core.inbox.append(ClientDisconnected(self, pending))
 
     def _send_final(self, uid: int, message: Message) -> http2.OutgoingMessage:
-        """Send the last message about a task."""
+        """Send the last message about a request or a task."""
         self.open_requests.discard(uid)
         self.running.discard(uid)
         write = self.send(message)
--- a/thornshelf/frontends/idle_evictor.py
+++ b/thornshelf/frontends/idle_evictor.py
@@ -1,4 +1,4 @@
-"""Closes idle client connections where descriptors are needed for others."""
+"""Closes idle client connections when their descriptors are needed."""
 
 from __future__ import annotations
 
@@ -8,45 +8,44 @@
 
 from thornshelf.loop import Stream
 
-MIN_QUIET_US = 100_000  # a connection is not closed within this time after something was sent on it
-EVICTION_BATCH_SIZE = 32  # idle connections that are collected at once
+MIN_QUIET_US = 100_000  # a connection is not closed until this long after the last send on it
+EVICTION_BATCH_SIZE = 32  # idle connections collected by one search
 
 
 class EvictableClient(Protocol):
-    """A client's connection, as the evictor sees it."""
+    """The part of a client connection's interface that the evictor uses."""
 
     @property
     def stream(self) -> Stream:
-        """The connection's stream."""
+        """The connection's byte stream."""
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is open without an open request or anything in transit, so that closing it costs no answer."""
+        """Whether the connection is open and can be closed without losing an answer to the client."""
 
     @property
     def retention_rank(self) -> int:
-        """Of idle connections the one with the lowest rank is evicted first."""
+        """Of idle connections, those of the lowest rank are evicted first."""
 
 
 def is_quiescent(stream: Stream) -> bool:
-    """Whether nothing is in transit to the client.
+    """Return whether all data has probably reached the client: none is buffered, and none was sent recently.
 
-    A connection that is closed with unread input is reset, and the client may never read what was sent just before:
-    a release could be lost.
+    Closing a connection with unread input resets it, and the client may lose a release that was sent just before.
     """
     return not stream.buffered_bytes and stream.loop.now - stream.last_send_us >= MIN_QUIET_US
 
 
 class IdleEvictor:
-    """Evicts idle connections, collecting several at once so that a flood does not cost a search per connection."""
+    """Evicts idle connections. A search collects several, so that a flood does not cause a search for each."""
 
     def __init__(self, clients: Iterable[EvictableClient]) -> None:
-        """``clients``: in the order of their latest requests, which decides among equal ranks."""
+        """``clients``: ordered by their latest requests, least recent first, which is the order within a rank."""
         self._clients = clients
         self._candidates: deque[EvictableClient] = deque()
 
     def evict_one(self) -> bool:
-        """Close one connection; false where none is idle."""
+        """Close one idle connection; returns false if there is none."""
         if self._close_candidate():
             return True
         idle = [client for client in self._clients if client.is_idle]
@@ -54,10 +53,10 @@
         return self._close_candidate()
 
     def _close_candidate(self) -> bool:
-        """Close the first candidate that is still idle; false where none is."""
+        """Close the first candidate that is still idle; returns false if none is."""
         while self._candidates:
             client = self._candidates.popleft()
-            # A candidate may have been closed or used since it was collected, and unread input must not be reset.
+            # A candidate may have been closed or used since it was collected. Unread input may be a request.
             if client.is_idle and not client.stream.has_unread_input:
                 client.stream.close()
                 return True
--- a/thornshelf/frontends/json_lines.py
+++ b/thornshelf/frontends/json_lines.py
@@ -1,4 +1,4 @@
-"""The JSON lines frontend: accepts connections of the platform's clients, and reads their lines."""
+"""The JSON lines frontend: accepts client connections, and handles their lines."""
 
 from __future__ import annotations
 
@@ -36,24 +36,22 @@
     from thornshelf.admission.controller import Decision
     from thornshelf.frontends.admission_filter import AdmissionFilter, ReadBackoff
 
-MAX_REMEMBERED_RELEASES = (
-    32  # of a client that acknowledges none; beyond it those that were sent are discarded
-)
-MAX_REJECTED_BEFORE_BACKOFF = 4  # requests that admission rejects before the connection is paused
-MAX_LINES_PER_TURN = (
-    32  # of one connection, so that a flood leaves time for other connections, nodes and timers
-)
-CONNECTION_BROKEN = -1  # in place of a number of handled lines: the connection cannot be read further
+# For a client that does not acknowledge releases: beyond it, those that were fully sent are forgotten.
+MAX_REMEMBERED_RELEASES = 32
+MAX_REJECTED_BEFORE_BACKOFF = 4  # requests that admission rejects before reading the connection pauses
+# Of one connection, so that a flood leaves time for other connections, nodes and timers.
+MAX_LINES_PER_TURN = 32
+CONNECTION_BROKEN = -1  # returned instead of a number of lines: the connection can't be read any further
 _RELEASE_CODES = {Outcome.OK: ENDED, Outcome.CANCELLED: CANCELLED}  # any other outcome: FAILED
 
 
 def _cause_fields(cause: FailureCause | None) -> dict[str, str]:
-    """The field that carries a cause's text: the line has no other place for most causes."""
+    """Return the metadata field with the message of a cause; the line has no code for most causes."""
     return {} if cause is None else {"why": cause.message}
 
 
 class JsonLinesConnection:
-    """One client connection; to the core it is a ``ClientConnection``."""
+    """One client connection; implements the core's ``ClientConnection``."""
 
     accepts_any_release = True
     wire_form = WireFormat.JSON_LINES
@@ -63,41 +61,44 @@
         self.stream = stream
         self.open_requests: set[int] = set()
         self.running: set[int] = set()
-        self.has_sent_message = False  # a complete and valid line has come
+        self.has_sent_message = False  # whether a complete and valid line has been received
         self.read_backoff: ReadBackoff | None = (
             frontend.admission_filter.new_read_backoff() if frontend.admission_filter is not None else None
         )
-        self.acknowledges_releases = False  # the client says which releases have arrived
+        self.acknowledges_releases = False  # whether the client has acknowledged a release
         self.sent_releases: dict[int, SentRelease] = {}
         self.reader = jsonl.LineReader()
 
     @property
     def is_connected(self) -> bool:
-        """Whether the connection is open, as far as is known here."""
+        """Whether the connection is open as far as this side knows."""
         return self.stream.open and not self.stream.peer_closed
 
     def awaits_answer(self, uid: int) -> bool:
-        """Whether the client has neither cancelled the request nor disconnected, as far as has been read."""
+        """Return whether the request is open: neither answered nor cancelled, on a connection that is open."""
         return uid in self.open_requests and self.is_connected
 
     @property
     def is_idle(self) -> bool:
-        """Whether it can be closed without costing the client an answer."""
-        at_rest = not self.has_sent_message or (is_quiescent(self.stream) and not self.reader.mid_message)
-        return self.stream.open and not self.open_requests and at_rest
+        """Whether the connection can be closed without losing an answer to the client."""
+        is_inactive = not self.has_sent_message or (is_quiescent(self.stream) and not self.reader.mid_message)
+        return self.stream.open and not self.open_requests and is_inactive
 
     @property
     def retention_rank(self) -> int:
-        """Of idle connections the lowest is evicted first: without a valid line, then without running tasks."""
+        """Of idle connections, those of the lowest rank are evicted first.
+
+        Connections without a valid line rank lowest, followed by those without running tasks.
+        """
         return 2 * self.has_sent_message + bool(self.running)
 
     @property
     def peer(self) -> str:
-        """The client's host."""
+        """The address of the client's host."""
         return self.stream.peer
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
-        """Tell the client that its task runs, and the lifetime hint that was assumed for it."""
+        """Report that the task runs, with the lifetime hint if it was assumed."""
         self.open_requests.discard(uid)
         self.running.add(uid)
         meta: dict[str, str] | None = None
@@ -108,24 +109,24 @@
             self.frontend.admission_filter.record_placement(self.stream)
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task did not run, and when to retry at the earliest."""
+        """Report that the task did not run; ``retry_after_us``: the earliest time for a retry, None for at once."""
         self.open_requests.discard(uid)
         meta = {"wait": str(max(1, retry_after_us // 1000))} if retry_after_us else {}
         self.stream.send(jsonl.encode_line("stop", uid, meta | _cause_fields(detail), REFUSED))
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
-        """Tell the client that its task failed and may have run."""
+        """Report that the task failed and may have run."""
         self.open_requests.discard(uid)
         self.stream.send(jsonl.encode_line("stop", uid, _cause_fields(detail), FAILED))
 
     def reject_duplicate(self, uid: int) -> None:
-        """Close the connection: the answers to two requests under one id could not be distinguished."""
+        """Close the connection, as the client could not distinguish the answers to two requests with one id."""
         self.stream.close()
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
     ) -> None:
-        """Tell the client that a running task has ended."""
+        """Report that a running task has ended."""
         self.running.discard(uid)
         line = jsonl.encode_line("stop", uid, _cause_fields(detail), _RELEASE_CODES.get(outcome, FAILED))
         if len(self.sent_releases) >= MAX_UNACKNOWLEDGED_RELEASES:
@@ -135,17 +136,17 @@
         self.sent_releases[uid] = SentRelease(self.stream.send(line), outcome, reason, detail)
 
     def send_migrate(self, uid: int) -> None:
-        """Tell the client that a running task was stopped and should be requested again."""
+        """Report that a running task was stopped and should be requested again."""
         self.running.discard(uid)
         self.stream.send(jsonl.encode_line("migrate", uid))
 
     def task_cancelled(self, uid: int) -> None:
-        """Note that the client ended a running task, on this connection or on another."""
+        """Forget a running task that the client ended, on this connection or on another."""
         self.running.discard(uid)
 
 
 class JsonLinesFrontend:
-    """Listens for clients that speak JSON lines."""
+    """Listens for clients that use JSON lines."""
 
     def __init__(
         self,
@@ -156,12 +157,15 @@
         admission_filter: AdmissionFilter | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        """``inherited``: a listening socket that a predecessor has handed over; raises OSError without it."""
+        """Listen on ``address``, or on the socket ``inherited`` from a predecessor.
+
+        Raises ``OSError`` if the address can't be bound.
+        """
         self.loop = loop
         self.core = core
         self.admission_filter = admission_filter
         self.shutting_down = False
-        self._connections: dict[JsonLinesConnection, None] = {}  # the longest without a new request first
+        self._connections: dict[JsonLinesConnection, None] = {}  # least recent request first
         self._idle_evictor = IdleEvictor(self._connections)
         if admission_filter is not None:
             admission_filter.connection_lists.append(lambda: self._connections)
@@ -177,21 +181,20 @@
         )
 
     def _rejection_message(self, decision: Decision) -> bytes:
-        """What a client receives whose connection admission rejects: a rejection without a task's id."""
+        """Encode the rejection of a connection: the rejection of a task of unknown id."""
         meta = {"wait": str(max(1, decision.retry_after_us // 1000)), "why": f"overloaded: {decision.reason}"}
         return jsonl.encode_line("stop", jsonl.UNKNOWN_UID, meta, REFUSED)
 
     def evict_idle(self) -> bool:
-        """Close one connection without an open request; false where there is none.
+        """Close one idle connection; returns false if there is none.
 
-        Those that never sent a valid line go first, then those without running tasks, so that clients which only
-        open connections cannot displace the others. Among equals the one goes that has been without a request for
-        the longest time.
+        Connections without a valid line are closed first, then those without running tasks, so that clients which
+        only open connections can't displace others. Among equals, the one with the least recent request is closed.
         """
         return self._idle_evictor.evict_one()
 
     def close_idle(self) -> None:
-        """Shut down gracefully: close the connections without an open request and without unread input."""
+        """Close connections without an open request and unread input; called repeatedly during a shutdown."""
         for connection in list(self._connections):
             if not (
                 connection.open_requests
@@ -201,7 +204,7 @@
                 connection.stream.end()
 
     def _serve(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Read a connection until it closes."""
+        """Serve a connection until it closes."""
         connection = JsonLinesConnection(self, stream)
         self._connections[connection] = None
         self.core.inbox.append(ClientConnected(connection))
@@ -213,21 +216,21 @@
             self.core.inbox.append(ClientDisconnected(connection, pending))
 
     def _read(self, connection: JsonLinesConnection) -> Generator[Wait, int, None]:
-        """Handle the client's lines as they come; returns where the connection has closed or cannot be read further.
+        """Handle the client's lines until the connection closes or can't be read any further.
 
-        A client that sends nothing, or begins a line and never ends it, is timed out, as it occupies a descriptor.
-        After a valid line a connection may be idle for any time.
+        A client that sends nothing, or does not complete a line in time, is disconnected. A connection on which a
+        valid line was received may be idle for any time.
         """
         stream = connection.stream
         reader = connection.reader
         timeout_us: int | None = self.loop.now + FIRST_MESSAGE_TIMEOUT_US
-        # The time since which unhandled input may have waited: at first, since before the connection was accepted.
+        # Since when unhandled input may have waited; the first input may have arrived before the accept.
         waiting_since_us: int | None = self.loop.earliest_arrival_us
         while data := (yield from stream.read(timeout_us)):
             was_mid_message = reader.mid_message
             reader.feed(data)
-            # Lines beyond one turn's limit wait here, and newer input waits in the system meanwhile. They count as
-            # having come when the wait began: a client's remaining time must not be overestimated.
+            # Lines beyond the limit of a turn wait in the reader, and newer input waits in the socket meanwhile. That
+            # input counts as received when the wait began, so that no request's remaining time is overestimated.
             arrived_us = self.loop.earliest_arrival_us
             if waiting_since_us is not None:
                 arrived_us = min(waiting_since_us, arrived_us)
@@ -248,10 +251,11 @@
     def _handle_lines(
         self, connection: JsonLinesConnection, reader: jsonl.LineReader, arrived_us: int
     ) -> int:
-        """Handle the next complete lines, and return their number, or ``CONNECTION_BROKEN``.
+        """Handle complete lines, at most ``MAX_LINES_PER_TURN``; returns their number, or ``CONNECTION_BROKEN``.
 
-        Requests of a client that has disconnected are owed no answer: they are skipped unparsed, so that a flood of
-        short connections with hundreds of requests each does not use up the turns of all others.
+        Returns ``MAX_LINES_PER_TURN`` also if admission has rejected enough requests that reading should pause.
+        Requests of a client that has disconnected need no answer: they are skipped without being decoded, so that a
+        flood of short connections with many requests each does not occupy the turns.
         """
         reader.abandoned = connection.stream.peer_closed
         backoff = connection.read_backoff
@@ -273,13 +277,13 @@
         return MAX_LINES_PER_TURN
 
     def _reject_line(self, connection: JsonLinesConnection, error: WireError) -> None:
-        """Answer a malformed line; the lines after it are handled unless the framing is lost."""
+        """Answer a malformed line. The following lines are handled unless the error is fatal."""
         self.core.log(4, "bad-line", {"peer": connection.peer, "code": error.code}, str(error))
         uid = jsonl.UNKNOWN_UID if error.uid is None else error.uid
         connection.stream.send(jsonl.encode_line("stop", uid, reason=UNREADABLE))
 
     def _handle_line(self, connection: JsonLinesConnection, line: jsonl.Line, arrived: int) -> None:
-        """Handle one line; raises ``WireError`` where a field of it cannot be used."""
+        """Handle one line; raises ``WireError`` if a field of it is invalid."""
         match line.kind:
             case "launch":
                 self._handle_launch(connection, line, arrived)
@@ -288,22 +292,22 @@
                 connection.running.discard(line.uid)
                 self.core.inbox.append(CancelTask(line.uid))
             case "stopped" if self.core.translator is not None:
-                # The system may have accepted a release for a connection that broke before it arrived. A client
-                # that acknowledges releases gets the unacknowledged ones on another connection.
+                # A release that the operating system accepted may be lost if the connection breaks. A client that
+                # acknowledges releases is sent the unacknowledged ones again on another connection.
                 connection.acknowledges_releases = True
                 connection.sent_releases.pop(line.uid, None)
             case "check":
                 is_serving = int(not self.shutting_down)
                 connection.stream.send(jsonl.encode_line("checked", line.uid, reason=is_serving))
             case _:
-                pass  # 'stopped' without translation has no meaning, and later kinds are skipped
+                pass  # 'stopped' has no meaning without translation; unknown kinds are ignored
 
     def _handle_launch(self, connection: JsonLinesConnection, line: jsonl.Line, arrived_us: int) -> None:
-        """Hand a task request to the core, or reject it where admission says so."""
+        """Pass a task request to the core unless admission rejects it; raises ``WireError`` if a field is invalid."""
         fields = jsonl.launch_fields(line)
         is_new_task = fields.at is None
         if is_new_task and not connection.is_connected:
-            return  # the client disconnected while its line waited, and is owed no answer
+            return  # the client disconnected while its line waited: no answer is needed
         error = self.core.validation_error(fields.task_class, fields.tenant)
         if error is not None:
             raise WireError(error, uid=line.uid)
@@ -311,7 +315,7 @@
             if self._reject_by_admission(connection, line.uid):
                 return
             connection.open_requests.add(line.uid)
-            # Moves the connection behind all others, as the one with the latest request: evicted last.
+            # Moves the connection to the end, as the one with the most recent request, to be evicted last.
             self._connections[connection] = self._connections.pop(connection, None)
         self.core.inbox.append(
             TaskRequest(
@@ -320,7 +324,7 @@
                 task_class=fields.task_class,
                 tenant=fields.tenant,
                 idempotency_key=fields.key,
-                # The wait counts from when the client sent the line, which may have come during earlier turns.
+                # The client's wait began when it sent the line, which may have arrived before this turn.
                 deadline_us=arrived_us + wait_us(fields.left_ms) - DEADLINE_MARGIN_US,
                 lifetime_hint_us=lifetime_hint_us(fields.hint_ms),
                 service=fields.service,
@@ -332,7 +336,7 @@
         )
 
     def _reject_by_admission(self, connection: JsonLinesConnection, uid: int) -> bool:
-        """Whether admission rejects one more request of this client; it is answered then."""
+        """Return whether admission rejects another request of this client; answers it if so."""
         rejection = None
         if self.admission_filter is not None:
             rejection = self.admission_filter.admit_request(connection.stream)
--- a/thornshelf/frontends/listener.py
+++ b/thornshelf/frontends/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that accepts clients within a budget of file descriptors."""
+"""A listening socket that accepts client connections within a budget of file descriptors."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from thornshelf.frontends.admission_filter import AdmissionFilter
 
 BACKLOG = 1024
-MAX_ACCEPTS_PER_TURN = 64  # so that a flood of connections leaves time for tasks
-ACCEPT_BACKOFF_US = 20_000  # after the process ran out of descriptors
-FIRST_MESSAGE_TIMEOUT_US = 2_000_000  # from the accepting of a connection to its first complete message
-MESSAGE_TIMEOUT_US = 2_000_000  # from the beginning of a message to its end
+MAX_ACCEPTS_PER_TURN = 64  # so that a flood of connections does not occupy whole turns
+ACCEPT_BACKOFF_US = 20_000  # pause of accepting after a failure, or while the budget is exhausted
+FIRST_MESSAGE_TIMEOUT_US = 2_000_000  # from accepting a connection to its first complete message
+MESSAGE_TIMEOUT_US = 2_000_000  # from the first byte of a message to its last
 FULL_RETRY_AFTER_US = 1_000_000
 _DESCRIPTORS_EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
 
 
 class _NoDescriptorLeft:
-    """The decision on connections that come when the process can open no more descriptors."""
+    """The decision on a connection that arrives when the process can't open another descriptor."""
 
     admitted = False
     reason = "no file descriptor is left"
@@ -34,12 +34,12 @@
     replaces_idle = False
 
 
-# Not a Decision by type: the modules of admission are not loaded where admission is not configured.
+# Not an instance of Decision: the admission modules are loaded only if admission control is configured.
 NO_DESCRIPTOR_LEFT: Decision = _NoDescriptorLeft()  # type: ignore[assignment]
 
 
 class Listener:
-    """Accepts connections while the budget lasts; beyond it, idle connections are evicted."""
+    """Accepts connections within the budget, and evicts idle ones when it is exceeded."""
 
     def __init__(
         self,
@@ -52,10 +52,11 @@
         rejection_message: Callable[[Decision], bytes] | None = None,
         inherited: socket.socket | None = None,
     ) -> None:
-        """Listen on ``address``, or on the socket ``inherited`` from a predecessor; raises OSError.
+        """Listen on ``address``, or on the socket ``inherited`` from a predecessor.
 
-        ``serve``: the coroutine of one connection; ``evict_idle``: closes an idle connection, false where there is
-        none; ``rejection_message``: what is sent on a connection that admission rejects.
+        ``serve``: the coroutine of one connection; ``evict_idle``: closes an idle connection, or returns false if
+        there is none; ``rejection_message``: encodes what is sent on a connection that admission rejects. Raises
+        ``OSError`` if the address can't be bound.
         """
         self.loop = loop
         self.budget = budget
@@ -71,7 +72,7 @@
         self._task: Task = loop.spawn(self._accept())
 
     def close(self) -> None:
-        """Stop listening; does nothing where that was done already."""
+        """Stop listening; does nothing if the listener is closed already."""
         if self.sock.fileno() >= 0:
             self.loop.unregister(self.sock.fileno())
             self.loop.cancel(self._task)
@@ -90,12 +91,12 @@
                 except OSError as error:
                     if self._handle_accept_error(error):
                         continue
-                    # Such errors pass: the listener must not end with them.
+                    # Such errors are temporary: the listener must survive them.
                     yield Wait(until=self.loop.now + ACCEPT_BACKOFF_US)
                     break
                 self._open_connection(sock, str(peer[0]))
                 has_waited = False
-                # Several connections may have to go, where nodes need more now. Without an idle one the next
+                # If nodes need more descriptors now, several connections have to be closed. While none is idle, new
                 # connections stay in the backlog, so that the process does not run out of descriptors.
                 while self.budget.client_count > self.budget.max_clients:
                     if not self._evict_idle():
@@ -105,7 +106,10 @@
                     break
 
     def _handle_accept_error(self, error: OSError) -> bool:
-        """Whether the next connection can be accepted at once; evicts an idle one where descriptors are exhausted."""
+        """Return whether to accept the next connection at once.
+
+        If descriptors are exhausted, rejects the next connection or evicts an idle one.
+        """
         if error.errno not in _DESCRIPTORS_EXHAUSTED:
             return False
         if self.admission_filter is not None and self._reject_next_when_full(self.admission_filter):
@@ -114,9 +118,10 @@
         return False
 
     def drain_backlog(self) -> bool:
-        """Accept the connections in the backlog, and then close; false while there is no room for the next one.
+        """Accept the connections in the backlog, then close the listener.
 
-        A listener that is closed resets the connections in its backlog, which came in time.
+        Returns false if the next connection can't be accepted now. Closing the listener without this would reset the
+        connections in its backlog.
         """
         self.loop.cancel(self._task)
         while self.sock.fileno() >= 0:
@@ -135,7 +140,7 @@
         return True
 
     def _open_connection(self, sock: socket.socket, peer: str) -> None:
-        """Serve a connection, unless admission rejects it."""
+        """Start to serve an accepted connection, unless admission rejects it."""
         permit = None
         if self.admission_filter is not None:
             decision, permit = self.admission_filter.admit_connection(peer)
@@ -144,7 +149,7 @@
                 return
         try:
             stream = Stream(self.loop, sock, peer)
-        except OSError:  # the client reset the connection meanwhile
+        except OSError:  # the client has reset the connection
             sock.close()
             if self.admission_filter is not None and permit is not None:
                 self.admission_filter.release(permit)
@@ -156,35 +161,35 @@
         self.loop.spawn(self._run(stream))
 
     def _run(self, stream: Stream) -> Generator[Wait, int, None]:
-        """Serve a connection, and close it in any case."""
+        """Serve a connection, and close it when its coroutine ends for any reason."""
         try:
             yield from self._serve(stream)
         finally:
             stream.close()
 
     def _on_close(self, stream: Stream) -> None:
-        """Return what a closed connection held."""
+        """Return the descriptor and the permit of a closed connection."""
         self.budget.client_count -= 1
         if self.admission_filter is not None and stream.admission_permit is not None:
             self.admission_filter.release(stream.admission_permit)
 
     def _reject(self, sock: socket.socket, decision: Decision) -> None:
-        """Send the rejection as far as that is possible without waiting, and close."""
+        """Send the rejection without waiting, and close the connection."""
         try:
             sock.setblocking(False)
             if self._rejection_message is not None:
                 sock.send(self._rejection_message(decision))
             sock.shutdown(socket.SHUT_WR)
-            # A close with unread input would reset the connection, and discard the rejection.
+            # Closing with unread input would reset the connection, and the client could lose the rejection.
             sock.recv(READ_SIZE)
         except OSError:
             pass  # the client has disconnected, or has sent nothing
         sock.close()
 
     def _reject_next_when_full(self, admission_filter: AdmissionFilter) -> bool:
-        """Reject the next connection by means of the spare descriptor; false where that is not possible.
+        """Accept and reject the next connection with the spare descriptor; returns false if that is not possible.
 
-        A listener that cannot accept stays readable, and would use up turn after turn: this empties its backlog.
+        A listener with connections in its backlog stays readable, so that the loop would spin if it accepted none.
         """
         if not admission_filter.release_spare():
             return False
@@ -200,7 +205,7 @@
 
 
 def _listen(address: tuple[str, int]) -> socket.socket:
-    """A new listening socket; raises OSError where the address cannot be bound."""
+    """Return a new listening socket; raises ``OSError`` if the address can't be bound."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/thornshelf/frontends/sent_releases.py
+++ b/thornshelf/frontends/sent_releases.py
@@ -1,4 +1,4 @@
-"""Releases that a client connection has sent and that may have to be sent again on another connection."""
+"""Releases sent on a client connection, which may have to be sent again on another one."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
     from thornshelf.loop import Chunk
     from thornshelf.wire.http2 import OutgoingMessage
 
-MAX_UNACKNOWLEDGED_RELEASES = 4096  # of a client that acknowledges releases; the oldest are discarded first
+MAX_UNACKNOWLEDGED_RELEASES = 4096  # kept for one connection; beyond it, the oldest is forgotten
 
 
 class SentRelease:
     """A release, and the write that carries it.
 
-    A plain class, as every dispatcher loads this module at its start, and a dataclass takes a millisecond to make.
+    Not a dataclass, because creating one would slow down the start of every dispatcher.
     """
 
     __slots__ = ("detail", "outcome", "reason", "write")
@@ -34,10 +34,10 @@
 def pending_releases(
     releases: dict[int, SentRelease], acknowledges_releases: bool
 ) -> list[tuple[int, Outcome, Reason, FailureCause | None]]:
-    """The releases, by uid, that may not have reached the client of a connection that has closed.
+    """Return the releases that the client of a closed connection may not have received.
 
-    A client that acknowledges releases has not received those that are still in ``releases``. Of any other
-    client only the releases that never left this process are known to be missing.
+    If the client acknowledges releases, these are all that are still in ``releases``, otherwise only those that were
+    not handed to the operating system completely.
     """
     return [
         (uid, sent.outcome, sent.reason, sent.detail)
@@ -47,10 +47,10 @@
 
 
 def not_fully_sent(releases: dict[int, SentRelease]) -> dict[int, SentRelease]:
-    """The releases of which at least one byte is still waiting to be sent."""
+    """Return the releases that were not handed to the operating system completely."""
     return {uid: sent for uid, sent in releases.items() if not sent.write.fully_sent}
 
 
 def discard_oldest(releases: dict[int, SentRelease]) -> None:
-    """Remove the release that was sent first."""
+    """Forget the release that was sent first."""
     del releases[next(iter(releases))]
