--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control on sockets: rejections, reserved connections, descriptors that run out, and a successor."""
+"""Admission control with real sockets: rejections, reserved connections, exhausted descriptors, restarts."""
 
 from __future__ import annotations
 
@@ -40,33 +40,35 @@
 from thornshelf.wire import jsonl
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-FRONTS = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
+EACH_FRONT = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
 PLACED = ("placed", DESCRIPTION)
 KNOWN_CLIENTS = PrefixRule("known clients", parse_prefix("127.1.0.0/16"), known=True)
 
 
 def filter_config(
-    each: Limits | None = None, capacity: int = 20, reserve: int = 4, **changes: Any
+    source_limits: Limits | None = None, capacity: int = 20, reserved: int = 4, **changes: Any
 ) -> AdmissionFilterConfig:
+    """Settings with one known prefix; ``changes``: other values of ``AdmissionConfig``."""
     controller = AdmissionConfig(
-        ReservedConnectionsConfig(capacity, reserve, min(2, reserve)),
+        ReservedConnectionsConfig(capacity, reserved, min(2, reserved)),
         (KNOWN_CLIENTS,),
-        each or Limits(),
+        source_limits or Limits(),
         **changes,
     )
     return AdmissionFilterConfig(controller, {"nodes": 4, "spare": 1})
 
 
 def connect(cluster: FakeCluster, front: str = JSON, source: str = HOST) -> socket.socket:
-    at = cluster.service.frontends[0 if front == JSON else 1].listener.address
-    sock = socket.create_connection(at, timeout=TIMEOUT_S, source_address=(source, 0))
+    """A connection from the address ``source`` that has sent nothing."""
+    address = cluster.service.frontends[0 if front == JSON else 1].listener.address
+    sock = socket.create_connection(address, timeout=TIMEOUT_S, source_address=(source, 0))
     sock.setblocking(False)
     cluster.run_for(10)
     return sock
 
 
 def read_until_closed(cluster: FakeCluster, sock: socket.socket) -> bytes | None:
-    """All data until the connection is closed; None if it is open and nothing arrived."""
+    """All data until the connection is closed or no more arrives; None if it is open and nothing arrived."""
     data = b""
     while True:
         cluster.run_for(5)
@@ -79,14 +81,14 @@
         data += part
 
 
-@FRONTS
+@EACH_FRONT
 def test_requests_beyond_a_sources_rate_are_rejected_at_once_with_a_retry_after(front: str) -> None:
     cluster = FakeCluster(front, admission=filter_config(Limits(request_rate=Rate(2, 1_000_000, 3))))
     for uid in range(5, 11):
         cluster.client.ask(uid, NodeBehavior.RUN)
     events = [cluster.wait_for_events(uid)[0] for uid in range(5, 11)]
-    assert [one[0] for one in events] == ["placed"] * 3 + ["refused"] * 3
-    assert all(0 < int(one[1]) <= 2000 for one in events[3:])
+    assert [event[0] for event in events] == ["placed"] * 3 + ["refused"] * 3
+    assert all(0 < int(event[1]) <= 2000 for event in events[3:])
     if front == JSON:
         assert (
             cluster.client.said[10][0].meta["why"].startswith("overloaded: the request rate of its address")
@@ -115,7 +117,7 @@
 
 
 def test_a_known_client_replaces_an_idle_unknown_connection() -> None:
-    cluster = FakeCluster(JSON, admission=filter_config(capacity=5, reserve=3))
+    cluster = FakeCluster(JSON, admission=filter_config(capacity=5, reserved=3))
     unknown = [connect(cluster) for _ in range(6)]
     assert [read_until_closed(cluster, one) is None for one in unknown] == [
         True,
@@ -127,7 +129,7 @@
     ]
     known = [connect(cluster, source="127.1.0.1") for _ in range(4)]
     assert all(read_until_closed(cluster, one) is None for one in known)
-    assert sum(read_until_closed(cluster, one) is None for one in unknown) < 2  # idle ones were closed
+    assert sum(read_until_closed(cluster, one) is None for one in unknown) < 2  # at least one was evicted
     cluster.client.ask(5, NodeBehavior.RUN)
     for one in (*unknown, *known):
         one.close()
@@ -143,28 +145,29 @@
         assert cluster.wait_for_events(uid) == [PLACED]
     for uid in range(9, 30):
         cluster.client.ask(uid, NodeBehavior.RUN)
-        assert cluster.wait_for_events(uid) == [
-            PLACED
-        ]  # the rate of unknown sources does not apply to it any more
+        # The rate of unknown sources does not apply to it any more.
+        assert cluster.wait_for_events(uid) == [PLACED]
 
 
 def test_a_flood_of_requests_does_not_starve_other_connections() -> None:
     cluster = FakeCluster(JSON, admission=filter_config(Limits(request_rate=Rate(1, 1_000_000, 1))))
     for uid in range(100, 1100):
         cluster.client.ask(uid, NodeBehavior.RUN)
-    at = cluster.service.frontends[0].listener.address
-    known = socket.create_connection(at, timeout=TIMEOUT_S, source_address=("127.1.0.1", 0))
+    address = cluster.service.frontends[0].listener.address
+    known = socket.create_connection(address, timeout=TIMEOUT_S, source_address=("127.1.0.1", 0))
     known.setblocking(False)
     meta = {"class": "lookup", "left": "8000", "key": "5"}
     known.sendall(jsonl.encode_line("launch", 5, meta, body=NodeBehavior.RUN.value))
-    began = cluster.loop.now
+    started = cluster.loop.now
     while (reply := read_until_closed(cluster, known)) is None:
-        assert cluster.loop.now - began < 2_000_000
+        assert cluster.loop.now - started < 2_000_000
     assert b'"running"' in reply
     assert len(cluster.client.heard) < 500
-    lines = [values for _, message_id, values, _ in cluster.logged if message_id == "connections-rejected"]
-    assert 0 < len(lines) <= 4
-    assert str(lines[0]["heaviest"]).startswith("127.0.0.1=")
+    summaries = [
+        values for _, message_id, values, _ in cluster.logged if message_id == "connections-rejected"
+    ]
+    assert 0 < len(summaries) <= 4
+    assert str(summaries[0]["heaviest"]).startswith("127.0.0.1=")
 
 
 def test_a_reload_of_the_rules_closes_no_connection() -> None:
@@ -193,7 +196,7 @@
     assert cluster.service.core.open_count == 0
 
 
-def test_clients_can_not_use_the_descriptors_of_nodes() -> None:
+def test_clients_cannot_use_the_descriptors_of_nodes() -> None:
     cluster = FakeCluster(
         JSON, admission=AdmissionFilterConfig(filter_config().controller, {"nodes": 2}), nodes=2
     )
@@ -222,15 +225,15 @@
 def test_an_invalid_table_is_reported_with_its_key(tmp_path: Path, text: str, key: str) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(text)
-    with pytest.raises(ConfigError) as fault:
+    with pytest.raises(ConfigError) as error:
         read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}, str(file))
-    assert str(fault.value).startswith(key)
+    assert str(error.value).startswith(key)
 
 
-# a process of its own
+# The tests below run the dispatcher in a separate process.
 
 
-OPERATOR = """
+OPERATOR_FILE = """
 [grpc]
 listen = "127.0.0.1:0"
 [admission]
@@ -243,9 +246,9 @@
 
 @pytest.fixture
 def separate_process(tmp_path: Path) -> Iterator[tuple[FakeCluster, DispatcherProcess]]:
-    """A cluster of nodes in this process, and a dispatcher in another."""
+    """Fake nodes in this process, and a dispatcher in another one that may open 48 descriptors."""
     cluster = FakeCluster(JSON, BINARY)
-    dispatcher = DispatcherProcess(tmp_path, [one.port for one in cluster.nodes], OPERATOR, own_limit=48)
+    dispatcher = DispatcherProcess(tmp_path, [one.port for one in cluster.nodes], OPERATOR_FILE, own_limit=48)
     yield cluster, dispatcher
     pids = {int(one) for one in re.findall(r'pid="(\d+)"', dispatcher.log_path.read_text())}
     for pid in pids:
@@ -265,26 +268,26 @@
 def test_exhausted_descriptors_are_survived_and_reported_to_clients(
     separate_process: tuple[FakeCluster, DispatcherProcess],
 ) -> None:
-    """The process may open 48, whatever its configuration says."""
+    """The limit of the process is far below the configured one."""
     cluster, dispatcher = separate_process
     at = dispatcher.addresses[JSON]
     flood = [socket.create_connection(at, timeout=TIMEOUT_S) for _ in range(100)]
-    for one in flood:
-        one.setblocking(False)
+    for sock in flood:
+        sock.setblocking(False)
     replies: dict[socket.socket, bytes] = {}
     limit = time.monotonic() + TIMEOUT_S
-    while sum(b'"reason":34' in one for one in replies.values()) < 50:
+    while sum(b'"reason":34' in reply for reply in replies.values()) < 50:
         assert time.monotonic() < limit, replies.values()
         replies |= {
-            one: data
-            for one in flood
-            if one not in replies and (data := read_until_closed(cluster, one)) is not None
+            sock: data
+            for sock in flood
+            if sock not in replies and (data := read_until_closed(cluster, sock)) is not None
         }
     assert dispatcher.process.poll() is None
     assert dispatcher.descriptors <= 48
-    before = dispatcher.cpu_us
+    cpu_us_before = dispatcher.cpu_us
     cluster.run_for(500)
-    assert dispatcher.cpu_us - before < 200_000  # no busy loop
+    assert dispatcher.cpu_us - cpu_us_before < 200_000  # no busy loop
     for one in flood:
         one.close()
     cluster.run_for(100)
@@ -319,28 +322,28 @@
     assert [cluster.offer_count(uid) for uid in (5, 6)] == [1, 1]
 
 
-def test_the_predecessor_serves_on_if_the_successor_fails(
+def test_the_predecessor_continues_if_the_successor_fails(
     separate_process: tuple[FakeCluster, DispatcherProcess],
 ) -> None:
     cluster, dispatcher = separate_process
     config = dispatcher.log_path.parent / "config.json"
-    sound = config.read_text()
+    valid_config = config.read_text()
     config.write_text(json.dumps({"settings": 5}))
     os.kill(dispatcher.process.pid, signal.SIGUSR2)
     wait_for(cluster, dispatcher.log_path, "it ended before it was ready")
     with socket.create_connection(dispatcher.addresses[JSON], timeout=TIMEOUT_S) as sock:
         sock.sendall(jsonl.encode_line("check", 1, reason=0))
         assert b"checked" in sock.recv(100)
-    config.write_text(sound)
+    config.write_text(valid_config)
     cluster.run_for(400)
-    os.kill(dispatcher.process.pid, signal.SIGUSR2)  # and it may try again
+    os.kill(dispatcher.process.pid, signal.SIGUSR2)  # a later attempt succeeds
     wait_for(cluster, dispatcher.log_path, "taken over from the predecessor")
 
 
 def test_both_processes_keep_within_the_limit_during_a_handover(tmp_path: Path) -> None:
-    """A flood has used nearly all of 96; old and new process keep within them together."""
+    """Guards against exceeding the limit by counting the descriptors of each process separately."""
     cluster = FakeCluster(JSON, BINARY)
-    dispatcher = DispatcherProcess(tmp_path, [one.port for one in cluster.nodes], OPERATOR, sockets=96)
+    dispatcher = DispatcherProcess(tmp_path, [one.port for one in cluster.nodes], OPERATOR_FILE, sockets=96)
     at, pids = dispatcher.addresses[JSON], [dispatcher.process.pid]
     try:
         flood = [socket.create_connection(at, timeout=TIMEOUT_S) for _ in range(120)]
@@ -351,10 +354,9 @@
         while "taken over from the predecessor" not in (log := dispatcher.log_path.read_text()):
             assert time.monotonic() < limit, log[-2000:]
             pids = [dispatcher.process.pid, *(int(one) for one in re.findall(r'pid="(\d+)"', log))]
-            peak = max(peak, sum(map(descriptors, pids)))
-            flood.append(
-                socket.create_connection(at, timeout=TIMEOUT_S)
-            )  # the system refuses no connection meanwhile
+            peak = max(peak, sum(map(count_descriptors, pids)))
+            # No connection is refused during the handover.
+            flood.append(socket.create_connection(at, timeout=TIMEOUT_S))
             cluster.run_for(10)
         assert len(pids) == 2
         assert peak <= 96
@@ -372,7 +374,8 @@
         dispatcher.terminate()
 
 
-def descriptors(pid: int) -> int:
+def count_descriptors(pid: int) -> int:
+    """The number of open descriptors of a process; 0 if it has exited."""
     try:
         return len(os.listdir(f"/proc/{pid}/fd"))
     except OSError:
--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""The admission controller: decisions on connections and requests by source, prefix, rate and reputation."""
+"""Decisions of the admission controller by source, prefix, rate and reputation."""
 
 from __future__ import annotations
 
@@ -40,7 +40,10 @@
 def connect(
     controller: AdmissionController, address: str, count: int, now: int = 0, busy: int | None = None
 ) -> list[ConnectionPermit]:
-    """The permits of those that are admitted, out of ``count`` connections from an address."""
+    """Opens ``count`` connections from an address; returns the permits of those that are admitted.
+
+    ``busy``: connections of unknown sources that can't be closed; None means all of them.
+    """
     permits = []
     for _ in range(count):
         decision, permit = controller.admit_connection(
@@ -63,18 +66,18 @@
     assert decision.retry_after_us > 0
     for number in range(2, 40):
         connect(controller, f"192.0.2.{number}", 5)
-    assert controller.reserved_connections.unknown_count == 14  # the reserved connections are left
+    assert controller.reserved_connections.unknown_count == 14  # all but the reserved connections
     assert len(connect(controller, "10.1.0.1", 5)) == 5
 
 
-def test_limits_nest_and_a_rejection_uses_none_of_them() -> None:
+def test_limits_nest_and_a_rejection_consumes_none_of_them() -> None:
     controller = make_controller()
     permits = connect(controller, "10.9.0.1", 9)
-    assert len(permits) == 4  # for all sources of the block, though each may have nine
+    assert len(permits) == 4  # the limit of the prefix, below that of each source
     assert len(connect(controller, "10.9.0.2", 3)) == 0
     assert controller._sources[4, int(ipaddress.ip_address("10.9.0.2"))].open_count == 0
     assert len(connect(controller, "10.8.0.1", 9)) == 5
-    assert len(connect(controller, "10.1.0.1", 9)) == 3  # twelve for all sources of the wide prefix
+    assert len(connect(controller, "10.1.0.1", 9)) == 3  # the wide prefix has reached its limit of twelve
     for permit in permits:
         controller.release(permit)
         controller.release(permit)  # releasing twice has no effect
@@ -82,12 +85,12 @@
     assert controller.reserved_connections.open_count == 11
 
 
-def test_a_flood_from_many_addresses_of_one_prefix() -> None:
+def test_a_flood_from_many_addresses_of_one_prefix_is_limited() -> None:
     controller = make_controller()
-    taken = sum(
+    admitted_count = sum(
         len(connect(controller, f"10.9.{number // 250}.{number % 250 + 1}", 2)) for number in range(200)
     )
-    assert taken == 4
+    assert admitted_count == 4
 
 
 def test_rejections_by_rate_say_when_to_retry() -> None:
@@ -107,7 +110,7 @@
 def test_unknown_sources_share_a_request_rate_that_known_ones_do_not_use() -> None:
     controller = make_controller(unknown_request_rate=Rate(3, 1_000_000, 3), source_limits=Limits())
     unknown = [connect(controller, f"192.0.2.{number}", 1)[0] for number in range(1, 9)]
-    assert sum(controller.admit_request(each, 0).admitted for each in unknown) == 3
+    assert sum(controller.admit_request(permit, 0).admitted for permit in unknown) == 3
     known = connect(controller, "10.1.0.1", 1)[0]
     assert all(controller.admit_request(known, 0).admitted for _ in range(50))
 
@@ -147,15 +150,16 @@
         source_limits=Limits(), rules=(PrefixRule("hollis", parse_prefix("10.1.0.0/16"), known=True),)
     )
     unknown = connect(controller, "192.0.2.1", 50, busy=0)
-    assert len(unknown) == 18  # all idle: they may use the reserved connections but for the floor
+    assert len(unknown) == 18  # all are idle: they may use the reserved connections except for the floor
     assert len(connect(controller, "10.1.0.1", 2, busy=0)) == 2
     decision, permit = controller.admit_connection("10.1.0.1", 0, 0)
     assert decision.admitted
     assert decision.replaces_idle
     assert permit is not None
+    # No connection can be closed.
     assert not controller.admit_connection("10.1.0.1", 0, controller.reserved_connections.unknown_count)[
         0
-    ].admitted  # as no connection can be closed
+    ].admitted
 
 
 def test_clients_behind_one_address_share_its_limits() -> None:
@@ -164,7 +168,7 @@
     assert len(connect(controller, "192.0.2.1", 3)) == 2
 
 
-def test_unreadable_and_ipv6_addresses_are_mapped_to_sources() -> None:
+def test_invalid_and_ipv6_addresses_are_mapped_to_sources() -> None:
     controller = make_controller()
     assert len(connect(controller, "no address", 9)) == 5
     assert len(connect(controller, "", 9)) == 0
@@ -187,8 +191,8 @@
     )
     assert controller.reserved_connections.open_count == 4
     assert not controller.admit_connection("10.9.0.1", 0, 0)[0].admitted
-    for each in permits[:3]:
-        controller.release(each)
+    for permit in permits[:3]:
+        controller.release(permit)
     assert controller.admit_connection("10.9.0.1", 0, 0)[0].admitted
     assert controller.reserved_connections.open_count == 2
 
@@ -198,14 +202,16 @@
         max_sources=50, rules=(), reserved_connections=ReservedConnectionsConfig(10_000, 0, 0)
     )
     permits = [
-        each for number in range(3000) for each in connect(controller, str(ipaddress.ip_address(number)), 1)
+        permit
+        for number in range(3000)
+        for permit in connect(controller, str(ipaddress.ip_address(number)), 1)
     ]
     assert len(controller) <= 51
-    assert len(permits) >= 50  # the others share one state, with its limits
-    for each in permits:
-        controller.release(each)
+    assert len(permits) >= 50  # further sources share one state with its limits
+    for permit in permits:
+        controller.release(permit)
     for number in range(5000, 5200):
-        for each in connect(controller, str(ipaddress.ip_address(number)), 1, now=10**9):
-            controller.release(each)
+        for permit in connect(controller, str(ipaddress.ip_address(number)), 1, now=10**9):
+            controller.release(permit)
     assert len(controller) <= 51
     assert controller.reserved_connections.open_count == 0
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -1,4 +1,4 @@
-"""The rules of admission: rates, prefixes, counters, reservations, descriptors, overload and fair queueing."""
+"""The parts of admission: rates, prefixes, counters, reservations, descriptors, overload and fair queueing."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 FIXED = settings(derandomize=True, max_examples=80, deadline=None)
 
 
-# rates
+# Rates.
 
 
 def test_a_rate_allows_its_burst_and_then_its_count() -> None:
-    rate, tat, given_at = Rate(3, 1_000_000, 2), 0, []
+    rate, arrival, admitted_at = Rate(3, 1_000_000, 2), 0, []
     for now in range(0, 2_000_001, 1000):
-        if (new := next_arrival_time(rate, tat, now)) is not None:
-            tat = new
-            given_at.append(now)
-    assert given_at[:4] == [0, 0 + 1000, 334_000, 667_000]
-    assert len(given_at) == 8
+        if (new := next_arrival_time(rate, arrival, now)) is not None:
+            arrival = new
+            admitted_at.append(now)
+    assert admitted_at[:4] == [0, 0 + 1000, 334_000, 667_000]
+    assert len(admitted_at) == 8
 
 
 @FIXED
@@ -46,40 +46,40 @@
 def test_no_window_exceeds_the_rate_and_the_burst(
     count: int, period: int, burst: int, pauses: list[int]
 ) -> None:
-    rate, tat, now, taken = Rate(count, period, burst), 0, 0, list[int]()
+    rate, arrival, now, admitted_at = Rate(count, period, burst), 0, 0, list[int]()
     for pause in pauses:
         now += pause
-        wait = wait_us(rate, tat, now)
-        new = next_arrival_time(rate, tat, now)
+        wait = wait_us(rate, arrival, now)
+        new = next_arrival_time(rate, arrival, now)
         assert (new is None) == (wait > 0)
         if new is None:
-            assert next_arrival_time(rate, tat, now + wait) is not None
-            assert next_arrival_time(rate, tat, now + wait - 1) is None
+            assert next_arrival_time(rate, arrival, now + wait) is not None
+            assert next_arrival_time(rate, arrival, now + wait - 1) is None
         else:
-            tat = new
-            taken.append(now)
-    for i, begin in enumerate(taken):
-        for j in range(i, len(taken)):
-            assert (j - i + 1 - burst) * period <= (taken[j] - begin) * count
+            arrival = new
+            admitted_at.append(now)
+    for i, start in enumerate(admitted_at):
+        for j in range(i, len(admitted_at)):
+            assert (j - i + 1 - burst) * period <= (admitted_at[j] - start) * count
 
 
 def test_a_clock_jump_earns_no_more_than_the_burst() -> None:
     rate = Rate(10, 1_000_000, 3)
-    tat = 0
+    arrival = 0
     for _ in range(3):
-        tat = next_arrival_time(rate, tat, 0) or 0
-    assert next_arrival_time(rate, tat, 0) is None
-    assert not is_idle(rate, tat, 0)
-    jump, got = 10**13, 0
-    while (new := next_arrival_time(rate, tat, jump)) is not None:
-        tat, got = new, got + 1
-    assert got == 3
-    assert next_arrival_time(rate, tat, 0) is None  # nor does one that steps back
+        arrival = next_arrival_time(rate, arrival, 0) or 0
+    assert next_arrival_time(rate, arrival, 0) is None
+    assert not is_idle(rate, arrival, 0)
+    jump, admitted_count = 10**13, 0
+    while (new := next_arrival_time(rate, arrival, jump)) is not None:
+        arrival, admitted_count = new, admitted_count + 1
+    assert admitted_count == 3
+    assert next_arrival_time(rate, arrival, 0) is None  # a clock that steps back earns nothing either
     with pytest.raises(ValueError):
         Rate(0, 1, 1)
 
 
-# prefixes
+# Prefixes.
 
 
 def test_nested_prefixes_match_in_order_of_length() -> None:
@@ -97,9 +97,9 @@
     assert len(table) == 6
     assert list(table.matches(*parse_address("fe80::1%eth0"))) == []
     assert parse_address("::ffff:10.1.2.3") == parse_address("10.1.2.3")
-    for bad in ("10.0.0.1/8", "10.0.0.0/33", "x"):
+    for invalid in ("10.0.0.1/8", "10.0.0.0/33", "x"):
         with pytest.raises(ValueError):
-            parse_prefix(bad)
+            parse_prefix(invalid)
 
 
 @FIXED
@@ -107,49 +107,51 @@
     st.integers(0, 2**32 - 1), st.lists(st.tuples(st.integers(0, 2**32 - 1), st.integers(0, 32)), max_size=40)
 )
 def test_the_trie_matches_like_a_dict_for_each_length(seed: int, prefixes: list[tuple[int, int]]) -> None:
-    trie, plain = PrefixTable[int](), PerLengthPrefixTable[int]()
+    trie, reference = PrefixTable[int](), PerLengthPrefixTable[int]()
     for number, (value, length) in enumerate(prefixes, 1):
         prefix = (4, value >> (32 - length), length)
         trie.insert(prefix, number)
-        plain.insert(prefix, number)
+        reference.insert(prefix, number)
     rng = random.Random(seed)
-    for value in [one[0] for one in prefixes] + [rng.randrange(2**32) for _ in range(20)]:
-        assert list(trie.matches(4, value)) == list(plain.matches(4, value))
+    for value in [entry[0] for entry in prefixes] + [rng.randrange(2**32) for _ in range(20)]:
+        assert list(trie.matches(4, value)) == list(reference.matches(4, value))
 
 
-# heavy hitters, reputation and rejections
+# Heavy hitters, reputation and rejections.
 
 
 @FIXED
 @given(st.integers(1, 12), st.lists(st.integers(0, 30), max_size=300))
-def test_space_saving_counts_stay_within_their_bounds(size: int, seen: list[int]) -> None:
-    sketch, plain = SpaceSavingCounter[int](size), Counter[int]()
-    for one in seen:
-        sketch.add(one)
-        plain[one] += 1
-        assert len(sketch) <= size
-    for one, count in plain.items():
-        if one in dict(sketch.top(size)):
-            assert sketch.lower_bound(one) <= count <= sketch.upper_bound(one) <= count + len(seen) // size
+def test_space_saving_counts_stay_within_their_bounds(capacity: int, seen: list[int]) -> None:
+    counter, exact = SpaceSavingCounter[int](capacity), Counter[int]()
+    for key in seen:
+        counter.add(key)
+        exact[key] += 1
+        assert len(counter) <= capacity
+    for key, count in exact.items():
+        if key in dict(counter.top(capacity)):
+            assert (
+                counter.lower_bound(key) <= count <= counter.upper_bound(key) <= count + len(seen) // capacity
+            )
         else:
-            assert count <= len(seen) // size
+            assert count <= len(seen) // capacity
 
 
 def test_many_sources_use_no_more_memory_than_the_capacity() -> None:
-    sketch = SpaceSavingCounter[int](256)
-    for one in range(200_000):
-        sketch.add(one)
-        if one % 10 == 0:
-            sketch.add(-1)
-    assert len(sketch) == 256
-    assert sketch.top(1)[0][0] == -1
-    assert sketch.lower_bound(-1) == 20_000
+    counter = SpaceSavingCounter[int](256)
+    for source in range(200_000):
+        counter.add(source)
+        if source % 10 == 0:
+            counter.add(-1)
+    assert len(counter) == 256
+    assert counter.top(1)[0][0] == -1
+    assert counter.lower_bound(-1) == 20_000
     for _ in range(20):
-        sketch.decay()
-    assert len(sketch) == 0
-    assert sketch.total == 0
-    sketch.add(5)
-    assert sketch.upper_bound(5) == 1
+        counter.decay()
+    assert len(counter) == 0
+    assert counter.total == 0
+    counter.add(5)
+    assert counter.upper_bound(5) == 1
 
 
 def test_a_reputation_is_earned_by_placements_and_decays() -> None:
@@ -160,13 +162,13 @@
     assert reputation.is_known("hollis", 150)
     assert not reputation.is_known("hollis", 350)
     for number in range(100):
-        reputation.record_placement(number, 400)  # a crowd that pushes others out makes nobody known
+        reputation.record_placement(number, 400)  # inherited counts do not make a source known
         assert not reputation.is_known(number, 400)
     assert not reputation.is_known("hollis", 10**12)
 
 
 def test_a_flood_is_summarised_once_an_interval() -> None:
-    rejections, summaries = (
+    rejection_log, summaries = (
         RejectionLog(RejectionLogConfig(interval_us=100, top_sources=2, max_sources=8)),
         list[tuple[int, int]](),
     )
@@ -174,35 +176,35 @@
     for now in range(0, 1000, 2):
         for source, count in (((4, 1), 5), ((4, 2), 2), ((4, 1000 + now), 1)):
             for _ in range(count):
-                at = rejections.record("connections", source, source == (4, 2), now)
-                due = at if at is not None else due
-        if due is not None and now >= due and (found := rejections.take_summary(now)) is not None:
+                scheduled = rejection_log.record("connections", source, source == (4, 2), now)
+                due = scheduled if scheduled is not None else due
+        if due is not None and now >= due and (summary := rejection_log.take_summary(now)) is not None:
             due = None
-            summaries.append((now, found.counts["connections"]))
-            assert len(found.top_sources) <= 2
-            assert found.top_sources[0][0] == (4, 1)
+            summaries.append((now, summary.counts["connections"]))
+            assert len(summary.top_sources) <= 2
+            assert summary.top_sources[0][0] == (4, 1)
     assert 9 <= len(summaries) <= 10
-    assert all(b[0] - a[0] >= 100 for a, b in itertools.pairwise(summaries))
-    assert rejections.take_summary(1000) is not None
-    assert rejections.take_summary(1001) is None
-    assert [format_source(one) for one in ((4, 0x0A010203), (6, 0xFD00000000000001), (0, 0), (0, 1))] == [
+    assert all(later[0] - earlier[0] >= 100 for earlier, later in itertools.pairwise(summaries))
+    assert rejection_log.take_summary(1000) is not None
+    assert rejection_log.take_summary(1001) is None
+    assert [format_source(source) for source in ((4, 0x0A010203), (6, 0xFD00000000000001), (0, 0), (0, 1))] == [
         "10.1.2.3", "fd00:0:0:1::/64", "unreadable", "others"
     ]  # fmt: skip
 
 
-# reserved connections and descriptors
+# Reserved connections and descriptors.
 
 
 def test_unknown_sources_never_use_the_reserved_connections() -> None:
     connections = ReservedConnections(ReservedConnectionsConfig(capacity=10, reserved=4, floor=1))
     while connections.can_open(False, busy=connections.unknown_count):
         connections.record_open(False)
-    assert connections.unknown_count == 6  # all busy: none of them could be closed, and nothing is lent
+    assert connections.unknown_count == 6  # all are busy: they may use no reserved connection
     assert connections.can_open(True, 6)
     assert not connections.can_replace(6)
     while connections.can_open(False, busy=0):
         connections.record_open(False)
-    assert connections.unknown_count == 9  # idle ones may stand on the reserve, but for the floor
+    assert connections.unknown_count == 9  # idle ones may use the reserved connections except for the floor
     for _ in range(1):
         connections.record_open(True)
     assert not connections.can_open(True, 0)
@@ -221,7 +223,7 @@
             connections.record_open(known)
         elif not opens and (connections.known_count if known else connections.unknown_count - busy) > 0:
             connections.record_close(known)
-        # an unknown connection becomes busy only where that leaves the reserve what it needs
+        # Becoming busy must leave enough connections for the reservation.
         busy = min(busy, connections.unknown_count)
         if (
             chance < 3
@@ -240,10 +242,10 @@
             limit=20, baseline=5, floors={"nodes": 4, "changelog": 1, "spare": 1, "clients": 2}
         )
     )
-    taken = 0
+    acquired = 0
     while ledger.acquire("clients"):
-        taken += 1
-    assert taken == 9
+        acquired += 1
+    assert acquired == 9
     assert ledger.rejected["clients"] == 1
     for _ in range(4):
         assert ledger.acquire("nodes")
@@ -261,14 +263,14 @@
             DescriptorLedgerConfig(20, 5, floors)
 
 
-# overload and fair queueing
+# Overload and fair queueing.
 
 
-def test_overload_is_a_wait_that_exceeds_its_target_for_an_interval() -> None:
+def test_overload_is_detected_when_waits_exceed_the_target_for_an_interval() -> None:
     overload = OverloadDetector(OverloadConfig(target_us=10, interval_us=100))
-    assert not any(overload.record_wait(1000, now) for now in range(0, 99))  # a moment is none
-    turned = [now for now in range(100, 1000) if overload.record_wait(1000, now)]
-    assert turned[:3] == [100, 200, 270]
+    assert not any(overload.record_wait(1000, now) for now in range(0, 99))  # shorter than an interval
+    shed_at = [now for now in range(100, 1000) if overload.record_wait(1000, now)]
+    assert shed_at[:3] == [100, 200, 270]
     assert overload.is_overloaded
     assert not overload.record_wait(9, 1000)
     assert not overload.is_overloaded
@@ -290,9 +292,9 @@
         queue.put(f"h{number}", 0, 10**9 + number, "hollis-county", 0)
         queue.put(f"p{number}", 0, 10**9 + number, "pruett-county", 0)
     order = [queue.pop_batch(0)[0] for _ in range(200)]
-    first = Counter(one[0] for one in order[:100])
-    assert first == {"h": 72, "p": 28}  # all within the shares, in their proportion from the start
-    assert 60 <= Counter(one[0] for one in order[:50])["h"] * 2 <= 80
+    first = Counter(item[0] for item in order[:100])
+    assert first == {"h": 72, "p": 28}  # requests within the quotas come first, in proportion to the weights
+    assert 60 <= Counter(item[0] for item in order[:50])["h"] * 2 <= 80
     assert order[100][1:] in ("72", "28")
     assert not queue
 
@@ -301,12 +303,12 @@
     queue = FairQueue[str](CONFIG)
     for name, priority, deadline in (("late", 0, 900), ("soon", 0, 500), ("ledger", 1, 950)):
         queue.put(name, priority, deadline, "hollis-county", 0)
-    ticket = queue.put("given up", 1, 100, "hollis-county", 0)
-    queue.put("stranger", 1, 800, "nowhere-county", 0)
+    ticket = queue.put("cancelled", 1, 100, "hollis-county", 0)
+    queue.put("unassigned", 1, 800, "nowhere-county", 0)
     queue.remove(ticket)
     order = [queue.pop_batch(0)[0] for _ in range(4)]
-    assert [one for one in order if one != "stranger"] == ["ledger", "soon", "late"]
-    assert order[-1] == "stranger"
+    assert [item for item in order if item != "unassigned"] == ["ledger", "soon", "late"]
+    assert order[-1] == "unassigned"
 
 
 def test_an_idle_tenant_earns_no_credit() -> None:
@@ -318,7 +320,7 @@
         queue.put("h", 0, 10**9, "hollis-county", 10**7)
         queue.put("p", 0, 10**9, "pruett-county", 10**7)
     order = "".join(queue.pop_batch(10**7)[0] for _ in range(20))
-    assert 4 <= order.count("p") <= 8  # not all at once for what it did not ask before
+    assert 4 <= order.count("p") <= 8  # its weight, without compensation for its idle time
 
 
 def test_expired_and_shed_requests_are_returned() -> None:
@@ -327,16 +329,16 @@
     assert queue.pop_expired(10) == ["short"]
     for number in range(120):
         queue.put(f"h{number}", 0, 10**9 + number, "hollis-county", 0)
-    given_back = []
+    shed = []
     for step in range(40):
         now = 2_000 + step * 2_000
         queue.pop_batch(now)
-        given_back += queue.pop_expired(now)
-    assert queue.shed_count == len(given_back) > 2
-    assert all(int(one[1:]) >= 72 for one in given_back)
-    assert given_back[0] == "h119"
-    small = FairQueue[str](FairQueueConfig(max_waiting=2))
+        shed += queue.pop_expired(now)
+    assert queue.shed_count == len(shed) > 2
+    assert all(int(item[1:]) >= 72 for item in shed)
+    assert shed[0] == "h119"
+    short_queue = FairQueue[str](FairQueueConfig(max_waiting=2))
     for name, deadline in (("a", 10**8), ("b", 3 * 10**8), ("c", 2 * 10**8)):
-        small.put(name, 0, deadline, None, 0)
-    assert small.pop_expired(0) == ["b"]
-    assert len(small) == 2
+        short_queue.put(name, 0, deadline, None, 0)
+    assert short_queue.pop_expired(0) == ["b"]
+    assert len(short_queue) == 2
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Valid messages cut at random places, and random bytes, against every parser, from fixed seeds."""
+"""Fuzz tests of the parsers: valid messages split at random places, and random input, from fixed seeds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def split(data: bytes, sizes: list[int]) -> list[bytes]:
-    """The data in parts of these sizes, and the rest."""
+    """Splits the data into parts of these sizes, followed by the rest."""
     parts = []
     for size in sizes:
         parts.append(data[:size])
@@ -35,14 +35,14 @@
 
 
 def read_all(reader: jsonl.LineReader | binary.MessageReader | grpc.Framer) -> list[object]:
-    """All complete messages, with "error" for each that can't be read; a fatal error is the last item."""
+    """All complete messages, with "error" for each invalid one; stops after a fatal error."""
     found: list[object] = []
     while True:
         try:
             message = reader.next()
-        except WireError as fault:
+        except WireError as error:
             found.append("error")
-            if fault.fatal:
+            if error.fatal:
                 return found
             continue
         if message is None:
@@ -52,7 +52,9 @@
 
 @FIXED
 @given(st.lists(st.tuples(UIDS, st.text(max_size=30), st.integers(0, 127)), max_size=5), SIZES)
-def test_lines_survive_any_cut(tasks: list[tuple[int, str, int]], sizes: list[int]) -> None:
+def test_lines_are_decoded_however_they_are_split(
+    tasks: list[tuple[int, str, int]], sizes: list[int]
+) -> None:
     data = b"".join(
         jsonl.encode_line("launch", uid, {"class": text}, reason, text.encode("utf-8", "surrogatepass"))
         for uid, text, reason in tasks
@@ -73,7 +75,9 @@
     st.lists(st.tuples(UIDS, st.dictionaries(st.integers(129, 150), st.binary(max_size=30))), max_size=5),
     SIZES,
 )
-def test_binary_messages_survive_any_cut(tasks: list[tuple[int, dict[int, bytes]]], sizes: list[int]) -> None:
+def test_binary_messages_are_decoded_however_they_are_split(
+    tasks: list[tuple[int, dict[int, bytes]]], sizes: list[int]
+) -> None:
     data = b"".join(binary.encode(binary.SET_UP, uid, values) for uid, values in tasks)
     reader = binary.MessageReader()
     found: list[object] = []
@@ -85,7 +89,9 @@
 
 @FIXED
 @given(st.lists(st.tuples(UIDS, st.binary(max_size=50)), max_size=5), SIZES)
-def test_grpc_messages_survive_any_cut(tasks: list[tuple[int, bytes]], sizes: list[int]) -> None:
+def test_grpc_messages_are_decoded_however_they_are_split(
+    tasks: list[tuple[int, bytes]], sizes: list[int]
+) -> None:
     requests = [pb.Ask(uid=uid, description=text) for uid, text in tasks]
     reader = grpc.Framer()
     found: list[object] = []
@@ -109,7 +115,7 @@
 
 @FIXED
 @given(st.booleans(), st.lists(st.binary(min_size=1, max_size=60), max_size=6), SIZES, st.integers(0, 80))
-def test_http2_survives_cuts_and_random_bytes(
+def test_http2_handles_split_input_and_random_bytes(
     client: bool, parts: list[bytes], sizes: list[int], offset: int
 ) -> None:
     sent = bytearray()
@@ -134,7 +140,7 @@
 
 @FIXED
 @given(st.dictionaries(st.sampled_from(["class", "left", "key", "hint", "extras", "tenant"]), JSON_VALUES))
-def test_requests_are_decoded_or_rejected_and_figures_are_finite(meta: dict[str, object]) -> None:
+def test_requests_are_decoded_with_finite_numbers_or_rejected(meta: dict[str, object]) -> None:
     value = {"kind": "launch", "uid": "9b1f03aa5c7e2d41", "meta": meta}
     with contextlib.suppress(WireError):
         fields = jsonl.launch_fields(jsonl.parse_line(json.dumps(value).encode()))
@@ -160,7 +166,7 @@
 
 @FIXED
 @given(st.text(max_size=40), st.text(max_size=20), st.dictionaries(st.text(max_size=8), st.text(max_size=20)))
-def test_log_lines_are_one_line_each(text: str, name: str, values: dict[str, str]) -> None:
+def test_log_records_have_one_line_each(text: str, name: str, values: dict[str, str]) -> None:
     line = rfc5424.format_line(rfc5424.INFO, 1_700_000_000_123_456, name, "app", 1, name, values, text)
     assert line.startswith(b"<30>1 2023-11-14T22:13:20.123456Z ")
     assert b"\n" not in line
--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -131,7 +131,7 @@
         raise NotImplementedError
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Report that the task did not run; ``retry_after_us``: the earliest time for a retry, None for at once."""
+        """Report that the task did not run; ``retry_after_us``: how long to wait before a retry."""
         raise NotImplementedError
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
--- a/thornshelf/frontends/grpc_streams.py
+++ b/thornshelf/frontends/grpc_streams.py
@@ -88,7 +88,7 @@
         self._record_placement()
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Report that the task did not run; ``retry_after_us``: the earliest time for a retry, None for at once."""
+        """Report that the task did not run; ``retry_after_us``: how long to wait before a retry."""
         self._send_final(uid, self.codec.encode_rejected(uid, retry_after_us, detail))
 
     def send_failed(self, uid: int, detail: FailureCause | None = None) -> None:
--- a/thornshelf/frontends/json_lines.py
+++ b/thornshelf/frontends/json_lines.py
@@ -109,7 +109,7 @@
             self.frontend.admission_filter.record_placement(self.stream)
 
     def send_rejected(self, uid: int, retry_after_us: int | None, detail: FailureCause | None = None) -> None:
-        """Report that the task did not run; ``retry_after_us``: the earliest time for a retry, None for at once."""
+        """Report that the task did not run; ``retry_after_us``: how long to wait before a retry."""
         self.open_requests.discard(uid)
         meta = {"wait": str(max(1, retry_after_us // 1000))} if retry_after_us else {}
         self.stream.send(jsonl.encode_line("stop", uid, meta | _cause_fields(detail), REFUSED))
@@ -194,7 +194,10 @@
         return self._idle_evictor.evict_one()
 
     def close_idle(self) -> None:
-        """Close connections without an open request and unread input; called repeatedly during a shutdown."""
+        """Close the connections that have neither an open request nor unread input.
+
+        Called repeatedly during a shutdown or a restart until no connection is left.
+        """
         for connection in list(self._connections):
             if not (
                 connection.open_requests
--- a/thornshelf/frontends/listener.py
+++ b/thornshelf/frontends/listener.py
@@ -168,7 +168,7 @@
             stream.close()
 
     def _on_close(self, stream: Stream) -> None:
-        """Return the descriptor and the permit of a closed connection."""
+        """Give back the descriptor and the permit of a closed connection."""
         self.budget.client_count -= 1
         if self.admission_filter is not None and stream.admission_permit is not None:
             self.admission_filter.release(stream.admission_permit)
