--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -40,7 +40,7 @@
 from thornshelf.wire import jsonl
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-EACH_FRONT = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
+FRONTS = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
 PLACED = ("placed", DESCRIPTION)
 KNOWN_CLIENTS = PrefixRule("known clients", parse_prefix("127.1.0.0/16"), known=True)
 
@@ -81,7 +81,7 @@
         data += part
 
 
-@EACH_FRONT
+@FRONTS
 def test_requests_beyond_a_sources_rate_are_rejected_at_once_with_a_retry_after(front: str) -> None:
     cluster = FakeCluster(front, admission=filter_config(Limits(request_rate=Rate(2, 1_000_000, 3))))
     for uid in range(5, 11):
@@ -272,24 +272,24 @@
     cluster, dispatcher = separate_process
     at = dispatcher.addresses[JSON]
     flood = [socket.create_connection(at, timeout=TIMEOUT_S) for _ in range(100)]
-    for sock in flood:
-        sock.setblocking(False)
+    for connection in flood:
+        connection.setblocking(False)
     replies: dict[socket.socket, bytes] = {}
     limit = time.monotonic() + TIMEOUT_S
     while sum(b'"reason":34' in reply for reply in replies.values()) < 50:
         assert time.monotonic() < limit, replies.values()
         replies |= {
-            sock: data
-            for sock in flood
-            if sock not in replies and (data := read_until_closed(cluster, sock)) is not None
+            connection: data
+            for connection in flood
+            if connection not in replies and (data := read_until_closed(cluster, connection)) is not None
         }
     assert dispatcher.process.poll() is None
     assert dispatcher.descriptors <= 48
     cpu_us_before = dispatcher.cpu_us
     cluster.run_for(500)
     assert dispatcher.cpu_us - cpu_us_before < 200_000  # no busy loop
-    for one in flood:
-        one.close()
+    for connection in flood:
+        connection.close()
     cluster.run_for(100)
     with socket.create_connection(at, timeout=TIMEOUT_S) as sock:
         sock.sendall(jsonl.encode_line("check", 1, reason=0))
--- a/tests/test_admission_rules.py
+++ b/tests/test_admission_rules.py
@@ -187,7 +187,7 @@
     assert all(later[0] - earlier[0] >= 100 for earlier, later in itertools.pairwise(summaries))
     assert rejection_log.take_summary(1000) is not None
     assert rejection_log.take_summary(1001) is None
-    assert [format_source(source) for source in ((4, 0x0A010203), (6, 0xFD00000000000001), (0, 0), (0, 1))] == [
+    assert [format_source(address) for address in ((4, 0x0A010203), (6, 0xFD00000000000001), (0, 0), (0, 1))] == [
         "10.1.2.3", "fd00:0:0:1::/64", "unreadable", "others"
     ]  # fmt: skip
 
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -1,4 +1,4 @@
-"""Clients that send what can't be used, or nothing: they get a word or a close, and cost nobody else."""
+"""Clients that send invalid input or nothing: they get an answer or are disconnected, without affecting others."""
 
 from __future__ import annotations
 
@@ -30,339 +30,338 @@
 FRONTS = pytest.mark.parametrize("front", [JSON, GRPC])
 
 
-def hurry(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections are given 50 ms."""
+def shorten_timeouts(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sets the timeouts for messages of clients to 50 ms."""
     for front in (json_lines, grpc_front):
         monkeypatch.setattr(front, "FIRST_MESSAGE_TIMEOUT_US", 50_000)
         monkeypatch.setattr(front, "MESSAGE_TIMEOUT_US", 50_000)
 
 
-def stranger(world: FakeCluster, front: str, host: str = HOST) -> socket.socket:
-    """A connection that says nothing yet, from an address of its own."""
-    address = world.service.frontends[front == GRPC].listener.address
+def stranger(cluster: FakeCluster, front: str, host: str = HOST) -> socket.socket:
+    """A connection from the address ``host`` that has sent nothing."""
+    address = cluster.service.frontends[front == GRPC].listener.address
     sock = socket.create_connection(address, timeout=TIMEOUT_S, source_address=(host, 0))
     sock.setblocking(False)
     return sock
 
 
-def read_all(world: FakeCluster, sock: socket.socket) -> bytes:
-    """What comes until the connection ends."""
-    said, ended = b"", False
+def read_all(cluster: FakeCluster, sock: socket.socket) -> bytes:
+    """All data until the connection is closed; closes the socket."""
+    received, ended = b"", False
     limit = time.monotonic() + TIMEOUT_S
     while not ended:
         assert time.monotonic() < limit
-        world.run_for(1)
+        cluster.run_for(1)
         try:
             data = sock.recv(1 << 16)
-            said, ended = said + data, not data
+            received, ended = received + data, not data
         except BlockingIOError:
             pass
         except ConnectionResetError:
             ended = True
     sock.close()
-    return said
+    return received
 
 
 @FRONTS
-def test_a_connection_that_says_nothing_is_closed_and_one_that_was_of_use_may_be_idle(
+def test_a_connection_without_a_message_is_closed_and_one_that_was_used_may_be_idle(
     front: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    hurry(monkeypatch)
-    world = FakeCluster(front)
-    world.client.ask(5, NodeBehavior.END)
-    world.wait_for_events(5, 2)
-    silent = stranger(world, front)
-    read_all(world, silent)
-    world.run_for(150)
-    world.client.ask(6, NodeBehavior.RUN)
-    assert world.wait_for_events(6) == [PLACED]
-    assert not world.client.closed
+    shorten_timeouts(monkeypatch)
+    cluster = FakeCluster(front)
+    cluster.client.ask(5, NodeBehavior.END)
+    cluster.wait_for_events(5, 2)
+    silent = stranger(cluster, front)
+    read_all(cluster, silent)
+    cluster.run_for(150)
+    cluster.client.ask(6, NodeBehavior.RUN)
+    assert cluster.wait_for_events(6) == [PLACED]
+    assert not cluster.client.closed
 
 
 @FRONTS
-def test_a_message_that_never_ends_costs_its_connection(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    hurry(monkeypatch)
-    world = FakeCluster(front, nodes=1)
-    other = world.connect_client(front)
-    for client, uid in ((world.client, 5), (other, 6)):
+def test_an_incomplete_message_closes_its_connection(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    shorten_timeouts(monkeypatch)
+    cluster = FakeCluster(front, nodes=1)
+    other = cluster.connect_client(front)
+    for client, uid in ((cluster.client, 5), (other, 6)):
         client.ask(uid, NodeBehavior.SILENT)
-        world.run_until(lambda uid=uid: world.offer_count(uid) == 1)  # type: ignore[misc]
-    world.client.stream.send(b'{"kind":"stop"' if front == JSON else b"\0\0\x20\0\0\0\0\0\x01half")
-    world.run_until(lambda: world.client.closed)
-    world.run_until(lambda: ("release", 5) in world.nodes[0].seen)  # what was open there is given up
-    world.run_for(100)
+        cluster.run_until(lambda uid=uid: cluster.offer_count(uid) == 1)  # type: ignore[misc]
+    cluster.client.stream.send(b'{"kind":"stop"' if front == JSON else b"\0\0\x20\0\0\0\0\0\x01half")
+    cluster.run_until(lambda: cluster.client.closed)
+    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen)  # its open request is cancelled
+    cluster.run_for(100)
     assert not other.closed
-    assert ("release", 6) not in world.nodes[0].seen
+    assert ("release", 6) not in cluster.nodes[0].seen
 
 
-def test_an_unreadable_line_gets_a_word_though_its_id_is_not_known() -> None:
-    world = FakeCluster()
+def test_a_malformed_line_is_answered_even_without_a_known_id() -> None:
+    cluster = FakeCluster()
     for line in (b"no json\n", b'{"kind":"launch","meta":{}}\n', b"\xff\xfe\n"):
-        world.client.send(line)
-    told: list[Any] = world.wait_for_events(jsonl.UNKNOWN_UID, 3)
-    assert told == [FAILED] * 3
+        cluster.client.send(line)
+    answers: list[Any] = cluster.wait_for_events(jsonl.UNKNOWN_UID, 3)
+    assert answers == [FAILED] * 3
 
 
 @FRONTS
-def test_two_set_ups_under_one_id_end_what_they_came_on(front: str) -> None:
-    """Guards against a second answer: the client could not tell which of the two it is for."""
-    world = FakeCluster(front, nodes=1)
+def test_two_requests_with_one_id_end_their_connection_or_stream(front: str) -> None:
+    """Guards against a second answer, which the client could not match to a request."""
+    cluster = FakeCluster(front, nodes=1)
     for _ in range(3):
-        world.client.ask(5, NodeBehavior.RUN)
+        cluster.client.ask(5, NodeBehavior.RUN)
     if front == JSON:
-        world.run_until(lambda: world.client.closed)
+        cluster.run_until(lambda: cluster.client.closed)
     else:
-        world.run_until(lambda: world.client.call in world.client.status)
-        assert world.client.status[world.client.call]["grpc-status"] == str(grpc.INVALID_ARGUMENT)
-    world.run_until(lambda: 5 not in world.service.core.tasks_by_uid or ("offer", 5) in world.nodes[0].seen)
-    assert len(world.client.heard.get(5, [])) <= 1
-    assert world.service.core.open_count == 0
+        cluster.run_until(lambda: cluster.client.call in cluster.client.status)
+        assert cluster.client.status[cluster.client.call]["grpc-status"] == str(grpc.INVALID_ARGUMENT)
+    cluster.run_until(
+        lambda: 5 not in cluster.service.core.tasks_by_uid or ("offer", 5) in cluster.nodes[0].seen
+    )
+    assert len(cluster.client.heard.get(5, [])) <= 1
+    assert cluster.service.core.open_count == 0
 
 
 @FRONTS
-def test_an_id_in_use_on_another_connection_fails_there_alone(front: str) -> None:
-    world = FakeCluster(front)
-    other = world.connect_client(front)
-    world.client.ask(5, NodeBehavior.SILENT, left="400")
-    world.run_until(lambda: world.offer_count(5) == 1)
+def test_an_id_in_use_on_another_connection_fails_only_the_second_request(front: str) -> None:
+    cluster = FakeCluster(front)
+    other = cluster.connect_client(front)
+    cluster.client.ask(5, NodeBehavior.SILENT, left="400")
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
     other.ask(5, NodeBehavior.RUN)
-    world.run_until(lambda: 5 in other.heard)
+    cluster.run_until(lambda: 5 in other.heard)
     assert other.heard == {5: [FAILED]}
-    assert world.client.heard == {}
-    assert world.wait_for_events(5) == [FAILED]
-    assert world.offer_count(5) == 1
+    assert cluster.client.heard == {}
+    assert cluster.wait_for_events(5) == [FAILED]
+    assert cluster.offer_count(5) == 1
 
 
 @FRONTS
 @pytest.mark.parametrize("change", [{"tenant": "nobody"}, {"left": "1e300"}, {"left": "-1"}])
-def test_what_the_settings_do_not_know_is_answered_and_kept_nowhere(
-    front: str, change: dict[str, str]
-) -> None:
-    world = FakeCluster(front)
-    world.client.ask(5, NodeBehavior.RUN, **change)
-    assert world.wait_for_events(5) == [FAILED]
-    assert world.offer_count(5) == 0
-    assert not world.service.core.tasks_by_uid
-    assert not world.service.core.placer.accounting.cores_by_tenant
+def test_an_invalid_request_is_answered_and_leaves_no_state(front: str, change: dict[str, str]) -> None:
+    cluster = FakeCluster(front)
+    cluster.client.ask(5, NodeBehavior.RUN, **change)
+    assert cluster.wait_for_events(5) == [FAILED]
+    assert cluster.offer_count(5) == 0
+    assert not cluster.service.core.tasks_by_uid
+    assert not cluster.service.core.placer.accounting.cores_by_tenant
 
 
 @FRONTS
-def test_nobody_is_waited_for_far_beyond_the_class_s_deadline(front: str) -> None:
-    """Guards against timers and tasks that a bad client's figure would keep for days."""
-    world = FakeCluster(front)
-    world.client.ask(5, NodeBehavior.SILENT, left="999999999")
-    world.run_until(lambda: world.offer_count(5) == 1)
-    core = world.service.core
-    longest = deadlines.MAX_CLASS_DEADLINES * core.task_classes["lookup"].deadline_s
-    assert core.tasks_by_uid[5].request.deadline_us <= world.loop.now + longest * 1e6
+def test_a_request_deadline_is_limited_by_that_of_its_class(front: str) -> None:
+    """Guards against timers and tasks that are kept for days because a client asked for it."""
+    cluster = FakeCluster(front)
+    cluster.client.ask(5, NodeBehavior.SILENT, left="999999999")
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    core = cluster.service.core
+    max_wait_s = deadlines.MAX_CLASS_DEADLINES * core.task_classes["lookup"].deadline_s
+    assert core.tasks_by_uid[5].request.deadline_us <= cluster.loop.now + max_wait_s * 1e6
 
 
 @FRONTS
 def test_a_flood_on_one_connection_leaves_time_for_others(front: str) -> None:
-    world = FakeCluster(front)
-    other = world.connect_client(front)
+    cluster = FakeCluster(front)
+    other = cluster.connect_client(front)
     for uid in range(100, 1100):
-        world.client.ask(uid, NodeBehavior.RUN, "no-such-class")
+        cluster.client.ask(uid, NodeBehavior.RUN, "no-such-class")
     other.ask(5, NodeBehavior.RUN)
-    most = 0
+    max_per_turn = 0
     while 5 not in other.heard:
-        before = len(world.logged)
-        world.loop.turn()
-        most = max(most, len(world.logged) - before)
-    assert most <= 64
-    assert len(world.logged) < 1000
-    world.run_until(lambda: len(world.client.heard) == 1000)
-
-
-def test_releases_are_not_told_to_strangers() -> None:
-    """A release told to whoever opened a connection last is lost; what tasks are placed for is a client's."""
-    world = FakeCluster(nodes=1)
-    world.client.ask(5, NodeBehavior.RUN)
-    world.wait_for_events(5)
-    # one of the strangers calls from the client's own host
-    sound, silent = stranger(world, JSON, "127.0.0.2"), stranger(world, JSON, "127.0.0.1")
+        before = len(cluster.logged)
+        cluster.loop.turn()
+        max_per_turn = max(max_per_turn, len(cluster.logged) - before)
+    assert max_per_turn <= 64
+    assert len(cluster.logged) < 1000
+    cluster.run_until(lambda: len(cluster.client.heard) == 1000)
+
+
+def test_releases_are_sent_only_to_connections_that_requested_tasks() -> None:
+    """Guards against losing a release by sending it to the newest connection, which never requested a task."""
+    cluster = FakeCluster(nodes=1)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.wait_for_events(5)
+    # One of the idle connections comes from the client's own host.
+    requester, silent = stranger(cluster, JSON, "127.0.0.2"), stranger(cluster, JSON, "127.0.0.1")
     meta = {"class": "lookup", "left": 8000, "extras": "cores:1;memory:2"}
     line = {"kind": "launch", "uid": f"{6:016x}", "meta": meta, "body": NodeBehavior.RUN.value.decode()}
-    sound.sendall(json.dumps(line).encode() + b"\n")
-    world.run_until(lambda: 6 in world.nodes[0].running)
-    late = stranger(world, JSON, "127.0.0.4")
-    world.client.stream.close()
-    world.run_for(10)
-    world.nodes[0].die()
-    limit, said = time.monotonic() + TIMEOUT_S, b""
-    while said.count(b'"stop"') < 2 and time.monotonic() < limit:
-        world.run_for(20)
+    requester.sendall(json.dumps(line).encode() + b"\n")
+    cluster.run_until(lambda: 6 in cluster.nodes[0].running)
+    late = stranger(cluster, JSON, "127.0.0.4")
+    cluster.client.stream.close()
+    cluster.run_for(10)
+    cluster.nodes[0].die()
+    limit, received = time.monotonic() + TIMEOUT_S, b""
+    while received.count(b'"stop"') < 2 and time.monotonic() < limit:
+        cluster.run_for(20)
         try:
-            said += sound.recv(1 << 16)
+            received += requester.recv(1 << 16)
         except BlockingIOError:
             continue
-    assert f'"uid":"{5:016x}"'.encode() in said
-    assert f'"uid":"{6:016x}"'.encode() in said
+    assert f'"uid":"{5:016x}"'.encode() in received
+    assert f'"uid":"{6:016x}"'.encode() in received
     for sock in (silent, late):
         with pytest.raises(BlockingIOError):
             sock.recv(100)
-    for sock in (sound, silent, late):
+    for sock in (requester, silent, late):
         sock.close()
 
 
 @FRONTS
-def test_room_is_made_by_those_that_said_nothing(front: str) -> None:
-    world = FakeCluster(front, BINARY)
-    world.client.ask(5, NodeBehavior.RUN if front == JSON else NodeBehavior.END)
-    world.wait_for_events(5)
-    if front == GRPC:  # a call that lasts would keep its connection
-        world.client.h2.finish(world.client.call, [])
-        world.run_until(lambda: world.client.call in world.client.status)
-    silent = stranger(world, front)
-    world.run_until(lambda: world.service.connection_budget.client_count == 2)
-    world.service.connection_budget.total = world.service.connection_budget.client_floor = 2
-    world.connect_client(front)
-    read_all(world, silent)
-    assert not world.client.closed
+def test_connections_without_a_message_are_evicted_first(front: str) -> None:
+    cluster = FakeCluster(front, BINARY)
+    cluster.client.ask(5, NodeBehavior.RUN if front == JSON else NodeBehavior.END)
+    cluster.wait_for_events(5)
+    if front == GRPC:  # an open call would keep the connection from being idle
+        cluster.client.h2.finish(cluster.client.call, [])
+        cluster.run_until(lambda: cluster.client.call in cluster.client.status)
+    silent = stranger(cluster, front)
+    cluster.run_until(lambda: cluster.service.connection_budget.client_count == 2)
+    cluster.service.connection_budget.total = cluster.service.connection_budget.client_floor = 2
+    cluster.connect_client(front)
+    read_all(cluster, silent)
+    assert not cluster.client.closed
 
 
 @FRONTS
-def test_a_crowd_in_one_turn_takes_no_more_descriptors_than_there_are(front: str) -> None:
-    """Guards against making room twice by one connection that is closed already: the table ran full."""
-    world = FakeCluster(front)
-    budget = world.service.connection_budget
+def test_many_connections_in_one_turn_stay_within_the_budget(front: str) -> None:
+    """Guards against counting the eviction of a connection that is closed already, which would exceed the budget."""
+    cluster = FakeCluster(front)
+    budget = cluster.service.connection_budget
     budget.total = budget.client_floor = 10
-    crowd = [stranger(world, front) for _ in range(50)]
-    most, listener = 0, world.service.frontends[front == GRPC]
-    while budget.client_count < 10 or any(sock.fileno() < 0 for sock in crowd):
-        world.loop.turn()
+    socks = [stranger(cluster, front) for _ in range(50)]
+    peak, frontend = 0, cluster.service.frontends[front == GRPC]
+    while budget.client_count < 10 or any(sock.fileno() < 0 for sock in socks):
+        cluster.loop.turn()
     for _ in range(20):
-        world.loop.after(1000, lambda: None)
-        world.loop.turn()
-        clients: Any = listener._idle_evictor._clients
-        most = max(most, sum(one.stream.open for one in clients))
-    assert most <= 11  # one may be in hand until there is room
-    for sock in crowd:
+        cluster.loop.after(1000, lambda: None)
+        cluster.loop.turn()
+        clients: Any = frontend._idle_evictor._clients
+        peak = max(peak, sum(client.stream.open for client in clients))
+    assert peak <= 11  # one connection is accepted before another is evicted
+    for sock in socks:
         sock.close()
 
 
 @FRONTS
-def test_a_task_ended_on_another_connection_leaves_nothing_on_its_own(front: str) -> None:
-    """Guards against a table that grows for as long as a connection lasts."""
-    world = FakeCluster(front)
-    world.client.ask(5, NodeBehavior.RUN)
-    world.wait_for_events(5)
-    owner: Any = world.service.core.tasks_by_uid[5].subscribers[5]
+def test_a_task_ended_on_another_connection_is_removed_from_its_own(front: str) -> None:
+    """Guards against a table of running tasks that grows as long as the connection is open."""
+    cluster = FakeCluster(front)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.wait_for_events(5)
+    owner: Any = cluster.service.core.tasks_by_uid[5].subscribers[5]
     assert owner.running == {5}
-    world.connect_client(front).give_up(5)
-    world.run_until(lambda: 5 not in world.service.core.tasks_by_uid)
+    cluster.connect_client(front).give_up(5)
+    cluster.run_until(lambda: 5 not in cluster.service.core.tasks_by_uid)
     assert not owner.running
-    assert world.client.heard[5] == [PLACED]
+    assert cluster.client.heard[5] == [PLACED]
 
 
-def test_a_stream_that_ends_with_its_last_release_has_told_it() -> None:
-    """The release was in the buffer as the call ended, and was owed a second time."""
-    world = FakeCluster(GRPC)
-    core = world.service.core
+def test_releases_buffered_when_a_stream_ends_are_not_sent_twice() -> None:
+    """Guards against treating a release that is still buffered when its call ends as not sent."""
+    cluster = FakeCluster(GRPC)
+    core = cluster.service.core
     for uid in (5, 6):
-        world.client.ask(uid, NodeBehavior.RUN)
-        world.wait_for_events(uid)
-    world.client.h2.finish(world.client.call, [])
-    world.run_for(10)
+        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.wait_for_events(uid)
+    cluster.client.h2.finish(cluster.client.call, [])
+    cluster.run_for(10)
     core.inbox.extend(TaskFinished(core.tasks_by_uid[uid].machine, uid, Outcome.OK) for uid in (5, 6))
-    world.run_until(lambda: world.client.call in world.client.status)
-    assert [len(world.client.heard[uid]) for uid in (5, 6)] == [2, 2]
+    cluster.run_until(lambda: cluster.client.call in cluster.client.status)
+    assert [len(cluster.client.heard[uid]) for uid in (5, 6)] == [2, 2]
     assert core.counters["released"] == 2
     assert not core.releases._pending
 
 
-def test_releases_that_no_client_comes_for_are_not_kept_for_good(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_releases_expire_if_no_client_connects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(releases, "PENDING_TTL_US", 20_000)
-    world = FakeCluster(nodes=1)
+    cluster = FakeCluster(nodes=1)
     for uid in (5, 6):
-        world.client.ask(uid, NodeBehavior.RUN)
-        world.wait_for_events(uid)
-    core = world.service.core
+        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.wait_for_events(uid)
+    core = cluster.service.core
     owner = core.tasks_by_uid[5].subscribers[5]
-    world.client.stream.close()
-    world.run_for(10)
+    cluster.client.stream.close()
+    cluster.run_for(10)
     for uid in (5, 6):
-        world.run_for(40)
+        cluster.run_for(40)
         core.answers.send_release(owner, uid, Outcome.OK, Reason.UNSPECIFIED, None)
-    assert [one[2] for one in core.releases._pending] == [6]
-    assert world.logged[-1][1] == "release-dropped"
+    assert [entry[2] for entry in core.releases._pending] == [6]
+    assert cluster.logged[-1][1] == "release-dropped"
 
 
-def test_a_connection_is_not_closed_for_room_while_its_release_is_on_its_way() -> None:
-    world = FakeCluster()
-    world.client.ask(5, NodeBehavior.END)
-    world.wait_for_events(5, 2)
-    (connection,) = world.service.json_frontend._connections
-    connection.stream.last_send_us = world.loop.now
-    assert not world.service.json_frontend.evict_idle()
+def test_a_connection_is_not_evicted_while_its_release_is_in_transit() -> None:
+    cluster = FakeCluster()
+    cluster.client.ask(5, NodeBehavior.END)
+    cluster.wait_for_events(5, 2)
+    (connection,) = cluster.service.json_frontend._connections
+    connection.stream.last_send_us = cluster.loop.now
+    assert not cluster.service.json_frontend.evict_idle()
     connection.stream.last_send_us = 0
-    assert world.service.json_frontend.evict_idle()
+    assert cluster.service.json_frontend.evict_idle()
 
 
 @FRONTS
-def test_nothing_is_kept_of_clients_and_nodes_that_went(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_state_is_kept_of_disconnected_clients_and_removed_nodes(
+    front: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(running_tasks, "UNKNOWN_NODE_TIMEOUT_US", 100_000)
-    world = FakeCluster(front, nodes=1)
-    core = world.service.core
+    cluster = FakeCluster(front, nodes=1)
+    core = cluster.service.core
     for uid in range(1, 30):
         name = f"s-{uid + 100:08x}"
-        world.update_endpoint(world.endpoint(0) | {"instanceId": name})
-        client = world.connect_client(front)
+        cluster.update_endpoint(cluster.endpoint(0) | {"instanceId": name})
+        client = cluster.connect_client(front)
         client.ask(uid, NodeBehavior.RUN, at="s-0000ffff") if uid % 2 else client.ask(uid, NodeBehavior.RUN)
-        world.run_until(lambda uid=uid: uid in core.tasks_by_uid)  # type: ignore[misc]
+        cluster.run_until(lambda uid=uid: uid in core.tasks_by_uid)  # type: ignore[misc]
         client.give_up(uid)
         client.stream.flush()
         client.stream.close()
-        world.update_endpoint(world.endpoint(0) | {"instanceId": name, "lifecycle": "terminated"})
-    world.update_lifecycle(0, "terminated")
-    world.run_until(lambda: not core.tasks_by_uid and len(core.releases.open_requests) == 1)
-    world.run_for(150)
-    roster, owed = core.endpoints, core.releases
-    kept: tuple[Sized, ...] = (
+        cluster.update_endpoint(cluster.endpoint(0) | {"instanceId": name, "lifecycle": "terminated"})
+    cluster.update_lifecycle(0, "terminated")
+    cluster.run_until(lambda: not core.tasks_by_uid and len(core.releases.open_requests) == 1)
+    cluster.run_for(150)
+    endpoints, release_queue = core.endpoints, core.releases
+    tables: tuple[Sized, ...] = (
         core.tasks_by_uid,
         core.tasks_by_number,
-        roster._machine_by_name,
-        roster.entries,
-        roster.nodes,
+        endpoints._machine_by_name,
+        endpoints.entries,
+        endpoints.nodes,
     )
-    kept += (owed._placed_clients, owed._pending)
-    assert [len(one) for one in kept] == [0] * len(kept)
-    assert world.service.connection_budget.client_count == 1
+    tables += (release_queue._placed_clients, release_queue._pending)
+    assert [len(table) for table in tables] == [0] * len(tables)
+    assert cluster.service.connection_budget.client_count == 1
     assert not core.placer.requests
     assert not any(m.tasks_by_service for m in core.placer.machines.values())
 
 
 @FRONTS
-def test_who_names_another_s_standing_task_does_not_get_its_release(front: str) -> None:
-    """Guards against a bad client that hands over a task by an id in use, and hears of its end in place of its owner.
-
-    On the bench (join, 30 nodes): 'call b4c7cec9585ef2c9 was over, and node n13 did not tell its caller in time'.
-    """
-    world = FakeCluster(front, BINARY)
-    stranger_client = world.connect_client(front)
-    world.client.ask(5, NodeBehavior.RUN)
-    assert world.wait_for_events(5) == [PLACED]
-    core = world.service.core
+def test_a_client_that_claims_a_task_of_another_client_does_not_get_its_release(front: str) -> None:
+    """Guards against diverting a release from its owner to a client that reports the same running task."""
+    cluster = FakeCluster(front, BINARY)
+    other = cluster.connect_client(front)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    assert cluster.wait_for_events(5) == [PLACED]
+    core = cluster.service.core
     machine = core.tasks_by_uid[5].machine
-    stranger_client.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
-    stranger_client.ask(6, NodeBehavior.RUN)  # read after it
-    world.run_until(lambda: 6 in stranger_client.heard)
+    other.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
+    other.ask(6, NodeBehavior.RUN)  # handled after the claim
+    cluster.run_until(lambda: 6 in other.heard)
     core.inbox.append(TaskFinished(machine, 5, Outcome.OK))
-    assert len(world.wait_for_events(5, 2)) == 2
-    assert 5 not in stranger_client.heard
+    assert len(cluster.wait_for_events(5, 2)) == 2
+    assert 5 not in other.heard
 
 
 @FRONTS
-def test_an_owner_that_comes_again_and_names_its_task_is_told_of_its_end(front: str) -> None:
-    world = FakeCluster(front, BINARY)
-    world.client.ask(5, NodeBehavior.RUN)
-    assert world.wait_for_events(5) == [PLACED]
-    core = world.service.core
+def test_an_owner_that_reconnects_and_claims_its_task_gets_its_release(front: str) -> None:
+    cluster = FakeCluster(front, BINARY)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    assert cluster.wait_for_events(5) == [PLACED]
+    core = cluster.service.core
     machine = core.tasks_by_uid[5].machine
-    world.client.stream.close()
-    again = world.connect_client(front)
-    again.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
-    again.ask(6, NodeBehavior.RUN)
-    world.run_until(lambda: 6 in again.heard)
+    cluster.client.stream.close()
+    reconnected = cluster.connect_client(front)
+    reconnected.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
+    reconnected.ask(6, NodeBehavior.RUN)
+    cluster.run_until(lambda: 6 in reconnected.heard)
     core.inbox.append(TaskFinished(machine, 5, Outcome.OK))
-    world.run_until(lambda: 5 in again.heard)
+    cluster.run_until(lambda: 5 in reconnected.heard)
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -1,4 +1,4 @@
-"""gRPC beyond what both wires share: status codes, time-outs, RST_STREAM, GOAWAY, flow control, grpcio."""
+"""gRPC-specific behaviour: status codes, timeouts, RST_STREAM, GOAWAY, flow control, interoperation with grpcio."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 
 def place(
-    world: FakeCluster, conduct: NodeBehavior, task_class: str = "lookup", **headers: str
+    cluster: FakeCluster, behavior: NodeBehavior, task_class: str = "lookup", **headers: str
 ) -> dict[str, str]:
-    """A unary call and the trailers it ends with."""
-    client = world.client
+    """Makes a ``Place`` call, and returns its trailers."""
+    client = cluster.client
     call = client.open("Place", **headers)
-    client.h2.send(call, grpc.frame(client.message(5, conduct, task_class)))
+    client.h2.send(call, grpc.frame(client.message(5, behavior, task_class)))
     client.h2.finish(call, [])
-    world.run_until(lambda: call in client.status)
+    cluster.run_until(lambda: call in client.status)
     return dict(client.status[call])
 
 
 @pytest.mark.parametrize(
-    ("conduct", "task_class", "status"),
+    ("behavior", "task_class", "status"),
     [
         (NodeBehavior.RUN, ONCE_ONLY, grpc.OK),
         (NodeBehavior.FULL, "lookup", grpc.RESOURCE_EXHAUSTED),
@@ -41,25 +41,25 @@
         (NodeBehavior.RUN, "no-such-class", grpc.INVALID_ARGUMENT),
     ],
 )
-def test_place_reports_its_outcome_by_status(conduct: NodeBehavior, task_class: str, status: int) -> None:
-    world = FakeCluster(GRPC, GRPC)
-    trailers = place(world, conduct, task_class)
+def test_place_reports_its_outcome_by_status(behavior: NodeBehavior, task_class: str, status: int) -> None:
+    cluster = FakeCluster(GRPC, GRPC)
+    trailers = place(cluster, behavior, task_class)
     assert trailers["grpc-status"] == str(status)
     assert trailers.get("grpc-retry-pushback-ms") == ("1000" if status == grpc.RESOURCE_EXHAUSTED else None)
-    assert world.client.heard == ({5: [("placed", DESCRIPTION)]} if status == grpc.OK else {})
+    assert cluster.client.heard == ({5: [("placed", DESCRIPTION)]} if status == grpc.OK else {})
 
 
 def test_grpc_timeout_ends_the_call_and_withdraws_the_attempt() -> None:
-    world = FakeCluster(GRPC, GRPC)
-    trailers = place(world, NodeBehavior.SILENT, grpc_timeout="150m")
+    cluster = FakeCluster(GRPC, GRPC)
+    trailers = place(cluster, NodeBehavior.SILENT, grpc_timeout="150m")
     assert trailers["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
-    world.run_until(lambda: any(("release", 5) in one.seen for one in world.nodes))
-    client = world.client
+    cluster.run_until(lambda: any(("release", 5) in node.seen for node in cluster.nodes))
+    client = cluster.client
     client.call = client.open("Dispatch", grpc_timeout="100m")
     client.ask(6, NodeBehavior.SILENT)
-    world.run_until(lambda: client.call in client.status)
+    cluster.run_until(lambda: client.call in client.status)
     assert client.status[client.call]["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
-    world.run_until(lambda: any(("release", 6) in one.seen for one in world.nodes))
+    cluster.run_until(lambda: any(("release", 6) in node.seen for node in cluster.nodes))
 
 
 @pytest.mark.parametrize(
@@ -70,47 +70,49 @@
         ("Dispatch", {"grpc_encoding": "gzip"}, grpc.UNIMPLEMENTED),
     ],
 )
-def test_calls_that_cannot_be_served(method: str, headers: dict[str, str], status: int) -> None:
-    world = FakeCluster(GRPC, GRPC)
-    call = world.client.open(method, **headers)
-    world.run_until(lambda: call in world.client.status)
-    assert world.client.status[call]["grpc-status"] == str(status)
-    world.client.ask(5, NodeBehavior.RUN)  # the connection goes on
-    world.wait_for_events(5)
-
-
-def test_malformed_message_ends_its_stream_alone() -> None:
-    world = FakeCluster(GRPC, GRPC)
-    call = world.client.open("Dispatch")
-    world.client.h2.send(call, b"\x00\x00\x00\x00\x02\xff\xff")
-    world.run_until(lambda: call in world.client.status)
-    assert world.client.status[call]["grpc-status"] == str(grpc.INTERNAL)
-    world.client.ask(5, NodeBehavior.RUN)
-    world.wait_for_events(5)
+def test_calls_that_cannot_be_served_get_an_error_status(
+    method: str, headers: dict[str, str], status: int
+) -> None:
+    cluster = FakeCluster(GRPC, GRPC)
+    call = cluster.client.open(method, **headers)
+    cluster.run_until(lambda: call in cluster.client.status)
+    assert cluster.client.status[call]["grpc-status"] == str(status)
+    cluster.client.ask(5, NodeBehavior.RUN)  # the connection is still usable
+    cluster.wait_for_events(5)
+
+
+def test_malformed_message_ends_only_its_stream() -> None:
+    cluster = FakeCluster(GRPC, GRPC)
+    call = cluster.client.open("Dispatch")
+    cluster.client.h2.send(call, b"\x00\x00\x00\x00\x02\xff\xff")
+    cluster.run_until(lambda: call in cluster.client.status)
+    assert cluster.client.status[call]["grpc-status"] == str(grpc.INTERNAL)
+    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.wait_for_events(5)
 
 
 def test_rst_stream_by_a_client_cancels_its_open_tasks() -> None:
-    world = FakeCluster(GRPC, GRPC)
-    world.client.ask(5, NodeBehavior.SILENT)
-    world.run_until(lambda: world.offer_count(5) == 1)
-    world.client.h2.reset(world.client.call)
-    world.run_until(lambda: any(("release", 5) in one.seen for one in world.nodes))
-    assert world.service.core.open_count == 0
-
-
-def test_refused_stream_never_ran() -> None:
-    """REFUSED_STREAM proves that the offer was not looked at: even an unsafe task is then refused."""
-    world = FakeCluster(GRPC, GRPC)
-    for node in world.nodes:
-        refuse: Any = lambda _, say: say.h2.reset(say.stream, http2.REFUSED_STREAM)  # noqa: E731
+    cluster = FakeCluster(GRPC, GRPC)
+    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    cluster.client.h2.reset(cluster.client.call)
+    cluster.run_until(lambda: any(("release", 5) in node.seen for node in cluster.nodes))
+    assert cluster.service.core.open_count == 0
+
+
+def test_refused_stream_rejects_the_task() -> None:
+    """REFUSED_STREAM proves that the task did not run, so that even one that must not run twice is rejected safely."""
+    cluster = FakeCluster(GRPC, GRPC)
+    for node in cluster.nodes:
+        refuse: Any = lambda _, responder: responder.h2.reset(responder.stream, http2.REFUSED_STREAM)  # noqa: E731
         node.order = refuse  # type: ignore[method-assign]
-    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-    assert world.wait_for_events(5) == [("refused", "1000")]
+    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    assert cluster.wait_for_events(5) == [("refused", "1000")]
 
 
-def test_goaway_by_a_node_lets_open_attempts_end_and_sends_new_ones_elsewhere() -> None:
-    world = FakeCluster(GRPC, GRPC, nodes=1)
-    node, usual = world.nodes[0], world.nodes[0].order
+def test_after_goaway_by_a_node_open_attempts_continue_and_new_ones_wait_for_a_new_connection() -> None:
+    cluster = FakeCluster(GRPC, GRPC, nodes=1)
+    node, default_order = cluster.nodes[0], cluster.nodes[0].order
     held: list[Any] = []
 
     def order(order: ReceivedOrder, say: Any) -> None:
@@ -119,50 +121,50 @@
             held.append(say)
             say.h2.go_away()
         else:
-            usual(order, say)
+            default_order(order, say)
 
     node.order = order  # type: ignore[method-assign]
-    world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-    world.run_until(lambda: bool(held))
-    world.run_for(20)
-    world.client.ask(6, NodeBehavior.RUN, ONCE_ONLY)
-    world.run_for(20)
-    assert node.offers(6) == 0  # it waits: the connection that goes away takes nothing new
+    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.run_until(lambda: bool(held))
+    cluster.run_for(20)
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.run_for(20)
+    assert node.offers(6) == 0  # a connection after GOAWAY accepts no new attempt
     held[0].bind(5)
-    assert world.wait_for_events(5) == world.wait_for_events(6) == [("placed", DESCRIPTION)]
+    assert cluster.wait_for_events(5) == cluster.wait_for_events(6) == [("placed", DESCRIPTION)]
     assert len(node.streams) == 2
     assert node.offers(5) == 1
 
 
 def test_a_dispatcher_that_shuts_down_answers_open_requests_and_closes() -> None:
-    world = FakeCluster(GRPC, GRPC)
-    world.client.ask(5, NodeBehavior.SILENT, left=1500)
-    world.run_until(lambda: world.offer_count(5) == 1)
-    world.service.shut_down()
-    assert world.wait_for_events(5) == [("failed", None)]
-    world.run_until(lambda: world.client.closed or not world.service.core.open_count)
+    cluster = FakeCluster(GRPC, GRPC)
+    cluster.client.ask(5, NodeBehavior.SILENT, left=1500)
+    cluster.run_until(lambda: cluster.offer_count(5) == 1)
+    cluster.service.shut_down()
+    assert cluster.wait_for_events(5) == [("failed", None)]
+    cluster.run_until(lambda: cluster.client.closed or not cluster.service.core.open_count)
 
 
 def test_flow_control_sends_no_more_than_the_windows_allow() -> None:
     pipes: dict[bool, bytearray] = {True: bytearray(), False: bytearray()}
 
     def emit(client: bool) -> Callable[[bytes], Chunk]:
-        def take(data: bytes) -> Chunk:
+        def write(data: bytes) -> Chunk:
             pipes[client] += data
             return Chunk(data)
 
-        return take
+        return write
 
-    def carry(to: http2.Http2) -> list[http2.Event]:
-        data = bytes(pipes[not to.client])
-        pipes[not to.client].clear()
-        return to.receive(data)
+    def deliver(receiver: http2.Http2) -> list[http2.Event]:
+        data = bytes(pipes[not receiver.client])
+        pipes[not receiver.client].clear()
+        return receiver.receive(data)
 
     client, server = http2.Http2(True, emit(True)), http2.Http2(False, emit(False))
     client._h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: 10})
     stream = client.call([(":method", "POST"), (":scheme", "http"), (":path", "/"), (":authority", "a")])
-    carry(server)
-    carry(client)
+    deliver(server)
+    deliver(client)
     server.respond(stream, [(":status", "200")])
     sent = server.send(stream, grpc.frame(pb.Binding(description=b"x" * 100)))
     blocked = server.send(stream, grpc.frame(pb.Binding(description=b"y")))
@@ -172,8 +174,8 @@
     assert not server.retract(stream, sent)
     received: list[http2.Event] = []
     for _ in range(40):
-        received += carry(client)
-        carry(server)
+        received += deliver(client)
+        deliver(server)
     messages = [event.data for event in received if isinstance(event, http2.Received)]
     assert [pb.Binding.FromString(data).description for data in messages] == [b"x" * 100]
 
@@ -186,18 +188,18 @@
     assert server.streams == 0
 
 
-def serve_from_thread(world: FakeCluster, work: Callable[[], Any]) -> Any:
-    """Run grpcio's blocking calls in a thread while the loop turns here."""
+def serve_from_thread(cluster: FakeCluster, work: Callable[[], Any]) -> Any:
+    """Runs grpcio's blocking calls in a thread while the loop runs here."""
     with futures.ThreadPoolExecutor(1) as pool:
         future = pool.submit(work)
-        world.run_until(future.done)
+        cluster.run_until(future.done)
         return future.result()
 
 
-def test_grpcio_client_with_our_frontend() -> None:
-    world = FakeCluster(JSON, GRPC)
-    address = "%s:%d" % world.service.frontends[1].listener.address
-    ask = pb.Ask(uid=5, task_class=ONCE_ONLY, left_ms=8000, key=5, cores=1, memory=2, service=7)
+def test_a_grpcio_client_is_served() -> None:
+    cluster = FakeCluster(JSON, GRPC)
+    address = "%s:%d" % cluster.service.frontends[1].listener.address
+    request = pb.Ask(uid=5, task_class=ONCE_ONLY, left_ms=8000, key=5, cores=1, memory=2, service=7)
 
     def work() -> tuple[Any, ...]:
         with grpcio.insecure_channel(address) as channel:
@@ -210,20 +212,20 @@
                 method + "Dispatch", pb.ClientMessage.SerializeToString, pb.Verdict.FromString
             )
             passed = check(pb.CheckRequest(), timeout=10).passed
-            ask.description = NodeBehavior.RUN.value
-            placed = place(ask, timeout=10).binding.description
-            ask.uid, ask.description = 7, NodeBehavior.SILENT.value
+            request.description = NodeBehavior.RUN.value
+            placed = place(request, timeout=10).binding.description
+            request.uid, request.description = 7, NodeBehavior.SILENT.value
             with pytest.raises(grpcio.RpcError) as late:
-                place(ask, timeout=0.3)
-            ask.uid, ask.description = 8, NodeBehavior.END.value
-            verdicts = dispatch(iter([pb.ClientMessage(ask=ask)]), timeout=10)
-            kinds = [one.WhichOneof("kind") for one in verdicts]
-            ask.uid, ask.description = 6, NodeBehavior.FULL.value
+                place(request, timeout=0.3)
+            request.uid, request.description = 8, NodeBehavior.END.value
+            verdicts = dispatch(iter([pb.ClientMessage(ask=request)]), timeout=10)
+            kinds = [verdict.WhichOneof("kind") for verdict in verdicts]
+            request.uid, request.description = 6, NodeBehavior.FULL.value
             with pytest.raises(grpcio.RpcError) as refused:
-                place(ask, timeout=10)
+                place(request, timeout=10)
             return passed, placed, refused.value.code(), late.value.code(), kinds
 
-    assert serve_from_thread(world, work) == (
+    assert serve_from_thread(cluster, work) == (
         True,
         DESCRIPTION,
         grpcio.StatusCode.RESOURCE_EXHAUSTED,
@@ -233,7 +235,7 @@
 
 
 class GrpcioNode(grpcio.GenericRpcHandler):  # type: ignore[misc]
-    """A node served by grpcio: it runs each task, ends it when told, and answers probes."""
+    """A node on a grpcio server: it runs each task until its release, and answers probes."""
 
     def __init__(self) -> None:
         self.orders: queue.Queue[tuple[str, int]] = queue.Queue()
@@ -258,21 +260,21 @@
                 yield pb.NodeReport(uid=order.uid, end=pb.End(outcome=pb.CANCELLED))
 
 
-def test_grpcio_server_as_a_node() -> None:
+def test_a_grpcio_server_works_as_a_node() -> None:
     handler = GrpcioNode()
     server = grpcio.server(futures.ThreadPoolExecutor(4), handlers=(handler,))
     port = server.add_insecure_port("127.0.0.1:0")
     server.start()
     try:
-        world = FakeCluster(JSON, GRPC, nodes=1)
-        world.nodes[0].port = port
-        world.update_lifecycle(0, "in_service")  # the same name at grpcio's address
-        world.run_for(10)
-        world.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
-        assert world.wait_for_events(5) == [("placed", NodeBehavior.RUN.value)]
-        world.service.core.endpoints.nodes[1].check_health()
-        world.client.give_up(5)
-        world.run_until(lambda: handler.orders.qsize() == 2)
+        cluster = FakeCluster(JSON, GRPC, nodes=1)
+        cluster.nodes[0].port = port
+        cluster.update_lifecycle(0, "in_service")  # moves the node to the address of the grpcio server
+        cluster.run_for(10)
+        cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+        assert cluster.wait_for_events(5) == [("placed", NodeBehavior.RUN.value)]
+        cluster.service.core.endpoints.nodes[1].check_health()
+        cluster.client.give_up(5)
+        cluster.run_until(lambda: handler.orders.qsize() == 2)
         assert [handler.orders.get(), handler.orders.get()] == [("offer", 5), ("release", 5)]
     finally:
         server.stop(None).wait(10)
