--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -101,7 +101,7 @@
 
 
 def test_refused_stream_rejects_the_task() -> None:
-    """REFUSED_STREAM proves that the task did not run, so that even one that must not run twice is rejected safely."""
+    """REFUSED_STREAM proves that the task did not run: even one that must not run twice is rejected, not failed."""
     cluster = FakeCluster(GRPC, GRPC)
     for node in cluster.nodes:
         refuse: Any = lambda _, responder: responder.h2.reset(responder.stream, http2.REFUSED_STREAM)  # noqa: E731
