--- a/thornshelf/admission/controller.py
+++ b/thornshelf/admission/controller.py
@@ -18,7 +18,7 @@
 from thornshelf.admission.reserved_connections import ReservedConnections, ReservedConnectionsConfig
 
 Source = tuple[int, int]  # IP version; the IPv4 address, or the upper 64 bits of the IPv6 address
-UNREADABLE_SOURCE: Source = (0, 0)  # shared by peers whose address can't be parsed
+INVALID_ADDRESS_SOURCE: Source = (0, 0)  # shared by peers whose address can't be parsed
 OVERFLOW_SOURCE: Source = (0, 1)  # shared by unknown sources beyond ``max_sources``
 FULL_RETRY_AFTER_US = 1_000_000  # for a connection that can't be admitted until another one closes
 _MAX_CACHED_ADDRESSES = 4096
@@ -141,14 +141,14 @@
         return len(self._sources)
 
     def source_of(self, address: str) -> Source:
-        """Returns the source of a peer's address; all addresses that can't be parsed share ``UNREADABLE_SOURCE``."""
+        """Returns the source of a peer's address; all addresses that can't be parsed share one source."""
         source = self._addresses.get(address)
         if source is None:
             try:
                 version, value = parse_address(address)
                 source = (version, value if version == 4 else value >> 64)
             except ValueError:
-                source = UNREADABLE_SOURCE
+                source = INVALID_ADDRESS_SOURCE
             self._addresses[address] = source
             if len(self._addresses) > _MAX_CACHED_ADDRESSES:
                 self._addresses.popitem(last=False)
@@ -245,7 +245,7 @@
 
         If that makes the source known, this connection counts as known from now on.
         """
-        if permit.source in (OVERFLOW_SOURCE, UNREADABLE_SOURCE):
+        if permit.source in (OVERFLOW_SOURCE, INVALID_ADDRESS_SOURCE):
             return
         self.reputation.record_placement(permit.source, now_us)
         if not permit.known and not permit.released and self.reputation.is_known(permit.source, now_us):
--- a/thornshelf/admission/overload.py
+++ b/thornshelf/admission/overload.py
@@ -1,7 +1,7 @@
 """Overload detection by the time that requests wait in the queue, after CoDel (RFC 8289, section 5).
 
-There is an overload when every wait of an interval has reached the target; a queue that is long only for a moment is
-none. During an overload requests are shed one after another, at a rate that grows while it lasts.
+There is an overload when all waits of an interval have reached the target; a queue that is long only for a moment
+does not count. During an overload requests are shed one after another, at a rate that grows while it lasts.
 """
 
 from __future__ import annotations
@@ -57,6 +57,7 @@
         self.is_overloaded = False
 
     def _begin_episode(self, now_us: int) -> None:
+        """Begins an overload, at nearly the previous rate of shedding if the last one ended recently."""
         self.is_overloaded = True
         is_resumed = now_us - self._next_shed_us < _RESUME_INTERVALS * self.config.interval_us
         self.shed_in_episode = max(1, self.shed_in_episode - 2) if is_resumed else 1
--- a/thornshelf/wire/http2.py
+++ b/thornshelf/wire/http2.py
@@ -76,15 +76,15 @@
 class _Stream:
     """The state of one open stream."""
 
-    __slots__ = ("consumed", "ended", "framer", "queue", "queued", "receiving", "trailers")
+    __slots__ = ("consumed_bytes", "ended", "framer", "queue", "queued_bytes", "receiving", "trailers")
 
     def __init__(self) -> None:
-        self.consumed = 0  # bytes of DATA frames since the last WINDOW_UPDATE of the stream
+        self.consumed_bytes = 0  # of DATA frames since the last WINDOW_UPDATE of the stream
         self.receiving = False  # the peer has sent headers and not ended its side of the stream
         self.ended = False  # this side of the stream has been ended
         self.framer = Framer()
         self.queue: deque[OutgoingMessage] = deque()
-        self.queued = 0
+        self.queued_bytes = 0
         self.trailers: list[tuple[str, str]] | None = None  # to be sent after the queue, see ``finish``
 
 
@@ -105,7 +105,7 @@
         self._buffer = b""  # input that is not yet a complete frame
         self._preface_length = 0 if client else _PREFACE_LENGTH
         self._last_peer_stream = 0
-        self._consumed = 0  # bytes of DATA frames since the last WINDOW_UPDATE of the connection
+        self._consumed_bytes = 0  # of DATA frames since the last WINDOW_UPDATE of the connection
         self.peer_settings_received = False
         self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = MAX_CONCURRENT_STREAMS
         self._h2.initiate_connection()
@@ -141,9 +141,9 @@
         state = self._streams.get(stream)
         if state is not None and state.trailers is None and not state.ended:
             state.queue.append(message)
-            state.queued += len(data)
+            state.queued_bytes += len(data)
             self._try_send_queued(stream)
-            if state.queued > MAX_QUEUED_BYTES:
+            if state.queued_bytes > MAX_QUEUED_BYTES:
                 self.reset(stream, int(h2.errors.ErrorCodes.ENHANCE_YOUR_CALM))
         return message
 
@@ -153,7 +153,7 @@
         if message.offset or state is None or message not in state.queue:
             return False
         state.queue.remove(message)
-        state.queued -= len(message.data)
+        state.queued_bytes -= len(message.data)
         return True
 
     def finish(self, stream: int, trailers: list[tuple[str, str]]) -> None:
@@ -293,20 +293,20 @@
 
     def _data_received(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
         """Process the payload of a DATA frame; sends WINDOW_UPDATE when enough of the windows is used up."""
-        state.consumed += len(data)
+        state.consumed_bytes += len(data)
         self._window_consumed(len(data))
         step = min(WINDOW_UPDATE_BYTES, self._h2.local_settings.initial_window_size // 4)
-        if state.consumed >= step:
-            self._emit(WindowUpdateFrame(stream, window_increment=state.consumed).serialize())
-            state.consumed = 0
+        if state.consumed_bytes >= step:
+            self._emit(WindowUpdateFrame(stream, window_increment=state.consumed_bytes).serialize())
+            state.consumed_bytes = 0
         self._extract_messages(stream, state, data, events)
 
     def _window_consumed(self, count: int) -> None:
         """Count received bytes towards the connection's window; sends WINDOW_UPDATE when enough is used up."""
-        self._consumed += count
-        if self._consumed >= WINDOW_UPDATE_BYTES:
-            self._emit(WindowUpdateFrame(0, window_increment=self._consumed).serialize())
-            self._consumed = 0
+        self._consumed_bytes += count
+        if self._consumed_bytes >= WINDOW_UPDATE_BYTES:
+            self._emit(WindowUpdateFrame(0, window_increment=self._consumed_bytes).serialize())
+            self._consumed_bytes = 0
 
     def _extract_messages(self, stream: int, state: _Stream, data: bytes, events: list[Event]) -> None:
         """Append the messages that the data completes; an invalid one resets the stream."""
@@ -348,7 +348,7 @@
             h2_stream.outbound_flow_control_window -= size
             self._h2.outbound_flow_control_window -= size
             message.offset += size
-            state.queued -= size
+            state.queued_bytes -= size
             self._flush()
             header = size.to_bytes(3, "big") + b"\0\0" + stream.to_bytes(4, "big")
             message.chunks.append(self._emit(header + part))
