--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -20,7 +20,7 @@
 from thornshelf.wire.jsonl import MAX_NUMBER
 
 if TYPE_CHECKING:
-    from thornshelf.frontends.grpc_ports import GrpcConnectionPort
+    from thornshelf.frontends.grpc_ports import GrpcConnectionInterface
 
 DEADLINE_PROXIMITY_US = 20_000  # a failure this close to the deadline is reported as DEADLINE_EXCEEDED
 RESPONSE_HEADERS = [(":status", "200"), ("content-type", "application/grpc")]
@@ -30,7 +30,7 @@
     """Return the trailers that end a call; ``pushback_ms``: how long the client should wait before a retry."""
     trailers = [("grpc-status", str(code))]
     if text:
-        trailers.append(("grpc-message", grpc.encode_text(text)))
+        trailers.append(("grpc-message", grpc.encode_status_message(text)))
     if pushback_ms is not None:
         trailers.append(("grpc-retry-pushback-ms", str(pushback_ms)))
     return trailers
@@ -56,7 +56,7 @@
     """One call of a client."""
 
     def __init__(
-        self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+        self, connection: GrpcConnectionInterface, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
     ) -> None:
         """``timeout_us``: the value of grpc-timeout; None if the client set none."""
         self.connection = connection
@@ -103,7 +103,7 @@
     """The health check: reports whether the dispatcher accepts tasks."""
 
     def __init__(
-        self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+        self, connection: GrpcConnectionInterface, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
     ) -> None:
         super().__init__(connection, stream_id, timeout_us, codec)
         connection.http.respond(stream_id, RESPONSE_HEADERS)
--- a/thornshelf/frontends/grpc_connection.py
+++ b/thornshelf/frontends/grpc_connection.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from thornshelf.frontends.admission_filter import ReadBackoff
-    from thornshelf.frontends.grpc_ports import GrpcFrontendPort
+    from thornshelf.frontends.grpc_ports import GrpcFrontendInterface
 
 MAX_FRAMES_PER_TURN = 32  # that are handled for one connection
 
@@ -40,7 +40,7 @@
 class GrpcConnection:
     """One HTTP/2 connection of a client."""
 
-    def __init__(self, frontend: GrpcFrontendPort, stream: Stream) -> None:
+    def __init__(self, frontend: GrpcFrontendInterface, stream: Stream) -> None:
         self.frontend = frontend
         self.stream = stream
         self.http = http2.Http2(False, stream.send)
--- a/thornshelf/frontends/grpc_ports.py
+++ b/thornshelf/frontends/grpc_ports.py
@@ -16,7 +16,7 @@
 from thornshelf.wire.http2 import Http2
 
 
-class GrpcFrontendPort(Protocol):
+class GrpcFrontendInterface(Protocol):
     """The interface of the frontend that its connections use."""
 
     loop: Loop
@@ -28,7 +28,7 @@
         """Log malformed input of a client."""
 
 
-class GrpcConnectionPort(Protocol):
+class GrpcConnectionInterface(Protocol):
     """The interface of a connection that its calls use."""
 
     stream: Stream
@@ -36,7 +36,7 @@
     read_backoff: ReadBackoff | None
 
     @property
-    def frontend(self) -> GrpcFrontendPort:
+    def frontend(self) -> GrpcFrontendInterface:
         """The frontend that accepted the connection."""
 
     @property
--- a/thornshelf/frontends/grpc_streams.py
+++ b/thornshelf/frontends/grpc_streams.py
@@ -22,14 +22,14 @@
 from thornshelf.wire.errors import WireError
 
 if TYPE_CHECKING:
-    from thornshelf.frontends.grpc_ports import GrpcConnectionPort
+    from thornshelf.frontends.grpc_ports import GrpcConnectionInterface
 
 
 class DispatchCall(TaskCall):
     """A stream on which a client requests tasks and receives their answers and releases."""
 
     def __init__(
-        self, connection: GrpcConnectionPort, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
+        self, connection: GrpcConnectionInterface, stream_id: int, timeout_us: int | None, codec: GrpcCodecV1
     ) -> None:
         super().__init__(connection, stream_id, timeout_us, codec)
         self.open_requests: set[int] = set()
--- a/thornshelf/frontends/json_lines.py
+++ b/thornshelf/frontends/json_lines.py
@@ -260,7 +260,7 @@
         Requests of a client that has disconnected need no answer: they are skipped without being decoded, so that a
         flood of short connections with many requests each does not occupy the turns.
         """
-        reader.abandoned = connection.stream.peer_closed
+        reader.client_disconnected = connection.stream.peer_closed
         backoff = connection.read_backoff
         for count in range(MAX_LINES_PER_TURN):
             try:
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -65,7 +65,7 @@
     return f"{remaining_us}u" if remaining_us < 100_000_000 else f"{min(remaining_us // 1000, 99_999_999)}m"
 
 
-def encode_text(text: str) -> str:
+def encode_status_message(text: str) -> str:
     """Percent-encode the text of a status for grpc-message."""
     return _UNSAFE.sub(lambda found: b"%%%02X" % found[0][0], text.encode("utf-8", "replace")).decode("ascii")
 
--- a/thornshelf/wire/jsonl.py
+++ b/thornshelf/wire/jsonl.py
@@ -56,7 +56,7 @@
 UNKNOWN_UID = 0  # in a rejection of a message whose id is missing or could not be decoded
 
 
-def read_hex(text: object, field_name: str) -> int:
+def parse_hex_number(text: object, field_name: str) -> int:
     """Parse a number of 1 to 16 hex digits; ``field_name`` names it in the ``WireError`` raised for anything else."""
     if not isinstance(text, str) or not 0 < len(text) <= 16 or not _HEX.issuperset(text):
         raise WireError(f"{field_name} is not a number of up to 16 hex digits: {text!r:.40}")
@@ -96,7 +96,7 @@
     uid_text = value.get("uid")
     if not isinstance(uid_text, str) or len(uid_text) != 16:
         raise WireError(f"uid is not 16 hex digits: {uid_text!r:.40}")
-    uid = read_hex(uid_text, "uid")
+    uid = parse_hex_number(uid_text, "uid")
     kind = value.get("kind")
     meta = value.get("meta", {})
     reason = value.get("reason")
@@ -127,11 +127,11 @@
             task_class=str(meta["class"]),
             left_ms=_bounded_number(meta.get("left"), "left"),
             tenant=None if tenant in (None, "") else str(tenant),
-            key=read_hex(meta.get("key", "0"), "key"),
+            key=parse_hex_number(meta.get("key", "0"), "key"),
             hint_ms=_bounded_number(meta["hint"], "hint") if meta.get("hint") not in (None, "") else None,
             cores=_bounded_number(extras.get("cores", 0.0), "cores"),
             memory=_bounded_number(extras.get("memory", 0.0), "memory"),
-            service=read_hex(extras.get("service", "0"), "service"),
+            service=parse_hex_number(extras.get("service", "0"), "service"),
             at=extras.get("at") or None,
         )
     except WireError as error:
@@ -173,13 +173,13 @@
 class LineReader:
     """Splits a stream of bytes into lines and decodes them.
 
-    ``abandoned``: whether the client has disconnected, so that launch requests, which need an answer, are skipped.
+    ``client_disconnected``: whether the client is gone, so that launch requests, which need an answer, are skipped.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
         self._searched = 0  # bytes of the buffer that contain no line end
-        self.abandoned = False
+        self.client_disconnected = False
 
     def feed(self, data: bytes) -> None:
         """Add bytes to the buffer."""
@@ -207,5 +207,5 @@
             self._searched = 0
             if end >= MAX_MESSAGE:
                 raise WireError(f"line is longer than {MAX_MESSAGE} bytes", fatal=True)
-            if text.strip() and not (self.abandoned and is_plain_launch(text)):
+            if text.strip() and not (self.client_disconnected and is_plain_launch(text)):
                 return parse_line(text)
--- a/thornshelf/wire/rfc5424.py
+++ b/thornshelf/wire/rfc5424.py
@@ -20,7 +20,7 @@
     return _UNPRINTABLE.sub("_", text)[:max_length] or "-"
 
 
-def element(identity: str, values: Mapping[str, object]) -> str:
+def structured_data_element(identity: str, values: Mapping[str, object]) -> str:
     """Encode one element of structured data."""
     quoted = {name: _ESCAPED.sub(r"\\\1", " ".join(str(value).split())) for name, value in values.items()}
     parts = "".join(f' {_NOT_IN_NAME.sub("_", name)[:32]}="{value}"' for name, value in quoted.items())
@@ -41,7 +41,7 @@
     at = datetime.fromtimestamp(unix_us // 1_000_000, UTC).replace(microsecond=unix_us % 1_000_000)
     stamp = at.strftime("%Y-%m-%dT%H:%M:%S.%fZ")
     head = f"<{FACILITY_DAEMON * 8 + severity}>1 {stamp} {header_value(host, 255)} {header_value(app, 48)}"
-    data = element(ENTERPRISE, values) if values else "-"
+    data = structured_data_element(ENTERPRISE, values) if values else "-"
     one_line = " ".join(text.split())
     line = f"{head} {process} {header_value(message_id, 32)} {data}"
     return (f"{line} {one_line}" if one_line else line).encode("utf-8", "replace")
