--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -90,9 +90,7 @@
     assert [event[0] for event in events] == ["placed"] * 3 + ["refused"] * 3
     assert all(0 < int(event[1]) <= 2000 for event in events[3:])
     if front == JSON:
-        assert (
-            cluster.client.said[10][0].meta["why"].startswith("overloaded: the request rate of its address")
-        )
+        assert cluster.client.said[10][0].meta["why"].startswith("overloaded: set-ups of its address")
     if front == GRPC2:
         assert cluster.client.said[10][0].refusal.reason == pb2.OVERLOADED
     cluster.run_for(600)
@@ -106,7 +104,7 @@
     assert reply is not None
     line = jsonl.parse_line(reply.strip())
     assert (line.kind, line.uid, line.reason) == ("stop", jsonl.UNKNOWN_UID, 34)
-    assert line.meta == {"wait": "1000", "why": "overloaded: too many connections from its address"}
+    assert line.meta == {"wait": "1000", "why": "overloaded: too many connections of its address"}
     assert cluster.service.admission_filter is not None
     assert cluster.service.admission_filter.descriptor_ledger.used["clients"] == 1
     frames = read_until_closed(cluster, connect(cluster, GRPC))
--- a/thornshelf/admission/controller.py
+++ b/thornshelf/admission/controller.py
@@ -198,7 +198,7 @@
         decision = ADMIT
         if not self.reserved_connections.can_open(known, busy_unknown):
             if not known or not self.reserved_connections.can_replace(busy_unknown):
-                return self._reject("no free connection is left", FULL_RETRY_AFTER_US, known), None
+                return self._reject("no place is left", FULL_RETRY_AFTER_US, known), None
             decision = ADMIT_REPLACING_IDLE
         for limits, usage, _ in scopes:
             usage.open_count += 1
@@ -226,13 +226,13 @@
         for rate, usage, name in permit.rates:
             if next_arrival_time(rate, usage.request_arrival, now_us) is None:
                 wait = wait_us(rate, usage.request_arrival, now_us)
-                return self._reject(f"the request rate of {name} is exceeded", wait, permit.known)
+                return self._reject(f"set-ups of {name} come too fast", wait, permit.known)
         shared = None if permit.known else self.config.unknown_request_rate
         if shared is not None:
             arrival = next_arrival_time(shared, self._unknown_arrival, now_us)
             if arrival is None:
                 wait = wait_us(shared, self._unknown_arrival, now_us)
-                return self._reject("the request rate of unknown sources is exceeded", wait, known=False)
+                return self._reject("set-ups of unknown sources come too fast", wait, known=False)
             self._unknown_arrival = arrival
         for rate, usage, _ in permit.rates:
             usage.request_arrival = (
@@ -271,11 +271,11 @@
         """Returns the rejection by the first limit that a new connection exceeds; None if it exceeds none."""
         for limits, usage, name in scopes:
             if limits.max_connections is not None and usage.open_count >= limits.max_connections:
-                return self._reject(f"too many connections from {name}", FULL_RETRY_AFTER_US, known)
+                return self._reject(f"too many connections of {name}", FULL_RETRY_AFTER_US, known)
             rate = limits.connection_rate
             if rate is not None and next_arrival_time(rate, usage.connection_arrival, now_us) is None:
                 wait = wait_us(rate, usage.connection_arrival, now_us)
-                return self._reject(f"the connection rate of {name} is exceeded", wait, known)
+                return self._reject(f"connections of {name} come too fast", wait, known)
         return None
 
     def _reject(self, reason: str, retry_after_us: int, known: bool) -> Decision:
--- a/thornshelf/frontends/admission_filter.py
+++ b/thornshelf/frontends/admission_filter.py
@@ -147,7 +147,7 @@
         if self.descriptor_ledger.available("clients") <= 0 and not self.evict_idle(unknown_only=True):
             self.descriptor_ledger.rejected["clients"] += 1
             self._record_rejection("descriptors", self.controller.source_of(peer), known=False)
-            return Decision(False, "no file descriptor is left", FULL_RETRY_AFTER_US), None
+            return Decision(False, "no descriptor is left", FULL_RETRY_AFTER_US), None
         decision, permit = self.controller.admit_connection(peer, self.loop.now, self.busy_unknown)
         if permit is None:
             self._record_rejection("connections", self.controller.source_of(peer), decision.known)
@@ -155,7 +155,7 @@
         if decision.replaces_idle and not self.evict_idle(unknown_only=True):
             self.controller.release(permit)
             self._record_rejection("connections", permit.source, permit.known)
-            return Decision(False, "no free connection is left", FULL_RETRY_AFTER_US), None
+            return Decision(False, "no place is left", FULL_RETRY_AFTER_US), None
         self.descriptor_ledger.acquire("clients")
         return decision, permit
 
--- a/thornshelf/frontends/grpc.py
+++ b/thornshelf/frontends/grpc.py
@@ -77,7 +77,7 @@
                 connection.http.go_away()
             for call in list(connection.calls.values()):
                 if isinstance(call, DispatchCall) and not call.open_requests:
-                    call.finish(grpc.UNAVAILABLE, "the dispatcher is shutting down")
+                    call.finish(grpc.UNAVAILABLE, "the dispatcher is ending")
             if not _has_pending_work(connection):
                 connection.stream.end()
 
--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -79,7 +79,7 @@
 
     def on_deadline(self) -> None:
         """End the call, as its timeout has expired."""
-        self.finish(grpc.DEADLINE_EXCEEDED, "the deadline of the call has passed")
+        self.finish(grpc.DEADLINE_EXCEEDED, "the call's time is up")
 
     def send(self, message: Message) -> http2.OutgoingMessage:
         """Send one message to the client."""
@@ -140,7 +140,7 @@
 
     def reject_duplicate(self, uid: int) -> None:
         """End the call, as the client could not distinguish the answers to two requests with one id."""
-        self.finish(grpc.INVALID_ARGUMENT, f"a request with the id {uid:016x} is open already")
+        self.finish(grpc.INVALID_ARGUMENT, f"two set-ups under the id {uid:016x}")
 
     def send_release(
         self, uid: int, outcome: Outcome, reason: Reason, detail: FailureCause | None = None
@@ -250,7 +250,7 @@
     def on_message(self, data: bytes) -> None:
         """Submit the request, which is the call's only message."""
         if self.request_received:
-            self.finish(grpc.INVALID_ARGUMENT, "the call accepts only one message")
+            self.finish(grpc.INVALID_ARGUMENT, "one message is taken")
             return
         self.request_received = True
         try:
@@ -264,7 +264,7 @@
     def on_half_close(self) -> None:
         """End a call without a request."""
         if not self.request_received:
-            self.finish(grpc.INVALID_ARGUMENT, "the call ended without a message")
+            self.finish(grpc.INVALID_ARGUMENT, "no message came")
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
         """Report that the task runs."""
@@ -306,7 +306,7 @@
 
     def on_deadline(self) -> None:
         """End the call, which cancels the request."""
-        self.connection.end_early(self, grpc.DEADLINE_EXCEEDED, "the deadline of the call has passed")
+        self.connection.end_early(self, grpc.DEADLINE_EXCEEDED, "the call's time is up")
 
     def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
         """End the call; an error is sent as a trailers-only response, as no headers have been sent."""
--- a/thornshelf/frontends/grpc_connection.py
+++ b/thornshelf/frontends/grpc_connection.py
@@ -111,9 +111,9 @@
         if method is None:
             self._send_status(event.stream, grpc.UNIMPLEMENTED, f"no such method: {path}")
         elif event.headers.get("grpc-encoding", "identity") != "identity":
-            self._send_status(event.stream, grpc.UNIMPLEMENTED, "compressed messages are not supported")
+            self._send_status(event.stream, grpc.UNIMPLEMENTED, "messages are taken uncompressed only")
         elif self.frontend.shutting_down:
-            self._send_status(event.stream, grpc.UNAVAILABLE, "the dispatcher is shutting down")
+            self._send_status(event.stream, grpc.UNAVAILABLE, "the dispatcher is ending")
         else:
             self._start_call(event, method)
 
--- a/thornshelf/frontends/listener.py
+++ b/thornshelf/frontends/listener.py
@@ -29,7 +29,7 @@
     """The decision on a connection that arrives when the process can't open another descriptor."""
 
     admitted = False
-    reason = "no file descriptor is left"
+    reason = "no descriptor is left"
     retry_after_us = FULL_RETRY_AFTER_US
     replaces_idle = False
 
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -48,14 +48,14 @@
     try:
         return kind.FromString(data)
     except DecodeError as error:
-        raise WireError(f"not a valid {kind.__name__} message: {error}", fatal=True) from None
+        raise WireError(f"no {kind.__name__}: {error}", fatal=True) from None
 
 
 def read_timeout(text: str) -> int:
     """Decode the value of grpc-timeout; returns microseconds. Raises ``WireError`` if it is malformed."""
     match = _TIMEOUT.fullmatch(text)
     if match is None:
-        raise WireError(f"grpc-timeout is malformed: {text!r:.20}", fatal=True)
+        raise WireError(f"grpc-timeout is not understood: {text!r:.20}", fatal=True)
     return int(match[1]) * _UNIT_NS[match[2]] // 1000
 
 
