--- a/thornshelf/errors.py
+++ b/thornshelf/errors.py
@@ -1,7 +1,7 @@
-"""All errors that an operator may see: one root, and for each a stable code, its meaning and a remedy.
+"""The errors that operators may see; each class has a stable code, a meaning and a remedy.
 
 ``thornshelf explain CODE`` and ``docs/errors.md`` are generated from these classes, and log lines carry the code. A
-code is never given a second meaning: one that is no longer used stays reserved.
+code is never reused: one that is no longer raised stays reserved.
 """
 
 from __future__ import annotations
@@ -10,44 +10,42 @@
 
 
 class ThornshelfError(Exception):
-    """The root of all errors. ``code`` is stable, ``meaning`` and ``remedy`` are for operators."""
+    """The base class of all errors. ``code`` is stable; ``meaning`` and ``remedy`` are shown to operators."""
 
     code: ClassVar[str] = "TS0000"
     meaning: ClassVar[str] = "An error of this program."
-    remedy: ClassVar[str] = "Read the text of the error and the log lines before it."
+    remedy: ClassVar[str] = "Read the error's message and the log lines before it."
 
 
 ERRORS_BY_CODE: dict[str, type[ThornshelfError]] = {}
 
 
 def register(error: type[ThornshelfError]) -> type[ThornshelfError]:
-    """Class decorator: list an error under its code."""
+    """Class decorator that adds an error to ``ERRORS_BY_CODE``."""
     assert error.code not in ERRORS_BY_CODE, error.code
     ERRORS_BY_CODE[error.code] = error
     return error
 
 
-# Configuration and start-up: TS1
+# TS1xxx: configuration and start-up
 
 
 @register
 class ConfigError(ThornshelfError):
-    """A configuration that can't be used; the text names the key."""
+    """The configuration can't be used; the message names the key."""
 
     code = "TS1001"
-    meaning = "A key of the configuration is missing or can't be used; the text names it."
-    remedy = (
-        "Correct the key that the text names; `thornshelf check-config FILE` checks a file without a start."
-    )
+    meaning = "A key of the configuration is missing or has an unusable value; the message names the key."
+    remedy = "Correct the key that the message names; `thornshelf check-config FILE` checks a file without starting."
 
 
 @register
 class SchemaError(ThornshelfError):
-    """A value that the schema does not allow; ``key`` is its dotted path."""
+    """The schema does not allow a key or its value; ``key`` is the dotted path."""
 
     code = "TS1002"
     meaning = "The operator's file has a key or a value that its schema does not allow."
-    remedy = "Compare the key with `thornshelf schema`; an unknown key is usually misspelt."
+    remedy = "Compare the key with `thornshelf schema`; an unknown key is usually a misspelling."
 
     def __init__(self, key: str, text: str) -> None:
         super().__init__(f"{key}: {text}" if key else text)
@@ -56,35 +54,35 @@
 
 @register
 class InvalidParameterError(ThornshelfError, ValueError):
-    """Parameters that contradict each other or lie outside a component's range."""
+    """A component's parameters contradict each other or are out of range."""
 
     code = "TS1003"
-    meaning = "Parameters of a component contradict each other or lie outside its range."
-    remedy = "Correct the parameters that the text names; the pages in docs/ give the range of each."
+    meaning = "Parameters of a component contradict each other or are out of range."
+    remedy = "Correct the parameters that the message names; the pages in docs/ give the range of each."
 
 
 @register
 class StartupError(ThornshelfError):
-    """A dispatcher that did not become ready."""
+    """A dispatcher process did not become ready."""
 
     code = "TS1004"
     meaning = "A dispatcher was started and did not become ready."
-    remedy = "The text has the end of its log: correct what its last line names."
+    remedy = "The message ends with the last lines of its log; correct what the last line names."
 
 
-# Wire formats: TS2
+# TS2xxx: wire formats
 
 
 @register
 class WireError(ThornshelfError):
-    """Input that its format does not allow.
+    """Input violates its wire format.
 
-    ``fatal`` states that the framing is lost, so that the connection can't be used any more.
-    ``uid`` is the task of a message whose frame could be read although its content could not.
+    ``fatal``: message boundaries are lost, so the connection must be closed.
+    ``uid``: the task id of a message whose frame was valid but whose content was not, if known.
     """
 
     code = "TS2001"
-    meaning = "A client, a node or the change log sent what its format does not allow."
+    meaning = "A client, a node or the change log sent data that violates its wire format."
     remedy = "The message or its connection was dropped. Correct the sender that the log line names."
 
     def __init__(self, text: str, *, fatal: bool = False, uid: int | None = None) -> None:
@@ -93,25 +91,25 @@
         self.uid = uid
 
 
-# The write-ahead log: TS3
+# TS3xxx: the write-ahead log
 
 
 @register
 class EntryTooLargeError(ThornshelfError, ValueError):
-    """An entry of the write-ahead log that is larger than a frame may be."""
+    """An entry exceeds the maximum frame size of the write-ahead log."""
 
     code = "TS3001"
-    meaning = "An entry of the write-ahead log would be larger than a frame may be."
-    remedy = "Shorten what the entry names (a node's or tenant's name); it never has a task's description."
+    meaning = "An entry exceeds the maximum frame size of the write-ahead log."
+    remedy = "Shorten the node or tenant name that the entry contains; task descriptions are not logged."
 
 
 @register
 class UnsupportedVersionError(ThornshelfError):
-    """A frame of a version that this program does not know; the log must not be changed."""
+    """A frame has a version that this program does not support; the log must not be modified."""
 
     code = "TS3002"
     meaning = "The write-ahead log was written by a newer version of the program."
-    remedy = "Start the newer version again, or move the file away; this version does not change it."
+    remedy = "Start the newer version again, or move the file away; this version does not modify it."
 
     def __init__(self, version: int, offset: int, known: int) -> None:
         super().__init__(f"record version {version} at byte {offset}; this program knows up to {known}")
@@ -119,7 +117,7 @@
         self.offset = offset
 
 
-# Membership: TS4
+# TS4xxx: membership
 
 
 @register
@@ -133,106 +131,105 @@
 
 @register
 class DuplicateNameError(ThornshelfError):
-    """Another live process has this member's name, and was started later."""
+    """A process that was started later uses this member's name."""
 
     code = "TS4002"
     meaning = (
-        "Two live processes have one name in the fleet; this one was started earlier and has become silent."
+        "Two live processes use the same name in the fleet; this one started earlier and has stopped sending."
     )
     remedy = "Give each process a name of its own (LB_NAME), and restart this one; until then it runs without peers."
 
 
 class RejectedDatagramError(ThornshelfError):
-    """A datagram that was rejected; ``reason`` is the name of the counter for it."""
+    """A datagram was rejected; ``reason`` is the name of the counter that counts it."""
 
     reason: ClassVar[str] = ""
 
 
 @register
 class TruncatedDatagramError(RejectedDatagramError):
-    """A datagram that is shorter than its header, or cut off."""
+    """A datagram is shorter than its header or than its header states."""
 
     code = "TS4010"
     reason = "truncated"
-    meaning = "A datagram was cut off, or is not one of this protocol."
+    meaning = "A datagram was truncated, or is not one of this protocol."
     remedy = (
-        "A few are noise. Many: something else sends to this port, or a link cuts datagrams of 1,200 bytes."
+        "A few can be ignored. Many: another program sends to this port, or a link truncates datagrams of "
+        "1,200 bytes."
     )
 
 
 @register
 class OversizedDatagramError(RejectedDatagramError):
-    """A datagram that is longer than any that a member sends."""
+    """A datagram exceeds the maximum size that members send."""
 
     code = "TS4011"
     reason = "oversized"
-    meaning = "A datagram is longer than any that a member sends."
-    remedy = "Find what else sends to this port; members never send more than 1,200 bytes."
+    meaning = "A datagram exceeds the maximum size that members send."
+    remedy = "Find the other program that sends to this port; members never send more than 1,200 bytes."
 
 
 @register
 class ForeignDatagramError(RejectedDatagramError):
-    """A datagram of another fleet."""
+    """A datagram came from a member of another fleet."""
 
     code = "TS4012"
     reason = "foreign"
     meaning = "A datagram came from a member of another fleet."
-    remedy = "Compare `fleet.name` and `fleet.seeds`: the sender's seeds have an address of this fleet."
+    remedy = "Compare `fleet.name` and `fleet.seeds`: the sender's seeds include an address of this fleet."
 
 
 @register
 class UnsupportedDatagramVersionError(RejectedDatagramError):
-    """A datagram of a version that this program does not know."""
+    """A datagram has a protocol version that this program does not support."""
 
     code = "TS4013"
     reason = "newer"
-    meaning = "A datagram is of a newer version than this program knows."
+    meaning = "A datagram has a newer protocol version than this program supports."
     remedy = "Upgrade this member; until then the two members do not see each other, and both keep serving."
 
 
 @register
 class ForgedDatagramError(RejectedDatagramError):
-    """A datagram whose hash was not made with the fleet's key."""
+    """A datagram's authentication hash was not computed with the fleet's key."""
 
     code = "TS4014"
     reason = "forged"
-    meaning = "A datagram's hash was not made with this fleet's key."
+    meaning = "A datagram's authentication hash was not computed with this fleet's key."
     remedy = "Compare the key files of the members; if they are equal, a process outside the fleet sends datagrams."
 
 
 @register
 class UnreadableDatagramError(RejectedDatagramError):
-    """A datagram whose hash is valid and whose content is not."""
+    """A datagram has a valid authentication hash but malformed content."""
 
     code = "TS4015"
     reason = "unreadable"
-    meaning = "A datagram with a valid hash has content that no member sends."
+    meaning = "A datagram with a valid authentication hash has malformed content."
     remedy = "A member runs a modified program, or the key has leaked: create a new key."
 
 
 @register
 class ReplayedDatagramError(RejectedDatagramError):
-    """A datagram that came before, or was meant for a process that has ended."""
+    """A datagram was received before, or was sent to a process that has ended."""
 
     code = "TS4016"
     reason = "replayed"
-    meaning = "A datagram came a second time, or was meant for a process that has ended."
-    remedy = (
-        "A few are duplicates by the network, or follow a restart. Many: recorded datagrams are sent again."
-    )
+    meaning = "A datagram was received a second time, or was sent to a process that has ended."
+    remedy = "A few are network duplicates, or follow a restart. Many: somebody replays recorded datagrams."
 
 
 @register
 class MemberTableFullError(RejectedDatagramError):
-    """The member table has no capacity for one more member."""
+    """The member table is full."""
 
     code = "TS4017"
     reason = "no-room"
-    meaning = "More members were named than the member table holds; members seen directly take precedence."
-    remedy = "Raise `fleet.most_members`, or find the member that names members which do not exist."
+    meaning = "More members were reported than the member table holds; members seen directly take precedence."
+    remedy = "Raise `fleet.most_members`, or find the member that reports members which do not exist."
 
 
-# The control socket and the shell: TS5
+# TS5xxx: the control socket and the shell
 
 
 @register
@@ -240,7 +237,7 @@
     """The control socket can't be created at its path."""
 
     code = "TS5001"
-    meaning = "The control socket can't be created: its directory is missing or open to others, or its path is taken."
+    meaning = "The control socket can't be created: its directory is missing or open to others, or its path is used."
     remedy = (
         "Choose a directory of the dispatcher's own user (`mkdir -m 700`) in which no other user may write."
     )
@@ -248,25 +245,29 @@
 
 @register
 class SocketInUseError(ControlSocketError):
-    """Another process answers at the control socket's path."""
+    """Another process accepts connections at the control socket's path."""
 
     code = "TS5002"
-    meaning = "Another live process answers at the control socket's path."
-    remedy = "Give each process a socket of its own (`control.socket`), or end the one that answers there."
+    meaning = "Another live process accepts connections at the control socket's path."
+    remedy = (
+        "Give each process a socket of its own (`control.socket`), or stop the process that uses this one."
+    )
 
 
 @register
 class ControlProtocolError(ThornshelfError):
-    """A message on a control socket that neither a shell nor a dispatcher sends."""
+    """A message on a control socket is malformed, or its receiver has stopped reading."""
 
     code = "TS5003"
-    meaning = "A message on the control socket can't be read, or its receiver read nothing for too long."
-    remedy = "Only that connection was closed. Use a shell of this version, and find out which process reads there."
+    meaning = "A message on the control socket is malformed, or its receiver read nothing for too long."
+    remedy = (
+        "Only that connection was closed. Use a shell of this version, and check which process is connected."
+    )
 
 
 @register
 class UnknownTableError(ThornshelfError):
-    """A table or a column that this dispatcher does not have."""
+    """A query names a table or a column that this dispatcher does not have."""
 
     code = "TS5004"
     meaning = "A query names a table or a column that this dispatcher does not have."
@@ -275,19 +276,19 @@
 
 @register
 class TooManySessionsError(ThornshelfError):
-    """More shells or queries than the dispatcher serves at once."""
+    """More shells or queries are open than the dispatcher serves at a time."""
 
     code = "TS5005"
-    meaning = "More shells, or queries, are open at once than the dispatcher serves."
-    remedy = "End some of them, or raise `control.readers`."
+    meaning = "More shells or queries are open than the dispatcher serves at a time."
+    remedy = "Close some of them, or raise `control.readers`."
 
 
 @register
 class DispatcherUnavailableError(ThornshelfError):
-    """No dispatcher answers at a control socket, or the connection broke."""
+    """No dispatcher answers at a control socket, or the connection was lost."""
 
     code = "TS5006"
-    meaning = "No dispatcher answers at this control socket, or it went away in the middle of an answer."
+    meaning = "No dispatcher answers at this control socket, or the connection was lost during a reply."
     remedy = (
         "Check that it runs, that its operator's file has `control.socket`, and that you may read the socket."
     )
@@ -295,68 +296,70 @@
 
 @register
 class QueryError(ThornshelfError):
-    """SQL that is not valid, or that would do more than read."""
+    """A query is not valid SQL, or would do more than read."""
 
     code = "TS5007"
-    meaning = "The query is not one SELECT that only reads the tables."
-    remedy = "Correct what the text names; `.tables` lists the tables, `.queries` the saved queries."
+    meaning = "The query is not a single SELECT statement that only reads the tables."
+    remedy = "Correct what the message names; `.tables` lists the tables, `.queries` the saved queries."
 
 
 @register
 class QueryLimitError(ThornshelfError):
-    """A query that takes more time or gives more rows than is allowed."""
+    """A query exceeded its limit of time or rows."""
 
     code = "TS5008"
-    meaning = "The query took more time, or gave more rows, than is allowed."
-    remedy = "Query less (WHERE, LIMIT, fewer tables), or allow more with `--seconds` and `--rows`."
+    meaning = "The query took more time, or returned more rows, than its limits allow."
+    remedy = (
+        "Narrow the query (WHERE, LIMIT, fewer tables), or raise the limits with `--seconds` and `--rows`."
+    )
 
 
-# Capacity planning: TS6
+# TS6xxx: capacity planning
 
 
 @register
 class CapacityError(ThornshelfError):
-    """A scale run, or the file that it writes, from which no figure can be computed."""
+    """A scale run or its result file lacks the data for a figure."""
 
     code = "TS6001"
-    meaning = "The scale run has too few points for a figure, or its file lacks what the page shows."
+    meaning = "The scale run has too few data points for a figure, or its result file lacks data that the page shows."
     remedy = "Run `thornshelf lab scale` in full, and let it write the file and the page."
 
 
 @register
 class ResourceLimitError(ThornshelfError):
-    """A scale run that exceeded one of its own limits."""
+    """A scale run would exceed one of its own limits."""
 
     code = "TS6002"
-    meaning = "The scale run would exceed its own limit of memory, processes or time; it was ended."
+    meaning = "The scale run would have exceeded its limit of memory, processes or time; it was stopped."
     remedy = "Run it on a machine with more memory, or with `--short`."
 
 
-# Faults of the program: TS9
+# TS9xxx: bugs in this program
 
 
 @register
 class InternalError(ThornshelfError):
-    """A fault of the program itself."""
+    """A bug in this program."""
 
     code = "TS9001"
-    meaning = "A fault of this program: one connection or one turn was lost, and the process went on."
-    remedy = "Keep the line and report it; restart the process if it happens repeatedly."
+    meaning = "A bug in this program: one connection or one turn was lost, and the process continues."
+    remedy = "Report it with the log line; restart the process if it happens repeatedly."
 
 
 @register
 class PlacementFaultError(ThornshelfError):
-    """A fault of the decision module."""
+    """A bug in the decision module."""
 
     code = "TS9002"
     meaning = (
-        "A fault of the decision module: the tasks of that turn are answered as failed by their deadlines."
+        "A bug in the decision module: the tasks of that turn are answered as failed by their deadlines."
     )
-    remedy = "Keep the line and report it."
+    remedy = "Report it with the log line."
 
 
 def explain(code: str) -> str | None:
-    """The meaning and the remedy of a code; None if there is no such code."""
+    """Returns the code, name, meaning and remedy of an error as text, or None if there is no such code."""
     error = ERRORS_BY_CODE.get(code.upper())
     if error is None:
         return None
@@ -364,7 +367,7 @@
 
 
 def render_page() -> str:
-    """The content of docs/errors.md."""
+    """Returns the content of docs/errors.md."""
     lines = [
         "# Errors",
         "",
