--- a/thornshelf/configuration/__init__.py
+++ b/thornshelf/configuration/__init__.py
@@ -1,7 +1,7 @@
-"""A dispatcher's configuration: read, checked and given defaults here, and nowhere else.
+"""Reads and validates a dispatcher's configuration and applies its defaults.
 
-``read_config`` reads the variables and the JSON file of the platform, and the operator's TOML file where one is
-named. Errors name the key at fault. Modules of the operator's file are loaded only where there is one.
+``read_config`` reads the platform's environment variables and JSON file, and the operator's TOML file if one is
+given. Errors name the invalid key. The modules that decode the operator's file are imported only if there is one.
 """
 
 from thornshelf.configuration.model import Config as Config
--- a/thornshelf/configuration/admission_table.py
+++ b/thornshelf/configuration/admission_table.py
@@ -1,4 +1,4 @@
-"""Decodes the table ``admission`` of the operator's file."""
+"""Decodes the ``admission`` table of the operator's file."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 from thornshelf.admission.reputation import ReputationConfig
 from thornshelf.admission.reserved_connections import ReservedConnectionsConfig
 from thornshelf.configuration import schema
-from thornshelf.configuration.descriptors import RESERVED_DESCRIPTORS, within_fraction
+from thornshelf.configuration.descriptors import RESERVED_DESCRIPTORS, cap_reserved
 from thornshelf.configuration.model import Config
 from thornshelf.errors import ConfigError
 from thornshelf.frontends.admission_filter import AdmissionFilterConfig
 from thornshelf.retries.jitter import JitterConfig
 
-_MICROSECONDS = 1_000_000  # in a second
-_QUOTA_SCALE = 1000  # quotas are counted in thousandths of a request a second
-_QUOTA_BURST_S = 2  # a tenant may use up its quota of so many seconds at once
+_US_PER_S = 1_000_000
+_QUOTA_SCALE = 1000  # quotas are converted to whole thousandths of a request per second
+_QUOTA_BURST_S = 2  # a tenant may use the quota of this many seconds in one burst
 
 
 def apply_admission(table: schema.Admission, config: Config) -> Config:
-    """The configuration with admission control, and with the fair queue where the table has one.
+    """Returns the configuration with admission control, and with the fair queue if ``admission.shares`` is set.
 
-    Weights and quotas of the fair queue are those of the settings' tenants. Raises ``ConfigError`` with the key
-    where the table contradicts itself or the rest of the configuration.
+    The fair queue's weights and quotas are those of the tenants in the settings. Raises ``ConfigError``, which names
+    the key, if the table contradicts itself or the rest of the configuration.
     """
     rules = _decode_rules(table.rule)
     floors = {name: getattr(table.descriptors, name) for name in table.descriptors.__struct_fields__}
     if sum(floors.values()) > config.max_descriptors:
-        raise ConfigError("admission.descriptors: the floors are more than limits.sockets")
+        raise ConfigError("admission.descriptors: the sum of the floors exceeds limits.sockets")
     controller = AdmissionConfig(
         reserved_connections=_decode_reserved_connections(table, config.max_descriptors),
         rules=tuple(rules),
         source_limits=_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
         unknown_request_rate=_rate(table.unknown_set_ups_per_s),
-        reputation=ReputationConfig(table.known_after, table.known_half_life_s * _MICROSECONDS),
+        reputation=ReputationConfig(table.known_after, table.known_half_life_s * _US_PER_S),
         max_sources=table.most_sources,
     )
     config = replace(config, admission=AdmissionFilterConfig(controller, floors))
@@ -60,29 +60,29 @@
         key = f"admission.rule.{index}"
         try:
             prefix = parse_prefix(table.prefix)
-        except ValueError as fault:
-            raise ConfigError(f"{key}.prefix: {fault}") from None
+        except ValueError as error:
+            raise ConfigError(f"{key}.prefix: {error}") from None
         if any(table.name == rule.name or prefix == rule.prefix for rule in rules):
-            raise ConfigError(f"{key}.name: another rule has this name or prefix: {table.name!r}")
-        source = (table.each_connections, table.each_connections_per_s, table.each_set_ups_per_s)
+            raise ConfigError(f"{key}.name: another rule has the same name or prefix: {table.name!r}")
+        source_limits = (table.each_connections, table.each_connections_per_s, table.each_set_ups_per_s)
         rule = PrefixRule(
             name=table.name,
             prefix=prefix,
             known=table.known,
             prefix_limits=_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
-            source_limits=_limits(*source) if any(source) else None,
+            source_limits=_limits(*source_limits) if any(source_limits) else None,
         )
         rules.append(rule)
     return rules
 
 
 def _decode_reserved_connections(table: schema.Admission, max_descriptors: int) -> ReservedConnectionsConfig:
-    capacity = max_descriptors - within_fraction(RESERVED_DESCRIPTORS, max_descriptors)
+    capacity = max_descriptors - cap_reserved(RESERVED_DESCRIPTORS, max_descriptors)
     try:
         return ReservedConnectionsConfig(capacity, table.reserve, table.reserve_floor)
     except ValueError:
-        text = f"not between reserve_floor and the {capacity} connections that there are"
-        raise ConfigError(f"admission.reserve: {text}: {table.reserve}") from None
+        problem = f"not between reserve_floor and the {capacity} available connections"
+        raise ConfigError(f"admission.reserve: {problem}: {table.reserve}") from None
 
 
 def _decode_fair_queue(table: schema.SharesTable, tenants: Sequence[api.Tenant]) -> FairQueueConfig:
@@ -98,14 +98,14 @@
 def _quota_rate(tenant: api.Tenant) -> Rate:
     return Rate(
         count=max(1, round(tenant.quota_per_s * _QUOTA_SCALE)),
-        period_us=_QUOTA_SCALE * _MICROSECONDS,
+        period_us=_QUOTA_SCALE * _US_PER_S,
         burst=max(1, round(_QUOTA_BURST_S * tenant.quota_per_s)),
     )
 
 
 def _rate(per_s: int | None) -> Rate | None:
-    """A rate that may be used up at once in each second."""
-    return None if per_s is None else Rate(count=per_s, period_us=_MICROSECONDS, burst=per_s)
+    """Returns a rate limit whose burst is one second's worth, or None for no limit."""
+    return None if per_s is None else Rate(count=per_s, period_us=_US_PER_S, burst=per_s)
 
 
 def _limits(connections: int | None, connections_per_s: int | None, requests_per_s: int | None) -> Limits:
--- a/thornshelf/configuration/fleet_table.py
+++ b/thornshelf/configuration/fleet_table.py
@@ -1,4 +1,4 @@
-"""Decodes the table ``fleet`` of the operator's file, and reads the key file that it names."""
+"""Decodes the ``fleet`` table of the operator's file, and reads the key file that it names."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 _MIN_KEY_BYTES = 16
 _MAX_KEY_BYTES = 4096
-_OTHERS_MODE = 0o077  # the permissions of all but the owner
-_PERMISSIONS = 0o777
-_MICROSECONDS = 1_000_000  # in a second
+_NON_OWNER_PERMISSIONS = 0o077
+_ALL_PERMISSIONS = 0o777
+_US_PER_S = 1_000_000
 
 
 def decode_fleet(table: schema.Fleet, config: Config, folder: Path) -> FleetConfig:
-    """The table in the units of the program; the key file is relative to the folder.
+    """Converts the table to the program's types and units. The path of the key file is relative to ``folder``.
 
-    Raises ``ConfigError`` with the key where a value is malformed or contradicts another, and ``KeyFileError``
-    where the key file can't be used.
+    Raises ``ConfigError``, which names the key, if a value is malformed or contradicts another, and
+    ``KeyFileError`` if the key file can't be used.
     """
     listen = parse_address(table.listen, "fleet.listen")
     if table.advertise is not None:
@@ -30,10 +30,10 @@
         parse_address(seed, f"fleet.seeds.{index}")
     try:
         membership = _decode_membership(table, config, folder)
-    except InvalidParameterError as fault:
-        raise ConfigError(f"fleet.{fault}") from None
+    except InvalidParameterError as error:
+        raise ConfigError(f"fleet.{error}") from None
     policies = frozenset(name for name in table.uses.__struct_fields__ if getattr(table.uses, name))
-    return FleetConfig(membership, listen, policies, table.hold_s * _MICROSECONDS)
+    return FleetConfig(membership, listen, policies, table.hold_s * _US_PER_S)
 
 
 def _decode_membership(table: schema.Fleet, config: Config, folder: Path) -> MembershipConfig:
@@ -49,22 +49,25 @@
         refutation_grace_us=table.grace_ms * 1000,
         reconnect_interval_us=table.recall_ms * 1000,
         push_pull_interval_us=table.sync_ms * 1000,
-        dead_retention_us=table.remember_s * _MICROSECONDS,
+        dead_retention_us=table.remember_s * _US_PER_S,
         max_members=table.most_members,
         entry_bytes_per_s=table.bytes_per_s,
     )
 
 
 def _read_key(path: Path, key: str) -> bytes:
-    """The secret in a file; ``KeyFileError`` where others may read the file, or it has an odd size."""
+    """Reads the fleet's secret key. ``key`` is the configuration key that errors name.
+
+    Raises ``KeyFileError`` if the file can't be read, other users have access to it, or its size is out of range.
+    """
     try:
-        value = path.read_bytes().strip()
+        secret = path.read_bytes().strip()
         mode = path.stat().st_mode
-    except OSError as fault:
-        raise KeyFileError(f"{key}: {path}: {fault.strerror}") from None
-    if mode & _OTHERS_MODE:
-        raise KeyFileError(f"{key}: {path}: may be read by others: mode {mode & _PERMISSIONS:o}")
-    if not _MIN_KEY_BYTES <= len(value) <= _MAX_KEY_BYTES:
-        size = f"{len(value)} bytes, where {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} are required"
-        raise KeyFileError(f"{key}: {path}: {size}")
-    return value
+    except OSError as error:
+        raise KeyFileError(f"{key}: {path}: {error.strerror}") from None
+    if mode & _NON_OWNER_PERMISSIONS:
+        raise KeyFileError(f"{key}: {path}: other users have access: mode {mode & _ALL_PERMISSIONS:o}")
+    if not _MIN_KEY_BYTES <= len(secret) <= _MAX_KEY_BYTES:
+        problem = f"{len(secret)} bytes, but {_MIN_KEY_BYTES} to {_MAX_KEY_BYTES} are required"
+        raise KeyFileError(f"{key}: {path}: {problem}")
+    return secret
--- a/thornshelf/configuration/model.py
+++ b/thornshelf/configuration/model.py
@@ -1,4 +1,4 @@
-"""The types of a dispatcher's configuration, in the units of the program."""
+"""The types of a dispatcher's configuration, with all values in the program's units."""
 
 from __future__ import annotations
 
@@ -17,7 +17,8 @@
     from thornshelf.subsetting import SubsetConfig
     from thornshelf.translation.translator import TranslationConfig
 
-_RESTART_KEYS = {  # fields that are fixed for the life of a process, and the keys that set them
+# The fields of ``Config`` that take effect only at a start, with the configuration keys that set them.
+_RESTART_KEYS = {
     "syslog_collector": "syslog.collector",
     "name": "name",
     "listen": "listen",
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class GrpcConfig:
-    """Where gRPC clients connect, and which nodes are called by gRPC.
+    """The address for gRPC clients, and the nodes that the dispatcher calls by gRPC.
 
-    ``nodes`` are names; with ``all_nodes`` it is every node.
+    ``nodes`` holds their names; with ``all_nodes`` every node is called by gRPC.
     """
 
     listen: Address | None = None
@@ -50,7 +51,7 @@
         return self.all_nodes or bool(self.nodes)
 
     def is_grpc_node(self, name: str) -> bool:
-        """Whether the node with this name is called by gRPC."""
+        """Returns whether the node with this name is called by gRPC."""
         return self.all_nodes or name in self.nodes
 
 
@@ -58,8 +59,8 @@
 class ControlConfig:
     """The control socket of a dispatcher.
 
-    ``socket`` is its path, ``readers`` the number of shells that may be connected at a time, and ``history`` the
-    number of task events that are retained for their queries.
+    ``socket``: its path. ``readers``: how many shells may be connected at a time. ``history``: how many task events
+    are retained for the table of the history.
     """
 
     socket: Path
@@ -71,7 +72,7 @@
 class ZoneSubsetConfig:
     """The subset of the nodes that this dispatcher connects to.
 
-    ``selection`` holds the figures of the choice, ``dispatchers`` the number of dispatchers of the same zone.
+    ``selection``: the parameters of the selection. ``dispatchers``: the number of dispatchers in this one's zone.
     """
 
     selection: SubsetConfig
@@ -79,9 +80,9 @@
 
 
 class ReloadedConfig(NamedTuple):
-    """A configuration after a reload.
+    """The configuration in force after a reload.
 
-    ``restart_keys`` are the keys that have changed in the files and take effect only after a restart.
+    ``restart_keys``: keys that were changed in the files and take effect only after a restart.
     """
 
     config: Config
@@ -90,9 +91,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a dispatcher is configured with.
+    """The whole configuration of a dispatcher.
 
-    Optional parts are None where the operator's file does not set them.
+    Fields of optional components are None if the operator's file does not enable them.
     """
 
     name: str
@@ -100,27 +101,26 @@
     seed: int
     max_descriptors: int
     endpoint_source: Address | None  # the platform's change log
-    initial_endpoints: Mapping[str, Any]  # the change log's events up to the start, as the file has them
+    initial_endpoints: Mapping[str, Any]  # the change log's events up to the start, in the JSON file's form
     settings: api.Settings
     grpc: GrpcConfig = field(default_factory=GrpcConfig)
     syslog_collector: tuple[str, Address] | None = None  # the transport, "udp" or "tcp", and the address
     translation: TranslationConfig | None = None
     admission: AdmissionFilterConfig | None = None
     fair_queue: FairQueueConfig | None = None
-    retry_after_jitter: JitterConfig | None = None  # goes with fair_queue
+    retry_after_jitter: JitterConfig | None = None  # set if and only if fair_queue is
     fleet: FleetConfig | None = None
     control: ControlConfig | None = None
     subset: ZoneSubsetConfig | None = None
 
     def reloaded(self, new: Config) -> ReloadedConfig:
-        """This configuration with those values of a new one that may change in a running process.
+        """Returns this configuration with those values of ``new`` that can change in a running process.
 
-        The initial endpoints are never taken from the new one, as the watch of the endpoint list goes on from the
-        last event that was received.
+        The initial endpoints are not replaced, since the endpoint watch continues from the last event it received.
         """
         config = replace(self, endpoint_source=new.endpoint_source, max_descriptors=new.max_descriptors)
         if self.admission is not None and new.admission is not None:
-            # Admission control can be reconfigured, but neither be switched on nor off.
+            # Admission control can be reconfigured, but not turned on or off.
             config = replace(config, admission=new.admission)
         restart_keys = [
             key for name, key in _RESTART_KEYS.items() if getattr(config, name) != getattr(new, name)
--- a/thornshelf/configuration/operator_file.py
+++ b/thornshelf/configuration/operator_file.py
@@ -1,4 +1,4 @@
-"""Reads the operator's TOML file, checks it by the schema, and adds its tables to the configuration."""
+"""Reads the operator's TOML file, validates it with the schema, and adds its tables to the configuration."""
 
 from __future__ import annotations
 
@@ -16,15 +16,16 @@
 
 
 def read_operator_file(path: str, config: Config) -> Config:
-    """The configuration with what an operator's file adds.
+    """Returns the configuration with the settings of an operator's file added.
 
-    Raises ``ConfigError`` with the key that is missing or malformed. Paths in the file are relative to its folder.
+    Paths in the file are relative to its folder. Raises ``ConfigError``, which names the key that is missing or
+    invalid.
     """
-    value = _read_toml(path)
+    document = _read_toml(path)
     try:
-        tables = schema.convert(value)
-    except SchemaError as fault:
-        raise ConfigError(f"{fault} (in {path})") from None
+        tables = schema.convert(document)
+    except SchemaError as error:
+        raise ConfigError(f"{error} (in {path})") from None
     return _apply_tables(tables, config, Path(path).parent)
 
 
@@ -32,15 +33,15 @@
     try:
         with open(path, "rb") as file:
             return tomllib.load(file)
-    except OSError as fault:
-        raise ConfigError(f"{path}: {fault.strerror}") from None
-    except tomllib.TOMLDecodeError as fault:
-        raise ConfigError(f"{path}: not TOML: {fault}") from None
+    except OSError as error:
+        raise ConfigError(f"{path}: {error.strerror}") from None
+    except tomllib.TOMLDecodeError as error:
+        raise ConfigError(f"{path}: not TOML: {error}") from None
 
 
 def _apply_tables(tables: schema.OperatorFile, config: Config, folder: Path) -> Config:
-    """Each table's module is loaded only where the file has that table."""
-    config = _apply_grpc(tables, config)
+    """Adds the tables to the configuration; a table's module is imported only if the file has that table."""
+    config = _apply_grpc_and_syslog(tables, config)
     if tables.translate is not None:
         from thornshelf.configuration.translation_table import decode_translation
 
@@ -63,7 +64,7 @@
     return config
 
 
-def _apply_grpc(tables: schema.OperatorFile, config: Config) -> Config:
+def _apply_grpc_and_syslog(tables: schema.OperatorFile, config: Config) -> Config:
     listen = tables.grpc.listen
     nodes = tables.grpc.nodes
     collector = tables.syslog.collector
--- a/thornshelf/configuration/reader.py
+++ b/thornshelf/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Reads the platform's variables and JSON file, and has the operator's file read where one is named."""
+"""Reads the platform's environment variables and JSON file, and the operator's file if one is given."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
 
 
 def read_config(environment: Mapping[str, str], operator_file: str | None = None) -> Config:
-    """The configuration in the platform's variables and file, and in the operator's file where one is named.
+    """Returns the configuration from the environment variables, the JSON file and the operator's file, if given.
 
-    Raises ``ConfigError`` with the key that is missing or malformed.
+    Raises ``ConfigError``, which names the key that is missing or invalid.
     """
     path = environment.get(FILE_VARIABLE)
     if not path:
-        raise ConfigError(f"{FILE_VARIABLE}: not set: it names the configuration file")
-    config = _decode(_read_json(path), environment)
+        raise ConfigError(f"{FILE_VARIABLE}: not set; it must name the configuration file")
+    config = _decode_config(_read_json(path), environment)
     if not operator_file:
         return config
-    # Loaded here, as it needs the schema's library, which a dispatcher without such a file has no use for.
+    # Imported only here, since it loads msgspec, which a dispatcher without such a file does not need.
     from thornshelf.configuration.operator_file import read_operator_file
 
     return read_operator_file(operator_file, config)
 
 
-def _decode(value: dict[str, Any], environment: Mapping[str, str]) -> Config:
-    settings = _decode_settings(value)
-    seed = _decode_seed(value)
-    max_descriptors = _decode_max_descriptors(value)
-    initial_endpoints = value.get("known", {"seq": 0, "results": []})
+def _decode_config(document: dict[str, Any], environment: Mapping[str, str]) -> Config:
+    settings = _decode_settings(document)
+    seed = _decode_seed(document)
+    max_descriptors = _decode_max_descriptors(document)
+    initial_endpoints = document.get("known", {"seq": 0, "results": []})
     if not isinstance(initial_endpoints, dict):
         raise ConfigError("known: not an object")
     return Config(
-        name=str(environment.get(NAME_VARIABLE) or value.get("name") or _DEFAULT_NAME),
-        listen=parse_address(environment.get(LISTEN_VARIABLE) or value.get("listen"), "listen"),
+        name=str(environment.get(NAME_VARIABLE) or document.get("name") or _DEFAULT_NAME),
+        listen=parse_address(environment.get(LISTEN_VARIABLE) or document.get("listen"), "listen"),
         seed=seed,
         max_descriptors=max_descriptors,
-        endpoint_source=_decode_endpoint_source(value),
+        endpoint_source=_decode_endpoint_source(document),
         initial_endpoints=initial_endpoints,
         settings=settings,
     )
@@ -61,49 +61,49 @@
 def _read_json(path: str) -> dict[str, Any]:
     try:
         with open(path, encoding="utf-8") as file:
-            value = json.load(file)
-    except OSError as fault:
-        raise ConfigError(f"{FILE_VARIABLE}: {path}: {fault.strerror}") from None
-    except (ValueError, RecursionError) as fault:
-        raise ConfigError(f"{FILE_VARIABLE}: {path}: not JSON: {fault}") from None
-    if not isinstance(value, dict):
+            document = json.load(file)
+    except OSError as error:
+        raise ConfigError(f"{FILE_VARIABLE}: {path}: {error.strerror}") from None
+    except (ValueError, RecursionError) as error:
+        raise ConfigError(f"{FILE_VARIABLE}: {path}: not JSON: {error}") from None
+    if not isinstance(document, dict):
         raise ConfigError(f"{FILE_VARIABLE}: {path}: not a JSON object")
-    return value
+    return document
 
 
-def _decode_settings(value: dict[str, Any]) -> api.Settings:
-    if not isinstance(value.get("settings"), dict):
+def _decode_settings(document: dict[str, Any]) -> api.Settings:
+    if not isinstance(document.get("settings"), dict):
         raise ConfigError("settings: missing or not an object")
     try:
-        return decode_settings(_flatten(value["settings"])).settings
-    except WireError as fault:
-        raise ConfigError(f"settings: {fault}") from None
+        return decode_settings(_flatten(document["settings"])).settings
+    except WireError as error:
+        raise ConfigError(f"settings: {error}") from None
 
 
-def _decode_seed(value: dict[str, Any]) -> int:
+def _decode_seed(document: dict[str, Any]) -> int:
     try:
-        return int(str(value.get("seed", _DEFAULT_SEED)), 16)
+        return int(str(document.get("seed", _DEFAULT_SEED)), 16)
     except ValueError:
-        raise ConfigError(f"seed: not made of hex digits: {value.get('seed')!r}") from None
+        raise ConfigError(f"seed: not a hexadecimal number: {document.get('seed')!r}") from None
 
 
-def _decode_max_descriptors(value: dict[str, Any]) -> int:
-    limits = value.get("limits", {})
+def _decode_max_descriptors(document: dict[str, Any]) -> int:
+    limits = document.get("limits", {})
     if not isinstance(limits, dict):
         raise ConfigError("limits: not an object")
     sockets = limits.get("sockets", _DEFAULT_MAX_DESCRIPTORS)
     if not isinstance(sockets, int) or isinstance(sockets, bool) or sockets < _MIN_DESCRIPTORS:
-        raise ConfigError(f"limits.sockets: not a whole number of at least {_MIN_DESCRIPTORS}: {sockets!r}")
+        raise ConfigError(f"limits.sockets: not an integer of at least {_MIN_DESCRIPTORS}: {sockets!r}")
     return sockets
 
 
-def _decode_endpoint_source(value: dict[str, Any]) -> Address | None:
-    address = value.get("changelog")
+def _decode_endpoint_source(document: dict[str, Any]) -> Address | None:
+    address = document.get("changelog")
     return None if address is None else parse_address(address, "changelog")
 
 
 def _flatten(value: object, path: str = "") -> Iterator[str]:
-    """Nested settings as the ``path=value`` texts that the simulator sends."""
+    """Yields nested settings as ``path=value`` strings, the form in which the simulator sends them."""
     if isinstance(value, dict):
         for name, child in value.items():
             yield from _flatten(child, f"{path}.{name}" if path else str(name))
--- a/thornshelf/configuration/subset_table.py
+++ b/thornshelf/configuration/subset_table.py
@@ -1,4 +1,4 @@
-"""Decodes the table ``subset`` of the operator's file."""
+"""Decodes the ``subset`` table of the operator's file."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from thornshelf.errors import ConfigError, InvalidParameterError
 from thornshelf.subsetting import SubsetConfig
 
-_MICROSECONDS = 1_000_000  # in a second
+_US_PER_S = 1_000_000
 
 
 def decode_subset(table: schema.SubsetTable, config: Config) -> ZoneSubsetConfig:
-    """The table in the units of the program; the zone is that of the settings where the table names none.
+    """Converts the table to the program's types and units. The zone defaults to that of the settings.
 
-    Raises ``ConfigError`` with the key where the table contradicts the rest of the configuration.
+    Raises ``ConfigError``, which names the key, if the table contradicts the rest of the configuration.
     """
     if config.fleet is not None and "allowances" in config.fleet.policies:
-        text = "must be false beside a table subset, which divides quotas by the dispatchers of a zone"
-        raise ConfigError(f"fleet.uses.allowances: {text}")
+        problem = "must be false if there is a subset table, which divides quotas by the zone's dispatchers"
+        raise ConfigError(f"fleet.uses.allowances: {problem}")
     if table.dispatchers > config.settings.placers:
-        text = f"more than the {config.settings.placers} dispatchers of the settings"
-        raise ConfigError(f"subset.dispatchers: {text}: {table.dispatchers}")
+        problem = f"more than the {config.settings.placers} dispatchers in the settings"
+        raise ConfigError(f"subset.dispatchers: {problem}: {table.dispatchers}")
     try:
         selection = SubsetConfig(
             zone=table.zone or config.settings.zone,
@@ -29,8 +29,8 @@
             max_spares=table.most_spare,
             short_fraction=table.short_share,
             rejected_fraction=table.refused_share,
-            cooldown_us=table.quiet_s * _MICROSECONDS,
+            cooldown_us=table.quiet_s * _US_PER_S,
         )
-    except InvalidParameterError as fault:
-        raise ConfigError(f"subset.{fault}") from None
+    except InvalidParameterError as error:
+        raise ConfigError(f"subset.{error}") from None
     return ZoneSubsetConfig(selection, table.dispatchers)
--- a/thornshelf/configuration/translation_table.py
+++ b/thornshelf/configuration/translation_table.py
@@ -1,4 +1,4 @@
-"""Decodes the table ``translate`` of the operator's file."""
+"""Decodes the ``translate`` table of the operator's file."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from thornshelf.translation.translator import TranslationConfig
 
 _FORMATS = {"binary": WireFormat.BINARY, "v1": WireFormat.GRPC_V1, "v2": WireFormat.GRPC_V2}
-_MICROSECONDS = 1_000_000  # in a second
+_US_PER_S = 1_000_000
 
 
 def decode_translation(
     table: schema.Translate, grpc: GrpcConfig, class_names: Collection[str]
 ) -> TranslationConfig:
-    """The table in the units of the program; ``grpc`` holds for the nodes that the table does not name.
+    """Converts the table to the program's types and units. ``grpc`` applies to nodes that the table does not name.
 
-    Raises ``ConfigError`` with the key of a task class that ``class_names`` has not, or whose policy for missing
+    Raises ``ConfigError``, which names the key, if a task class is not in ``class_names`` or its policy for missing
     fields contradicts itself.
     """
     node_formats: dict[str, tuple[WireFormat, ...]] = dict.fromkeys(grpc.nodes, (WireFormat.GRPC_V1,))
@@ -38,7 +38,7 @@
         },
         hello_timeout_us=table.hello_ms * 1000,
         query_timeout_us=table.settle_ms * 1000,
-        uncertain_retention_us=table.remember_s * _MICROSECONDS,
+        uncertain_retention_us=table.remember_s * _US_PER_S,
         max_uncertain=table.most_doubts,
     )
     return config if table.retries is None else _with_retries(config, table.retries)
@@ -48,14 +48,14 @@
     policies = {}
     for name, task_class in table.classes.items():
         if name not in class_names:
-            raise ConfigError(f"translate.class.{name}: the settings have no such class")
+            raise ConfigError(f"translate.class.{name}: the settings define no such class")
         hint_ms = task_class.assumed_hint_ms
         try:
             policies[name] = MissingFieldPolicy(
                 MissingFieldAction(task_class.missing_hint), None if hint_ms is None else hint_ms * 1000
             )
-        except ValueError as fault:
-            raise ConfigError(f"translate.class.{name}.assumed_hint_ms: {fault}") from None
+        except ValueError as error:
+            raise ConfigError(f"translate.class.{name}.assumed_hint_ms: {error}") from None
     return policies
 
 
@@ -71,10 +71,10 @@
     )
 
 
-def _budget(per_attempt: float, per_s: float, capacity: int) -> RetryBudgetConfig:
+def _budget(earned_per_attempt: float, earned_per_s: float, capacity: int) -> RetryBudgetConfig:
     return RetryBudgetConfig(
-        earned_per_attempt_milli=round(per_attempt * MILLI_PER_TOKEN),
-        earned_per_s_milli=round(per_s * MILLI_PER_TOKEN),
+        earned_per_attempt_milli=round(earned_per_attempt * MILLI_PER_TOKEN),
+        earned_per_s_milli=round(earned_per_s * MILLI_PER_TOKEN),
         capacity_milli=capacity * MILLI_PER_TOKEN,
     )
 
