--- a/thornshelf/configuration/addresses.py
+++ b/thornshelf/configuration/addresses.py
@@ -12,7 +12,7 @@
 
 
 def parse_address(value: object, key: str) -> Address:
-    """Parses ``host:port``. Raises ``ConfigError``, which names ``key``, if the value has another form."""
+    """Parse ``host:port``. Raises ``ConfigError``, which names ``key``, if the value has another form."""
     host, separator, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
     if not separator or not host or not port.isdecimal() or int(port) > _MAX_PORT:
         raise ConfigError(f"{key}: not of the form host:port: {value!r}")
@@ -20,7 +20,7 @@
 
 
 def parse_collector(value: object) -> tuple[str, Address]:
-    """Parses ``udp:host:port`` or ``tcp:host:port`` into the transport and the address.
+    """Parse ``udp:host:port`` or ``tcp:host:port`` into the transport and the address.
 
     Raises ``ConfigError`` if the value has another form.
     """
--- a/thornshelf/configuration/fleet_table.py
+++ b/thornshelf/configuration/fleet_table.py
@@ -18,7 +18,7 @@
 
 
 def decode_fleet(table: schema.Fleet, config: Config, folder: Path) -> FleetConfig:
-    """Converts the table to the program's types and units. The path of the key file is relative to ``folder``.
+    """Convert the table to the program's types and units. The path of the key file is relative to ``folder``.
 
     Raises ``ConfigError``, which names the key, if a value is malformed or contradicts another, and
     ``KeyFileError`` if the key file can't be used.
@@ -56,7 +56,7 @@
 
 
 def _read_key(path: Path, key: str) -> bytes:
-    """Reads the fleet's secret key. ``key`` is the configuration key that errors name.
+    """Read the fleet's secret key. ``key`` is the configuration key that errors name.
 
     Raises ``KeyFileError`` if the file can't be read, other users have access to it, or its size is out of range.
     """
--- a/thornshelf/configuration/operator_file.py
+++ b/thornshelf/configuration/operator_file.py
@@ -40,7 +40,7 @@
 
 
 def _apply_tables(tables: schema.OperatorFile, config: Config, folder: Path) -> Config:
-    """Adds the tables to the configuration; a table's module is imported only if the file has that table."""
+    """Add the tables to the configuration; a table's module is imported only if the file has that table."""
     config = _apply_grpc_and_syslog(tables, config)
     if tables.translate is not None:
         from thornshelf.configuration.translation_table import decode_translation
--- a/thornshelf/configuration/schema.py
+++ b/thornshelf/configuration/schema.py
@@ -39,9 +39,7 @@
 class ClassTable(Struct, forbid_unknown_fields=True):
     """What holds for the tasks of one class between the forms."""
 
-    generation: Annotated[int, Meta(ge=0, le=2)] = (
-        0  # the lowest that a node of this class must speak; 0: any
-    )
+    generation: Annotated[int, Meta(ge=0, le=2)] = 0  # the lowest that a node must speak; 0: any
     missing_hint: Literal["refuse", "assume"] = "refuse"  # for requests without a lifetime hint
     assumed_hint_ms: Milliseconds | None = None
 
@@ -65,10 +63,9 @@
 class Translate(Struct, forbid_unknown_fields=True):
     """The translation layer."""
 
-    otherwise: Formats = msgspec.field(
-        default_factory=lambda: ["binary"]
-    )  # of nodes that are not in ``nodes``
-    nodes: dict[str, Formats] = {}  # the wire formats that a node may speak, by its name
+    # The wire formats that nodes may speak: of those in ``nodes`` by name, and of all others.
+    otherwise: Formats = msgspec.field(default_factory=lambda: ["binary"])
+    nodes: dict[str, Formats] = {}
     classes: dict[str, ClassTable] = msgspec.field(default_factory=dict, name="class")
     hello_ms: Milliseconds = 500  # timeout of the version handshake with a node
     settle_ms: Milliseconds = 1000  # timeout of a status query about an uncertain attempt
@@ -118,7 +115,7 @@
 
     reserve: Annotated[int, Meta(ge=0, le=1_000_000)] = 16  # connections reserved for known sources
     reserve_floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 4  # of these, never lent to unknown sources
-    # Limits of each source, for which no rule has others.
+    # Limits of each source that no rule overrides.
     connections: Positive | None = 64
     connections_per_s: Positive | None = 50
     set_ups_per_s: Positive | None = None
@@ -177,9 +174,7 @@
     dispatchers: Annotated[int, Meta(ge=1, le=65_536)] = 1  # in this zone
     spare_step: Positive = 64  # spare nodes that are added at a time
     most_spare: Positive = 512
-    short_share: Annotated[float, Meta(gt=0.0, le=1.0)] = (
-        0.9  # of its recent peak; below it the zone is short
-    )
+    short_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.9  # of the recent peak; below it spares are added
     refused_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.05  # of requests; above it spares are added
     quiet_s: Annotated[int, Meta(ge=1, le=86_400)] = 30  # time without demand before spares are released
 
@@ -197,7 +192,7 @@
 
 
 def convert(value: Any) -> OperatorFile:
-    """Validates a parsed file and returns its tables. Raises ``SchemaError`` with the key that is not allowed."""
+    """Validate a parsed file and return its tables. Raises ``SchemaError`` with the key that is not allowed."""
     try:
         return msgspec.convert(value, OperatorFile)
     except msgspec.ValidationError as error:
@@ -214,7 +209,7 @@
 
 
 def _resolve_key(value: Any, key: str) -> str:
-    """Replaces the ``[...]`` that msgspec writes for a key of a mapping by the first key whose value is invalid."""
+    """Replace the ``[...]`` that msgspec writes for a key of a mapping by the first key whose value is invalid."""
     if "[...]" not in key:
         return key
     before, _, after = key.partition("[...]")
--- a/thornshelf/configuration/subset_table.py
+++ b/thornshelf/configuration/subset_table.py
@@ -11,7 +11,7 @@
 
 
 def decode_subset(table: schema.SubsetTable, config: Config) -> ZoneSubsetConfig:
-    """Converts the table to the program's types and units. The zone defaults to that of the settings.
+    """Convert the table to the program's types and units. The zone defaults to that of the settings.
 
     Raises ``ConfigError``, which names the key, if the table contradicts the rest of the configuration.
     """
--- a/thornshelf/configuration/translation_table.py
+++ b/thornshelf/configuration/translation_table.py
@@ -22,7 +22,7 @@
 def decode_translation(
     table: schema.Translate, grpc: GrpcConfig, class_names: Collection[str]
 ) -> TranslationConfig:
-    """Converts the table to the program's types and units. ``grpc`` applies to nodes that the table does not name.
+    """Convert the table to the program's types and units. ``grpc`` applies to nodes that the table does not name.
 
     Raises ``ConfigError``, which names the key, if a task class is not in ``class_names`` or its policy for missing
     fields contradicts itself.
