--- a/thornshelf/components/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -1,7 +1,8 @@
-"""The optional components of a dispatcher, beside its core and its first frontend.
+"""The optional components of a dispatcher, in addition to its core and its JSON-lines frontend.
 
-Each is a module with a function ``make`` and a subclass of ``Component``, and is loaded only where the configuration
-asks for it. A new component adds its module and a line in ``_COMPONENTS``; ``service`` names none of them.
+Each component is a module with a subclass of ``Component`` and a function ``create_component``. The module is
+imported only if the configuration enables the component. To add one, add its module and a line in ``_COMPONENTS``;
+``service`` does not depend on any of them.
 """
 
 from __future__ import annotations
@@ -27,62 +28,66 @@
 
 
 class Host(Protocol):
-    """The service, as its components see it."""
+    """The interface of the service that components use."""
 
     config: Config
-    settings: api.Settings  # as the core gets them; a component may change them while it prepares
+    settings: api.Settings  # for the core; components may replace them in ``prepare``
     loop: Loop
-    inherited: InheritedSockets | None  # from a predecessor
+    inherited: InheritedSockets | None  # from the predecessor, after a graceful restart
     admission_filter: AdmissionFilter | None
     translator: Translator | None
     core: Dispatcher
     connection_budget: ConnectionBudget
     frontends: list[JsonLinesFrontend | GrpcFrontend]
     endpoint_watch: EndpointWatch | None
-    # Called in order for each new node; the first connection that is returned is used.
+    # Called in order for each new node until one returns a connection; if none does, the node speaks binary messages.
     node_factories: list[Callable[[int, NodeEndpoint, Dispatcher], NodeConnection | None]]
-    endpoint_listeners: list[Callable[[EndpointListUpdate], None]]  # after the core has taken an update
-    endpoint_filter: Callable[[EndpointListUpdate], EndpointListUpdate] | None  # before the core takes it
-    catalog: Catalog | None  # the tables of the control socket; components add theirs as they start
+    endpoint_listeners: list[
+        Callable[[EndpointListUpdate], None]
+    ]  # called after the core has applied an update
+    endpoint_filter: (
+        Callable[[EndpointListUpdate], EndpointListUpdate] | None
+    )  # applied before the core's update
+    catalog: Catalog | None  # the tables of the control socket; components add theirs in ``start``
 
     @property
     def log(self) -> LogFunction:
-        """Writes one line of the log."""
+        """The function that writes one log line."""
 
     def unix_ms(self, us: int) -> int:
-        """A time of the loop's clock as Unix milliseconds."""
+        """Convert a time of the loop's clock in microseconds to Unix milliseconds."""
 
     def named_frontends(self) -> Mapping[str, JsonLinesFrontend | GrpcFrontend]:
-        """The frontends, by the names under which a successor gets their sockets."""
+        """Returns the frontends, by the names under which their sockets are handed over to a successor."""
 
 
 class Component:
-    """An optional component. It is told of each step of the dispatcher's life; by itself it does nothing."""
+    """Base class of the optional components; by default, every step of the dispatcher's life cycle does nothing."""
 
     def __init__(self, host: Host) -> None:
         self.host = host
 
     def prepare(self) -> None:
-        """Called before the core is made, for what it is made of."""
+        """Provide what the core is created with. Called before the core is created."""
 
     def start(self) -> None:
-        """Called when the core and the first frontend are made, and before anything is served."""
+        """Start the component. Called once the core and the JSON-lines frontend exist, before requests are served."""
 
     def reload(self, config: Config) -> None:
-        """Called after a reload with the configuration that is in force now."""
+        """Apply a reloaded configuration, which is in force from now on."""
 
     def stop(self) -> None:
-        """Called when the loop has stopped."""
+        """Release resources. Called after the loop has stopped."""
 
 
 class _ComponentModule(NamedTuple):
-    """Whether a configuration asks for a component, and the module that makes it."""
+    """The module of a component, and the condition under which a configuration enables it."""
 
     is_enabled: Callable[[Config], bool]
     module: str
 
 
-_COMPONENTS = (  # in the order in which they are prepared and started
+_COMPONENTS = (  # in the order in which they are prepared, started, reloaded and stopped
     _ComponentModule(lambda config: config.admission is not None, "thornshelf.components.admission"),
     _ComponentModule(lambda config: config.translation is not None, "thornshelf.components.translation"),
     _ComponentModule(
@@ -95,9 +100,9 @@
 
 
 def create_components(host: Host) -> list[Component]:
-    """The components that the configuration asks for; the modules of the others are not loaded."""
+    """Create the components that the configuration enables; the modules of the others are not imported."""
     return [
-        import_module(component.module).make(host)
+        import_module(component.module).create_component(host)
         for component in _COMPONENTS
         if component.is_enabled(host.config)
     ]
--- a/thornshelf/components/admission.py
+++ b/thornshelf/components/admission.py
@@ -1,4 +1,4 @@
-"""The component that controls admission (see docs/admission.md)."""
+"""The admission control component (see docs/admission.md)."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class AdmissionComponent(Component):
-    """Creates the admission filter, and reconfigures it."""
+    """Creates the admission filter and applies reloaded settings to it."""
 
     def prepare(self) -> None:
-        """Creates the filter before anything opens a descriptor, so that all are counted."""
+        """Create the filter before any descriptor is opened, so that all descriptors are counted."""
         host = self.host
         inherited = host.inherited
         predecessor_descriptors = inherited.predecessor_descriptors if inherited is not None else 0
@@ -25,11 +25,11 @@
             )
 
     def reload(self, config: Config) -> None:
-        """Applies new settings; admission control can't be turned on or off without a restart."""
+        """Apply new settings; turning admission control on or off takes a restart."""
         if self.host.admission_filter is not None and config.admission is not None:
             self.host.admission_filter.reconfigure(config.admission, config.max_descriptors)
 
 
-def make(host: Host) -> Component:
-    """The component."""
+def create_component(host: Host) -> Component:
+    """Create the admission control component."""
     return AdmissionComponent(host)
--- a/thornshelf/components/control.py
+++ b/thornshelf/components/control.py
@@ -1,6 +1,6 @@
-"""The control socket: shells query this dispatcher on it, and through it the whole fleet. It changes nothing.
+"""The control component: a read-only socket on which shells query this dispatcher, and through it the whole fleet.
 
-Queries and their limits are in ``thornshelf.control``, those to other members in ``fleet_queries``.
+``thornshelf.control`` has the tables, the queries and their limits; ``fleet_queries`` queries other members.
 """
 
 from __future__ import annotations
@@ -39,16 +39,16 @@
 if TYPE_CHECKING:
     from thornshelf.components.fleet_queries import FleetQueries
 
-MAX_BUFFERED_BYTES = 128 * 1024  # for one shell
-IDLE_TIMEOUT_US = 3_600_000_000  # a shell that sends nothing for so long is disconnected
-LONG_TURN_US = 5_000  # turns that take longer are counted
-ACCEPT_BACKOFF_US = 20_000  # after the table of descriptors was full
+MAX_BUFFERED_BYTES = 128 * 1024  # a shell with more unsent data is sent nothing for the moment
+IDLE_TIMEOUT_US = 3_600_000_000  # a shell that sends nothing for this long is disconnected
+LONG_TURN_US = 5_000  # the counter ``turns_over_5ms`` counts turns that take longer
+ACCEPT_BACKOFF_US = 20_000  # after accept() has failed, for example for want of descriptors
 MIN_WAKE_DELAY_US = 1_000
-FIRST_QUERY_ID_BITS = 40
+FIRST_QUERY_ID_BITS = 40  # ids start at a random number, so that they differ from those of a former process
 
 
 class ShellConnection:
-    """The connection of one shell. ``on_request`` gets its requests, ``on_close`` is called at its end."""
+    """The connection of one shell. ``on_request``: called with each request; ``on_close``: called at the end."""
 
     def __init__(
         self,
@@ -70,73 +70,70 @@
 
     @property
     def can_accept(self) -> bool:
-        """Whether it is open and the shell has read enough to be sent more."""
+        """Whether the connection is open and its send buffer has room."""
         return self.stream.open and self.stream.buffered_bytes < MAX_BUFFERED_BYTES
 
     def send(self, reply: Reply) -> int:
-        """Send a reply; the number of its bytes."""
+        """Send a reply and return its length in bytes."""
         return len(self.stream.send(encode_frame(reply)).data)
 
     def close_with_error(self, error: ThornshelfError) -> None:
-        """Close the connection, with a log line."""
+        """Log an error and close the connection."""
         self._host.log(4, "shell-disconnected", {"code": error.code}, str(error))
         self.stream.close()
 
     def run(self) -> Generator[Wait, int, None]:
-        """Read requests until the shell disconnects."""
+        """Handle requests until the shell disconnects, is idle for too long or sends a malformed request."""
         loop = self._host.loop
         try:
             while data := (yield from self.stream.read(loop.now + IDLE_TIMEOUT_US)):
                 for body in self.frame_decoder.feed(data):
                     self._on_request(self, decode_request(body))
-        except ControlProtocolError as fault:
-            self.close_with_error(fault)
+        except ControlProtocolError as error:
+            self.close_with_error(error)
         finally:
             self.stream.close()
             self._on_close(self)
 
 
 class TurnTimes:
-    """How long queries take of the loop's turns, in microseconds.
-
-    Both by the processor, and by the clock, which also counts what other processes ran meanwhile.
-    """
+    """Statistics of the CPU time and wall-clock time, in microseconds, that queries take in turns of the loop."""
 
     def __init__(self) -> None:
-        self._worst_us = 0
-        self._worst_wall_us = 0
-        self._turns = 0
-        self._long_turns = 0
-
-    def record(self, spent_us: int, wall_us: int) -> None:
-        """Count a turn."""
-        self._worst_us = max(self._worst_us, spent_us)
-        self._turns += 1
-        self._long_turns += spent_us > LONG_TURN_US
-        self._worst_wall_us = max(self._worst_wall_us, wall_us)
+        self._max_cpu_us = 0
+        self._max_wall_us = 0
+        self._turn_count = 0
+        self._long_turn_count = 0
+
+    def record(self, cpu_us: int, wall_us: int) -> None:
+        """Count a turn in which queries were served."""
+        self._max_cpu_us = max(self._max_cpu_us, cpu_us)
+        self._turn_count += 1
+        self._long_turn_count += cpu_us > LONG_TURN_US
+        self._max_wall_us = max(self._max_wall_us, wall_us)
 
     def counters(self) -> dict[str, int]:
-        """The counters, by the names that the table of counters shows."""
+        """Returns the counters, by their names in the table ``counters``."""
         return {
-            "worst_turn_us": self._worst_us,
-            "worst_turn_wall_us": self._worst_wall_us,
-            "turns": self._turns,
-            "turns_over_5ms": self._long_turns,
+            "worst_turn_us": self._max_cpu_us,
+            "worst_turn_wall_us": self._max_wall_us,
+            "turns": self._turn_count,
+            "turns_over_5ms": self._long_turn_count,
         }
 
 
 class ControlComponent(Component):
-    """The control socket, the connections of shells, and the queries of the fleet."""
+    """Listens on the control socket, and serves the queries of shells and of other members."""
 
     def prepare(self) -> None:
-        """Make the catalog, to which components add their tables, and count errors from the first line on."""
+        """Create the catalog, to which components add their tables, and count errors from the first log line on."""
         self.host.catalog = Catalog()
         self._error_counters = ErrorCounters()
         if isinstance(self.host.log, Syslog):
             self.host.log.on_line = self._error_counters.count_line
 
     def start(self) -> None:
-        """Declare the core's tables and listen. Raises ``ControlSocketError`` where the socket can't be made."""
+        """Declare the core's tables and listen. Raises ``ControlSocketError`` if the socket can't be created."""
         host = self.host
         config = host.config.control
         assert config is not None
@@ -159,21 +156,21 @@
         tables.counters["control"] = self._counters
         self._path = config.socket
         self._sock = open_control_socket(config.socket, host.inherited is not None)
-        self._status = os.lstat(config.socket)
+        self._socket_status = os.lstat(config.socket)
         host.loop.spawn(self._accept())
         host.loop.on_turn.append(self._run_turn)
-        values: dict[str, object] = {"socket": str(config.socket), "readers": config.readers}
-        host.log(6, "control-socket-opened", values, "listening")
+        parameters: dict[str, object] = {"socket": str(config.socket), "readers": config.readers}
+        host.log(6, "control-socket-opened", parameters, "listening")
 
     def reload(self, config: Config) -> None:
-        """Does nothing: the table takes effect after a restart."""
+        """Do nothing: the table takes effect after a restart."""
 
     def stop(self) -> None:
-        """Remove the socket, unless a successor has put its own there."""
+        """Close the socket and remove it from its directory, unless a successor has replaced it."""
         self._sock.close()
         try:
             status = os.lstat(self._path)
-            if (status.st_ino, status.st_dev) == (self._status.st_ino, self._status.st_dev):
+            if (status.st_ino, status.st_dev) == (self._socket_status.st_ino, self._socket_status.st_dev):
                 os.unlink(self._path)
         except OSError:
             pass
@@ -223,7 +220,7 @@
         self._sessions.remove_client(connection)
 
     def _handle_request(self, connection: ShellConnection, request: QueryRequest) -> None:
-        """Start the query of a table; a request without one is for the catalog."""
+        """Start a query, or send the catalog if the request names no table."""
         if request.table:
             self._sessions.start(connection, request, self.host.loop.now)
             return
@@ -233,16 +230,16 @@
         connection.send(reply)
 
     def _run_turn(self) -> bool:
-        """Serve open queries; whether there is more to do at once."""
+        """Serve open queries; returns whether the loop should take another turn at once."""
         queries = self._fleet_queries
         if not self._sessions and (queries is None or not queries.is_active):
             return False
         loop = self.host.loop
-        started_ns = time.thread_time_ns()
+        started_cpu_ns = time.thread_time_ns()
         started_wall_us = loop.turn_elapsed_us()
         has_more = self._serve()
-        spent_us = (time.thread_time_ns() - started_ns) // 1000
-        self._turn_times.record(spent_us, loop.turn_elapsed_us() - started_wall_us)
+        cpu_us = (time.thread_time_ns() - started_cpu_ns) // 1000
+        self._turn_times.record(cpu_us, loop.turn_elapsed_us() - started_wall_us)
         return has_more
 
     def _serve(self) -> bool:
@@ -255,7 +252,7 @@
         return has_more
 
     def _wake_at(self, due_us: int | None) -> None:
-        """Have a turn at that time, where none is due earlier."""
+        """Make sure that the loop takes a turn at that time or earlier."""
         timer = self._timer
         if due_us is None or (timer is not None and timer.call is not None and timer.due <= due_us):
             return
@@ -274,6 +271,6 @@
     return TableSchema(table.name, table.meaning, columns)
 
 
-def make(host: Host) -> Component:
-    """The component that serves shells."""
+def create_component(host: Host) -> Component:
+    """Create the control component."""
     return ControlComponent(host)
--- a/thornshelf/components/fleet.py
+++ b/thornshelf/components/fleet.py
@@ -1,6 +1,6 @@
-"""The membership of this dispatcher on its socket: datagrams in and out, and what follows for this dispatcher.
+"""The fleet component: sends and receives membership datagrams, and applies the fleet's policies to this dispatcher.
 
-All decisions are in ``thornshelf.membership``; see docs/fleet-view.md.
+``thornshelf.membership`` makes all decisions; see docs/fleet-view.md.
 """
 
 from __future__ import annotations
@@ -29,17 +29,21 @@
 from thornshelf.membership.states import MemberState
 from thornshelf.placement import Health, Outcome, Reason
 
-DATAGRAMS_PER_TURN = 64
+MAX_DATAGRAMS_PER_WAKE = 64
 REVIEW_INTERVAL_US = 250_000
-WATCH_TIMEOUT_US = 2_600_000  # the poll interval of an endpoint watch, and a little more
-COUNT_INTERVAL_US = 10_000_000  # between two log lines with the counts of rejected datagrams
-MIN_TIMER_US = 1_000
-MAX_LOGGED_REJECTIONS = 8  # of one flush
+WATCH_TIMEOUT_US = 2_600_000  # a little more than the poll interval of an endpoint watch
+REJECTION_COUNT_INTERVAL_US = 10_000_000  # between two log lines with the counts of rejected datagrams
+MIN_TICK_DELAY_US = 1_000
+MAX_LOGGED_REJECTIONS = 8  # in one flush
 MAX_LOGGED_NODES = 16
 MAX_LOGGED_REPORTERS = 4
-OUTLIER_PENALTY = 1.0  # powers of the price's base
-STAGES = {Health.UP: NodeStage.UP, Health.DRAINING: NodeStage.DRAINING, Health.REMOVED: NodeStage.REMOVED}
-FAULTS = {
+OUTLIER_PENALTY = 1.0  # added to the exponent of the cost of placing tasks on the node
+STAGE_BY_HEALTH = {
+    Health.UP: NodeStage.UP,
+    Health.DRAINING: NodeStage.DRAINING,
+    Health.REMOVED: NodeStage.REMOVED,
+}
+OBSERVATION_BY_OUTCOME = {
     Outcome.NOT_CONNECTED: Observation.CONNECTION_REFUSED,
     Outcome.TIMED_OUT: Observation.NO_RESPONSE,
     Outcome.BROKEN: Observation.CONNECTION_LOST,
@@ -47,26 +51,30 @@
 
 
 def _state_name(state: MemberState | None) -> str:
-    """A member's state in the log."""
+    """Returns the name of a member's state in the log."""
     return "unknown" if state is None else state.value
 
 
 class FleetComponent(Component):
-    """This dispatcher as a member of the fleet."""
+    """Makes this dispatcher a member of the fleet. Implements the core's port ``Gossip``."""
 
     def start(self) -> None:
-        """Listen, and contact the seeds without waiting for them. Raises ``ConfigError`` if it cannot bind."""
+        """Listen, and contact the seeds without waiting for them.
+
+        Raises ``ConfigError`` if the address can't be bound.
+        """
         host, loop = self.host, self.host.loop
         config = host.config.fleet
         assert config is not None
         self._bind(config)
-        membership = replace(config.membership, address=config.membership.address or self.address)
+        membership_config = replace(config.membership, address=config.membership.address or self.address)
         random_source = random.Random(secrets.randbits(64))
-        self.membership = MembershipProtocol(membership, secrets.randbits(62), loop.now, random_source)
+        self.membership = MembershipProtocol(membership_config, secrets.randbits(62), loop.now, random_source)
         self.policies = policies.FleetPolicies(
             self.membership, config.policies, host.config.settings.placers, config.quota_hold_us, loop.now
         )
-        self._own_endpoints: dict[str, NodeEndpoint] = {}  # of avoided nodes, as the own list has them
+        # The endpoints of avoided nodes as they were before, from this dispatcher's own endpoint list.
+        self._avoided_endpoints: dict[str, NodeEndpoint] = {}
         self._timer: Timer | None = None
         self._logged_rejections: Counter[str] = Counter()
         self._has_logged_superseded = False
@@ -74,14 +82,14 @@
         self._add_tables()
         host.core.gossip = self
         host.endpoint_listeners.append(self.endpoints_changed)
-        loop.spawn(self._read())
+        loop.spawn(self._receive_datagrams())
         loop.after(0, self._tick)
         loop.after(REVIEW_INTERVAL_US, self._first_review)
-        loop.after(COUNT_INTERVAL_US, self._log_rejection_counts)
+        loop.after(REJECTION_COUNT_INTERVAL_US, self._log_rejection_counts)
         parameters: dict[str, object] = {
-            "fleet": membership.fleet,
-            "member": membership.name,
-            "address": membership.address,
+            "fleet": membership_config.fleet,
+            "member": membership_config.name,
+            "address": membership_config.address,
         }
         host.log(6, "membership-started", parameters, "This member listens for datagrams of its fleet.")
 
@@ -91,13 +99,13 @@
         host, port = config.listen
         try:
             self._socket.bind(config.listen)
-        except OSError as fault:
+        except OSError as error:
             self._socket.close()
-            raise ConfigError(f"fleet.listen: {fault.strerror}: {host}:{port}") from None
+            raise ConfigError(f"fleet.listen: {error.strerror}: {host}:{port}") from None
         self.address = "{}:{}".format(*self._socket.getsockname())
 
     def _add_tables(self) -> None:
-        """Show the membership to shells, where there is a control socket."""
+        """Add the fleet's tables to the catalog if there is a control socket."""
         if self.host.catalog is not None:
             from thornshelf.control import fleet_tables
 
@@ -109,26 +117,26 @@
             )
 
     def reload(self, config: Config) -> None:
-        """The operator's table ``fleet`` takes effect at the next start only."""
+        """Do nothing: the table takes effect after a restart."""
 
     def stop(self) -> None:
-        """Leave gracefully, so that the other members need not detect it."""
+        """Leave gracefully, so that the other members need not detect a failure."""
         self.membership.leave()
         self.flush()
         self._socket.close()
 
     # datagrams
 
-    def _read(self) -> Generator[Wait, int, None]:
+    def _receive_datagrams(self) -> Generator[Wait, int, None]:
         while True:
             yield Wait(self._socket.fileno(), IN)
-            for _ in range(DATAGRAMS_PER_TURN):
+            for _ in range(MAX_DATAGRAMS_PER_WAKE):
                 try:
                     data = self._socket.recv(MAX_DATAGRAM_BYTES + 1)
                 except BlockingIOError:
                     break
                 except OSError:
-                    continue  # an ICMP error for an earlier datagram: its receiver does not listen
+                    continue  # an ICMP error in reply to a datagram that was sent: nobody listens at its address
                 self.membership.receive(data, self.host.loop.now)
             self.flush()
 
@@ -138,20 +146,20 @@
         self.flush()
 
     def _decline_query(self, name: str, kind: MessageKind, content: bytes) -> None:
-        """Without a control socket here a query is declined at once."""
+        """Decline a query at once, since this dispatcher has no control socket."""
         if kind is MessageKind.QUERY and (reply := decline(content, "it has no control socket")) is not None:
             self.membership.send_user_message(name, MessageKind.QUERY_REPLY, reply)
 
     def flush(self) -> None:
-        """Send the datagrams that wait, and carry out what follows from those received."""
+        """Send waiting datagrams, and handle what received datagrams have brought: messages, changes and entries."""
         for name, kind, content in self.membership.take_user_messages():
             self.on_user_message(name, kind, content)
         self._send_datagrams()
-        self._take_member_changes()
-        self._take_entries()
+        self._handle_member_changes()
+        self._handle_entries()
         self._log_rejections()
         if self.membership.superseded is not None and not self._has_logged_superseded:
-            self._give_way()
+            self._handle_superseded()
         self._schedule_tick()
 
     def _send_datagrams(self) -> None:
@@ -160,9 +168,9 @@
             try:
                 self._socket.sendto(data, (host, int(port)))
             except (OSError, ValueError, OverflowError):
-                self.membership.counters["unsent"] += 1  # as if the network had lost it
+                self.membership.counters["unsent"] += 1  # handled like a datagram that the network lost
 
-    def _take_member_changes(self) -> None:
+    def _handle_member_changes(self) -> None:
         for change in self.membership.take_changes():
             self.policies.member_changed(change)
             parameters: dict[str, object] = {
@@ -170,10 +178,10 @@
                 "before": _state_name(change.before),
                 "after": _state_name(change.after),
             }
-            text = "The state of another member has changed, as this one sees it."
+            text = "This member's view of another member's state has changed."
             self.host.log(5, "member-state-changed", parameters, text)
 
-    def _take_entries(self) -> None:
+    def _handle_entries(self) -> None:
         for entry in self.membership.take_received_entries():
             if entry.kind == policies.PLACER_GOSSIP:
                 number = policies.member_number(entry.writer)
@@ -182,16 +190,16 @@
                 self.policies.entry_received(entry, self.host.loop.now)
 
     def _log_rejections(self) -> None:
-        """Log the first rejected datagram of each reason; the others are counted."""
-        for fault in self.membership.rejected_datagrams[:MAX_LOGGED_REJECTIONS]:
-            if not self._logged_rejections[fault.reason]:
-                self._logged_rejections[fault.reason] = 1
-                parameters: dict[str, object] = {"code": fault.code, "reason": fault.reason}
-                self.host.log(4, "datagram-rejected", parameters, str(fault))
+        """Log the first rejected datagram of each reason; further ones are only counted."""
+        for error in self.membership.rejected_datagrams[:MAX_LOGGED_REJECTIONS]:
+            if not self._logged_rejections[error.reason]:
+                self._logged_rejections[error.reason] = 1
+                parameters: dict[str, object] = {"code": error.code, "reason": error.reason}
+                self.host.log(4, "datagram-rejected", parameters, str(error))
         self.membership.rejected_datagrams.clear()
 
-    def _give_way(self) -> None:
-        """Another process of this name has taken over: use the configured number of dispatchers from now on."""
+    def _handle_superseded(self) -> None:
+        """Log that another process has taken over this name, and return to the configured number of dispatchers."""
         superseded = self.membership.superseded
         assert superseded is not None
         self._has_logged_superseded = True
@@ -202,26 +210,26 @@
 
     def _schedule_tick(self) -> None:
         loop = self.host.loop
-        due_us = max(self.membership.next_due_us(), loop.now + MIN_TIMER_US)
+        due_us = max(self.membership.next_due_us(), loop.now + MIN_TICK_DELAY_US)
         if self._timer is None or self._timer.due > due_us:
             if self._timer is not None:
                 self._timer.cancel()
             self._timer = loop.at(due_us, self._tick)
 
     def _log_rejection_counts(self) -> None:
-        """Log the counts of rejected datagrams by reason, if they have changed."""
+        """Log the counts of rejected datagrams by reason if they have changed."""
         counters = self.membership.counters
         counts = {reason: counters[reason] for reason in self._logged_rejections if counters[reason]}
         if counts != dict(self._logged_rejections):
             self._logged_rejections = Counter(counts)
-            text = "The numbers of datagrams that were rejected since the start, by reason."
+            text = "Datagrams that were rejected since the start, by reason."
             self.host.log(5, "rejected-datagrams-counted", dict(counts), text)
-        self.host.loop.after(COUNT_INTERVAL_US, self._log_rejection_counts)
+        self.host.loop.after(REJECTION_COUNT_INTERVAL_US, self._log_rejection_counts)
 
     # policies
 
     def _first_review(self) -> None:
-        """Review for the first time, with the endpoint list of the start, which the core has taken over by now."""
+        """Take over the initial endpoint list, which the core has by now, and start the periodic reviews."""
         endpoints = list(self.host.core.endpoints.entries.values())
         self.endpoints_changed(EndpointListUpdate(True, 0, endpoints))
         self._review()
@@ -235,7 +243,7 @@
         nodes_up = {
             name
             for name, machine in machines.items()
-            if core.endpoints.is_up(machine) or name in self._own_endpoints
+            if core.endpoints.is_up(machine) or name in self._avoided_endpoints
         }
         changes = self.policies.review(nodes_up, watch_unresponsive, loop.now)
         if changes.quota is not None:
@@ -271,60 +279,64 @@
             if (machine := self.host.core.placer.machines.get(number)) is not None:
                 machine.gossip_penalty = OUTLIER_PENALTY if name in outliers else 0.0
         parameters: dict[str, object] = {"nodes": ",".join(sorted(outliers)[:MAX_LOGGED_NODES])}
-        text = "These nodes are a second choice, as other members report faults of them."
+        text = "Other members report failures of these nodes, which are now a second choice."
         self.host.log(6, "outliers-changed", parameters, text)
 
     def _avoid_nodes(self, names: set[str], machines: dict[str, int]) -> None:
-        """Drain nodes as other members report it; the own list's endpoint is restored once its watch responds."""
+        """Drain nodes that other members report as draining.
+
+        When a node is not to be avoided any more, its own endpoint is restored, unless the endpoint list has changed
+        it meanwhile.
+        """
         core = self.host.core
         changed: list[NodeEndpoint] = []
-        for name in names - self._own_endpoints.keys():
+        for name in names - self._avoided_endpoints.keys():
             endpoint = core.endpoints.entries.get(machines.get(name, -1))
             if endpoint is not None and endpoint.health is Health.UP:
-                self._own_endpoints[name] = endpoint
+                self._avoided_endpoints[name] = endpoint
                 changed.append(replace(endpoint, health=Health.DRAINING))
                 self._log_avoided(name)
-        for name in self._own_endpoints.keys() - names:
-            own = self._own_endpoints.pop(name)
+        for name in self._avoided_endpoints.keys() - names:
+            original = self._avoided_endpoints.pop(name)
             current = core.endpoints.entries.get(machines.get(name, -1))
-            is_ours = current is not None and current == replace(own, health=Health.DRAINING)
-            progress = NodeProgress(self._started_ms(own), NodeStage.UP)
-            if is_ours and self.policies.drain_gossip.own_progress(name) == progress:
-                changed.append(own)
+            is_still_avoided = current is not None and current == replace(original, health=Health.DRAINING)
+            progress = NodeProgress(self._started_ms(original), NodeStage.UP)
+            if is_still_avoided and self.policies.drain_gossip.own_progress(name) == progress:
+                changed.append(original)
         if changed:
             core.update_endpoints(EndpointListUpdate(False, 0, changed))
 
     def _log_avoided(self, name: str) -> None:
         reporters = ",".join(self.policies.drain_gossip.reporters(name)[:MAX_LOGGED_REPORTERS])
-        text = "Nothing new goes to this node, as other members report that it drains."
+        text = "Other members report that this node drains, so it gets no new attempts."
         self.host.log(5, "node-avoided", {"node": name, "by": reporters}, text)
 
     def _started_ms(self, endpoint: NodeEndpoint) -> int:
         return 0 if endpoint.started_us is None else self.host.unix_ms(endpoint.started_us)
 
     def endpoints_changed(self, update: EndpointListUpdate) -> None:
-        """Take over what the own endpoint list says."""
+        """Record the nodes of an endpoint list update for the gossip about draining nodes."""
         now_us = self.host.loop.now
         for endpoint in update.endpoints:
             self.policies.drain_gossip.update_own(
-                endpoint.name, self._started_ms(endpoint), STAGES[endpoint.health], now_us
+                endpoint.name, self._started_ms(endpoint), STAGE_BY_HEALTH[endpoint.health], now_us
             )
 
-    # the core's port to the other dispatchers
+    # the core's port Gossip
 
     def broadcast(self, data: bytes) -> None:
-        """Send the decision module's message to all other members."""
+        """Send a message of the decision module to all other members."""
         self.policies.publish_placer_gossip(data)
 
     def is_checked_by_peer(self, machine: int) -> bool:
-        """Whether another member checks the health of this suspect for all."""
+        """Returns whether another member checks the health of this ejected node for all members."""
         endpoint = self.host.core.endpoints.entries.get(machine)
         if endpoint is None:
             return False
         return self.policies.delegate_health_check(endpoint.name, self.host.loop.now)
 
     def health_checked(self, result: HealthCheckCompleted) -> None:
-        """Share the result of a health check."""
+        """Share the result of this dispatcher's own health check with the other members."""
         endpoint = self.host.core.endpoints.entries.get(result.machine)
         if endpoint is not None and result.latency_us:
             is_healthy = result.outcome is Outcome.OK
@@ -332,15 +344,15 @@
             self.policies.observe(endpoint.name, observation, self.host.loop.now)
 
     def attempt_ended(self, machine: int, outcome: Outcome, reason: Reason) -> None:
-        """Share a fault at which an attempt has ended."""
-        fault = FAULTS.get(outcome)
+        """Share the failure of an attempt with the other members if it speaks against the node."""
+        observation = OBSERVATION_BY_OUTCOME.get(outcome)
         endpoint = self.host.core.endpoints.entries.get(machine)
-        if fault is None or reason is not Reason.UNSPECIFIED:
+        if observation is None or reason is not Reason.UNSPECIFIED:
             return
         if endpoint is not None and endpoint.health is Health.UP:
-            self.policies.observe(endpoint.name, fault, self.host.loop.now)
+            self.policies.observe(endpoint.name, observation, self.host.loop.now)
 
 
-def make(host: Host) -> Component:
-    """The component."""
+def create_component(host: Host) -> Component:
+    """Create the fleet component."""
     return FleetComponent(host)
--- a/thornshelf/components/fleet_queries.py
+++ b/thornshelf/components/fleet_queries.py
@@ -1,6 +1,6 @@
-"""Queries between the dispatchers of a fleet: those of this one's shells, and the answers to other members' queries.
+"""Queries between the dispatchers of a fleet: sends those of this dispatcher's shells, and answers those of others.
 
-The protocol is in ``thornshelf.membership.scatter_gather``; its messages are sent as the fleet's datagrams.
+``thornshelf.membership.scatter_gather`` has the protocol; its messages are sent as datagrams of the fleet.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 MAX_ROWS_PER_ANSWER = 1_000_000
 
-_ANSWER_TIME_BUDGET_US = 1_000  # of one turn, for other members' queries
-_RESPONDER_WAKE_US = 1_000_000  # a turn comes so often while another member's query is open
+_RESPONDER_TIME_BUDGET_US = 1_000  # in one turn, for the queries of other members
+_RESPONDER_WAKE_INTERVAL_US = 1_000_000  # between turns while a query of another member is open
 
 
 class FleetQueries:
@@ -29,30 +29,33 @@
         self._catalog = catalog
         self._loop = loop
         self._gatherers: dict[int, QueryGatherer] = {}
-        self._due_us: list[int | None] = []  # of the gatherers, by their last turn
+        self._due_us: list[int | None] = []  # when each gatherer needs its next turn, as of the last turn
         self._responder = QueryResponder(self._open_table)
-        fleet.on_user_message = self._received
+        fleet.on_user_message = self._handle_message
 
     @property
     def is_active(self) -> bool:
-        """Whether a query is open."""
+        """Whether a query of this dispatcher or of another member is open."""
         return bool(self._gatherers or len(self._responder))
 
     def access(self) -> FleetAccess:
-        """What the sessions of shells need to query the fleet."""
+        """Returns the functions by which the sessions of shells query the fleet."""
         return FleetAccess(
             self._fleet.membership.live_names, self._failed_members, self._start_query, self._stop_query
         )
 
     def counters(self) -> dict[str, int]:
-        """The counters of the membership protocol."""
+        """Returns the counters of the membership protocol."""
         return self._fleet.membership.counters
 
     def run_turn(self, unix_ms: int) -> bool:
-        """Answer other members, and repeat what was not answered; whether there is more to do at once."""
+        """Answer other members' queries and repeat unanswered ones of this dispatcher.
+
+        Returns whether there is more to do at once.
+        """
         loop = self._loop
-        until = loop.turn_elapsed_us() + _ANSWER_TIME_BUDGET_US
-        has_more = self._responder.serve(loop.now, unix_ms, loop.turn_elapsed_us, until)
+        until_us = loop.turn_elapsed_us() + _RESPONDER_TIME_BUDGET_US
+        has_more = self._responder.serve(loop.now, unix_ms, loop.turn_elapsed_us, until_us)
         self._due_us = [gatherer.tick(loop.now) for gatherer in self._gatherers.values()]
         self._send(MessageKind.QUERY_REPLY, self._responder.outgoing)
         for gatherer in self._gatherers.values():
@@ -60,14 +63,14 @@
         return has_more
 
     def next_due_us(self) -> int | None:
-        """When the next turn is needed, by the last one; None where no query is open."""
+        """Returns when the next turn is needed, on the loop's clock, or None if no query is open."""
         due_us = min((due for due in self._due_us if due is not None), default=None)
         if due_us is None and len(self._responder):
-            return self._loop.now + _RESPONDER_WAKE_US
+            return self._loop.now + _RESPONDER_WAKE_INTERVAL_US
         return due_us
 
     def _failed_members(self) -> dict[str, str]:
-        """Members that are not queried, with the reason. Those that left in order are no part of the fleet."""
+        """Returns the members that can't be queried, with the reason; those that have left gracefully don't count."""
         failed = [
             member.record.name
             for member in self._fleet.membership.table.departed()
@@ -83,24 +86,24 @@
         gatherer.cancel()
         self._send(MessageKind.QUERY, gatherer.outgoing)
 
-    def _received(self, member: str, kind: MessageKind, content: bytes) -> None:
-        now = self._loop.now
+    def _handle_message(self, member: str, kind: MessageKind, content: bytes) -> None:
+        now_us = self._loop.now
         if kind is MessageKind.QUERY:
-            self._responder.receive(member, content, now)
+            self._responder.receive(member, content, now_us)
             return
         for gatherer in self._gatherers.values():
-            gatherer.receive(member, content, now)
+            gatherer.receive(member, content, now_us)
 
     def _open_table(
         self, table: str, columns: list[str], filters: dict[str, str | int | float | None]
     ) -> TableReader | str:
         try:
             return TableReader(self._catalog.table(table), columns, filters, MAX_ROWS_PER_ANSWER)
-        except UnknownTableError as fault:
-            return str(fault)
+        except UnknownTableError as error:
+            return str(error)
 
     def _send(self, kind: MessageKind, messages: list[tuple[str, bytes]]) -> None:
-        """Send messages to members, and empty the list."""
+        """Send messages to members and empty the list."""
         if not messages:
             return
         for member, content in messages:
--- a/thornshelf/components/grpc.py
+++ b/thornshelf/components/grpc.py
@@ -1,4 +1,4 @@
-"""gRPC: a frontend for clients of both generations, and connections to nodes of the first."""
+"""The gRPC component: a frontend for v1 and v2 clients, and connections to nodes that speak v1."""
 
 from __future__ import annotations
 
@@ -10,10 +10,13 @@
 
 
 class GrpcComponent(Component):
-    """The gRPC frontend, and the nodes that the operator's file names as gRPC nodes."""
+    """Adds the gRPC frontend, and gRPC connections to the nodes that the operator's file lists."""
 
     def prepare(self) -> None:
-        """Add the factory of gRPC nodes. A translation layer comes before it and makes all connections itself."""
+        """Add the factory of gRPC node connections.
+
+        It is not used if there is a translation layer, whose factory precedes it and creates all connections.
+        """
         host = self.host
 
         def make_connection(machine: int, endpoint: NodeEndpoint, core: Dispatcher) -> NodeConnection | None:
@@ -24,7 +27,7 @@
         host.node_factories.append(make_connection)
 
     def start(self) -> None:
-        """Listen for gRPC clients, where an address is configured. Raises ``ConfigError`` if it can't bind."""
+        """Listen for gRPC clients if an address is configured. Raises ``ConfigError`` if it can't be bound."""
         host = self.host
         if (listen := host.config.grpc.listen) is None:
             return
@@ -33,11 +36,11 @@
             frontend = GrpcFrontend(
                 host.loop, host.core, listen, host.connection_budget, host.admission_filter, sock
             )
-        except OSError as fault:
-            raise ConfigError(f"grpc.listen: {fault.strerror}: {listen}") from None
+        except OSError as error:
+            raise ConfigError(f"grpc.listen: {error.strerror}: {listen}") from None
         host.frontends.append(frontend)
 
 
-def make(host: Host) -> Component:
-    """The component of gRPC."""
+def create_component(host: Host) -> Component:
+    """Create the gRPC component."""
     return GrpcComponent(host)
--- a/thornshelf/components/subsetting.py
+++ b/thornshelf/components/subsetting.py
@@ -1,7 +1,7 @@
-"""Subsetting: the core gets a part of the endpoint list, the nodes of this dispatcher's zone and some spares.
+"""The subsetting component: the core gets the nodes of this dispatcher's zone and some spares of other zones.
 
-All decisions are in ``thornshelf.subsetting``; see docs/subsetting.md. It stands between the endpoint watch and the
-core, and opens no socket of its own.
+It filters updates between the endpoint watch and the core, and opens no sockets. ``thornshelf.subsetting`` makes all
+decisions; see docs/subsetting.md.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 def with_health(endpoint: NodeEndpoint, health: Health) -> NodeEndpoint:
-    """The endpoint with another health."""
+    """Returns a copy of the endpoint with another health."""
     return replace(endpoint, health=health)
 
 
 def zone_settings(settings: Settings, subset: ZoneSubsetConfig) -> Settings:
-    """The settings for the dispatchers of one zone alone.
+    """Returns the settings for a placer that counts only the dispatchers of its zone.
 
-    The placer divides quotas by the dispatchers that it knows of, so that those of a tenant are scaled to the zone:
-    a dispatcher's part of them stays what it would be among all dispatchers.
+    The placer divides the tenants' quotas by the number of dispatchers. The quotas are scaled to the zone, so that
+    each dispatcher's part of them stays the same.
     """
     zone_fraction = subset.dispatchers / max(1, settings.placers)
     tenants = tuple(
@@ -36,10 +36,10 @@
 
 
 class SubsettingComponent(Component):
-    """Passes updates of the subset's nodes to the core, and adds spares of other zones while they are needed."""
+    """Limits the core's endpoint list to the subset, and adds spare nodes of other zones while they are needed."""
 
     def prepare(self) -> None:
-        """Give the core the settings of its zone, and a filter for the endpoint list."""
+        """Replace the core's settings by those of its zone, and install the filter of the endpoint list."""
         host = self.host
         config = host.config.subset
         assert config is not None
@@ -48,12 +48,13 @@
         self.subset: Subset[NodeEndpoint] = Subset(
             config.selection, host.loop.now, with_health, lambda name: not host.core.endpoints.has_work(name)
         )
-        host.endpoint_filter = self.filter_change
+        host.endpoint_filter = self.filter_update
 
     def start(self) -> None:
-        """Start the reviews of the subset.
+        """Start the periodic reviews of the subset.
 
-        Attempts at nodes in slow start stay divided by all dispatchers, as any of them may have a node as a spare.
+        The limit on attempts to nodes in slow start is still divided by the dispatchers of all zones, since a node
+        may be a spare of any of them.
         """
         host = self.host
         config = host.config.subset
@@ -62,19 +63,19 @@
         host.core.endpoints.on_unknown_endpoint = self._retain_unknown
         host.loop.after(config.selection.review_interval_us, self._review)
         self._logged_fields = log_fields(self.subset)
-        values: dict[str, object] = {"zone": config.selection.zone} | self._logged_fields
-        host.log(6, "subset-changed", values, "holding the nodes of a zone")
+        parameters: dict[str, object] = {"zone": config.selection.zone} | self._logged_fields
+        host.log(6, "subset-changed", parameters, "this dispatcher uses a subset of the nodes")
 
     def reload(self, config: Config) -> None:
-        """Does nothing: the table takes effect after a restart."""
+        """Do nothing: the table takes effect after a restart."""
 
-    def filter_change(self, change: EndpointListUpdate) -> EndpointListUpdate:
-        """The part of an update of the endpoint list that concerns the subset."""
-        endpoints = self.subset.apply(change.complete, change.endpoints, self.host.loop.now)
-        return EndpointListUpdate(change.complete, change.version, endpoints)
+    def filter_update(self, update: EndpointListUpdate) -> EndpointListUpdate:
+        """Returns the part of an endpoint list update that concerns the subset."""
+        endpoints = self.subset.apply(update.complete, update.endpoints, self.host.loop.now)
+        return EndpointListUpdate(update.complete, update.version, endpoints)
 
     def _retain_unknown(self, name: str) -> None:
-        """Add a node that the core does not know, where a client's task runs."""
+        """Add a node outside the subset on which a client's task runs."""
         self._update_core(self.subset.retain(name))
         self._relist_if_needed()
 
@@ -85,7 +86,7 @@
     def _relist_if_needed(self) -> None:
         if self.subset.needs_relist(self.host.loop.now) and self.host.endpoint_watch is not None:
             self.host.log(
-                5, "subset-changed", {"zones": len(self.subset.zones) + 1}, "the whole list is read again"
+                5, "subset-changed", {"zones": len(self.subset.zones) + 1}, "the complete list is read again"
             )
             self.host.endpoint_watch.relist()
 
@@ -97,11 +98,11 @@
         fields = log_fields(self.subset)
         if fields != self._logged_fields:
             self._logged_fields = fields
-            host.log(6, "subset-changed", fields, "nodes held")
+            host.log(6, "subset-changed", fields, "the subset has changed")
         self._relist_if_needed()
         host.loop.after(self.subset.config.review_interval_us, self._review)
 
 
-def make(host: Host) -> Component:
-    """The component of subsetting."""
+def create_component(host: Host) -> Component:
+    """Create the subsetting component."""
     return SubsettingComponent(host)
--- a/thornshelf/components/translation.py
+++ b/thornshelf/components/translation.py
@@ -1,4 +1,4 @@
-"""The component that translates between protocol generations (see docs/translation.md)."""
+"""The translation component, for nodes of different protocol generations (see docs/translation.md)."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from thornshelf.nodes.negotiated import NegotiatedNodeConnection
 from thornshelf.translation.translator import Translator
 
-_INFORMATIONAL = 6  # severity of syslog
+_INFORMATIONAL = 6  # syslog severity
 
 
 class TranslationComponent(Component):
-    """Creates the translator, and connections to nodes of mixed generations."""
+    """Creates the translator, and node connections that negotiate the protocol generation."""
 
     def prepare(self) -> None:
-        """Creates the translator, and the factory of negotiated node connections."""
+        """Create the translator, and add the factory of negotiated node connections."""
         host = self.host
         if (config := host.config.translation) is None:
             return
@@ -24,21 +24,21 @@
         jitter = replace(config.jitter, max_wait_us=max_wait_us)
         translator = Translator(replace(config, jitter=jitter), host.loop.now)
 
-        def make_node(machine: int, entry: NodeEndpoint, core: Dispatcher) -> NodeConnection:
-            return NegotiatedNodeConnection(host.loop, machine, entry, core, translator)
+        def make_connection(machine: int, endpoint: NodeEndpoint, core: Dispatcher) -> NodeConnection:
+            return NegotiatedNodeConnection(host.loop, machine, endpoint, core, translator)
 
         host.translator = translator
-        host.node_factories.append(make_node)
+        host.node_factories.append(make_connection)
 
     def stop(self) -> None:
-        """Logs the counters of the translation."""
+        """Log the translator's counters."""
         if (translator := self.host.translator) is not None:
-            values: dict[str, object] = {
+            parameters: dict[str, object] = {
                 key.replace(" ", "-"): count for key, count in translator.counters.items()
             }
-            self.host.log(_INFORMATIONAL, "translation-summary", values, "translations since the start")
+            self.host.log(_INFORMATIONAL, "translation-summary", parameters, "translations since the start")
 
 
-def make(host: Host) -> Component:
-    """The component."""
+def create_component(host: Host) -> Component:
+    """Create the translation component."""
     return TranslationComponent(host)
