--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -112,7 +112,7 @@
     tallies.count_line(5, {}, "no error")
     assert set(tallies.by_code) == {"TS2001"}
     assert tallies.by_code["TS2001"].count == 70
-    assert tallies.by_code["TS2001"].text == "line 69"
+    assert tallies.by_code["TS2001"].last_text == "line 69"
 
 
 def test_settings_are_shown_without_the_key() -> None:
--- a/thornshelf/control/__init__.py
+++ b/thornshelf/control/__init__.py
@@ -1,1 +1,1 @@
-"""A dispatcher's state as tables, and the queries on them, served in slices. No I/O."""
+"""A dispatcher's state as tables, and queries on them that are served in small steps. Does no I/O."""
--- a/thornshelf/control/core_tables.py
+++ b/thornshelf/control/core_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the core and of the whole program."""
+"""The tables of the core and of the process as a whole: releases, history, errors, counters and settings."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class CoreTables:
-    """Declares the tables of a dispatcher.
+    """Declares all tables that exist without a fleet.
 
-    ``unix_ms`` converts a time of the loop's clock into Unix milliseconds. Components add their counters, by the
-    component's name, to ``counters``.
+    ``unix_ms``: converts a time of the loop's clock in microseconds to Unix milliseconds. Components add functions
+    that return their counters to ``counters``, by the component's name.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         self.counters: dict[str, Callable[[], Mapping[str, int]]] = {"core": self._core_counters}
 
     def tables(self, settings: Callable[[], object]) -> tuple[Table, ...]:
-        """All tables; ``settings`` returns the configuration that is in force."""
+        """Returns all tables; ``settings`` is called for the configuration in force."""
         return (
             self._nodes.table(),
             self._tasks.tasks(),
@@ -47,7 +47,7 @@
         )
 
     def _core_counters(self) -> Mapping[str, int]:
-        """What the core counts since its start, and what there is now."""
+        """Returns the core's counters since its start, and its current amounts."""
         core = self._core
         current = {
             "open": core.open_count,
@@ -66,13 +66,13 @@
 
         return Table(
             "releases",
-            "Releases of tasks for which no connection of the client is open.",
+            "Releases of tasks that are pending because no connection of the client is open.",
             declare_columns(
                 ("uid", TEXT, "id of the task's request"),
                 ("client", TEXT, "host of the client"),
                 ("outcome", TEXT, "how the task ended"),
                 ("reason", TEXT, "the reason that its node gave"),
-                ("owed_ms", INTEGER, "since the release is pending"),
+                ("owed_ms", INTEGER, "how long the release has been pending"),
             ),
             lambda: list(self._core.releases.pending),
             row,
@@ -86,15 +86,15 @@
 
         return Table(
             "history",
-            "The latest events in the lives of tasks; the setting `control.history` says how many are retained.",
+            "The latest events of tasks; the setting `control.history` is the number of events that are retained.",
             declare_columns(
-                ("when_ms", INTEGER, "Unix ms"),
-                ("uid", TEXT, "id of the request"),
+                ("when_ms", INTEGER, "Unix ms of the event"),
+                ("uid", TEXT, "id of the task's request"),
                 ("key", TEXT, "idempotency key"),
                 (
                     "event",
                     TEXT,
-                    "taken, adopted, offered, ended, answered, refused, failed, given-up, released",
+                    "taken, adopted, offered, ended, answered, refused, failed, given-up or released",
                 ),
                 ("node", TEXT, "the node concerned, if any"),
                 ("detail", TEXT, "details of the event"),
@@ -106,14 +106,14 @@
 
     def _errors_table(self) -> Table:
         def row(code: str) -> Sequence[Value]:
-            counted = self._error_counters.by_code[code]
+            occurrences = self._error_counters.by_code[code]
             error_type = ERRORS_BY_CODE[code]
             return (
                 code,
                 error_type.__name__,
-                counted.count,
-                self._unix_ms(counted.last_us),
-                counted.text,
+                occurrences.count,
+                self._unix_ms(occurrences.last_us),
+                occurrences.last_text,
                 error_type.meaning,
                 error_type.remedy,
             )
@@ -122,13 +122,13 @@
             "errors",
             "Errors of this dispatcher since its start, by code.",
             declare_columns(
-                ("code", TEXT, "stable code: see `thornshelf explain CODE`"),
+                ("code", TEXT, "stable code; `thornshelf explain CODE` describes it"),
                 ("error", TEXT, "type of the error"),
-                ("count", INTEGER, "how many there were"),
-                ("last_ms", INTEGER, "Unix ms of the last"),
-                ("last", TEXT, "text of the last"),
+                ("count", INTEGER, "number of occurrences"),
+                ("last_ms", INTEGER, "Unix ms of the last occurrence"),
+                ("last", TEXT, "message of the last occurrence"),
                 ("meaning", TEXT, "what the error means"),
-                ("remedy", TEXT, "what can be done about it"),
+                ("remedy", TEXT, "what to do about it"),
             ),
             lambda: sorted(self._error_counters.by_code),
             row,
@@ -148,8 +148,8 @@
             "Counters since the start, and current amounts.",
             declare_columns(
                 ("part", TEXT, "the component that counts"),
-                ("name", TEXT, "what is counted"),
-                ("value", INTEGER, "the count"),
+                ("name", TEXT, "name of the counter"),
+                ("value", INTEGER, "value of the counter"),
             ),
             items,
             lambda item: item,
--- a/thornshelf/control/fleet_tables.py
+++ b/thornshelf/control/fleet_tables.py
@@ -1,4 +1,4 @@
-"""The tables of the fleet: its members, observations of nodes, gossip about draining nodes, and quotas."""
+"""The tables of the fleet: members, observations of nodes, gossip about draining nodes, and this member's quota."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def members_table(membership: MembershipProtocol) -> Table:
-    """The members of the fleet, as this one sees them."""
+    """Returns the table ``members``: the fleet as this member sees it."""
 
     def row(name: str) -> Sequence[Value] | None:
         if name == membership.name:
@@ -43,13 +43,13 @@
         declare_columns(
             ("name", TEXT, "name of the member described; `member` is the one that describes it"),
             ("state", TEXT, "alive, suspect, doomed (reported dead, may still refute), dead or left"),
-            ("address", TEXT, "host:port of its datagrams"),
+            ("address", TEXT, "host:port of its datagram socket"),
             ("incarnation", INTEGER, "grows with each refutation and each start"),
             ("me", INTEGER, "1: the member that sends this row"),
             ("since_ms", INTEGER, "time in this state"),
-            ("heard_ms", INTEGER, "since its last message"),
-            ("by", TEXT, "who reports it suspect or dead"),
-            ("doubters", TEXT, "who has confirmed the suspicion"),
+            ("heard_ms", INTEGER, "time since its last message"),
+            ("by", TEXT, "the member that reports it suspect or dead"),
+            ("doubters", TEXT, "the members that have confirmed the suspicion"),
         ),
         lambda: sorted([membership.name, *membership.table.members]),
         row,
@@ -57,7 +57,7 @@
 
 
 def outlier_evidence_table(membership: MembershipProtocol, policies: FleetPolicies) -> Table:
-    """Observations of nodes by all members."""
+    """Returns the table ``evidence``: the observations of nodes by all members."""
 
     def row(item: tuple[str, str, Any]) -> Sequence[Value]:
         node, observer, evidence = item
@@ -71,11 +71,11 @@
 
     return Table(
         "evidence",
-        "Observations of nodes by members; they decay, and at most make a node a second choice.",
+        "Observations of nodes by members. They decay with time, and at most make a node a second choice.",
         declare_columns(
             ("node", TEXT, "name in the endpoint list"),
             ("by", TEXT, "the member that observed it"),
-            ("sight", TEXT, "refused, silent, broke or well"),
+            ("sight", TEXT, "what it observed: refused, silent, broke or well"),
             ("weight", REAL, "current weight of the observation"),
             ("age_ms", INTEGER, "age of the observation"),
         ),
@@ -85,7 +85,7 @@
 
 
 def drain_gossip_table(policies: FleetPolicies) -> Table:
-    """Which nodes drain or are gone, by the endpoint lists of all members."""
+    """Returns the table ``news``: the nodes that drain or are gone by the endpoint lists of all members."""
 
     def row(item: tuple[str, str, int, int, bool]) -> Sequence[Value]:
         node, member, started_ms, stage, is_avoided = item
@@ -96,10 +96,14 @@
         "Which nodes drain or are gone, by the endpoint lists of members, this one's included.",
         declare_columns(
             ("node", TEXT, "name in the endpoint list"),
-            ("by", TEXT, "the member whose list says so"),
+            ("by", TEXT, "the member whose endpoint list says so"),
             ("place", TEXT, "up, draining or gone"),
-            ("started_ms", INTEGER, "start of the process concerned, Unix ms, 0 where it is not recent"),
-            ("kept_away", INTEGER, "1: no new tasks are placed there because of other members' lists"),
+            (
+                "started_ms",
+                INTEGER,
+                "Unix ms of the start of the node's process if it is recent, 0 otherwise",
+            ),
+            ("kept_away", INTEGER, "1: it gets no new tasks because of other members' reports"),
         ),
         lambda: list(policies.drain_gossip.rows()),
         row,
@@ -107,24 +111,24 @@
 
 
 def quota_table(policies: FleetPolicies) -> Table:
-    """This member's quota of the limits that all dispatchers have in common."""
+    """Returns the table ``allowances``: this member's quota of the limits that all dispatchers share."""
 
     def items() -> list[tuple[str, Value, str]]:
         quota = policies.quota
         if quota is None:
-            return [("by", "settings", "no quota by live members is in force: the configured number holds")]
+            return [("by", "settings", "limits are divided by the configured number of dispatchers")]
         strict_divisor: Value = "none" if quota.strict_divisor >= NO_QUOTA else quota.strict_divisor
         return [
-            ("by", "live members", "what divides the common limits"),
+            ("by", "live members", "limits are divided by the number of live members"),
             ("place", quota.index, "index of this member among them"),
             ("placers", quota.soft_divisor, "divisor of limits that may be exceeded for a moment"),
-            ("cold", strict_divisor, "divisor of attempts to nodes in slow start; none: it has no quota now"),
-            ("turns", int(quota.round_robin), "1: what cannot be divided is assigned in turns"),
+            ("cold", strict_divisor, "divisor of attempts to nodes in slow start; none: no attempts for now"),
+            ("turns", int(quota.round_robin), "1: indivisible limits are assigned to the members in turn"),
         ]
 
     return Table(
         "allowances",
-        "This member's quota of the limits that all dispatchers have in common.",
+        "This member's quota of the limits that all dispatchers share.",
         declare_columns(
             ("name", TEXT, "part of the quota"),
             ("value", TEXT, "its value"),
--- a/thornshelf/control/framing.py
+++ b/thornshelf/control/framing.py
@@ -1,12 +1,12 @@
 """Messages between a shell and a dispatcher on its control socket.
 
-A frame is a length of four bytes, then the message in MessagePack: an array of its tag and its fields by position.
+A frame is a big-endian length of four bytes and a message in MessagePack: an array of its tag and its fields.
 
-shell:       QueryRequest  columns of one table, of this dispatcher or of the fleet; without a table: the catalog
-dispatcher:  CatalogReply  the tables that there are
-             RowPage       rows of one member, all read at one time
-             QueryEnd      the end of the rows, with the members whose rows are incomplete
-             ErrorReply    an error, by its stable code
+shell:       QueryRequest  queries columns of a table, here or in the whole fleet; without a table: the catalog
+dispatcher:  CatalogReply  the tables of the dispatcher
+             RowPage       rows of one member, all read at the same time
+             QueryEnd      the end of a query, with the members whose rows are complete or missing
+             ErrorReply    an error with its stable code
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class QueryRequest(Struct, frozen=True, array_like=True, tag="ask"):
-    """A query; ``number`` is repeated in each reply, and ``filters`` are values that the rows must have."""
+    """A query. ``number``: repeated in each reply to it. ``filters``: values that rows must have, by column."""
 
     number: Annotated[int, Meta(ge=0, lt=1 << 62)]
     table: Label = ""
@@ -37,7 +37,7 @@
 
 
 class RowPage(Struct, frozen=True, array_like=True, tag="page"):
-    """Rows as they were at ``at_ms``, in Unix milliseconds of the member's own clock."""
+    """Rows of a member as of ``at_ms``, in Unix milliseconds of the member's own clock."""
 
     number: int
     member: str
@@ -46,7 +46,7 @@
 
 
 class QueryEnd(Struct, frozen=True, array_like=True, tag="end"):
-    """The end of the rows: the members that sent all of theirs, and (member, cause) for those that did not."""
+    """The end of a query: the members whose rows are complete, and (member, cause) for the others."""
 
     number: int
     answered: list[str]
@@ -54,7 +54,7 @@
 
 
 class ErrorReply(Struct, frozen=True, array_like=True, tag="no"):
-    """An error of the dispatcher; ``code`` is its stable code."""
+    """An error of the dispatcher; ``code`` is its stable code, ``text`` its message."""
 
     number: int
     code: str
@@ -62,7 +62,7 @@
 
 
 class TableSchema(Struct, frozen=True, array_like=True):
-    """A table as it is declared; its columns are (name, SQLite type, meaning)."""
+    """The declaration of a table; columns are (name, SQLite type, meaning)."""
 
     name: str
     meaning: str
@@ -70,7 +70,7 @@
 
 
 class CatalogReply(Struct, frozen=True, array_like=True, tag="known"):
-    """The tables of the dispatcher ``member``, and whether it is in a fleet."""
+    """The tables of the dispatcher ``member``, its program version, and whether it is in a fleet."""
 
     number: int
     member: str
@@ -87,37 +87,38 @@
 
 
 def encode_frame(message: QueryRequest | Reply) -> bytes:
-    """A message with its length before it."""
+    """Returns the frame of a message."""
     body = _encoder.encode(message)
     return len(body).to_bytes(HEADER_BYTES, "big") + body
 
 
 class FrameDecoder:
-    """Splits a stream of bytes into messages."""
+    """Splits a stream of bytes into the bodies of frames; ``max_bytes`` is the longest body allowed."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """The messages that are complete now; raises ``ControlProtocolError`` where one is longer than allowed."""
+        """Add received bytes and return the bodies that are complete.
+
+        Raises ``ControlProtocolError`` if a body is longer than allowed.
+        """
         self._buffer += data
-        found = []
+        bodies = []
         while len(self._buffer) >= HEADER_BYTES:
             length = int.from_bytes(self._buffer[:HEADER_BYTES], "big")
             if length > self._max_bytes:
-                raise ControlProtocolError(
-                    f"a message of {length} bytes, where {self._max_bytes} are allowed"
-                )
+                raise ControlProtocolError(f"a message has {length} bytes, but {self._max_bytes} are allowed")
             if len(self._buffer) < HEADER_BYTES + length:
                 break
-            found.append(bytes(self._buffer[HEADER_BYTES : HEADER_BYTES + length]))
+            bodies.append(bytes(self._buffer[HEADER_BYTES : HEADER_BYTES + length]))
             del self._buffer[: HEADER_BYTES + length]
-        return found
+        return bodies
 
 
 def decode_request(body: bytes) -> QueryRequest:
-    """A query; raises ``ControlProtocolError`` where it is malformed."""
+    """Decode the body of a query. Raises ``ControlProtocolError`` if it is malformed."""
     try:
         return _request_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -125,7 +126,7 @@
 
 
 def decode_reply(body: bytes) -> Reply:
-    """A reply; raises ``ControlProtocolError`` where it is malformed."""
+    """Decode the body of a reply. Raises ``ControlProtocolError`` if it is malformed."""
     try:
         return _reply_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
--- a/thornshelf/control/node_table.py
+++ b/thornshelf/control/node_table.py
@@ -1,4 +1,4 @@
-"""The table of nodes: the endpoint list, connections, and the placement's view of each machine."""
+"""The table of nodes: their endpoints, connections, and state in the placement module."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from thornshelf.placement import Health
 
 HEALTH_NAMES = {Health.UP: "up", Health.DRAINING: "draining", Health.REMOVED: "gone"}
-MAX_AGE_S = 1e6  # load reports that are older count as none
+MAX_AGE_S = 1e6  # older load reports are shown as missing
 
 _ENDPOINT_COLUMNS = (
     ("node", TEXT, "name in the endpoint list"),
@@ -21,9 +21,9 @@
     (
         "health",
         TEXT,
-        "up or draining, by the endpoint list or, where that does not respond, by other members",
+        "up or draining, by the endpoint list or, if the endpoint watch is broken, by other members",
     ),
-    ("started_ms", INTEGER, "Unix ms of its start where that is recent, 0 otherwise"),
+    ("started_ms", INTEGER, "Unix ms of its start if that is recent, 0 otherwise"),
 )
 _CONNECTION_COLUMNS = (
     ("reach", TEXT, "connected, idle (no connection is needed), calling or unreachable"),
@@ -33,23 +33,23 @@
 _PLACEMENT_COLUMNS = (
     ("cores", REAL, "cores up to which it accepts tasks"),
     ("memory", REAL, "memory up to which it accepts tasks"),
-    ("taken_cores", REAL, "cores in use, as placement counts them"),
-    ("taken_memory", REAL, "memory in use, as placement counts it"),
+    ("taken_cores", REAL, "cores in use, as the placement module counts them"),
+    ("taken_memory", REAL, "memory in use, as the placement module counts it"),
     ("report_age_ms", INTEGER, "age of its last load report; null before the first"),
     ("strikes", INTEGER, "consecutive failures"),
-    ("suspect_ms", INTEGER, "remaining time of its ejection for failures"),
+    ("suspect_ms", INTEGER, "remaining time of its ejection as an outlier"),
     ("shut_ms", INTEGER, "remaining time without attempts after its queue was full"),
     ("cold", INTEGER, "1: it is in slow start, and attempts to it are limited"),
     ("cold_left", INTEGER, "attempts that this dispatcher's quota still allows during slow start"),
     ("second_choice", INTEGER, "1: other members report failures of it"),
     ("waits", INTEGER, "tasks of this dispatcher that have not started there yet"),
-    ("waits_ms", INTEGER, "how long the oldest of them has waited; null where there is none"),
-    ("late_ms", INTEGER, "recent delay of starts there; null where none was seen"),
+    ("waits_ms", INTEGER, "how long the oldest of them has waited; null if there is none"),
+    ("late_ms", INTEGER, "recent delay of task starts there; null if none was observed"),
 )
 
 
 def node_name(core: Dispatcher, machine: int) -> str:
-    """The name of a node by placement's number of its machine; empty for 0."""
+    """Returns the name of a node by its machine number: empty for 0, the number in hex if the node is not listed."""
     if not machine:
         return ""
     endpoint = core.endpoints.entries.get(machine)
@@ -57,14 +57,14 @@
 
 
 class NodeTable:
-    """Makes the table's rows; ``unix_ms`` converts a time of the loop's clock into Unix milliseconds."""
+    """The table ``nodes``; ``unix_ms`` converts a time of the loop's clock in microseconds to Unix milliseconds."""
 
     def __init__(self, core: Dispatcher, unix_ms: Callable[[int], int]) -> None:
         self._core = core
         self._unix_ms = unix_ms
 
     def table(self) -> Table:
-        """The declaration."""
+        """Returns the declaration of the table."""
         return Table(
             "nodes",
             "The nodes of the endpoint list, as this dispatcher sees them.",
@@ -101,7 +101,7 @@
             return (None,) * len(_PLACEMENT_COLUMNS)
         now_s = self._core.unix_seconds(self._core.loop.now)
         is_warming_up = placer.is_warming_up(state)
-        recent_attempts = sum(at_s > now_s - placer.slow_start_window_s for at_s in state.recent_attempts)
+        recent_attempts = sum(sent_s > now_s - placer.slow_start_window_s for sent_s in state.recent_attempts)
         quota_left = max(0, placer.slow_start_quota - recent_attempts)
         return (
             *state.capacity,
@@ -120,16 +120,16 @@
 
 
 def _age_ms(age_s: float) -> int | None:
-    """Milliseconds; None where it never happened."""
+    """Convert an age to milliseconds; None if it is infinite or above ``MAX_AGE_S``."""
     return int(age_s * 1000) if math.isfinite(age_s) and age_s <= MAX_AGE_S else None
 
 
 def _remaining_ms(remaining_s: float) -> int:
-    """Milliseconds; 0 where the time has passed."""
+    """Convert a remaining time to milliseconds; 0 if it has passed."""
     return max(0, int(remaining_s * 1000))
 
 
 def _oldest_wait_ms(started_s: Any, now_s: float) -> int | None:
-    """Milliseconds since the first of some times; None where there is none."""
+    """Returns the milliseconds since the first of some times, which are in order, or None if there is none."""
     first_s = next(iter(started_s), None)
     return None if first_s is None else int((now_s - first_s) * 1000)
--- a/thornshelf/control/query_sessions.py
+++ b/thornshelf/control/query_sessions.py
@@ -1,6 +1,6 @@
-"""Open queries of the control socket, served in turn within a budget of time and bytes for each turn of the loop.
+"""The open queries of the control socket, served round-robin within time and byte budgets for each turn of the loop.
 
-No I/O: replies are handed to a ``QueryClient``, which says whether it can take more.
+Does no I/O: replies are passed to a ``QueryClient``, which says whether it can accept more.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 TURN_TIME_BUDGET_US = 1_500  # for all queries in one turn of the loop
 TURN_BYTE_BUDGET = 256 * 1024  # for all pages in one turn; the page that exceeds it is still sent
-BACKLOG_TIME_BUDGET_US = 400  # in place of TURN_TIME_BUDGET_US where other work of the loop waits
+BACKLOG_TIME_BUDGET_US = 400  # replaces TURN_TIME_BUDGET_US while other work of the loop waits
 STALLED_CLIENT_TIMEOUT_US = 5_000_000  # a client that reads nothing for this long is disconnected
 QUERY_TIMEOUT_US = 30_000_000
 MAX_QUERIES_PER_CLIENT = 4
@@ -33,10 +33,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetAccess:
-    """How queries reach the other dispatchers of the fleet.
+    """The functions by which queries reach the other dispatchers of the fleet.
 
-    ``live_members`` names those to query, ``failed_members`` those that cannot be queried, with the cause.
-    ``start_query`` begins to send a query, ``stop_query`` ends it before or after its answers.
+    ``live_members``: returns the names of the members to query. ``failed_members``: returns the members that can't be
+    queried, with the cause. ``start_query``: starts to send a query. ``stop_query``: ends it, complete or not.
     """
 
     live_members: Callable[[], Collection[str]]
@@ -46,25 +46,25 @@
 
 
 class QueryClient(Protocol):
-    """One connection of a shell."""
+    """The connection of one shell."""
 
     @property
     def can_accept(self) -> bool:
-        """Whether it is open and has read enough of what it was sent to be sent more."""
+        """Whether the connection is open and its send buffer has room."""
 
     @property
     def is_open(self) -> bool:
         """Whether the connection is open."""
 
     def send(self, reply: Reply) -> int:
-        """Send a reply; returns its length in bytes."""
+        """Send a reply and return its length in bytes."""
 
     def close_with_error(self, error: ThornshelfError) -> None:
-        """Close the connection, and log the error."""
+        """Log an error and close the connection."""
 
 
 class OpenQuery:
-    """A query whose rows, of this dispatcher and of others, have not all been sent."""
+    """A query of which not all rows, of this dispatcher and of other members, have been sent."""
 
     def __init__(
         self, client: QueryClient, request: QueryRequest, table_reader: TableReader, now_us: int
@@ -72,17 +72,17 @@
         self.client = client
         self.request = request
         self.table_reader = table_reader
-        self.scatter_gather: QueryGatherer | None = None  # where the fleet is queried
-        self.missing: dict[str, str] = {}  # members that could not be queried from the start, with the cause
+        self.gatherer: QueryGatherer | None = None  # if the fleet is queried
+        self.missing: dict[str, str] = {}  # members that could not be queried at the start, with the cause
         self.started_us = now_us
         self.last_progress_us = now_us
 
     @property
     def is_finished(self) -> bool:
-        """Whether all rows have been sent."""
+        """Whether all rows have been sent and only the end of the query remains."""
         if not self.table_reader.exhausted:
             return False
-        gatherer = self.scatter_gather
+        gatherer = self.gatherer
         return gatherer is None or (gatherer.finished and not gatherer.batches)
 
 
@@ -97,7 +97,7 @@
         next_query_id: Callable[[], int],
         max_clients: int,
     ) -> None:
-        """``name``: of this dispatcher; ``next_query_id``: ids for queries to other members."""
+        """``name``: this dispatcher's name; ``next_query_id``: returns new ids for queries to other members."""
         self._name = name
         self._catalog = catalog
         self._fleet = fleet
@@ -105,7 +105,7 @@
         self._max_queries = max_clients * MAX_QUERIES_PER_CLIENT
         self._queries: deque[OpenQuery] = deque()
         self._bytes_this_turn = 0
-        # The keys are those of the table of counters.
+        # The keys are the names in the table ``counters``.
         self.counters = {
             "questions": 0,
             "rows": 0,
@@ -118,7 +118,7 @@
         return len(self._queries)
 
     def start(self, client: QueryClient, request: QueryRequest, now_us: int) -> None:
-        """Begin a query, or answer with an error where it cannot be served."""
+        """Start a query, or reply with an error if it can't be served."""
         self.counters["questions"] += 1
         try:
             query = self._open(client, request, now_us)
@@ -127,27 +127,27 @@
             client.send(ErrorReply(request.number, error.code, str(error)))
             return
         if request.fleet and self._fleet is not None:
-            self._start_in_fleet(query, self._fleet, now_us)
+            self._query_fleet(query, self._fleet, now_us)
         self._queries.append(query)
 
     def _open(self, client: QueryClient, request: QueryRequest, now_us: int) -> OpenQuery:
-        """A new query; raises ``TooManySessionsError`` or ``UnknownTableError``."""
-        of_client = sum(query.client is client for query in self._queries)
-        if of_client >= MAX_QUERIES_PER_CLIENT or len(self._queries) >= self._max_queries:
-            raise TooManySessionsError(f"{len(self._queries)} questions are open")
+        """Returns a new query. Raises ``TooManySessionsError`` or ``UnknownTableError``."""
+        client_queries = sum(query.client is client for query in self._queries)
+        if client_queries >= MAX_QUERIES_PER_CLIENT or len(self._queries) >= self._max_queries:
+            raise TooManySessionsError(f"{len(self._queries)} queries are open")
         table = self._catalog.table(request.table)
         reader = TableReader(table, request.columns, request.filters)
         return OpenQuery(client, request, reader, now_us)
 
-    def _start_in_fleet(self, query: OpenQuery, fleet: FleetAccess, now_us: int) -> None:
-        """Send the query to the other members."""
+    def _query_fleet(self, query: OpenQuery, fleet: FleetAccess, now_us: int) -> None:
+        """Send the query to the other members of the fleet."""
         request = query.request
         query.missing = fleet.failed_members()
         others = [name for name in fleet.live_members() if name != self._name]
-        query.scatter_gather = QueryGatherer(
+        query.gatherer = QueryGatherer(
             self._next_query_id(), request.table, request.columns, request.filters, others, now_us
         )
-        fleet.start_query(query.scatter_gather)
+        fleet.start_query(query.gatherer)
 
     def remove_client(self, client: QueryClient) -> None:
         """End the queries of a client that has disconnected."""
@@ -155,16 +155,16 @@
             self._end(query)
 
     def _end(self, query: OpenQuery) -> None:
-        """Forget a query."""
+        """Remove a query, and end it at the other members."""
         self._queries.remove(query)
-        if query.scatter_gather is not None and self._fleet is not None:
-            self._fleet.stop_query(query.scatter_gather)
+        if query.gatherer is not None and self._fleet is not None:
+            self._fleet.stop_query(query.gatherer)
 
     def run_turn(self, now_us: int, unix_ms: int, elapsed_us: Callable[[], int], has_backlog: bool) -> bool:
-        """Serve each query in turn within the budget; returns whether one could go on at once.
+        """Serve each query once within the budgets; returns whether a query could continue at once.
 
-        ``unix_ms``: the time of this dispatcher's rows; ``elapsed_us``: returns the time since the turn began;
-        ``has_backlog``: other work of the loop waits.
+        ``unix_ms``: the time of this dispatcher's rows. ``elapsed_us``: returns the time since the turn began.
+        ``has_backlog``: whether other work of the loop waits.
         """
         until_us = elapsed_us() + (BACKLOG_TIME_BUDGET_US if has_backlog else TURN_TIME_BUDGET_US)
         can_continue = False
@@ -181,16 +181,16 @@
     def _serve(
         self, query: OpenQuery, now_us: int, unix_ms: int, elapsed_us: Callable[[], int], until_us: int
     ) -> bool:
-        """Send the next rows of a query; returns whether it could go on at once."""
+        """Send the next rows of a query; returns whether it could continue at once."""
         if not query.client.can_accept:
             self._wait_for_client(query, now_us)
             return False
         if now_us - query.started_us > QUERY_TIMEOUT_US:
-            self._abort(query, "its question is never over")
+            self._abort(query, "a query of the shell exceeded the time limit")
             return False
         query.last_progress_us = now_us
-        if query.scatter_gather is not None:
-            self._send_rows_of_others(query, query.scatter_gather)
+        if query.gatherer is not None:
+            self._send_rows_of_others(query, query.gatherer)
         if not query.table_reader.exhausted:
             rows = query.table_reader.read_rows(elapsed_us, until_us, MAX_ROWS_PER_PAGE)
             if rows:
@@ -202,16 +202,16 @@
         return False
 
     def _wait_for_client(self, query: OpenQuery, now_us: int) -> None:
-        """Pause a query whose client does not read; give it up where the client has stalled or disconnected."""
-        if query.scatter_gather is not None:
-            query.scatter_gather.paused = True
+        """Pause a query whose client does not read; end it if the client has disconnected or stalled."""
+        if query.gatherer is not None:
+            query.gatherer.paused = True
         if not query.client.is_open:
             self._end(query)
         elif now_us - query.last_progress_us > STALLED_CLIENT_TIMEOUT_US:
-            self._abort(query, "it has read nothing for too long")
+            self._abort(query, "the shell has read nothing for too long")
 
     def _send_rows_of_others(self, query: OpenQuery, gatherer: QueryGatherer) -> None:
-        """Pass on what other members have sent, as far as the client and the turn allow."""
+        """Send the rows that other members have sent, as far as the client and the byte budget allow."""
         gatherer.paused = False
         failed = self._fleet.failed_members() if self._fleet is not None else {}
         for name, cause in failed.items():
@@ -227,14 +227,14 @@
         self._bytes_this_turn += query.client.send(RowPage(query.request.number, member, at_ms, rows))
 
     def _send_end(self, query: OpenQuery) -> None:
-        """Say which members' rows are complete, and which are not."""
+        """Send which members' rows are complete, and which are not."""
         missing = dict(query.missing)
         complete: list[str] = []
-        if query.scatter_gather is not None:
-            missing |= query.scatter_gather.incomplete
-            complete += query.scatter_gather.complete_members
+        if query.gatherer is not None:
+            missing |= query.gatherer.incomplete
+            complete += query.gatherer.complete_members
         if query.table_reader.truncated:
-            missing[self._name] = "it told only its first rows"
+            missing[self._name] = "it sent only its first rows"
         else:
             complete.append(self._name)
         query.client.send(QueryEnd(query.request.number, sorted(complete), sorted(missing.items())))
--- a/thornshelf/control/settings_table.py
+++ b/thornshelf/control/settings_table.py
@@ -1,4 +1,4 @@
-"""The table of the settings in force: the configuration as keys and values."""
+"""The table of settings: the configuration in force as keys and values."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from thornshelf.control.shown_names import SETTING_NAMES, qualified_setting_value_name, setting_value_name
 from thornshelf.control.tables import TEXT, Table, Value, declare_columns
 
-SECRET_FIELDS = frozenset({"key"})  # the key with which the fleet's datagrams are sealed
-HIDDEN_PREFIX = "known."  # the endpoints at the start are no settings
+SECRET_FIELDS = frozenset({"key"})  # the key that authenticates the fleet's datagrams
+HIDDEN_PREFIX = "known."  # the initial endpoints, which are not settings
 
 
 def flatten_settings(value: object, path: str = "") -> Iterator[tuple[str, Value]]:
-    """The settings below ``value`` as keys and values, without secrets.
+    """Yields the settings in ``value`` as keys and values, without secrets.
 
-    A key is the path of fields from the whole configuration, joined by dots.
+    A key is the path of shown field names from the root of the configuration, joined by dots; ``path`` is the key of
+    ``value`` itself.
     """
     if is_dataclass(value) and not isinstance(value, type):
         shown_names = SETTING_NAMES.get(type(value).__name__, {})
@@ -39,7 +40,7 @@
 
 
 def _shown_value(value: object) -> Value:
-    """A single setting's value; several are shown in one text."""
+    """Convert the value of a setting to a table's value; collections are joined into one text."""
     if isinstance(value, bool):
         return int(value)
     if isinstance(value, int | float | str) or value is None:
@@ -54,12 +55,12 @@
 
 
 def _shown_item(item: object) -> str:
-    """One of several values of a setting."""
+    """Returns the text of one item of a collection."""
     return qualified_setting_value_name(item) if isinstance(item, Enum) else str(item)
 
 
 def settings_table(settings: Callable[[], object]) -> Table:
-    """The table; ``settings`` returns the configuration that is in force."""
+    """Returns the table ``settings``; ``settings`` is called for the configuration in force."""
 
     def items() -> list[tuple[str, Value]]:
         return [
--- a/thornshelf/control/shown_names.py
+++ b/thornshelf/control/shown_names.py
@@ -1,7 +1,7 @@
-"""The names under which operators see settings and states in the shell's tables.
+"""The names of settings and states in the tables that shells query.
 
-They are part of the shell's interface: queries, saved queries and comparisons of dispatchers of different versions
-rely on them. A field or an enum member that is renamed in the code keeps the name that is listed here.
+Operators' queries and comparisons of dispatchers of different versions rely on these names, so they stay when a field
+or an enum member is renamed in the code.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 from thornshelf.core.task import TaskState
 from thornshelf.placement import Reason
 
-# By the name of a configuration class: its fields whose shown name is another. Two classes are called Limits, that of
-# the placement's settings and that of admission; they have no field in common.
+# By class name of a configuration structure: the shown names of the fields whose shown name differs. Two classes are
+# called Limits, one of the placement settings and one of admission control; they have no field in common.
 SETTING_NAMES: dict[str, dict[str, str]] = {
     "Config": {
         "max_descriptors": "sockets",
@@ -165,7 +165,8 @@
     },
 }
 
-# By the name of an enum class in the configuration: the shown name of the class and of its members.
+# By class name of an enum in the configuration: the shown name of the class, and the shown names of members, where
+# they differ.
 SETTING_CLASS_NAMES = {"WireFormat": "Form"}
 SETTING_VALUE_NAMES: dict[str, dict[str, str]] = {
     "Idempotency": {"ALWAYS": "SAFE", "WITH_KEY": "KEYED", "NEVER": "UNSAFE"},
@@ -173,8 +174,8 @@
     "WireFormat": {"JSON_LINES": "LINES", "BINARY": "MESSAGES", "GRPC_V1": "V1", "GRPC_V2": "V2"},
 }
 
-# Members that tables and the history show under another name than their own in lower case. By name, as enums hash
-# slowly and the history asks at each event; no other enum shown there has members of these names.
+# Enum members whose shown name is not their own name in lower case. The keys are names rather than members, since enum
+# members hash slowly and the history looks names up for each event. No other enum in the tables has such a name.
 _STATE_NAMES: dict[str, str] = {
     TaskState.RUNNING.name: "standing",
     TaskState.CANCELLING.name: "ending",
@@ -186,17 +187,17 @@
 
 
 def state_name(member: Enum) -> str:
-    """The name of a state, an outcome or a reason in tables and in the history."""
+    """Returns the shown name of a state, an outcome or a reason in tables and in the history."""
     name: str = member._name_
     return _STATE_NAMES.get(name) or name.lower()
 
 
 def setting_value_name(member: Enum) -> str:
-    """The name of an enum member as the value of a setting."""
+    """Returns the shown name of an enum member that is the value of a setting."""
     return SETTING_VALUE_NAMES.get(type(member).__name__, {}).get(member.name, member.name)
 
 
 def qualified_setting_value_name(member: Enum) -> str:
-    """The same with the name of the enum, as in the value of a setting with several members."""
+    """Returns the shown name of an enum member with that of its class, for settings that hold several members."""
     class_name = type(member).__name__
     return f"{SETTING_CLASS_NAMES.get(class_name, class_name)}.{setting_value_name(member)}"
--- a/thornshelf/control/tables.py
+++ b/thornshelf/control/tables.py
@@ -1,7 +1,7 @@
-"""Tables: a dispatcher's state as operators query it.
+"""Tables through which operators query a dispatcher's state.
 
-A table is not read as of a single moment: its items are listed at once, its rows are made slice by slice, and each
-slice has its own time. An item that is gone by then gives no row.
+A read of a table is not a snapshot: its items are listed at once, but their rows are made in several steps, each of
+which shows the state at its own time. An item that has disappeared by then gives no row.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from thornshelf.errors import UnknownTableError
 
 Value = str | int | float | None
-TEXT, INTEGER, REAL = "TEXT", "INTEGER", "REAL"  # SQLite's types of columns
+TEXT, INTEGER, REAL = "TEXT", "INTEGER", "REAL"  # column types of SQLite
 
 
 def to_milliseconds(us: int) -> int:
-    """Microseconds as whole milliseconds."""
+    """Convert microseconds to whole milliseconds, rounded down."""
     return us // 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A column; ``sql_type`` is its type in SQLite."""
+    """The declaration of a column; ``sql_type`` is its type in SQLite."""
 
     name: str
     sql_type: str
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A table's declaration.
+    """The declaration of a table.
 
-    ``items`` lists cheaply what there is now; ``row`` returns an item's values, one for each column, or None where
-    the item is gone. A table with very many items has pages: ``items`` lists the pages then, and ``page_items`` the
-    items of one.
+    ``items``: lists the current items; it must be cheap. ``row``: returns an item's values, one for each column, or
+    None if the item has disappeared. A table with very many items is divided into pages: then ``items`` lists the
+    pages, and ``page_items`` the items of a page.
     """
 
     name: str
@@ -47,16 +47,16 @@
     page_items: Callable[[Any], Sequence[Any]] | None = None
 
     def column_indexes(self, columns: Sequence[str]) -> list[int]:
-        """The positions of columns in a row; raises ``UnknownTableError`` for a name that is no column."""
-        known = {column.name: index for index, column in enumerate(self.columns)}
+        """Returns the positions of columns in a row. Raises ``UnknownTableError`` for an unknown column."""
+        index_by_name = {column.name: index for index, column in enumerate(self.columns)}
         for name in columns:
-            if name not in known:
+            if name not in index_by_name:
                 raise UnknownTableError(f"{self.name} has no column {name!r:.80}")
-        return [known[name] for name in columns]
+        return [index_by_name[name] for name in columns]
 
 
 def declare_columns(*declarations: tuple[str, str, str]) -> tuple[Column, ...]:
-    """Columns from their names, types and meanings."""
+    """Returns columns with the given names, types and meanings."""
     return tuple(Column(*declaration) for declaration in declarations)
 
 
@@ -67,48 +67,48 @@
         self.tables: dict[str, Table] = {}
 
     def add(self, *tables: Table) -> None:
-        """Add tables, whose names must be new."""
+        """Add tables; their names must not be in use."""
         for table in tables:
             assert table.name not in self.tables, table.name
             self.tables[table.name] = table
 
     def table(self, name: str) -> Table:
-        """The table of this name; raises ``UnknownTableError`` where there is none."""
-        found = self.tables.get(name)
-        if found is None:
+        """Returns a table by name. Raises ``UnknownTableError`` if there is none."""
+        table = self.tables.get(name)
+        if table is None:
             raise UnknownTableError(f"no table is called {name!r:.80}")
-        return found
+        return table
 
 
 class TableReader:
-    """Reads some columns of a table slice by slice.
+    """Reads columns of a table in several steps.
 
-    ``filters``: only rows with exactly these values are returned. ``row_count`` counts the returned rows, and
-    ``examined_count`` all items that were looked at.
+    ``filters``: only rows with exactly these values are returned. ``max_rows``: the limit of all steps together.
+    ``row_count``: rows returned so far; ``examined_count``: items examined so far.
     """
 
-    ROWS_PER_CLOCK_CHECK = 16
+    ITEMS_PER_CLOCK_CHECK = 16
 
     def __init__(
         self, table: Table, columns: Sequence[str], filters: Mapping[str, Value], max_rows: int = 1_000_000
     ) -> None:
-        """Raises ``UnknownTableError`` for a name that is no column."""
+        """Raises ``UnknownTableError`` for an unknown column."""
         self._table = table
         self._column_indexes = table.column_indexes(columns)
         self._filters = list(zip(table.column_indexes(list(filters)), filters.values(), strict=True))
-        self._items: Sequence[Any] = ()  # of the page that is being read
-        self._pages: Iterator[Any] | None = None
-        self._position = 0  # in the items
+        self._items: Sequence[Any] = ()  # of the current page
+        self._pages: Iterator[Any] | None = None  # the remaining pages; None before the first read
+        self._position = 0  # of the next item in ``_items``
         self._max_rows = max_rows
         self.row_count = 0
         self.examined_count = 0
-        self.truncated = False  # there are more rows than may be returned
-        self.exhausted = False
+        self.truncated = False  # whether rows beyond ``max_rows`` were left out
+        self.exhausted = False  # whether all rows have been returned
 
     def read_rows(self, elapsed_us: Callable[[], int], until_us: int, max_rows: int) -> list[list[Value]]:
-        """The next rows: at most ``max_rows``, and until ``elapsed_us()`` reaches ``until_us``."""
-        found = list[list[Value]]()
-        while self._has_item():
+        """Returns the next rows: at most ``max_rows``, and no more once ``elapsed_us()`` reaches ``until_us``."""
+        rows = list[list[Value]]()
+        while self._find_next_item():
             if self.row_count >= self._max_rows:
                 self.truncated = True
                 break
@@ -116,27 +116,27 @@
             self._position += 1
             self.examined_count += 1
             if values is not None and all(values[index] == value for index, value in self._filters):
-                found.append([values[index] for index in self._column_indexes])
+                rows.append([values[index] for index in self._column_indexes])
                 self.row_count += 1
-            checks_clock = self.examined_count % self.ROWS_PER_CLOCK_CHECK == 0
-            if len(found) >= max_rows or (checks_clock and elapsed_us() >= until_us):
-                return found
+            should_check_clock = self.examined_count % self.ITEMS_PER_CLOCK_CHECK == 0
+            if len(rows) >= max_rows or (should_check_clock and elapsed_us() >= until_us):
+                return rows
         self.exhausted = True
         self._items = ()
         self._pages = iter(())
-        return found
+        return rows
 
-    def _has_item(self) -> bool:
-        """Whether there is an item to read; goes to the next page where the current one has ended."""
+    def _find_next_item(self) -> bool:
+        """Move to the next page at the end of the current one; returns whether there is another item."""
         if self._pages is None:
             self._pages = iter([None] if self._table.page_items is None else self._table.items())
         while self._position >= len(self._items):
-            if not self._next_page(self._pages):
+            if not self._start_next_page(self._pages):
                 return False
         return True
 
-    def _next_page(self, pages: Iterator[Any]) -> bool:
-        """Go to the next page; false where there is none."""
+    def _start_next_page(self, pages: Iterator[Any]) -> bool:
+        """Move to the start of the next page; returns whether there is one."""
         for page in pages:
             page_items = self._table.page_items
             self._items = self._table.items() if page_items is None else page_items(page)
--- a/thornshelf/control/task_tables.py
+++ b/thornshelf/control/task_tables.py
@@ -1,4 +1,4 @@
-"""The tables of tasks and of attempts in flight, read page by page."""
+"""The tables of tasks and of attempts in flight, which are read page by page."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
     ("key", TEXT, "idempotency key, 16 hex digits"),
     ("class", TEXT, "task class, as in the settings"),
     ("tenant", TEXT, "tenant, as in the settings"),
-    ("service", TEXT, "hex digits"),
+    ("service", TEXT, "service, 8 hex digits"),
     ("state", TEXT, "open, standing (running), ending (being cancelled) or answered"),
     ("node", TEXT, "where it runs, or where its attempt went"),
-    ("age_ms", INTEGER, "since the request came"),
-    ("left_ms", INTEGER, "until the client's deadline; null unless it is open"),
-    ("standing_ms", INTEGER, "since it runs"),
-    ("attempts", INTEGER, "made so far"),
+    ("age_ms", INTEGER, "time since the request arrived"),
+    ("left_ms", INTEGER, "time until the client's deadline; null unless it is open"),
+    ("standing_ms", INTEGER, "how long it has been running; null unless it runs"),
+    ("attempts", INTEGER, "attempts made so far"),
     ("waiting", INTEGER, "1: it is queued for a placement decision"),
-    ("holders", INTEGER, "ids under which clients wait for it or hear of its end"),
+    ("holders", INTEGER, "number of ids under which clients wait for its answer or its end"),
     ("in_doubt", INTEGER, "1: its node is being queried whether it runs"),
-    ("cores", REAL, "requested"),
-    ("memory", REAL, "requested"),
-    ("why", TEXT, "the last cause that a node gave"),
+    ("cores", REAL, "requested cores"),
+    ("memory", REAL, "requested memory"),
+    ("why", TEXT, "cause of its last failure"),
 )
 _ATTEMPT_COLUMNS = (
     ("uid", TEXT, "id of the task's request"),
-    ("number", INTEGER, "of the attempt, from 0"),
-    ("node", TEXT, "where it was sent"),
-    ("out_ms", INTEGER, "since it was decided"),
-    ("left_ms", INTEGER, "until its timeout"),
+    ("number", INTEGER, "number of the attempt, from 0"),
+    ("node", TEXT, "the node it was sent to"),
+    ("out_ms", INTEGER, "time since the placement decision"),
+    ("left_ms", INTEGER, "time until its timeout"),
     ("never_twice", INTEGER, "1: a task of its class must not be started twice"),
     ("in_doubt", INTEGER, "1: the node is being queried about it"),
 )
 
 
 class TaskTables:
-    """Makes the rows of both tables."""
+    """The tables ``tasks`` and ``attempts``."""
 
     def __init__(self, core: Dispatcher) -> None:
         self._core = core
         self._task_pages = core.page_tasks()
 
     def tasks(self) -> Table:
-        """The declaration of the table of tasks."""
+        """Returns the declaration of the table of tasks."""
         return Table(
             "tasks",
             "Tasks that this dispatcher knows now: open, running, or answered with an attempt still in flight.",
@@ -60,7 +60,7 @@
         )
 
     def attempts(self) -> Table:
-        """The declaration of the table of attempts in flight."""
+        """Returns the declaration of the table of attempts in flight."""
         return Table(
             "attempts",
             "Attempts in flight: sent, or about to be, and not answered.",
@@ -101,7 +101,7 @@
             int(task.uncertain is not None),
             request.cores,
             request.memory,
-            _cause_text(task.last_failure),
+            _failure_text(task.last_failure),
         )
 
     def _attempt_row(self, task: TaskRecord) -> Sequence[Value] | None:
@@ -120,5 +120,5 @@
         )
 
 
-def _cause_text(cause: FailureCause | None) -> str:
+def _failure_text(cause: FailureCause | None) -> str:
     return "" if cause is None else f"{state_name(cause.reason)} {cause.text}".strip()
