--- a/thornshelf/control/shown_names.py
+++ b/thornshelf/control/shown_names.py
@@ -174,8 +174,8 @@
     "WireFormat": {"JSON_LINES": "LINES", "BINARY": "MESSAGES", "GRPC_V1": "V1", "GRPC_V2": "V2"},
 }
 
-# Enum members whose shown name is not their own name in lower case. The keys are names rather than members, since enum
-# members hash slowly and the history looks names up for each event. No other enum in the tables has such a name.
+# Enum members whose shown name is not their own name in lower case. The keys are names, as enum members hash slowly
+# and the history looks a name up for each event. No other enum in the tables has members of these names.
 _STATE_NAMES: dict[str, str] = {
     TaskState.RUNNING.name: "standing",
     TaskState.CANCELLING.name: "ending",
--- a/thornshelf/errors.py
+++ b/thornshelf/errors.py
@@ -237,7 +237,7 @@
     """The control socket can't be created at its path."""
 
     code = "TS5001"
-    meaning = "The control socket can't be created: its directory is missing or open to others, or its path is used."
+    meaning = "The control socket can't be created: its directory is missing or open to others, or its path is taken."
     remedy = (
         "Choose a directory of the dispatcher's own user (`mkdir -m 700`) in which no other user may write."
     )
