--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The architecture page names what exists, and its layers hold for the code's own imports."""
+"""The architecture page names only what exists, and imports follow the layers that it describes."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 PAGE = (ROOT / "docs" / "ARCHITECTURE.md").read_text(encoding="utf-8")
 NAMES = sorted(set(re.findall(r"`(thornshelf(?:\.\w+)+)`", PAGE)))
 LOG_IDS = sorted(set(re.findall(r"`([a-z]+(?:-[a-z]+)+)`", PAGE)))
-# Commands and keys that have the form of a log id.
-NO_LOG_IDS = {"check-config", "field-mapping"}
-AUDIT = PACKAGE / "translation" / "field_mapping_audit.py"
+# Commands on the page that look like log ids.
+NOT_LOG_IDS = {"check-config", "field-mapping"}
+AUDIT = PACKAGE / "translation" / "field_mapping_audit.py"  # exempt: it inspects modules of higher layers
 # Packages of one layer that may import each other, as the page says.
-SAME_LAYER = {("components", "lifecycle"), ("lifecycle", "components")}
+SAME_LAYER_IMPORTS = {("components", "lifecycle"), ("lifecycle", "components")}
 
 
 def read_layers() -> dict[str, int]:
-    """The layer of each package, from the table on the page."""
+    """The number of the layer of each package, from the table on the page."""
     table = PAGE.partition("<!-- layers")[2].partition("\n## ")[0]
     rows = re.findall(r"^\| (\d+) \| ([^|]+) \|", table, re.MULTILINE)
     return {name: int(layer) for layer, packages in rows for name in re.findall(r"`(\w+)`", packages)}
@@ -33,21 +33,21 @@
 
 
 def resolve(name: str) -> object:
-    """A module, or what a dotted name finds in one."""
+    """The module, or the object in a module, that has a dotted name."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         try:
-            found: object = importlib.import_module(".".join(parts[:length]))
+            resolved: object = importlib.import_module(".".join(parts[:length]))
         except ModuleNotFoundError:
             continue
         for part in parts[length:]:
-            found = getattr(found, part)
-        return found
+            resolved = getattr(resolved, part)
+        return resolved
     raise ModuleNotFoundError(name)
 
 
 def package_of(path: Path) -> str:
-    """The package of a file, or the module itself at the top."""
+    """The package directly under ``thornshelf`` that contains a file, or the module directly under it."""
     return path.relative_to(PACKAGE).parts[0].removesuffix(".py")
 
 
@@ -56,7 +56,7 @@
 
 
 def imports(node: ast.AST) -> Iterator[str]:
-    """The packages of this project that a module imports when it runs."""
+    """The packages of this project that a module imports at run time, including imports in functions."""
     for child in ast.iter_child_nodes(node):
         if is_for_type_checkers(child):
             continue
@@ -76,13 +76,13 @@
     assert resolve(name) is not None
 
 
-@pytest.mark.parametrize("message_id", [one for one in LOG_IDS if one not in NO_LOG_IDS])
-def test_each_log_id_on_the_page_is_written_by_the_program(message_id: str) -> None:
-    assert any(f'"{message_id}"' in path.read_text(encoding="utf-8") for path in PACKAGE.rglob("*.py"))
+@pytest.mark.parametrize("log_id", [log_id for log_id in LOG_IDS if log_id not in NOT_LOG_IDS])
+def test_each_log_id_on_the_page_is_written_by_the_program(log_id: str) -> None:
+    assert any(f'"{log_id}"' in path.read_text(encoding="utf-8") for path in PACKAGE.rglob("*.py"))
 
 
 def test_the_page_names_modules_and_log_ids() -> None:
-    """Guards against a change of the page's form that would leave nothing to be checked."""
+    """Guards against a change of the page's markup that would leave nothing to check."""
     assert len(NAMES) >= 30
     assert len(LOG_IDS) >= 10
     assert len(LAYERS) >= 20
@@ -98,5 +98,5 @@
     files = [path for path in PACKAGE.rglob("*.py") if package_of(path) == package and path != AUDIT]
     for path in files:
         for imported in imports(ast.parse(path.read_text(encoding="utf-8"))):
-            allowed = imported == package or (package, imported) in SAME_LAYER
-            assert allowed or LAYERS[imported] < LAYERS[package], f"{path.name} imports {imported}"
+            is_allowed = imported == package or (package, imported) in SAME_LAYER_IMPORTS
+            assert is_allowed or LAYERS[imported] < LAYERS[package], f"{path.name} imports {imported}"
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors have one root, a code and a remedy each, modules import each other without cycles, bad keys are named."""
+"""Each error has a base class, a code and a remedy, imports have no cycles, and configuration errors name the key."""
 
 from __future__ import annotations
 
@@ -26,14 +26,16 @@
         yield from subclasses(subclass)
 
 
-def nodes(path: Path) -> Iterator[ast.AST]:
+def syntax_nodes(path: Path) -> Iterator[ast.AST]:
     """All nodes of a module's syntax tree."""
     return ast.walk(ast.parse(path.read_text()))
 
 
 def test_each_error_has_a_code_of_its_own_and_a_remedy() -> None:
-    found = [one for one in subclasses(errors.ThornshelfError) if one is not errors.RejectedDatagramError]
-    assert set(found) == set(errors.ERRORS_BY_CODE.values())
+    concrete = [
+        error for error in subclasses(errors.ThornshelfError) if error is not errors.RejectedDatagramError
+    ]
+    assert set(concrete) == set(errors.ERRORS_BY_CODE.values())
     for error in errors.ERRORS_BY_CODE.values():
         assert error.remedy != errors.ThornshelfError.remedy
         assert len(error.remedy) > 20
@@ -43,27 +45,27 @@
 
 
 def test_no_builtin_error_is_raised() -> None:
-    """Guards against a text without a code: an operator could not look it up."""
-    raised = []
+    """Guards against errors without a code, which an operator could not look up."""
+    locations = []
     for path in SOURCES:
-        for node in nodes(path):
+        for node in syntax_nodes(path):
             if isinstance(node, ast.Raise) and node.exc is not None:
                 error = node.exc.func if isinstance(node.exc, ast.Call) else node.exc
                 if isinstance(error, ast.Name) and error.id in BUILTIN_ERRORS:
-                    raised.append(f"{path.name}:{node.lineno}")
-    assert not raised
+                    locations.append(f"{path.name}:{node.lineno}")
+    assert not locations
 
 
 def test_no_error_is_defined_in_another_module() -> None:
-    defining = []
+    defining_modules = []
     for path in SOURCES:
         if path.name == "errors.py":
             continue
-        for node in nodes(path):
+        for node in syntax_nodes(path):
             bases = [base.id for base in getattr(node, "bases", []) if isinstance(base, ast.Name)]
             if any(base.endswith(("Error", "Exception")) for base in bases):
-                defining.append(path.name)
-    assert not defining
+                defining_modules.append(path.name)
+    assert not defining_modules
 
 
 def test_the_page_is_up_to_date() -> None:
@@ -72,40 +74,40 @@
 
 def test_explain() -> None:
     runner = CliRunner()
-    done = runner.invoke(cli, ["explain", "ts4002"])
-    assert done.exit_code == 0
-    assert "What to do: Give each process a name of its own" in done.output
+    result = runner.invoke(cli, ["explain", "ts4002"])
+    assert result.exit_code == 0
+    assert "What to do: Give each process a name of its own" in result.output
     assert runner.invoke(cli, ["explain", "TS9999"]).exit_code == 2
     assert runner.invoke(cli, ["explain"]).output.count("\n") == len(errors.ERRORS_BY_CODE)
     assert runner.invoke(cli, ["explain", "--page"]).output == errors.render_page()
 
 
 def imports(path: Path) -> set[str]:
-    """The modules of the program that a module imports, also inside functions and only for types."""
-    found = set()
-    for node in nodes(path):
+    """The modules of the program that a module imports, including imports in functions and for type checkers."""
+    imported = set()
+    for node in syntax_nodes(path):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("thornshelf"):
-            found.add(node.module)
-            found |= {f"{node.module}.{one.name}" for one in node.names}
+            imported.add(node.module)
+            imported |= {f"{node.module}.{alias.name}" for alias in node.names}
         elif isinstance(node, ast.Import):
-            found |= {one.name for one in node.names if one.name.startswith("thornshelf")}
-    return found
+            imported |= {alias.name for alias in node.names if alias.name.startswith("thornshelf")}
+    return imported
 
 
 def test_modules_import_each_other_without_cycles() -> None:
-    """Not even where one of the imports is only for types or inside a function."""
+    """Imports in functions and for type checkers count as well."""
     modules = {".".join(path.relative_to(ROOT).with_suffix("").parts): path for path in SOURCES}
     graph = {name: imports(path) & modules.keys() for name, path in modules.items()}
     visiting: set[str] = set()
     visited: set[str] = set()
 
-    def visit(name: str, trail: tuple[str, ...]) -> None:
-        assert name not in visiting, f"a cycle: {' -> '.join((*trail, name))}"
+    def visit(name: str, chain: tuple[str, ...]) -> None:
+        assert name not in visiting, f"import cycle: {' -> '.join((*chain, name))}"
         if name in visited:
             return
         visiting.add(name)
         for imported in sorted(graph[name]):
-            visit(imported, (*trail, name))
+            visit(imported, (*chain, name))
         visiting.remove(name)
         visited.add(name)
 
@@ -113,28 +115,28 @@
         visit(name, ())
 
 
-TABLE = '[fleet]\nname = "jackson"\nlisten = "127.0.0.1:0"\nkey_file = "fleet.key"\n'
+FLEET_TABLE = '[fleet]\nname = "jackson"\nlisten = "127.0.0.1:0"\nkey_file = "fleet.key"\n'
 
 
 @pytest.mark.parametrize(
-    ("text", "mode", "key", "named"),
+    ("text", "mode", "secret", "key"),
     [
-        (TABLE, 0o644, b"k" * 32, "fleet.key_file"),
-        (TABLE, 0o600, b"short", "fleet.key_file"),
-        (TABLE, 0o600, None, "fleet.key_file"),
-        (TABLE + 'seeds = ["nowhere"]\n', 0o600, b"k" * 32, "fleet.seeds.0"),
-        (TABLE + "answer_ms = 400\n", 0o600, b"k" * 32, "fleet.answer_ms"),
-        (TABLE + "most_members = 100\n", 0o600, b"k" * 32, "fleet.most_members"),
-        (TABLE + "[fleet.uses]\nguesses = true\n", 0o600, b"k" * 32, "fleet.uses.guesses"),
-        (TABLE.replace('name = "jackson"\n', ""), 0o600, b"k" * 32, "fleet"),
+        (FLEET_TABLE, 0o644, b"k" * 32, "fleet.key_file"),
+        (FLEET_TABLE, 0o600, b"short", "fleet.key_file"),
+        (FLEET_TABLE, 0o600, None, "fleet.key_file"),
+        (FLEET_TABLE + 'seeds = ["nowhere"]\n', 0o600, b"k" * 32, "fleet.seeds.0"),
+        (FLEET_TABLE + "answer_ms = 400\n", 0o600, b"k" * 32, "fleet.answer_ms"),
+        (FLEET_TABLE + "most_members = 100\n", 0o600, b"k" * 32, "fleet.most_members"),
+        (FLEET_TABLE + "[fleet.uses]\nguesses = true\n", 0o600, b"k" * 32, "fleet.uses.guesses"),
+        (FLEET_TABLE.replace('name = "jackson"\n', ""), 0o600, b"k" * 32, "fleet"),
     ],
 )
 def test_a_bad_fleet_table_names_its_key(
-    tmp_path: Path, text: str, mode: int, key: bytes | None, named: str
+    tmp_path: Path, text: str, mode: int, secret: bytes | None, key: str
 ) -> None:
-    if key is not None:
-        (tmp_path / "fleet.key").write_bytes(key)
+    if secret is not None:
+        (tmp_path / "fleet.key").write_bytes(secret)
         (tmp_path / "fleet.key").chmod(mode)
     (tmp_path / "operator.toml").write_text(text)
-    with pytest.raises(ConfigError, match=f"^{named}"):
+    with pytest.raises(ConfigError, match=f"^{key}"):
         read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}, str(tmp_path / "operator.toml"))
