--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -76,7 +76,7 @@
     assert resolve(name) is not None
 
 
-@pytest.mark.parametrize("log_id", [log_id for log_id in LOG_IDS if log_id not in NOT_LOG_IDS])
+@pytest.mark.parametrize("log_id", [name for name in LOG_IDS if name not in NOT_LOG_IDS])
 def test_each_log_id_on_the_page_is_written_by_the_program(log_id: str) -> None:
     assert any(f'"{log_id}"' in path.read_text(encoding="utf-8") for path in PACKAGE.rglob("*.py"))
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -80,7 +80,7 @@
     assert reader.examined_count == 100_000
 
 
-def test_a_table_reader_returns_the_columns_and_filters_requested_up_to_its_limit() -> None:
+def test_a_table_reader_returns_the_requested_columns_of_matching_rows_up_to_its_limit() -> None:
     reader = TableReader(numbers_table(30), ["text", "n"], {"n": 7})
     assert reader.read_rows(lambda: 0, 1, 99) == [["t7", 7]]
     assert reader.exhausted
@@ -287,10 +287,9 @@
         assert gatherer.incomplete == {"malicious": "its answer can't be read"}
         assert not gatherer.batches
     gatherer.receive("stranger", msgspec.msgpack.encode([1, 0, True, b"", ""]), 5)
-    gatherer.receive("b", b"\xc1", 5)
-    gatherer.receive(
-        "b", msgspec.msgpack.encode([1, 9999, True, b"", ""]), 5
-    )  # a chunk beyond the send window
+    gatherer.receive("b", b"\xc1", 5)  # not MessagePack
+    # A chunk beyond the send window.
+    gatherer.receive("b", msgspec.msgpack.encode([1, 9999, True, b"", ""]), 5)
     assert not gatherer.finished
 
 
@@ -374,9 +373,8 @@
         sessions.start(client, framing.QueryRequest(1, "numbers", ["n"]), 0)
     sent_bytes = 0
     while len(sessions):
-        sessions.run_turn(
-            0, 7, lambda: 0, has_backlog=False
-        )  # no time passes: only the byte budget ends a turn
+        # The clock stands still, so only the byte budget ends a turn.
+        sessions.run_turn(0, 7, lambda: 0, has_backlog=False)
         total_bytes = sum(len(framing.encode_frame(reply)) for client in clients for reply in client.replies)
         assert total_bytes - sent_bytes < TURN_BYTE_BUDGET + 1_100_000
         sent_bytes = total_bytes
@@ -546,9 +544,8 @@
         assert "\u202e" not in text
     assert "[red]x[/red]" in printed
     assert "\\x1b[2J\\n\\u202e" in printed
-    assert (
-        unquote(output.sanitize(HOSTILE_NAME)) == HOSTILE_NAME
-    )  # operators can type the name as it is shown
+    # Operators can type the name as it is shown.
+    assert unquote(output.sanitize(HOSTILE_NAME)) == HOSTILE_NAME
 
 
 def test_saved_queries_and_differences_are_sql_over_the_tables() -> None:
@@ -666,13 +663,13 @@
     table = Table(
         "t", "", declare_columns(("t", TEXT, "")), lambda: list(tasks.pages), lambda t: (t,), page_tasks
     )
-    reader, rows, remaining = TableReader(table, ["t"], {}), list[Any](), set(expected)
+    reader, texts, remaining = TableReader(table, ["t"], {}), list[Any](), set(expected)
     while not reader.exhausted:
-        rows += [row[0] for row in reader.read_rows(FakeClock(100), 200, 40)]
+        texts += [row[0] for row in reader.read_rows(FakeClock(100), 200, 40)]
         removed = random_source.choice(list(expected))
         del tasks[removed], expected[removed]
         remaining.discard(removed)
-        tasks[10_000 + len(rows)] = expected[10_000 + len(rows)] = "added during the read"
-    initial_rows = [row for row in rows if row != "added during the read"]
-    assert len(initial_rows) == len(set(initial_rows))
-    assert {str(expected[number]) for number in remaining} <= set(initial_rows)
+        tasks[10_000 + len(texts)] = expected[10_000 + len(texts)] = "added during the read"
+    initial_texts = [text for text in texts if text != "added during the read"]
+    assert len(initial_texts) == len(set(initial_texts))
+    assert {str(expected[number]) for number in remaining} <= set(initial_texts)
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -33,7 +33,9 @@
 
 def test_each_error_has_a_code_of_its_own_and_a_remedy() -> None:
     concrete = [
-        error for error in subclasses(errors.ThornshelfError) if error is not errors.RejectedDatagramError
+        subclass
+        for subclass in subclasses(errors.ThornshelfError)
+        if subclass is not errors.RejectedDatagramError
     ]
     assert set(concrete) == set(errors.ERRORS_BY_CODE.values())
     for error in errors.ERRORS_BY_CODE.values():
--- a/thornshelf/components/__init__.py
+++ b/thornshelf/components/__init__.py
@@ -42,12 +42,10 @@
     endpoint_watch: EndpointWatch | None
     # Called in order for each new node until one returns a connection; if none does, the node speaks binary messages.
     node_factories: list[Callable[[int, NodeEndpoint, Dispatcher], NodeConnection | None]]
-    endpoint_listeners: list[
-        Callable[[EndpointListUpdate], None]
-    ]  # called after the core has applied an update
-    endpoint_filter: (
-        Callable[[EndpointListUpdate], EndpointListUpdate] | None
-    )  # applied before the core's update
+    # Called after the core has applied an update of the endpoint list.
+    endpoint_listeners: list[Callable[[EndpointListUpdate], None]]
+    # Applied to an update of the endpoint list before the core gets it.
+    endpoint_filter: Callable[[EndpointListUpdate], EndpointListUpdate] | None
     catalog: Catalog | None  # the tables of the control socket; components add theirs in ``start``
 
     @property
--- a/thornshelf/components/control.py
+++ b/thornshelf/components/control.py
@@ -41,7 +41,7 @@
 
 MAX_BUFFERED_BYTES = 128 * 1024  # a shell with more unsent data is sent nothing for the moment
 IDLE_TIMEOUT_US = 3_600_000_000  # a shell that sends nothing for this long is disconnected
-LONG_TURN_US = 5_000  # the counter ``turns_over_5ms`` counts turns that take longer
+LONG_TURN_US = 5_000  # the counter ``turns_over_5ms`` counts turns that take more CPU time
 ACCEPT_BACKOFF_US = 20_000  # after accept() has failed, for example for want of descriptors
 MIN_WAKE_DELAY_US = 1_000
 FIRST_QUERY_ID_BITS = 40  # ids start at a random number, so that they differ from those of a former process
--- a/thornshelf/components/fleet.py
+++ b/thornshelf/components/fleet.py
@@ -199,7 +199,7 @@
         self.membership.rejected_datagrams.clear()
 
     def _handle_superseded(self) -> None:
-        """Log that another process has taken over this name, and return to the configured number of dispatchers."""
+        """Log that another process has taken over this name, and divide quotas by the configured number again."""
         superseded = self.membership.superseded
         assert superseded is not None
         self._has_logged_superseded = True
@@ -239,26 +239,26 @@
         watch_unresponsive = watch is not None and (
             not watch.is_responding or loop.now - watch.last_response_us > WATCH_TIMEOUT_US
         )
-        machines = {endpoint.name: machine for machine, endpoint in core.endpoints.entries.items()}
+        machine_numbers = {endpoint.name: machine for machine, endpoint in core.endpoints.entries.items()}
         nodes_up = {
             name
-            for name, machine in machines.items()
+            for name, machine in machine_numbers.items()
             if core.endpoints.is_up(machine) or name in self._avoided_endpoints
         }
         changes = self.policies.review(nodes_up, watch_unresponsive, loop.now)
         if changes.quota is not None:
             self._apply_quota(changes.quota)
         if changes.outliers is not None:
-            self._apply_outliers(changes.outliers, machines)
+            self._apply_outliers(changes.outliers, machine_numbers)
         if changes.avoided_nodes is not None:
-            self._avoid_nodes(changes.avoided_nodes, machines)
+            self._avoid_nodes(changes.avoided_nodes, machine_numbers)
         for name in changes.nodes_to_check:
-            if (node := core.endpoints.nodes.get(machines[name])) is not None:
+            if (node := core.endpoints.nodes.get(machine_numbers[name])) is not None:
                 node.check_health()
         for result in changes.check_results:
-            if result.node in machines:
+            if result.node in machine_numbers:
                 outcome = Outcome.OK if result.is_healthy else Outcome.TIMED_OUT
-                core.inbox.append(HealthCheckCompleted(machines[result.node], outcome, 0))
+                core.inbox.append(HealthCheckCompleted(machine_numbers[result.node], outcome, 0))
         self.flush()
         loop.after(REVIEW_INTERVAL_US, self._review)
 
@@ -274,34 +274,34 @@
             quota.index, quota.soft_divisor, quota.strict_divisor, quota.round_robin
         )
 
-    def _apply_outliers(self, outliers: set[str], machines: dict[str, int]) -> None:
-        for name, number in machines.items():
+    def _apply_outliers(self, outliers: set[str], machine_numbers: dict[str, int]) -> None:
+        for name, number in machine_numbers.items():
             if (machine := self.host.core.placer.machines.get(number)) is not None:
                 machine.gossip_penalty = OUTLIER_PENALTY if name in outliers else 0.0
         parameters: dict[str, object] = {"nodes": ",".join(sorted(outliers)[:MAX_LOGGED_NODES])}
         text = "Other members report failures of these nodes, which are now a second choice."
         self.host.log(6, "outliers-changed", parameters, text)
 
-    def _avoid_nodes(self, names: set[str], machines: dict[str, int]) -> None:
-        """Drain nodes that other members report as draining.
+    def _avoid_nodes(self, names: set[str], machine_numbers: dict[str, int]) -> None:
+        """Mark the named nodes as draining in the core, since other members report that they drain.
 
-        When a node is not to be avoided any more, its own endpoint is restored, unless the endpoint list has changed
-        it meanwhile.
+        The endpoints of nodes that are no longer named are restored, unless the endpoint list has changed them
+        meanwhile.
         """
         core = self.host.core
         changed: list[NodeEndpoint] = []
         for name in names - self._avoided_endpoints.keys():
-            endpoint = core.endpoints.entries.get(machines.get(name, -1))
+            endpoint = core.endpoints.entries.get(machine_numbers.get(name, -1))
             if endpoint is not None and endpoint.health is Health.UP:
                 self._avoided_endpoints[name] = endpoint
                 changed.append(replace(endpoint, health=Health.DRAINING))
                 self._log_avoided(name)
         for name in self._avoided_endpoints.keys() - names:
             original = self._avoided_endpoints.pop(name)
-            current = core.endpoints.entries.get(machines.get(name, -1))
-            is_still_avoided = current is not None and current == replace(original, health=Health.DRAINING)
+            current = core.endpoints.entries.get(machine_numbers.get(name, -1))
+            is_unchanged = current is not None and current == replace(original, health=Health.DRAINING)
             progress = NodeProgress(self._started_ms(original), NodeStage.UP)
-            if is_still_avoided and self.policies.drain_gossip.own_progress(name) == progress:
+            if is_unchanged and self.policies.drain_gossip.own_progress(name) == progress:
                 changed.append(original)
         if changed:
             core.update_endpoints(EndpointListUpdate(False, 0, changed))
@@ -337,6 +337,7 @@
 
     def health_checked(self, result: HealthCheckCompleted) -> None:
         """Share the result of this dispatcher's own health check with the other members."""
+        # The latency is 0 in results that other members have reported (see _review).
         endpoint = self.host.core.endpoints.entries.get(result.machine)
         if endpoint is not None and result.latency_us:
             is_healthy = result.outcome is Outcome.OK
--- a/thornshelf/configuration/admission_table.py
+++ b/thornshelf/configuration/admission_table.py
@@ -38,8 +38,8 @@
     controller = AdmissionConfig(
         reserved_connections=_decode_reserved_connections(table, config.max_descriptors),
         rules=tuple(rules),
-        source_limits=_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
-        unknown_request_rate=_rate(table.unknown_set_ups_per_s),
+        source_limits=_decode_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
+        unknown_request_rate=_decode_rate(table.unknown_set_ups_per_s),
         reputation=ReputationConfig(table.known_after, table.known_half_life_s * _US_PER_S),
         max_sources=table.most_sources,
     )
@@ -69,8 +69,8 @@
             name=table.name,
             prefix=prefix,
             known=table.known,
-            prefix_limits=_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
-            source_limits=_limits(*source_limits) if any(source_limits) else None,
+            prefix_limits=_decode_limits(table.connections, table.connections_per_s, table.set_ups_per_s),
+            source_limits=_decode_limits(*source_limits) if any(source_limits) else None,
         )
         rules.append(rule)
     return rules
@@ -88,14 +88,14 @@
 def _decode_fair_queue(table: schema.SharesTable, tenants: Sequence[api.Tenant]) -> FairQueueConfig:
     return FairQueueConfig(
         weights={tenant.name: tenant.fraction for tenant in tenants if tenant.fraction > 0.0},
-        quotas={tenant.name: _quota_rate(tenant) for tenant in tenants if tenant.quota_per_s > 0.0},
+        quotas={tenant.name: _decode_quota(tenant) for tenant in tenants if tenant.quota_per_s > 0.0},
         batch_size=table.asks_a_turn,
         max_waiting=table.most_waiting,
         overload=OverloadConfig(table.target_ms * 1000, table.interval_ms * 1000),
     )
 
 
-def _quota_rate(tenant: api.Tenant) -> Rate:
+def _decode_quota(tenant: api.Tenant) -> Rate:
     return Rate(
         count=max(1, round(tenant.quota_per_s * _QUOTA_SCALE)),
         period_us=_QUOTA_SCALE * _US_PER_S,
@@ -103,10 +103,12 @@
     )
 
 
-def _rate(per_s: int | None) -> Rate | None:
-    """Returns a rate limit whose burst is one second's worth, or None for no limit."""
+def _decode_rate(per_s: int | None) -> Rate | None:
+    """Returns a rate limit that allows a burst of one second's events; None is no limit."""
     return None if per_s is None else Rate(count=per_s, period_us=_US_PER_S, burst=per_s)
 
 
-def _limits(connections: int | None, connections_per_s: int | None, requests_per_s: int | None) -> Limits:
-    return Limits(connections, _rate(connections_per_s), _rate(requests_per_s))
+def _decode_limits(
+    connections: int | None, connections_per_s: int | None, requests_per_s: int | None
+) -> Limits:
+    return Limits(connections, _decode_rate(connections_per_s), _decode_rate(requests_per_s))
--- a/thornshelf/configuration/model.py
+++ b/thornshelf/configuration/model.py
@@ -100,7 +100,7 @@
     listen: Address
     seed: int
     max_descriptors: int
-    endpoint_source: Address | None  # the platform's change log
+    endpoint_source: Address | None  # of the change log, which the endpoint watch reads; None: no watch
     initial_endpoints: Mapping[str, Any]  # the change log's events up to the start, in the JSON file's form
     settings: api.Settings
     grpc: GrpcConfig = field(default_factory=GrpcConfig)
--- a/thornshelf/configuration/reader.py
+++ b/thornshelf/configuration/reader.py
@@ -13,6 +13,7 @@
 from thornshelf.placement.simulator.settings import decode_settings
 from thornshelf.placement.simulator.values import ABSENT
 
+# Environment variables: the path of the JSON file, and values that override its keys ``name`` and ``listen``.
 FILE_VARIABLE = "LB_CONFIG"
 NAME_VARIABLE = "LB_NAME"
 LISTEN_VARIABLE = "LB_LISTEN"
@@ -103,7 +104,10 @@
 
 
 def _flatten(value: object, path: str = "") -> Iterator[str]:
-    """Yields nested settings as ``path=value`` strings, the form in which the simulator sends them."""
+    """Yields nested settings as ``path=value`` strings, the form in which the simulator sends them.
+
+    ``path`` is the path of ``value`` itself.
+    """
     if isinstance(value, dict):
         for name, child in value.items():
             yield from _flatten(child, f"{path}.{name}" if path else str(name))
--- a/thornshelf/configuration/schema.py
+++ b/thornshelf/configuration/schema.py
@@ -57,7 +57,7 @@
     fleet_most: Positive = 200
     returns_per_s: Positive = 200  # rejected clients that are told to return per second
     asks_a_turn: Positive = 16  # requests that are passed to the placement module in one turn
-    most_waiting: Positive = 10_000  # capacity of the queue before it
+    most_waiting: Positive = 10_000  # capacity of the queue of these requests
 
 
 class Translate(Struct, forbid_unknown_fields=True):
@@ -80,9 +80,11 @@
     name: Annotated[str, Meta(min_length=1, max_length=60)]
     prefix: str
     known: bool = False  # its sources may use the reserved connections
+    # Limits of all sources of the prefix together; a set-up is a request.
     connections: Positive | None = None
     connections_per_s: Positive | None = None
     set_ups_per_s: Positive | None = None
+    # Limits of each source; they replace those of ``Admission`` and of shorter prefixes.
     each_connections: Positive | None = None
     each_connections_per_s: Positive | None = None
     each_set_ups_per_s: Positive | None = None
@@ -191,10 +193,10 @@
     subset: SubsetTable | None = None
 
 
-def convert(value: Any) -> OperatorFile:
+def convert(document: Any) -> OperatorFile:
     """Validate a parsed file and return its tables. Raises ``SchemaError`` with the key that is not allowed."""
     try:
-        return msgspec.convert(value, OperatorFile)
+        return msgspec.convert(document, OperatorFile)
     except msgspec.ValidationError as error:
         message, _, path = str(error).rpartition(" - at `$")
         if not message:
@@ -205,7 +207,7 @@
             field = message.rpartition("field `")[2].rstrip("`")
             key = f"{key}.{field}" if key else field
             message = "not known"
-        raise SchemaError(_resolve_key(value, key), message) from None
+        raise SchemaError(_resolve_key(document, key), message) from None
 
 
 def _resolve_key(value: Any, key: str) -> str:
--- a/thornshelf/configuration/translation_table.py
+++ b/thornshelf/configuration/translation_table.py
@@ -28,11 +28,11 @@
     fields contradicts itself.
     """
     node_formats: dict[str, tuple[WireFormat, ...]] = dict.fromkeys(grpc.nodes, (WireFormat.GRPC_V1,))
-    node_formats |= {name: _formats(names) for name, names in table.nodes.items()}
+    node_formats |= {name: _decode_formats(names) for name, names in table.nodes.items()}
     config = TranslationConfig(
         missing_field_policies=_decode_policies(table, class_names),
         node_formats=node_formats,
-        default_formats=(WireFormat.GRPC_V1,) if grpc.all_nodes else _formats(table.otherwise),
+        default_formats=(WireFormat.GRPC_V1,) if grpc.all_nodes else _decode_formats(table.otherwise),
         minimum_generations={
             name: task_class.generation for name, task_class in table.classes.items() if task_class.generation
         },
@@ -41,7 +41,7 @@
         uncertain_retention_us=table.remember_s * _US_PER_S,
         max_uncertain=table.most_doubts,
     )
-    return config if table.retries is None else _with_retries(config, table.retries)
+    return config if table.retries is None else _add_retries(config, table.retries)
 
 
 def _decode_policies(table: schema.Translate, class_names: Collection[str]) -> dict[str, MissingFieldPolicy]:
@@ -59,19 +59,19 @@
     return policies
 
 
-def _with_retries(config: TranslationConfig, table: schema.RetryTable) -> TranslationConfig:
+def _add_retries(config: TranslationConfig, table: schema.RetryTable) -> TranslationConfig:
     service_floor = table.service_floor_per_s
     return replace(
         config,
         limits_retries=True,
-        service_budget=_budget(table.service_share, service_floor, table.service_most),
-        fleet_budget=_budget(table.fleet_share, table.fleet_floor_per_s, table.fleet_most),
+        service_budget=_decode_budget(table.service_share, service_floor, table.service_most),
+        fleet_budget=_decode_budget(table.fleet_share, table.fleet_floor_per_s, table.fleet_most),
         jitter=JitterConfig(returns_per_s=table.returns_per_s),
         queue=DeadlineQueueConfig(batch_size=table.asks_a_turn, max_waiting=table.most_waiting),
     )
 
 
-def _budget(earned_per_attempt: float, earned_per_s: float, capacity: int) -> RetryBudgetConfig:
+def _decode_budget(earned_per_attempt: float, earned_per_s: float, capacity: int) -> RetryBudgetConfig:
     return RetryBudgetConfig(
         earned_per_attempt_milli=round(earned_per_attempt * MILLI_PER_TOKEN),
         earned_per_s_milli=round(earned_per_s * MILLI_PER_TOKEN),
@@ -79,5 +79,5 @@
     )
 
 
-def _formats(names: Sequence[schema.FormatName]) -> tuple[WireFormat, ...]:
+def _decode_formats(names: Sequence[schema.FormatName]) -> tuple[WireFormat, ...]:
     return tuple(_FORMATS[name] for name in names)
