--- a/thornshelf/control/framing.py
+++ b/thornshelf/control/framing.py
@@ -22,17 +22,17 @@
 MAX_REQUEST_BYTES = 16 * 1024
 MAX_REPLY_BYTES = 4 * 1024 * 1024
 MAX_ROWS_PER_PAGE = 500
-Cell = str | int | float | None
-Label = Annotated[str, Meta(max_length=64)]
+Cell = str | int | float | None  # one value in a row
+Identifier = Annotated[str, Meta(max_length=64)]
 
 
 class QueryRequest(Struct, frozen=True, array_like=True, tag="ask"):
     """A query. ``number``: repeated in each reply to it. ``filters``: values that rows must have, by column."""
 
     number: Annotated[int, Meta(ge=0, lt=1 << 62)]
-    table: Label = ""
-    columns: Annotated[list[Label], Meta(max_length=64)] = []
-    filters: Annotated[dict[Label, Cell], Meta(max_length=8)] = {}
+    table: Identifier = ""
+    columns: Annotated[list[Identifier], Meta(max_length=64)] = []
+    filters: Annotated[dict[Identifier, Cell], Meta(max_length=8)] = {}
     fleet: bool = False
 
 
--- a/thornshelf/control/history.py
+++ b/thornshelf/control/history.py
@@ -25,7 +25,7 @@
 
 
 class History:
-    """The latest events of all tasks, in pages that are read one at a time."""
+    """The last ``max_events`` events of all tasks and some older ones, in pages that are read one at a time."""
 
     PAGE_SIZE = 512
 
@@ -35,7 +35,7 @@
         self.dropped = 0  # number of events that are no longer retained
 
     def record(self, at_us: int, uid: int, key: int, event: str, machine: int = 0, *detail: object) -> None:
-        """Add an event; drop the oldest page when there are too many."""
+        """Add an event; drop the oldest page if there are too many. ``machine``: 0 if no node is concerned."""
         page = self.pages[-1]
         if len(page) >= self.PAGE_SIZE:
             page = []
@@ -60,9 +60,9 @@
     def __init__(self) -> None:
         self.by_code: dict[str, ErrorCount] = {}
 
-    def count_line(self, at_us: int, values: Mapping[str, object], text: str) -> None:
-        """Count a log line that has the code of an error; ignore other lines."""
-        code = values.get("code")
+    def count_line(self, at_us: int, parameters: Mapping[str, object], text: str) -> None:
+        """Count a log line whose parameter ``code`` is the code of an error; ignore other lines."""
+        code = parameters.get("code")
         if isinstance(code, str) and code in ERRORS_BY_CODE:
             self.add(code, at_us, text)
 
--- a/thornshelf/control/query_sessions.py
+++ b/thornshelf/control/query_sessions.py
@@ -97,7 +97,10 @@
         next_query_id: Callable[[], int],
         max_clients: int,
     ) -> None:
-        """``name``: this dispatcher's name; ``next_query_id``: returns new ids for queries to other members."""
+        """``name``: this dispatcher's name. ``next_query_id``: returns a new id for a query to other members.
+
+        ``fleet``: None if this dispatcher is in no fleet; then all queries are for its own rows.
+        """
         self._name = name
         self._catalog = catalog
         self._fleet = fleet
@@ -107,11 +110,11 @@
         self._bytes_this_turn = 0
         # The keys are the names in the table ``counters``.
         self.counters = {
-            "questions": 0,
-            "rows": 0,
-            "slices": 0,
-            "declined": 0,
-            "dropped": 0,
+            "questions": 0,  # queries received
+            "rows": 0,  # rows sent
+            "slices": 0,  # pages sent
+            "declined": 0,  # queries that were replied to with an error
+            "dropped": 0,  # queries that were aborted, with their client's connection
         }
 
     def __len__(self) -> int:
--- a/thornshelf/control/tables.py
+++ b/thornshelf/control/tables.py
@@ -127,7 +127,10 @@
         return rows
 
     def _find_next_item(self) -> bool:
-        """Move to the next page at the end of the current one; returns whether there is another item."""
+        """Move to the next page at the end of the current one; returns whether there is another item.
+
+        A table without pages is read as a single page.
+        """
         if self._pages is None:
             self._pages = iter([None] if self._table.page_items is None else self._table.items())
         while self._position >= len(self._items):
