--- a/thornshelf/errors.py
+++ b/thornshelf/errors.py
@@ -125,7 +125,7 @@
     """The fleet's key file can't be used."""
 
     code = "TS4001"
-    meaning = "The fleet's key file can't be read, is too short, or may be read by others."
+    meaning = "The fleet's key file can't be read, has the wrong size, or is accessible to other users."
     remedy = "Create it with `head -c 32 /dev/urandom > fleet.key` and `chmod 600 fleet.key`; all members share it."
 
 
@@ -148,7 +148,7 @@
 
 @register
 class TruncatedDatagramError(RejectedDatagramError):
-    """A datagram is shorter than its header or than its header states."""
+    """A datagram is shorter than its header, or was truncated."""
 
     code = "TS4010"
     reason = "truncated"
