--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -23,7 +23,7 @@
 
 
 def read_layers() -> dict[str, int]:
-    """The number of the layer of each package, from the table on the page."""
+    """Returns the number of the layer of each package, from the table on the page."""
     table = PAGE.partition("<!-- layers")[2].partition("\n## ")[0]
     rows = re.findall(r"^\| (\d+) \| ([^|]+) \|", table, re.MULTILINE)
     return {name: int(layer) for layer, packages in rows for name in re.findall(r"`(\w+)`", packages)}
@@ -33,7 +33,7 @@
 
 
 def resolve(name: str) -> object:
-    """The module, or the object in a module, that has a dotted name."""
+    """Returns the module, or the object in a module, that has a dotted name."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         try:
@@ -47,7 +47,7 @@
 
 
 def package_of(path: Path) -> str:
-    """The package directly under ``thornshelf`` that contains a file, or the module directly under it."""
+    """Returns the package directly under ``thornshelf`` that contains a file, or the module if it is not in one."""
     return path.relative_to(PACKAGE).parts[0].removesuffix(".py")
 
 
@@ -56,7 +56,7 @@
 
 
 def imports(node: ast.AST) -> Iterator[str]:
-    """The packages of this project that a module imports at run time, including imports in functions."""
+    """Yields the project's packages that a module imports at run time, including in functions."""
     for child in ast.iter_child_nodes(node):
         if is_for_type_checkers(child):
             continue
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -45,7 +45,7 @@
 
 
 def numbers_table(count: int, name: str = "numbers") -> Table:
-    """A table whose rows are a number and a text; every tenth item has disappeared and gives no row."""
+    """Returns a table of numbers and texts, in which every tenth item has disappeared and gives no row."""
     columns = declare_columns(("n", INTEGER, "a number"), ("text", TEXT, "a text"))
     return Table(
         name, "numbers", columns, lambda: range(count), lambda n: None if n % 10 == 9 else (n, f"t{n}")
@@ -207,7 +207,7 @@
 
 
 def expected_numbers(count: int) -> list[int]:
-    """The numbers of the rows in a table with so many items."""
+    """Returns the numbers in the rows of ``numbers_table(count)``."""
     return [n for n in range(count) if n % 10 != 9]
 
 
@@ -474,7 +474,7 @@
 
 
 def make_engine(limits: QueryLimits = ONE_SECOND, **options: Any) -> tuple[QueryEngine, FakeControlClient]:
-    """An engine over two nodes; ``options`` are those of the client."""
+    """Returns an engine whose client has two nodes, and the client; ``options`` are passed to the client."""
     client = FakeControlClient(
         {"nodes": [{"node": HOSTILE_NAME, "health": "up"}, {"node": "b", "health": "draining"}], "t": []},
         **options,
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Each error has a base class, a code and a remedy, imports have no cycles, and configuration errors name the key."""
+"""Errors share a base class and have a code and a remedy; imports have no cycles; configuration errors name the key."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def subclasses(error: type[BaseException]) -> Iterator[type[BaseException]]:
-    """All direct and indirect subclasses."""
+    """Yields all direct and indirect subclasses."""
     for subclass in error.__subclasses__():
         yield subclass
         yield from subclasses(subclass)
 
 
 def syntax_nodes(path: Path) -> Iterator[ast.AST]:
-    """All nodes of a module's syntax tree."""
+    """Yields all nodes of a module's syntax tree."""
     return ast.walk(ast.parse(path.read_text()))
 
 
@@ -85,7 +85,7 @@
 
 
 def imports(path: Path) -> set[str]:
-    """The modules of the program that a module imports, including imports in functions and for type checkers."""
+    """Returns the program's modules that a module imports, including in functions and for type checkers."""
     imported = set()
     for node in syntax_nodes(path):
         if isinstance(node, ast.ImportFrom) and node.module and node.module.startswith("thornshelf"):
--- a/thornshelf/components/control_socket.py
+++ b/thornshelf/components/control_socket.py
@@ -13,10 +13,10 @@
 PEER_CREDENTIALS = struct.Struct("3i")  # struct ucred of SO_PEERCRED: process, user and group ids
 
 _BACKLOG = 64
-_OTHERS_WRITE = stat.S_IWGRP | stat.S_IWOTH
+_NON_OWNER_WRITE = stat.S_IWGRP | stat.S_IWOTH
 _SOCKET_MODE = 0o600
 _SOCKET_UMASK = 0o177
-_ROOT = 0
+_ROOT_USER_ID = 0
 _CONNECT_TIMEOUT_S = 1.0
 
 
@@ -49,8 +49,8 @@
 def is_allowed_peer(sock: socket.socket) -> bool:
     """Returns whether the peer of a connection runs as this process's user or as root."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
-    _, user, _ = PEER_CREDENTIALS.unpack(credentials)
-    return user in (_ROOT, os.geteuid())
+    _, user_id, _ = PEER_CREDENTIALS.unpack(credentials)
+    return user_id in (_ROOT_USER_ID, os.geteuid())
 
 
 def _check_folder(folder: Path) -> None:
@@ -59,8 +59,8 @@
     except OSError as error:
         raise ControlSocketError(f"control.socket: {folder}: {error.strerror}") from None
     # In a sticky directory such as /tmp, other users can't replace this user's files.
-    can_others_write = status.st_mode & _OTHERS_WRITE and not status.st_mode & stat.S_ISVTX
-    if status.st_uid not in (_ROOT, os.geteuid()) or can_others_write:
+    can_others_write = status.st_mode & _NON_OWNER_WRITE and not status.st_mode & stat.S_ISVTX
+    if status.st_uid not in (_ROOT_USER_ID, os.geteuid()) or can_others_write:
         raise ControlSocketError(f"control.socket: {folder}: another user may write there")
 
 
