--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Errors share a base class and have a code and a remedy; imports have no cycles; configuration errors name the key."""
+"""Errors share a base class and have codes and remedies, imports have no cycles, and config errors name the key."""
 
 from __future__ import annotations
 
--- a/thornshelf/configuration/schema.py
+++ b/thornshelf/configuration/schema.py
@@ -36,6 +36,7 @@
     collector: str | None = None  # udp:host:port or tcp:host:port
 
 
+# How the translation layer treats the tasks of one class.
 class ClassTable(Struct, forbid_unknown_fields=True):
     """What holds for the tasks of one class between the forms."""
 
@@ -44,6 +45,7 @@
     assumed_hint_ms: Milliseconds | None = None
 
 
+# Retry budgets, and the queue and the Retry-After jitter of requests.
 class RetryTable(Struct, forbid_unknown_fields=True):
     """Further attempts, and when refused tasks come again."""
 
@@ -74,6 +76,7 @@
     retries: RetryTable | None = None
 
 
+# Admission control for the sources in one network prefix.
 class RuleTable(Struct, forbid_unknown_fields=True):
     """One prefix at the door. The limits hold for all of it together, those that begin with each_ for each source."""
 
@@ -90,6 +93,7 @@
     each_set_ups_per_s: Positive | None = None
 
 
+# The fair queue, which divides capacity between tenants by weight.
 class SharesTable(Struct, forbid_unknown_fields=True):
     """Counties by share when more comes than can be placed."""
 
@@ -101,6 +105,7 @@
     returns_per_s: Positive = 200  # rejected clients that are told to return per second
 
 
+# The floor of each kind of file descriptor: the number that other kinds never use.
 class DescriptorsTable(Struct, forbid_unknown_fields=True):
     """Descriptors that no other kind can take."""
 
@@ -112,6 +117,7 @@
     spare: Annotated[int, Meta(ge=0, le=100)] = 1
 
 
+# Admission control of connections and requests.
 class Admission(Struct, forbid_unknown_fields=True):
     """The door."""
 
@@ -130,6 +136,7 @@
     descriptors: DescriptorsTable = msgspec.field(default_factory=DescriptorsTable)
 
 
+# The policies that use the fleet's membership.
 class FleetUses(Struct, forbid_unknown_fields=True):
     """What the view is used for; each may be off by itself."""
 
@@ -140,6 +147,7 @@
     messages: bool = True  # the decision modules exchange gossip
 
 
+# The membership protocol between dispatchers.
 class Fleet(Struct, forbid_unknown_fields=True):
     """The view of the fleet that the dispatchers keep themselves."""
 
