--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""Curves, rows and the page that is made of them."""
+"""Tests of the capacity report: curve fitting, rows, the published page, and the pass criteria of a run."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from thornshelf.capacity import page
 from thornshelf.capacity.curves import Curve, Point, Slope, fit
 from thornshelf.capacity.report import Report, last_line, read
-from thornshelf.capacity.roles import CANNOT, ROWS
-from thornshelf.capacity.rows import MISSING, Aspect, Budget, Row, missing_first
-from thornshelf.capacity.target import TODAY, Target, at_target, dispatchers_needed
+from thornshelf.capacity.roles import MISSING_FEATURES, ROWS
+from thornshelf.capacity.rows import MISSING, Aspect, Budget, Row, first_bottleneck
+from thornshelf.capacity.target import CURRENT_DEPLOYMENT, Target, dispatchers_needed, target_deployment
 from thornshelf.cli import cli
 from thornshelf.errors import CapacityError, ResourceLimitError
 from thornshelf.lab.scale.bounds import Bounds
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope="module")
 def report() -> Report:
-    """The run that the page is made of."""
+    """The published report."""
     return read(DOCS / "capacity.json")
 
 
@@ -39,38 +39,38 @@
 def test_a_curve_is_found_by_the_smaller_sizes_and_predicts_the_largest(
     curve: Curve, b: float, seed: int
 ) -> None:
-    chance = random.Random(seed)
-    points = [Point(x, (100.0 + b * curve.term(x)) * chance.uniform(0.99, 1.01)) for x in XS]
-    found = fit("q", "quantity", "unit", "nodes", points)
-    assert found.curve is curve
-    assert found.held_out.x == XS[-1]
-    assert found.held_out_error < 0.05
-    assert found.fit_error < 0.05
-    assert found.at(XS[-1]) == pytest.approx(points[-1].y, rel=0.05)
+    rng = random.Random(seed)
+    points = [Point(x, (100.0 + b * curve.term(x)) * rng.uniform(0.99, 1.01)) for x in XS]
+    result = fit("q", "quantity", "unit", "nodes", points)
+    assert result.curve is curve
+    assert result.held_out.x == XS[-1]
+    assert result.held_out_error < 0.05
+    assert result.fit_error < 0.05
+    assert result.at(XS[-1]) == pytest.approx(points[-1].y, rel=0.05)
 
 
 def test_one_outlying_point_does_not_make_a_rising_curve_flat() -> None:
-    """Points of a run: the last of the fit was a third too low. Which curve rises so can not be told by them."""
+    """Measured points whose last fitted one is a third too low; either slowly rising curve is acceptable."""
     ys = (2834.0, 3643.0, 7885.0, 19933.0, 35858.0, 37592.0, 62735.0)
     points = [Point(x, y) for x, y in zip((14, 200, 1000, 4000, 9000, 13500, 18000), ys, strict=True)]
-    found = fit("q", "quantity", "unit", "nodes", points, floor=2_000.0)
-    assert found.curve in (Curve.LINEAR, Curve.SQUARE_ROOT)
-    assert found.held_out_error < 0.5
+    result = fit("q", "quantity", "unit", "nodes", points, floor=2_000.0)
+    assert result.curve in (Curve.LINEAR, Curve.SQUARE_ROOT)
+    assert result.held_out_error < 0.5
 
 
 def test_a_step_beyond_the_fitted_sizes_shows_as_an_error() -> None:
-    """The held-out point takes no part in the fit."""
+    """The held-out point must not influence the fit."""
     points = [Point(x, x * (3.0 if x > 5_000 else 1.0)) for x in XS]
-    found = fit("q", "quantity", "unit", "nodes", points)
-    assert found.fit_error < 0.01
-    assert found.held_out_error > 0.6
+    result = fit("q", "quantity", "unit", "nodes", points)
+    assert result.fit_error < 0.01
+    assert result.held_out_error > 0.6
 
 
 def test_differences_below_the_resolution_are_no_error() -> None:
     points = [Point(x, y) for x, y in zip(XS, (3.0, 9.0, 1.0, 7.0, 2.0), strict=True)]
-    found = fit("q", "quantity", "unit", "nodes", points, floor=100.0)
-    assert found.curve is Curve.CONSTANT
-    assert found.held_out_error < 0.1
+    result = fit("q", "quantity", "unit", "nodes", points, floor=100.0)
+    assert result.curve is Curve.CONSTANT
+    assert result.held_out_error < 0.1
 
 
 def test_three_points_and_one_held_out_are_too_few() -> None:
@@ -82,27 +82,29 @@
     target = Target()
     assert dispatchers_needed(target, 1_000.0) == 56
     assert dispatchers_needed(target, 60_000.0) == 113
-    assert at_target(target, 56).starts_per_s == pytest.approx(16.8, abs=0.1)
-    assert at_target(target, 112).standing == pytest.approx(at_target(target, 56).standing / 2)
+    assert target_deployment(target, 56).starts_per_s == pytest.approx(16.8, abs=0.1)
+    assert target_deployment(target, 112).standing == pytest.approx(
+        target_deployment(target, 56).standing / 2
+    )
 
 
-def a_row(role: str, factor: float | None, waits_for: str = "") -> Row:
+def make_row(role: str, factor: float | None, waits_for: str = "") -> Row:
     return Row(role, Aspect.MEMORY, "KB", "s", "m", 1.0, 2.0, 3.0, 4.0, factor=factor, waits_for=waits_for)
 
 
 def test_the_row_that_others_wait_for_goes_before_the_greatest_factor() -> None:
     rows = [
-        a_row("a", 9.0, "b"),
-        a_row("b", 2.0),
-        a_row("c", 5.0, "b"),
-        a_row("d", 0.5, "a"),
-        a_row("e", None, "a"),
+        make_row("a", 9.0, "b"),
+        make_row("b", 2.0),
+        make_row("c", 5.0, "b"),
+        make_row("d", 0.5, "a"),
+        make_row("e", None, "a"),
     ]
-    first = missing_first(rows)
+    first = first_bottleneck(rows)
     assert first is not None
     assert first.role == "b"
-    assert missing_first([a_row("a", 2.0), a_row("b", 3.0)]) == a_row("b", 3.0)
-    assert missing_first([a_row("a", 0.9), a_row("b", None)]) is None
+    assert first_bottleneck([make_row("a", 2.0), make_row("b", 3.0)]) == make_row("b", 3.0)
+    assert first_bottleneck([make_row("a", 0.9), make_row("b", None)]) is None
 
 
 # the page
@@ -121,8 +123,8 @@
         assert row.mechanism
         assert row.mechanism != MISSING
     text = (DOCS / "CAPACITY.md").read_text()
-    for one in CANNOT:
-        assert f"| {one.role} | {one.wanted} | {MISSING} |" in text
+    for feature in MISSING_FEATURES:
+        assert f"| {feature.role} | {feature.requirement} | {MISSING} |" in text
 
 
 def test_the_run_behind_the_page_is_a_full_one_that_passed(report: Report) -> None:
@@ -134,20 +136,25 @@
 
 
 def test_the_rows_follow_from_the_slopes_of_the_file(report: Report) -> None:
-    """No figure by hand: each is its slope at the target, times its rate."""
-    scene = at_target(report.target, report.dispatchers)
-    for terms, row in zip(ROWS, report.rows, strict=True):
-        slope = report.slopes[terms.slope]
-        rate = getattr(scene, terms.times)
-        assert row.at_target == pytest.approx(slope.at(getattr(scene, slope.variable)) * rate)
+    """Guards against figures edited by hand."""
+    deployment = target_deployment(report.target, report.dispatchers)
+    for definition, row in zip(ROWS, report.rows, strict=True):
+        slope = report.slopes[definition.slope]
+        rate = getattr(deployment, definition.rate_field)
+        assert row.at_target == pytest.approx(slope.at(getattr(deployment, slope.variable)) * rate)
         assert row.today == pytest.approx(
-            slope.at(getattr(TODAY, slope.variable)) * getattr(TODAY, terms.times)
+            slope.at(getattr(CURRENT_DEPLOYMENT, slope.variable))
+            * getattr(CURRENT_DEPLOYMENT, definition.rate_field)
         )
-        if terms.budget is not None:
-            assert row.factor == pytest.approx(row.at_target / terms.budget.limit(report.target))
+        if definition.budget is not None:
+            assert row.factor == pytest.approx(row.at_target / definition.budget.limit(report.target))
     for budget, total in zip(Budget, report.totals, strict=True):
-        mine = [row.at_target for terms, row in zip(ROWS, report.rows, strict=True) if terms.budget is budget]
-        assert total.at_target == pytest.approx(sum(mine))
+        costs = [
+            row.at_target
+            for definition, row in zip(ROWS, report.rows, strict=True)
+            if definition.budget is budget
+        ]
+        assert total.at_target == pytest.approx(sum(costs))
 
 
 def test_a_page_that_lacks_a_table_or_names_another_is_refused(report: Report) -> None:
@@ -206,6 +213,6 @@
 
 
 def test_the_command_names_its_injected_faults() -> None:
-    found = CliRunner().invoke(cli, ["lab", "scale", "--help"])
-    assert found.exit_code == 0
-    assert all(plant in found.output for plant in ("all-to-all", "leak", "hold-all"))
+    result = CliRunner().invoke(cli, ["lab", "scale", "--help"])
+    assert result.exit_code == 0
+    assert all(fault in result.output for fault in ("all-to-all", "leak", "hold-all"))
--- a/thornshelf/capacity/__init__.py
+++ b/thornshelf/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What the program costs as it grows: fitted curves, the target size, and the page that compares the two. No I/O."""
+"""Capacity planning: cost curves fitted to measurements, their values at the target size, and the report page."""
--- a/thornshelf/capacity/curves.py
+++ b/thornshelf/capacity/curves.py
@@ -1,4 +1,4 @@
-"""Curves of one variable, fitted to measured points by least squares, and judged by a point that was held out."""
+"""Fits cost curves of one variable to measurements and validates each against a held-out point."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from thornshelf.errors import CapacityError
 
-SIMPLER = 0.5  # a steeper curve is preferred where its error is less than this part of the flatter ones'
-CLOSE = 0.03  # a curve that does this well is kept in any case: noise must not choose a steeper one
-LEAST_POINTS = 4
+MAX_ERROR_RATIO = 0.5  # a steeper curve replaces a flatter one only if it reduces the error below this share
+SUFFICIENT_ERROR = 0.03  # a curve with at most this error is kept, so that noise cannot select a steeper one
+MIN_FIT_POINTS = 4
 
 
 class Curve(enum.Enum):
-    """How a cost grows with its variable x; the simplest first."""
+    """The formulas that can be fitted, from the slowest growth to the fastest."""
 
     CONSTANT = "a"
     LINEAR = "a + b x"
@@ -26,7 +26,7 @@
     QUADRATIC = "a + b x^2"
 
     def term(self, x: float) -> float:
-        """What the coefficient b multiplies."""
+        """Returns the term that coefficient b multiplies."""
         match self:
             case Curve.CONSTANT:
                 return 0.0
@@ -42,8 +42,8 @@
                 return x * x
 
 
-# The flattest first. Those of the second rank have as many coefficients, and none runs away beyond its points.
-_RANKS = (
+# From the flattest to the steepest. Curves of one rank are compared by their error alone.
+_CURVE_RANKS = (
     (Curve.CONSTANT,),
     (Curve.LINEAR, Curve.SQUARE_ROOT, Curve.LOGARITHMIC),
     (Curve.LINEARITHMIC,),
@@ -52,17 +52,17 @@
 
 
 class Point(msgspec.Struct, frozen=True, array_like=True):
-    """A measurement: the variable and the quantity."""
+    """One measurement: the value of the variable and of the quantity."""
 
     x: float
     y: float
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A fitted quantity.
+    """A quantity with the cost curve fitted to its measurements.
 
-    ``floor`` is the smallest difference that counts; errors are relative to the measured value, or to the floor where
-    that is greater.
+    ``name`` is its key in the report. ``floor`` is the resolution of the measurement, in ``unit``: an error is
+    relative to the measured value or to the floor, whichever is greater.
     """
 
     name: str
@@ -79,27 +79,27 @@
     floor: float
 
     def at(self, x: float) -> float:
-        """The quantity at a value of the variable; never below 0."""
+        """Returns the predicted quantity at a value of the variable, at least 0."""
         return max(0.0, self.a + self.b * self.curve.term(x))
 
     @property
     def text(self) -> str:
-        """The formula with its coefficients."""
+        """The formula with its coefficients, for people."""
         if self.curve is Curve.CONSTANT:
             return f"{self.a:.4g}"
         formula = self.curve.value.removeprefix("a + b ")
         return f"{self.a:.4g} {'-' if self.b < 0 else '+'} {abs(self.b):.4g} {formula}"
 
 
-def relative(error: float, value: float, floor: float) -> float:
-    """An error as a part of the value, or of the floor where the value is below it; 0 where both are 0."""
+def relative_error(error: float, value: float, floor: float) -> float:
+    """Returns an error as a share of the value or the floor, whichever is greater; 0 if both are 0."""
     scale = max(abs(value), floor)
     return abs(error) / scale if scale > 0.0 else 0.0
 
 
-def _solve(curve: Curve, points: Sequence[Point], floor: float) -> tuple[float, float, float]:
-    """Coefficients a and b of least squares of the relative errors, and the root of their mean square."""
-    import numpy as np  # of the extra ``lab``
+def _least_squares(curve: Curve, points: Sequence[Point], floor: float) -> tuple[float, float, float]:
+    """Minimizes the squared relative errors; returns coefficients a and b and the root mean square error."""
+    import numpy as np  # installed by the extra ``lab``
 
     weights = np.array([1.0 / max(abs(point.y), floor, 1e-9) for point in points])
     columns = [np.ones(len(points))]
@@ -107,40 +107,42 @@
         columns.append(np.array([curve.term(point.x) for point in points]))
     matrix = np.stack(columns, axis=1)
     values = np.array([point.y for point in points])
-    found, *_ = np.linalg.lstsq(matrix * weights[:, None], values * weights, rcond=None)
-    a, b = float(found[0]), float(found[1]) if len(found) > 1 else 0.0
-    errors = [relative(a + b * curve.term(point.x) - point.y, point.y, floor) for point in points]
+    coefficients, *_ = np.linalg.lstsq(matrix * weights[:, None], values * weights, rcond=None)
+    a, b = float(coefficients[0]), float(coefficients[1]) if len(coefficients) > 1 else 0.0
+    errors = [relative_error(a + b * curve.term(point.x) - point.y, point.y, floor) for point in points]
     return a, b, math.sqrt(sum(error * error for error in errors) / len(errors))
 
 
-def _judge(curve: Curve, points: Sequence[Point], floor: float) -> float:
-    """The mean of two errors: of the fit, and of the last point where the others alone are fitted."""
+def _selection_error(curve: Curve, points: Sequence[Point], floor: float) -> float:
+    """Returns the mean of the fit error and of the error at the last point when only the others are fitted."""
     *earlier, last = points
-    a, b, _ = _solve(curve, earlier, floor)
+    a, b, _ = _least_squares(curve, earlier, floor)
     predicted = max(0.0, a + b * curve.term(last.x))
-    return (_solve(curve, points, floor)[2] + relative(predicted - last.y, last.y, floor)) / 2.0
+    return (_least_squares(curve, points, floor)[2] + relative_error(predicted - last.y, last.y, floor)) / 2.0
 
 
 def fit(
     name: str, quantity: str, unit: str, variable: str, points: Sequence[Point], floor: float = 0.0
 ) -> Slope:
-    """Fit all points but the one of the largest x, which is held out and predicted.
+    """Fit a curve to all points but the one with the largest x, which is held out to validate the prediction.
 
-    The curve is the flattest that does well at two things: fitting these points, and predicting the last of them
-    from the others. Raises ``CapacityError`` where fewer than four points remain for the fit.
+    Selects the flattest curve that fits these points and extrapolates from the earlier ones to the last.
+    Raises ``CapacityError`` if fewer than four points remain for the fit.
     """
     ordered = sorted(points, key=lambda point: point.x)
-    used, held_out = ordered[:-1], ordered[-1]
-    if len(used) < LEAST_POINTS:
-        raise CapacityError(f"{name}: {len(used)} points to fit, where {LEAST_POINTS} are asked")
-    chosen, least = Curve.CONSTANT, math.inf
-    for rank in _RANKS:
-        error, curve = min(((_judge(one, used, floor), one) for one in rank), key=lambda judged: judged[0])
-        if least > CLOSE and error < SIMPLER * least:
-            chosen, least = curve, error
-    a, b, error = _solve(chosen, used, floor)
+    fitted, held_out = ordered[:-1], ordered[-1]
+    if len(fitted) < MIN_FIT_POINTS:
+        raise CapacityError(f"{name}: {len(fitted)} points to fit, at least {MIN_FIT_POINTS} are required")
+    chosen, least_error = Curve.CONSTANT, math.inf
+    for rank in _CURVE_RANKS:
+        error, curve = min(
+            ((_selection_error(one, fitted, floor), one) for one in rank), key=lambda pair: pair[0]
+        )
+        if least_error > SUFFICIENT_ERROR and error < MAX_ERROR_RATIO * least_error:
+            chosen, least_error = curve, error
+    a, b, error = _least_squares(chosen, fitted, floor)
     predicted = max(0.0, a + b * chosen.term(held_out.x))
-    held_out_error = relative(predicted - held_out.y, held_out.y, floor)
+    held_out_error = relative_error(predicted - held_out.y, held_out.y, floor)
     return Slope(
         name=name,
         quantity=quantity,
@@ -149,7 +151,7 @@
         curve=chosen,
         a=a,
         b=b,
-        points=list(used),
+        points=list(fitted),
         held_out=held_out,
         fit_error=round(error, 4),
         held_out_error=round(held_out_error, 4),
--- a/thornshelf/capacity/report.py
+++ b/thornshelf/capacity/report.py
@@ -1,4 +1,4 @@
-"""The result of a scale run: what docs/capacity.json holds, and whether the run passed."""
+"""The report of a scale run, stored as docs/capacity.json, and its pass criteria."""
 
 from __future__ import annotations
 
@@ -9,17 +9,23 @@
 
 from thornshelf.capacity.curves import Slope
 from thornshelf.capacity.roles import ROWS
-from thornshelf.capacity.rows import Row, RowTerms, missing_first, totals, work_out
-from thornshelf.capacity.target import TODAY, Scene, Target, at_target, dispatchers_needed
+from thornshelf.capacity.rows import Row, RowDefinition, compute_rows, first_bottleneck, totals
+from thornshelf.capacity.target import (
+    CURRENT_DEPLOYMENT,
+    Deployment,
+    Target,
+    dispatchers_needed,
+    target_deployment,
+)
 from thornshelf.errors import CapacityError
 
-MOST_HELD_OUT_ERROR = 0.25  # of a slope with a budget
-SUBSET = "_subset"
-MECHANISM = "subsetting by zone"
+MAX_HELD_OUT_ERROR = 0.25  # for slopes of rows with a budget
+SUBSET_SUFFIX = "_subset"
+MECHANISM_NAME = "subsetting by zone"
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """What the figures were taken on."""
+    """The machine that the measurements were made on."""
 
     processor: str
     cores: int
@@ -29,7 +35,7 @@
 
 
 class Mechanism(msgspec.Struct, frozen=True):
-    """The mechanism that was missing first: its row's figure at the target without it and with it."""
+    """The cost of the first row over budget at the target, before and after subsetting."""
 
     name: str
     role: str
@@ -45,7 +51,11 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """One scale run."""
+    """The results of one scale run; the field names are keys of docs/capacity.json.
+
+    ``rows`` and ``totals`` are for a dispatcher that holds all nodes, ``rows_with`` and ``totals_with`` for one with
+    a subset. ``real`` counts real dispatchers.
+    """
 
     machine: Machine
     seed: int
@@ -75,93 +85,98 @@
 
     @property
     def errors(self) -> list[str]:
-        """Why the run did not pass; empty where it did."""
-        found = list(self.rules_broken)
-        found += [f"{self.lost} tasks lost"] if self.lost else []
-        found += [f"{self.doubled} tasks doubled"] if self.doubled else []
+        """The reasons why the run failed; empty if it passed."""
+        reasons = list(self.rules_broken)
+        reasons += [f"{self.lost} tasks lost"] if self.lost else []
+        reasons += [f"{self.doubled} tasks doubled"] if self.doubled else []
         budgeted = {row.slope for row in [*self.rows, *self.rows_with] if row.budget is not None}
         for name in sorted(budgeted):
             error = self.slopes[name].held_out_error
-            if error > MOST_HELD_OUT_ERROR:
-                found.append(f"{name}: the held-out point is missed by {error:.0%}")
-        return found
+            if error > MAX_HELD_OUT_ERROR:
+                reasons.append(f"{name}: the held-out point is missed by {error:.0%}")
+        return reasons
 
 
-def rows_of(
-    slopes: Mapping[str, Slope], target: Target, scenes: Sequence[Scene], suffix: str = ""
+def rows_and_totals(
+    slopes: Mapping[str, Slope], target: Target, deployments: Sequence[Deployment], suffix: str = ""
 ) -> tuple[list[Row], list[Row]]:
-    """All rows and the totals; ``suffix``: of the slopes that are to be used where there are such."""
-    terms: list[RowTerms] = [
+    """Compute all rows and their totals.
+
+    A slope whose name has ``suffix`` replaces the one without. Raises ``CapacityError`` if a slope is missing.
+    """
+    definitions: list[RowDefinition] = [
         msgspec.structs.replace(one, slope=one.slope + suffix) if one.slope + suffix in slopes else one
         for one in ROWS
     ]
-    if unknown := [one.slope for one in terms if one.slope not in slopes]:
-        raise CapacityError(f"no slope is called {unknown[0]}")
-    rows = work_out(terms, slopes, target, TODAY, scenes)
-    return rows, totals(rows, terms, target)
+    if unknown := [one.slope for one in definitions if one.slope not in slopes]:
+        raise CapacityError(f"slope {unknown[0]!r} is missing")
+    rows = compute_rows(definitions, slopes, target, CURRENT_DEPLOYMENT, deployments)
+    return rows, totals(rows, definitions, target)
 
 
-def judge(*, slopes: dict[str, Slope], **run: object) -> Report:
-    """Work out all rows, with all nodes held and with a subset, and what was missing first."""
+def build_report(*, slopes: dict[str, Slope], **run_fields: object) -> Report:
+    """Build a report from measured slopes and the other fields of the run, computing all rows for the target."""
     target = Target()
-    start_us = slopes["start_us" + SUBSET].at(target.nodes) if "start_us" + SUBSET in slopes else 0.0
-    start_us = start_us or slopes["start_us"].at(target.zone_nodes)
-    count = dispatchers_needed(target, start_us)
-    counts = (count, max(1, count // 2), 2 * count)
-    scenes = [at_target(target, dispatchers) for dispatchers in counts]
-    rows, sums = rows_of(slopes, target, scenes)
-    rows_with, sums_with = rows_of(slopes, target, scenes, SUBSET)
+    start_us = (
+        slopes["start_us" + SUBSET_SUFFIX].at(target.nodes) if "start_us" + SUBSET_SUFFIX in slopes else 0.0
+    )
+    start_us = start_us or slopes["start_us"].at(target.nodes_per_zone)
+    dispatchers_at_target = dispatchers_needed(target, start_us)
+    counts = (dispatchers_at_target, max(1, dispatchers_at_target // 2), 2 * dispatchers_at_target)
+    deployments = [target_deployment(target, dispatchers) for dispatchers in counts]
+    rows, row_totals = rows_and_totals(slopes, target, deployments)
+    rows_with, row_totals_with = rows_and_totals(slopes, target, deployments, SUBSET_SUFFIX)
     values: dict[str, object] = {
         "target": target,
-        "dispatchers": count,
+        "dispatchers": dispatchers_at_target,
         "start_us": start_us,
         "slopes": slopes,
         "rows": rows,
-        "totals": sums,
+        "totals": row_totals,
         "rows_with": rows_with,
-        "totals_with": sums_with,
-        "mechanism": _mechanism(rows, rows_with, slopes),
+        "totals_with": row_totals_with,
+        "mechanism": _describe_mechanism(rows, rows_with, slopes),
     }
-    return msgspec.convert(values | run, Report, from_attributes=True, strict=False)
+    return msgspec.convert(values | run_fields, Report, from_attributes=True, strict=False)
 
 
-def _mechanism(
+def _describe_mechanism(
     rows: Sequence[Row], rows_with: Sequence[Row], slopes: Mapping[str, Slope]
 ) -> Mechanism | None:
-    first = missing_first(rows)
-    if first is None or first.budget is None:
+    bottleneck = first_bottleneck(rows)
+    if bottleneck is None or bottleneck.budget is None:
         return None
-    after = rows_with[rows.index(first)]
+    after = rows_with[rows.index(bottleneck)]
     return Mechanism(
-        name=MECHANISM,
-        role=first.role,
-        row=first.aspect.value,
-        unit=first.unit,
-        slope_before=slopes[first.slope].text,
+        name=MECHANISM_NAME,
+        role=bottleneck.role,
+        row=bottleneck.aspect.value,
+        unit=bottleneck.unit,
+        slope_before=slopes[bottleneck.slope].text,
         slope_after=slopes[after.slope].text,
-        before=first.at_target,
+        before=bottleneck.at_target,
         after=after.at_target,
-        budget=first.budget,
-        factor_before=first.at_target / first.budget,
-        factor_after=after.at_target / first.budget,
+        budget=bottleneck.budget,
+        factor_before=bottleneck.at_target / bottleneck.budget,
+        factor_after=after.at_target / bottleneck.budget,
     )
 
 
 def read(path: Path) -> Report:
-    """A report from its file."""
+    """Read a report; raises ``CapacityError`` if the file cannot be read or decoded."""
     try:
         return msgspec.json.decode(path.read_bytes(), type=Report)
-    except (OSError, msgspec.DecodeError) as fault:
-        raise CapacityError(f"{path}: {fault}") from None
+    except (OSError, msgspec.DecodeError) as error:
+        raise CapacityError(f"{path}: {error}") from None
 
 
 def encode(report: Report) -> bytes:
-    """A report as its file holds it."""
+    """Encode a report as indented JSON."""
     return msgspec.json.format(msgspec.json.encode(report), indent=1) + b"\n"
 
 
 def last_line(report: Report) -> dict[str, object]:
-    """The object that the run ends with."""
+    """Returns the summary that the command prints as JSON."""
     roles = [
         {
             "role": row.role,
--- a/thornshelf/capacity/roles.py
+++ b/thornshelf/capacity/roles.py
@@ -1,8 +1,11 @@
-"""The roles of a dispatcher and its nodes, with the slopes that their costs come from."""
+"""The rows of the capacity report, by role, and the required features that do not exist yet.
+
+The texts are part of docs/capacity.json and docs/CAPACITY.md.
+"""
 
 from __future__ import annotations
 
-from thornshelf.capacity.rows import Aspect, Budget, MissingRow, RowTerms
+from thornshelf.capacity.rows import Aspect, Budget, MissingFeature, RowDefinition
 
 LIST = "list of nodes"
 LINK = "link to nodes"
@@ -11,8 +14,8 @@
 CONFIGURATION = "configuration"
 START = "hand-over and restart"
 
-ROWS: tuple[RowTerms, ...] = (
-    RowTerms(
+ROWS: tuple[RowDefinition, ...] = (
+    RowDefinition(
         "client front",
         Aspect.TRAFFIC,
         "bytes/s",
@@ -20,7 +23,7 @@
         "starts_per_s",
         "frontends/json_lines.py",
     ),
-    RowTerms(
+    RowDefinition(
         "client front",
         Aspect.MESSAGES,
         "messages/s",
@@ -28,7 +31,7 @@
         "starts_per_s",
         "frontends/json_lines.py",
     ),
-    RowTerms(
+    RowDefinition(
         "client front",
         Aspect.PROCESSOR,
         "us/s",
@@ -36,7 +39,7 @@
         "starts_per_s",
         "frontends, core and nodes together",
     ),
-    RowTerms(
+    RowDefinition(
         PLACING,
         Aspect.PROCESSOR,
         "us/s",
@@ -45,41 +48,45 @@
         "placement/placer.py",
         waits_for=LIST,
     ),
-    RowTerms(
+    RowDefinition(
         PLACING,
         Aspect.STATE,
         "bytes",
         "placement_bytes",
-        "one",
+        "constant",
         "placement/placer.py, machine_index.py",
         waits_for=LIST,
     ),
-    RowTerms(PLACING, Aspect.MEMORY, "bytes", "standing_bytes", "one", "core/task.py, placement/placer.py"),
-    RowTerms(LINK, Aspect.TRAFFIC, "bytes/s", "node_bytes_a_start", "starts_per_s", "nodes/binary.py"),
-    RowTerms(LINK, Aspect.MESSAGES, "messages/s", "node_messages_a_start", "starts_per_s", "nodes/binary.py"),
-    RowTerms(
+    RowDefinition(
+        PLACING, Aspect.MEMORY, "bytes", "standing_bytes", "constant", "core/task.py, placement/placer.py"
+    ),
+    RowDefinition(LINK, Aspect.TRAFFIC, "bytes/s", "node_bytes_a_start", "starts_per_s", "nodes/binary.py"),
+    RowDefinition(
+        LINK, Aspect.MESSAGES, "messages/s", "node_messages_a_start", "starts_per_s", "nodes/binary.py"
+    ),
+    RowDefinition(
         LINK,
         Aspect.STATE,
         "descriptors",
         "descriptors",
-        "one",
+        "constant",
         "nodes/node_connection.py, connection_pool.py",
         waits_for=LIST,
     ),
-    RowTerms(
+    RowDefinition(
         LIST,
         Aspect.MEMORY,
         "KB",
         "held_kb",
-        "one",
+        "constant",
         "core/endpoint_registry.py, nodes, placement",
         Budget.MEMORY,
     ),
-    RowTerms(LIST, Aspect.STATE, "bytes", "list_bytes", "one", "discovery/endpoint_watch.py"),
-    RowTerms(
-        LIST, Aspect.PROCESSOR, "us/s", "rest_us", "one", "loop, core, nodes at rest", Budget.CORE, LIST
+    RowDefinition(LIST, Aspect.STATE, "bytes", "list_bytes", "constant", "discovery/endpoint_watch.py"),
+    RowDefinition(
+        LIST, Aspect.PROCESSOR, "us/s", "rest_us", "constant", "loop, core, nodes at rest", Budget.CORE, LIST
     ),
-    RowTerms(
+    RowDefinition(
         LIST,
         Aspect.PROCESSOR,
         "us/s",
@@ -88,7 +95,7 @@
         "core/endpoint_registry.py, placement/machine_index.py",
         Budget.CORE,
     ),
-    RowTerms(
+    RowDefinition(
         LIST,
         Aspect.TRAFFIC,
         "bytes/s",
@@ -97,30 +104,30 @@
         "discovery/endpoint_watch.py",
         Budget.TRAFFIC,
     ),
-    RowTerms(
+    RowDefinition(
         LIST,
         Aspect.TRAFFIC,
         "bytes/s",
         "rest_bytes",
-        "one",
+        "constant",
         "discovery/endpoint_watch.py, nodes/node_connection.py at rest",
         Budget.TRAFFIC,
     ),
-    RowTerms(
+    RowDefinition(
         VIEW,
         Aspect.TRAFFIC,
         "bytes/s",
         "view_bytes",
-        "one",
+        "constant",
         "membership, components/fleet.py",
         Budget.TRAFFIC,
     ),
-    RowTerms(
-        VIEW, Aspect.MESSAGES, "datagrams/s", "view_datagrams", "one", "membership, components/fleet.py"
+    RowDefinition(
+        VIEW, Aspect.MESSAGES, "datagrams/s", "view_datagrams", "constant", "membership, components/fleet.py"
     ),
-    RowTerms(VIEW, Aspect.PROCESSOR, "us/s", "view_us", "one", "membership", Budget.CORE),
-    RowTerms(VIEW, Aspect.MEMORY, "KB", "view_kb", "one", "membership", Budget.MEMORY),
-    RowTerms(
+    RowDefinition(VIEW, Aspect.PROCESSOR, "us/s", "view_us", "constant", "membership", Budget.CORE),
+    RowDefinition(VIEW, Aspect.MEMORY, "KB", "view_kb", "constant", "membership", Budget.MEMORY),
+    RowDefinition(
         CONFIGURATION,
         Aspect.PROCESSOR,
         "us/s",
@@ -130,50 +137,55 @@
         Budget.CORE,
         LIST,
     ),
-    RowTerms(START, Aspect.TIME, "ms", "start_ms", "one", "service.py", waits_for=LIST),
-    RowTerms(START, Aspect.PROCESSOR, "ms", "start_cpu_ms", "one", "service.py", waits_for=LIST),
-    RowTerms(
-        START, Aspect.STATE, "bytes", "handover_bytes", "one", "core/state_transfer.py, socket_handover.py"
+    RowDefinition(START, Aspect.TIME, "ms", "start_ms", "constant", "service.py", waits_for=LIST),
+    RowDefinition(START, Aspect.PROCESSOR, "ms", "start_cpu_ms", "constant", "service.py", waits_for=LIST),
+    RowDefinition(
+        START,
+        Aspect.STATE,
+        "bytes",
+        "handover_bytes",
+        "constant",
+        "core/state_transfer.py, socket_handover.py",
     ),
-    RowTerms("log", Aspect.TRAFFIC, "bytes/s", "log_bytes_a_start", "starts_per_s", "syslog.py"),
-    RowTerms(
+    RowDefinition("log", Aspect.TRAFFIC, "bytes/s", "log_bytes_a_start", "starts_per_s", "syslog.py"),
+    RowDefinition(
         "questions by the shell",
         Aspect.PROCESSOR,
         "us a question",
         "question_us",
-        "one",
+        "constant",
         "control/tables.py",
         waits_for=LIST,
     ),
-    RowTerms("node", Aspect.STATE, "connections", "node_connections", "one", "the node's own"),
+    RowDefinition("node", Aspect.STATE, "connections", "node_connections", "constant", "the node's own"),
 )
 
-CANNOT: tuple[MissingRow, ...] = (
-    MissingRow(
+MISSING_FEATURES: tuple[MissingFeature, ...] = (
+    MissingFeature(
         "gangs",
         "up to 256 tasks that start together or not at all",
         "An ask with a number of members, all of them placed in one decision, and a message that starts or gives up "
         "all of them together; the protocol has set-ups of one task only.",
     ),
-    MissingRow(
+    MissingFeature(
         "accelerators",
         "25,000 among the nodes, as a resource that is asked for",
         "A third dimension beside cores and memory in asks, reports and prices; `extras` of a set-up and the report "
         "fields have no word for it.",
     ),
-    MissingRow(
+    MissingFeature(
         "urgent work",
         "starts within 1.6 s",
         "A class's aim is known, but nothing that runs may make room: the decision module never ends a task that "
         "stands, and a full fleet refuses.",
     ),
-    MissingRow(
+    MissingFeature(
         "spread of configuration",
         "10,000 changes a day, each in force at every dispatcher within 6 s",
         "A version of the settings, who has it in force, and a way that carries it: today each process reads its own "
         "file at SIGHUP.",
     ),
-    MissingRow(
+    MissingFeature(
         "quotas of teams",
         "74 teams with quotas that hold over all dispatchers",
         "Each dispatcher takes its part of a quota by the number of dispatchers; nothing moves what one leaves "
--- a/thornshelf/capacity/rows.py
+++ b/thornshelf/capacity/rows.py
@@ -1,4 +1,4 @@
-"""The rows of the capacity page: each a quantity of one role, its cost at a size, and the budget it counts in."""
+"""Computes the rows of the capacity report: the cost of one resource of one role, compared with its budget."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 import msgspec
 
 from thornshelf.capacity.curves import Slope
-from thornshelf.capacity.target import Scene, Target
+from thornshelf.capacity.target import Deployment, Target
 
 MISSING = "missing"
 
 
 class Aspect(enum.Enum):
-    """What of a role is counted."""
+    """The resource or quantity that a row measures."""
 
     STATE = "state"
     MESSAGES = "messages"
@@ -25,14 +25,14 @@
 
 
 class Budget(enum.Enum):
-    """What control may spend."""
+    """A resource budget of the control plane: all work except serving tasks."""
 
     CORE = "processor"
     MEMORY = "memory"
     TRAFFIC = "traffic"
 
     def limit(self, target: Target) -> float:
-        """The budget, in the unit of the rows that count in it: us/s, KB, bytes/s."""
+        """Returns the budget in the unit of its rows: us/s, KB or bytes/s."""
         match self:
             case Budget.CORE:
                 return target.control_core_share * 1e6
@@ -42,25 +42,31 @@
                 return target.control_bytes_per_s
 
 
-class RowTerms(msgspec.Struct, frozen=True):
-    """How a row is worked out: the slope at ``variable`` of the scene, times ``times`` of the scene.
+class RowDefinition(msgspec.Struct, frozen=True):
+    """How a row is computed: the value of a slope, multiplied by a rate of the deployment.
 
-    ``mechanism``: the module that carries it, or "missing". ``waits_for``: the role whose cost sets this row's, as
-    what a dispatcher holds of the list sets the number of its links.
+    ``slope`` is a key of the measured slopes and ``rate_field`` a field of ``Deployment``. ``mechanism`` names the
+    modules responsible for the cost. ``waits_for`` is the role whose cost determines this one: the number of nodes in
+    the endpoint list, for example, determines the number of node connections.
     """
 
     role: str
     aspect: Aspect
     unit: str
     slope: str
-    times: str = "one"
+    rate_field: str = "constant"
     mechanism: str = ""
     budget: Budget | None = None
     waits_for: str = ""
 
 
 class Row(msgspec.Struct, frozen=True):
-    """A row with its figures; ``factor``: the figure at the target over its budget, above 1 where it is missed."""
+    """A computed row; its field names are keys of docs/capacity.json.
+
+    ``today`` is the cost of the current deployment; ``at_target``, ``at_half`` and ``at_twice`` are the costs at the
+    target with the derived number of dispatchers, half of it and twice as many. ``factor`` is the cost at the target
+    divided by the budget.
+    """
 
     role: str
     aspect: Aspect
@@ -71,99 +77,108 @@
     at_target: float
     at_half: float
     at_twice: float
-    rate: float = 1.0  # what the slope is multiplied by at the target
+    rate: float = 1.0  # the multiplier of the slope at the target
     budget: float | None = None
     factor: float | None = None
     waits_for: str = ""
 
     @property
     def missed(self) -> bool:
-        """Its budget does not hold at the target."""
+        """Whether the cost at the target exceeds the budget."""
         return self.factor is not None and self.factor > 1.0
 
 
-class MissingRow(msgspec.Struct, frozen=True):
-    """What can't be carried at all, and what it would take."""
+class MissingFeature(msgspec.Struct, frozen=True):
+    """A requirement that no part of the program meets, and the work that it needs."""
 
     role: str
-    wanted: str
-    needs: str
+    requirement: str
+    remedy: str
 
 
-def figure(terms: RowTerms, slopes: Mapping[str, Slope], scene: Scene) -> float:
-    """The row's quantity in a scene."""
-    slope = slopes[terms.slope]
-    variable, times = float(getattr(scene, slope.variable)), float(getattr(scene, terms.times))
-    return slope.at(variable) * times
+def row_cost(definition: RowDefinition, slopes: Mapping[str, Slope], deployment: Deployment) -> float:
+    """Returns the cost of a row in a deployment."""
+    slope = slopes[definition.slope]
+    variable, rate = (
+        float(getattr(deployment, slope.variable)),
+        float(getattr(deployment, definition.rate_field)),
+    )
+    return slope.at(variable) * rate
 
 
-def work_out(
-    terms: Sequence[RowTerms],
+def compute_rows(
+    definitions: Sequence[RowDefinition],
     slopes: Mapping[str, Slope],
     target: Target,
-    today: Scene,
-    scenes: Sequence[Scene],
+    current: Deployment,
+    deployments: Sequence[Deployment],
 ) -> list[Row]:
-    """All rows; ``scenes``: the target with the derived number of dispatchers, with half and with twice as many."""
+    """Compute all rows; ``deployments``: the target with the derived number of dispatchers, half and twice that."""
     rows = []
-    for one in terms:
-        at_target, at_half, at_twice = (figure(one, slopes, scene) for scene in scenes)
-        limit = None if one.budget is None else one.budget.limit(target)
+    for definition in definitions:
+        at_target, at_half, at_twice = (
+            row_cost(definition, slopes, deployment) for deployment in deployments
+        )
+        limit = None if definition.budget is None else definition.budget.limit(target)
         rows.append(
             Row(
-                role=one.role,
-                aspect=one.aspect,
-                unit=one.unit,
-                slope=one.slope,
-                mechanism=one.mechanism,
-                today=figure(one, slopes, today),
+                role=definition.role,
+                aspect=definition.aspect,
+                unit=definition.unit,
+                slope=definition.slope,
+                mechanism=definition.mechanism,
+                today=row_cost(definition, slopes, current),
                 at_target=at_target,
                 at_half=at_half,
                 at_twice=at_twice,
-                rate=getattr(scenes[0], one.times),
+                rate=getattr(deployments[0], definition.rate_field),
                 budget=limit,
                 factor=None if limit is None else at_target / limit,
-                waits_for=one.waits_for,
+                waits_for=definition.waits_for,
             )
         )
     return rows
 
 
-def totals(rows: Sequence[Row], terms: Sequence[RowTerms], target: Target) -> list[Row]:
-    """The sum of each budget's rows: the budget is for all of control together."""
-    found = []
+def totals(rows: Sequence[Row], definitions: Sequence[RowDefinition], target: Target) -> list[Row]:
+    """Sum the rows of each budget, which all of the control plane shares."""
+    sums = []
     aspects = {
         Budget.CORE: Aspect.PROCESSOR,
         Budget.MEMORY: Aspect.MEMORY,
         Budget.TRAFFIC: Aspect.TRAFFIC,
     }
     for budget in Budget:
-        mine = [row for row, one in zip(rows, terms, strict=True) if one.budget is budget]
+        budget_rows = [
+            row for row, definition in zip(rows, definitions, strict=True) if definition.budget is budget
+        ]
         limit = budget.limit(target)
-        at_target = sum(row.at_target for row in mine)
-        found.append(
+        at_target = sum(row.at_target for row in budget_rows)
+        sums.append(
             Row(
                 role="all of control",
                 aspect=aspects[budget],
-                unit=mine[0].unit if mine else "",
-                slope="+".join(row.slope for row in mine),
+                unit=budget_rows[0].unit if budget_rows else "",
+                slope="+".join(row.slope for row in budget_rows),
                 mechanism="the sum of the rows with this budget",
-                today=sum(row.today for row in mine),
+                today=sum(row.today for row in budget_rows),
                 at_target=at_target,
-                at_half=sum(row.at_half for row in mine),
-                at_twice=sum(row.at_twice for row in mine),
+                at_half=sum(row.at_half for row in budget_rows),
+                at_twice=sum(row.at_twice for row in budget_rows),
                 budget=limit,
                 factor=at_target / limit,
             )
         )
-    return found
+    return sums
 
 
-def missing_first(rows: Sequence[Row]) -> Row | None:
-    """The row to be carried next: of those whose budget is missed, the one of the role that most other missed rows
-    wait for; among equals the one of the greatest factor. None where every budget holds."""
+def first_bottleneck(rows: Sequence[Row]) -> Row | None:
+    """Returns the row to improve first, or None if no row exceeds its budget.
+
+    Of the rows over budget, it is the one whose role determines the most others; the greatest factor breaks ties.
+    """
     missed = [row for row in rows if row.missed]
     if not missed:
         return None
-    waiting = {row.role: sum(other.waits_for == row.role for other in missed) for row in missed}
-    return max(missed, key=lambda row: (waiting[row.role], row.factor or 0.0))
+    dependents = {row.role: sum(other.waits_for == row.role for other in missed) for row in missed}
+    return max(missed, key=lambda row: (dependents[row.role], row.factor or 0.0))
--- a/thornshelf/capacity/target.py
+++ b/thornshelf/capacity/target.py
@@ -1,4 +1,4 @@
-"""The sizes that costs are worked out for: today's, and the one that the operators are heading for."""
+"""The deployment sizes that costs are computed for: the current one and the operators' target."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 import msgspec
 
-DAY_S = 86_400.0
-USED_SHARE = 0.5  # of a core that serving may take at the peak: the rest bears restarts and lost zones
-DISPATCHERS_A_ZONE = 2  # at least, so that a zone keeps one while the other restarts
+SECONDS_PER_DAY = 86_400.0
+MAX_SERVING_SHARE = 0.5  # of a core, at peak load; the rest is headroom for restarts and zone failures
+MIN_DISPATCHERS_PER_ZONE = 2  # one keeps serving while the other restarts
 
 
 class Target(msgspec.Struct, frozen=True):
-    """The operators' figures, under this project's words.
+    """The operators' target size; the field names are keys of docs/capacity.json.
 
-    ``control_*``: what a dispatcher may spend on anything but serving tasks: a share of a core, MB, bytes a second.
+    The fields ``control_*`` are the budgets of one dispatcher for everything except serving tasks.
     """
 
     nodes: int = 18_000
@@ -37,23 +37,27 @@
     replacements_a_day: int = 1_100
 
     @property
-    def zone_nodes(self) -> int:
-        """Nodes of one zone, where all are alike."""
+    def nodes_per_zone(self) -> int:
+        """Nodes in one zone, with nodes spread evenly."""
         return math.ceil(self.nodes / self.zones)
 
     @property
     def list_changes_per_s(self) -> float:
-        """Changes of the list of nodes: a failure goes and comes back, a replacement drains, goes and comes."""
-        return (2 * self.failures_a_day + 3 * self.replacements_a_day) / DAY_S
+        """Changes of the endpoint list: two for a failed node that returns, three for one that is replaced."""
+        return (2 * self.failures_a_day + 3 * self.replacements_a_day) / SECONDS_PER_DAY
 
     @property
     def configuration_changes_per_s(self) -> float:
-        """Spread evenly over the day."""
-        return self.configuration_changes_a_day / DAY_S
+        """Average rate over a day."""
+        return self.configuration_changes_a_day / SECONDS_PER_DAY
 
 
-class Scene(msgspec.Struct, frozen=True):
-    """One size: the variables that costs are functions of. Rates are for one dispatcher unless they say otherwise."""
+class Deployment(msgspec.Struct, frozen=True):
+    """The size and load of a deployment, as one dispatcher sees it: costs are functions of these fields.
+
+    ``standing`` counts running tasks and ``starts_per_s`` task starts, both of one dispatcher. Slopes and rows refer
+    to the fields by name. ``constant`` is the multiplier of rows without a rate.
+    """
 
     nodes: float
     dispatchers: float
@@ -61,38 +65,38 @@
     starts_per_s: float
     list_changes_per_s: float
     configuration_changes_per_s: float
-    zone_nodes: float
-    one: float = 1.0
+    nodes_per_zone: float
+    constant: float = 1.0
 
 
-TODAY = Scene(
+CURRENT_DEPLOYMENT = Deployment(
     nodes=14,
     dispatchers=2,
     standing=14 * 30,
     starts_per_s=25,
-    list_changes_per_s=3 * 14 / DAY_S,
-    configuration_changes_per_s=1 / DAY_S,
-    zone_nodes=14,
+    list_changes_per_s=3 * 14 / SECONDS_PER_DAY,
+    configuration_changes_per_s=1 / SECONDS_PER_DAY,
+    nodes_per_zone=14,
 )
 
 
 def dispatchers_needed(target: Target, start_us: float) -> int:
-    """How many dispatchers the target takes, from the processor time of one start in microseconds.
+    """Returns the number of dispatchers that the target needs, from the microseconds of work per task start.
 
-    The greater of two counts: so many that the peak of starts uses half a core of each, and two for each zone.
+    It is the greater of two counts: enough to serve peak load with half a core each, and two in each zone.
     """
-    by_load = math.ceil(target.peak_starts_per_s * start_us / 1e6 / USED_SHARE)
-    return max(by_load, DISPATCHERS_A_ZONE * target.zones)
+    by_load = math.ceil(target.peak_starts_per_s * start_us / 1e6 / MAX_SERVING_SHARE)
+    return max(by_load, MIN_DISPATCHERS_PER_ZONE * target.zones)
 
 
-def at_target(target: Target, dispatchers: int, nodes_held: float | None = None) -> Scene:
-    """The target as one of so many dispatchers meets it; ``nodes_held``: where it holds only a part of the list."""
-    return Scene(
+def target_deployment(target: Target, dispatchers: int, nodes_held: float | None = None) -> Deployment:
+    """Returns the target as one dispatcher sees it; ``nodes_held`` is the size of its subset, if it has one."""
+    return Deployment(
         nodes=target.nodes if nodes_held is None else nodes_held,
         dispatchers=dispatchers,
         standing=target.standing / dispatchers,
         starts_per_s=target.peak_starts_per_s / dispatchers,
         list_changes_per_s=target.list_changes_per_s,
         configuration_changes_per_s=target.configuration_changes_per_s,
-        zone_nodes=target.zone_nodes,
+        nodes_per_zone=target.nodes_per_zone,
     )
--- a/thornshelf/lab/scale/output.py
+++ b/thornshelf/lab/scale/output.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 
 from thornshelf.capacity.page import render
-from thornshelf.capacity.report import SUBSET, Report, encode
+from thornshelf.capacity.report import SUBSET_SUFFIX, Report, encode
 from thornshelf.capacity.rows import Row
 
 FILE, PAGE, CHART = "capacity.json", "CAPACITY.md", "capacity.svg"
@@ -72,7 +72,7 @@
     from matplotlib.axes import Axes
 
     assert isinstance(axis, Axes)
-    for name, colour in ((row.slope, "tab:blue"), (row.slope + SUBSET, "tab:green")):
+    for name, colour in ((row.slope, "tab:blue"), (row.slope + SUBSET_SUFFIX, "tab:green")):
         slope = report.slopes.get(name)
         if slope is None:
             continue
--- a/thornshelf/lab/scale/run.py
+++ b/thornshelf/lab/scale/run.py
@@ -22,7 +22,7 @@
 import thornshelf
 import thornshelf.placement
 from thornshelf.capacity.curves import Point, fit
-from thornshelf.capacity.report import Machine, Report, judge
+from thornshelf.capacity.report import Machine, Report, build_report
 from thornshelf.lab.fault_injection import INJECTED_FAULTS
 from thornshelf.lab.scale import quantities
 from thornshelf.lab.scale.bounds import Bounds
@@ -121,7 +121,7 @@
     ("zone_lost_ms", "work as a zone is lost", "ms a node", "nodes", 50.0),
     ("zone_back_ms", "work as a zone returns", "ms a node", "nodes", 50.0),
 )
-SUBSET = "_subset"  # a slope of a dispatcher that holds a subset
+SUBSET_SUFFIX = "_subset"  # a slope of a dispatcher that holds a subset
 
 Measured = dict[str, list[Point]]
 Say = Callable[[str], None]
@@ -229,7 +229,7 @@
     """A curve for each quantity, with and without a subset."""
     found = {}
     for name, quantity, unit, variable, floor in QUANTITIES:
-        for suffix in ("", SUBSET):
+        for suffix in ("", SUBSET_SUFFIX):
             if points := measured.get(name + suffix):
                 text = quantity + (", of a subset" if suffix else "")
                 found[name + suffix] = fit(name + suffix, text, unit, variable, points, floor)
@@ -272,7 +272,7 @@
 
 def by_size(counts: Sequence[int], found: Sequence[Found]) -> Measured:
     """The points of real dispatchers' quantities, with and without a subset."""
-    subset = [{name + SUBSET: y for name, y in one.subset.items()} for one in found]
+    subset = [{name + SUBSET_SUFFIX: y for name, y in one.subset.items()} for one in found]
     whole = [one.whole for one in found]
     return gathered([*zip(counts, whole, strict=True), *zip(counts, subset, strict=True)])
 
@@ -291,7 +291,7 @@
         broken.append("what a member of the view sends grows with the fleet")
     if sum(one.late for one in found):
         broken.append("an offer went to a drained node at some size")
-    return judge(
+    return build_report(
         slopes=slopes(measured),
         machine=machine(),
         seed=seed,
