--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -159,9 +159,12 @@
 
 def test_a_page_that_lacks_a_table_or_names_another_is_refused(report: Report) -> None:
     text = (DOCS / "CAPACITY.md").read_text()
-    for broken in (text.replace("<!-- table: rows -->", ""), text + "<!-- table: more -->\n<!-- end -->"):
+    for violated_rules in (
+        text.replace("<!-- table: rows -->", ""),
+        text + "<!-- table: more -->\n<!-- end -->",
+    ):
         with pytest.raises(CapacityError):
-            page.render(broken, report)
+            page.render(violated_rules, report)
 
 
 def test_one_command_writes_file_tables_and_chart(report: Report, tmp_path: Path) -> None:
@@ -184,9 +187,9 @@
     ],
 )
 def test_a_broken_rule_fails_the_run(report: Report, changes: dict[str, object], error: str) -> None:
-    broken = msgspec.structs.replace(report, **changes)
-    assert error in broken.errors
-    assert error in json.dumps(last_line(broken))
+    violated_rules = msgspec.structs.replace(report, **changes)
+    assert error in violated_rules.errors
+    assert error in json.dumps(last_line(violated_rules))
 
 
 def test_a_missed_held_out_point_fails_the_run_where_its_row_has_a_budget(report: Report) -> None:
@@ -201,15 +204,15 @@
 
 def test_an_exceeded_bound_ends_the_run() -> None:
     bounds = Bounds(600.0)
-    bounds.look()
-    assert bounds.peak_memory > 0
+    bounds.check()
+    assert bounds.peak_memory_bytes > 0
     assert bounds.peak_processes >= 1
-    bounds.most_memory, bounds._looked = 1.0, 0.0
+    bounds.max_memory_bytes, bounds._last_check_s = 1.0, 0.0
     with pytest.raises(ResourceLimitError, match="MB"):
-        bounds.look()
+        bounds.check()
     late = Bounds(0.0)
     with pytest.raises(ResourceLimitError, match="longer"):
-        late.look()
+        late.check()
 
 
 def test_the_command_names_its_injected_faults() -> None:
--- a/thornshelf/lab/scale/__init__.py
+++ b/thornshelf/lab/scale/__init__.py
@@ -1,1 +1,4 @@
-"""The scale run: hollow nodes and dispatchers beside real ones, and the slopes that docs/CAPACITY.md is made of."""
+"""The scale run: measures a few real dispatchers among many hollow nodes and dispatchers.
+
+Its results are the cost curves of docs/CAPACITY.md.
+"""
--- a/thornshelf/lab/scale/bounds.py
+++ b/thornshelf/lab/scale/bounds.py
@@ -1,4 +1,4 @@
-"""What a scale run may take of its machine, looked at while it runs, and the end of all processes that it started."""
+"""Limits the memory, processes and time of a scale run, and terminates the processes that it started."""
 
 from __future__ import annotations
 
@@ -9,49 +9,57 @@
 
 from thornshelf.errors import ResourceLimitError
 
-MEMORY_SHARE = 0.5
-MOST_PROCESSES = 200
-LOOK_S = 0.5
-TRACKER = "multiprocessing.resource_tracker"
+MAX_MEMORY_SHARE = 0.5
+MAX_PROCESSES = 200
+CHECK_INTERVAL_S = 0.5
+RESOURCE_TRACKER = "multiprocessing.resource_tracker"
 
 
 class Bounds:
-    """Memory, processes and time of one run."""
+    """The resource limits of one run and the peaks observed so far.
 
-    def __init__(self, seconds: float) -> None:
-        self.began, self.seconds = time.monotonic(), seconds
-        self.most_memory = psutil.virtual_memory().total * MEMORY_SHARE
-        self.peak_memory = 0
+    ``max_seconds`` limits its duration, counted from the creation of this object.
+    """
+
+    def __init__(self, max_seconds: float) -> None:
+        self.started_s, self.max_seconds = time.monotonic(), max_seconds
+        self.max_memory_bytes = psutil.virtual_memory().total * MAX_MEMORY_SHARE
+        self.peak_memory_bytes = 0
         self.peak_processes = 0
-        self._own = psutil.Process()
-        self._looked = 0.0
+        self._process = psutil.Process()
+        self._last_check_s = 0.0
 
-    def look(self) -> None:
-        """Raises ``RunBoundError`` where a bound is passed; cheap, as it looks twice a second at most."""
+    def check(self) -> None:
+        """Raises ``ResourceLimitError`` if a limit is exceeded; measures at most twice a second."""
         now = time.monotonic()
-        if now - self._looked < LOOK_S:
+        if now - self._last_check_s < CHECK_INTERVAL_S:
             return
-        self._looked = now
-        if now - self.began > self.seconds:
-            raise ResourceLimitError(f"it takes longer than {self.seconds:.0f} s")
-        memory, count = 0, 0
-        for process in (self._own, *self._own.children(recursive=True)):
+        self._last_check_s = now
+        if now - self.started_s > self.max_seconds:
+            raise ResourceLimitError(f"the run takes longer than {self.max_seconds:.0f} s")
+        rss_bytes, count = 0, 0
+        for process in (self._process, *self._process.children(recursive=True)):
             try:
-                memory += process.memory_info().rss
+                rss_bytes += process.memory_info().rss
                 count += 1
             except psutil.Error:
-                continue  # it has ended
-        self.peak_memory, self.peak_processes = max(self.peak_memory, memory), max(self.peak_processes, count)
-        if memory > self.most_memory:
+                continue  # the process has ended
+        self.peak_memory_bytes, self.peak_processes = (
+            max(self.peak_memory_bytes, rss_bytes),
+            max(self.peak_processes, count),
+        )
+        if rss_bytes > self.max_memory_bytes:
             raise ResourceLimitError(
-                f"its processes hold {memory >> 20} MB, where {int(self.most_memory) >> 20} are allowed"
+                f"the run uses {rss_bytes >> 20} MB of memory, more than {int(self.max_memory_bytes) >> 20} MB"
             )
-        if count > MOST_PROCESSES:
-            raise ResourceLimitError(f"{count} processes, where {MOST_PROCESSES} are allowed")
+        if count > MAX_PROCESSES:
+            raise ResourceLimitError(f"the run has {count} processes, more than {MAX_PROCESSES}")
 
-    def end_children(self) -> None:
-        """End what is left of this run's processes, by their ids."""
-        children = [one for one in self._own.children(recursive=True) if not is_tracker(one)]
+    def terminate_children(self) -> None:
+        """Terminate all remaining child processes, and kill those that do not end within 3 s."""
+        children = [
+            child for child in self._process.children(recursive=True) if not is_resource_tracker(child)
+        ]
         for process in children:
             with suppress(psutil.Error):
                 process.terminate()
@@ -62,9 +70,9 @@
         psutil.wait_procs(alive, timeout=3)
 
 
-def is_tracker(process: psutil.Process) -> bool:
-    """The interpreter's own helper of multiprocessing, which ends with its parent."""
+def is_resource_tracker(process: psutil.Process) -> bool:
+    """Whether this is the resource tracker of ``multiprocessing``, which ends with its parent."""
     try:
-        return any(TRACKER in part for part in process.cmdline())
+        return any(RESOURCE_TRACKER in part for part in process.cmdline())
     except psutil.Error:
         return False
--- a/thornshelf/lab/scale/faults.py
+++ b/thornshelf/lab/scale/faults.py
@@ -1,5 +1,8 @@
-"""The target's troubles in small, under load: what is lost, started twice or sent to a drained node, by the truth of
-the stand-ins. Real dispatchers, one that holds all nodes and one of a subset, stand among hollow ones."""
+"""Replays the target's failures at small scale, under load, and checks that no task is lost or duplicated.
+
+Two real dispatchers, one with all nodes and one with a subset, share the fleet with hollow ones. The fake clients and
+nodes count the outcomes.
+"""
 
 from __future__ import annotations
 
@@ -16,175 +19,199 @@
 from thornshelf.lab.scale.testbed import ScaleTestbed
 
 LEDGER_SHARE = 0.05
-REPLACED = 21  # nodes, one after another
-HELD_SHARE = 0.5  # of the list: a dispatcher of a subset that holds more has no subset
+REPLACED_NODES = 21  # nodes that are replaced, and as many that are restarted
+MAX_SUBSET_SHARE = 0.5  # maximum share of the list in a subset
 
 
 @dataclass(slots=True)
 class ScenarioCounts:
-    """What the stand-ins counted, and what was seen of the dispatchers' state."""
+    """Counts by the fake clients and nodes, and the state of the hollow dispatchers at the end.
+
+    ``served`` are tasks placed at the first answer; ``late_offers`` are offers to nodes that were already draining.
+    """
 
     asked: int = 0
     served: int = 0
     lost: int = 0
     doubled: int = 0
-    late: int = 0
+    late_offers: int = 0
     ledger_starts: int = 0
-    held: list[int] = field(default_factory=list)
-    kept: list[int] = field(default_factory=list)
-    view_bytes: float = 0.0
-    changes: int = 0
-    changes_in_force: int = 0
-    rules: list[str] = field(default_factory=list)
+    held_nodes: list[int] = field(default_factory=list)  # in the list of each hollow dispatcher
+    stale_entries: list[int] = field(default_factory=list)  # of removed nodes, in each hollow dispatcher
+    membership_bytes_per_s: float = 0.0
+    reloads: int = 0
+    reloads_applied: int = 0
+    violated_rules: list[str] = field(default_factory=list)
 
 
 class FaultScenario:
-    """One run of them."""
+    """One sequence of failures, over the first ``count`` nodes.
+
+    ``hollow`` is the number of hollow dispatchers; the second half of them has a subset.
+    """
 
     def __init__(
-        self, layout: Layout, nodes: Nodes, count: int, hollow: int, folder: Path, bounds: Bounds, per_s: float,
-        plant: str | None,
+        self, layout: Layout, nodes: Nodes, count: int, hollow: int, folder: Path, bounds: Bounds,
+        requests_per_s: float, injected_fault: str | None,
     ) -> None:  # fmt: skip
         members = 2 + 2 * (hollow // 2)
-        self.world = ScaleTestbed(layout, nodes, count, members, folder, bounds, members)
-        self.per_s, self.count, self.lives = per_s, count, 0
-        self.said, self.loading, self.plant = ScenarioCounts(), False, plant
+        self.testbed = ScaleTestbed(layout, nodes, count, members, folder, bounds, members)
+        self.requests_per_s, self.count, self.replacements = requests_per_s, count, 0
+        self.counts, self.loading, self.injected_fault = ScenarioCounts(), False, injected_fault
         self._before = nodes.tell(Count())
 
     def run(self) -> ScenarioCounts:
-        """All troubles, one after another, each undone before the next."""
-        world = self.world
+        """Inject all failures, each repaired before the next, and count the outcomes."""
+        testbed = self.testbed
         try:
-            world.start_real(0, False, self.plant)
-            world.start_real(1, True, self.plant)
-            rest = list(range(2, 2 + len(world.keeper.ports) - 2))
-            world.start_hollow(rest[: len(rest) // 2], False, self.plant)
-            world.start_hollow(rest[len(rest) // 2 :], True, self.plant)
-            world.ready()
-            world.rest(1.0)
-            self._load()
-            self._view()
-            self._replace()
-            self._restart()
-            self._zone()
-            self._region()
+            testbed.start_real(0, False, self.injected_fault)
+            testbed.start_real(1, True, self.injected_fault)
+            hollow_members = list(range(2, 2 + len(testbed.keeper.ports) - 2))
+            testbed.start_hollow(hollow_members[: len(hollow_members) // 2], False, self.injected_fault)
+            testbed.start_hollow(hollow_members[len(hollow_members) // 2 :], True, self.injected_fault)
+            testbed.ready()
+            testbed.rest(1.0)
+            self._start_load()
+            self._measure_membership()
+            self._replace_nodes()
+            self._restart_nodes()
+            self._lose_zone()
+            self._silence_region()
             self.loading = False
-            world.rest(4.0)
-            return self._count()
+            testbed.rest(4.0)
+            return self._collect_counts()
         finally:
-            world.close()
+            testbed.close()
 
-    def _load(self) -> None:
-        """Set-ups at each real dispatcher, and a configuration read again each second, for as long as it loads."""
+    def _start_load(self) -> None:
+        """Start requests at each real dispatcher and a reload of its configuration every second."""
         self.loading = True
-        world, pause_us = self.world, int(1e6 / self.per_s)
+        testbed, pause_us = self.testbed, int(1e6 / self.requests_per_s)
 
-        def ask() -> None:
+        def send_request() -> None:
             if self.loading:
-                for one in world.real:
-                    world.ask(one, LEDGER if world.chance.random() < LEDGER_SHARE else LOOKUP)
-                world.loop.after(pause_us, ask)
+                for dispatcher in testbed.real:
+                    testbed.submit_task(dispatcher, LEDGER if testbed.rng.random() < LEDGER_SHARE else LOOKUP)
+                testbed.loop.after(pause_us, send_request)
 
         def reload() -> None:
             if self.loading:
-                for one in world.real:
-                    self.said.changes += 1
-                    os.kill(one.pid, signal.SIGHUP)
-                world.loop.after(1_000_000, reload)
+                for dispatcher in testbed.real:
+                    self.counts.reloads += 1
+                    os.kill(dispatcher.pid, signal.SIGHUP)
+                testbed.loop.after(1_000_000, reload)
 
-        ask()
+        send_request()
         reload()
 
-    def _view(self) -> None:
-        """What the view costs a real dispatcher among the hollow ones."""
-        sent, began = self.world.relays.sent[0], time.monotonic()
-        self.world.rest(2.0)
-        self.said.view_bytes = (self.world.relays.sent[0] - sent) / (time.monotonic() - began)
-
-    def _replace(self) -> None:
-        """Nodes drain, go, and others come in their place under new names, cold."""
-        world, layout = self.world, self.world.layout
-        for node in range(REPLACED):
-            world.tell(layout.entry(node, "terminating"))
-            world.nodes.tell(Drain([node]))
-            world.rest(0.05)
-        world.rest(2.5)  # tasks there end
-        for node in range(REPLACED):
-            world.tell(layout.entry(node, "terminated"))
-            world.nodes.tell(Kill([node]))
-        self.lives += 1
-        world.rest(0.2)
-        world.nodes.tell(Drain(range(REPLACED), False))
-        world.nodes.tell(Rise(range(REPLACED)))
+    def _measure_membership(self) -> None:
+        """Measure the membership traffic of a real dispatcher."""
+        sent, started_s = self.testbed.relays.sent[0], time.monotonic()
+        self.testbed.rest(2.0)
+        self.counts.membership_bytes_per_s = (self.testbed.relays.sent[0] - sent) / (
+            time.monotonic() - started_s
+        )
+
+    def _replace_nodes(self) -> None:
+        """Drain and remove nodes, and start others at their addresses under new names."""
+        testbed, layout = self.testbed, self.testbed.layout
+        for node in range(REPLACED_NODES):
+            testbed.tell(layout.entry(node, "terminating"))
+            testbed.nodes.tell(Drain([node]))
+            testbed.rest(0.05)
+        testbed.rest(2.5)  # their tasks end
+        for node in range(REPLACED_NODES):
+            testbed.tell(layout.entry(node, "terminated"))
+            testbed.nodes.tell(Kill([node]))
+        self.replacements += 1
+        testbed.rest(0.2)
+        testbed.nodes.tell(Drain(range(REPLACED_NODES), False))
+        testbed.nodes.tell(Rise(range(REPLACED_NODES)))
         now_ms = time.time_ns() // 1_000_000
-        world.tell(*(layout.entry(node, started_ms=now_ms, life=self.lives) for node in range(REPLACED)))
-        world.rest(1.0)
-
-    def _restart(self) -> None:
-        """Processes start anew under the same names."""
-        world, some = self.world, range(REPLACED, 2 * REPLACED)
-        world.nodes.tell(Kill(some))
-        world.rest(0.1)
-        world.nodes.tell(Rise(some))
+        testbed.tell(
+            *(
+                layout.entry(node, started_ms=now_ms, replacement=self.replacements)
+                for node in range(REPLACED_NODES)
+            )
+        )
+        testbed.rest(1.0)
+
+    def _restart_nodes(self) -> None:
+        """Restart node processes under the same names."""
+        testbed, restarted = self.testbed, range(REPLACED_NODES, 2 * REPLACED_NODES)
+        testbed.nodes.tell(Kill(restarted))
+        testbed.rest(0.1)
+        testbed.nodes.tell(Rise(restarted))
         now_ms = time.time_ns() // 1_000_000
-        world.tell(*(world.layout.entry(node, started_ms=now_ms) for node in some))
-        world.rest(1.0)
-
-    def _zone(self) -> None:
-        """The zone of the dispatcher with a subset is lost, and comes back cold."""
-        world = self.world
-        lost = [node for node in range(2 * REPLACED, self.count) if world.layout.zone_of(node) == 1]
-        world.nodes.tell(Kill(lost))
-        world.tell(*(world.layout.entry(node, "terminated") for node in lost))
-        world.rest(3.0)
-        world.nodes.tell(Rise(lost))
+        testbed.tell(*(testbed.layout.entry(node, started_ms=now_ms) for node in restarted))
+        testbed.rest(1.0)
+
+    def _lose_zone(self) -> None:
+        """Stop all nodes in the zone of the real dispatcher with a subset, and restart them."""
+        testbed = self.testbed
+        lost = [node for node in range(2 * REPLACED_NODES, self.count) if testbed.layout.zone_of(node) == 1]
+        testbed.nodes.tell(Kill(lost))
+        testbed.tell(*(testbed.layout.entry(node, "terminated") for node in lost))
+        testbed.rest(3.0)
+        testbed.nodes.tell(Rise(lost))
         now_ms = time.time_ns() // 1_000_000
-        world.tell(*(world.layout.entry(node, started_ms=now_ms) for node in lost))
-        world.rest(2.0)
-
-    def _region(self) -> None:
-        """A region says nothing for a while: its nodes, and the change log of the dispatcher that stands there."""
-        world = self.world
-        cut = [node for node in range(self.count) if world.layout.region_of(node) == 1]
-        world.nodes.tell(Silence(cut, 3_000_000))
-        world.keeper.silent.add(1)
-        world.rest(3.0)
-        world.keeper.silent.clear()
-        world.rest(3.0)
-
-    def _count(self) -> ScenarioCounts:
-        """By the stand-ins, and by what the hollow dispatchers keep."""
-        world, said = self.world, self.said
-        after = world.nodes.tell(Count())
-        world.truth.over = after.over
-        mine = {task for one in world.real if one.county is not None for task in one.county.tasks}
-        asked = [one for one in world.truth.asked.values() if not one.void]
-        said.asked, said.served = len(asked), sum(one.answers[:1] == ["placed"] for one in asked)
-        said.lost = len(world.truth.lost(world.loop.now, 2_000_000))
-        said.doubled = len(world.truth.doubled())
-        said.late = after.late - self._before.late
-        said.ledger_starts = max((count for key, count in after.starts.items() if key in mine), default=0)
-        for worker in world.hollow:
-            tally = worker.tell(Count())
-            said.held += tally.held
-            said.kept += tally.state
-        said.changes_in_force = sum(one.process.log_counts().get("config-reloaded", 0) for one in world.real)
-        said.rules = broken(said, self.count)
-        return said
-
-
-def broken(said: ScenarioCounts, count: int) -> list[str]:
-    """The rules that did not hold."""
-    wide, narrow = said.held[: len(said.held) // 2], said.held[len(said.held) // 2 :]
-    found = {
-        "a task was lost": said.lost > 0,
-        "a task had two answers": said.doubled > 0,
-        "an offer went to a drained node": said.late > 0,
-        "a ledger batch was started twice": said.ledger_starts > 1,
-        "under half of the set-ups were placed": said.served < 0.5 * said.asked,
-        "a dispatcher keeps state of nodes that have gone": any(kept > 0 for kept in said.kept),
-        "a dispatcher does not hold the whole list": any(held != count for held in wide),
-        "a subset holds more than half of the list": any(held > HELD_SHARE * count for held in narrow),
-        "a configuration was not read": said.changes_in_force < said.changes,
+        testbed.tell(*(testbed.layout.entry(node, started_ms=now_ms) for node in lost))
+        testbed.rest(2.0)
+
+    def _silence_region(self) -> None:
+        """Silence the nodes of a region, and the change log of the real dispatcher there, for 3 s."""
+        testbed = self.testbed
+        silenced = [node for node in range(self.count) if testbed.layout.region_of(node) == 1]
+        testbed.nodes.tell(Silence(silenced, 3_000_000))
+        testbed.keeper.silent.add(1)
+        testbed.rest(3.0)
+        testbed.keeper.silent.clear()
+        testbed.rest(3.0)
+
+    def _collect_counts(self) -> ScenarioCounts:
+        """Collect the counts of the fakes and the state of the hollow dispatchers."""
+        testbed, counts = self.testbed, self.counts
+        tally = testbed.nodes.tell(Count())
+        testbed.truth.over = tally.over
+        real_tasks = {task for one in testbed.real if one.county is not None for task in one.county.tasks}
+        asked = [request for request in testbed.truth.asked.values() if not request.void]
+        counts.asked, counts.served = len(asked), sum(request.answers[:1] == ["placed"] for request in asked)
+        counts.lost = len(testbed.truth.lost(testbed.loop.now, 2_000_000))
+        counts.doubled = len(testbed.truth.doubled())
+        counts.late_offers = tally.late - self._before.late
+        counts.ledger_starts = max(
+            (count for key, count in tally.starts.items() if key in real_tasks), default=0
+        )
+        for worker in testbed.hollow:
+            state = worker.tell(Count())
+            counts.held_nodes += state.held_nodes
+            counts.stale_entries += state.stale_entries
+        counts.reloads_applied = sum(
+            dispatcher.process.log_counts().get("config-reloaded", 0) for dispatcher in testbed.real
+        )
+        counts.violated_rules = violated_rules(counts, self.count)
+        return counts
+
+
+def violated_rules(counts: ScenarioCounts, count: int) -> list[str]:
+    """Returns the rules that are violated, in the words of the report."""
+    complete_sizes, subset_sizes = (
+        counts.held_nodes[: len(counts.held_nodes) // 2],
+        counts.held_nodes[len(counts.held_nodes) // 2 :],
+    )
+    violations = {
+        "a task was lost": counts.lost > 0,
+        "a task had two answers": counts.doubled > 0,
+        "an offer went to a drained node": counts.late_offers > 0,
+        "a ledger batch was started twice": counts.ledger_starts > 1,
+        "under half of the set-ups were placed": counts.served < 0.5 * counts.asked,
+        "a dispatcher keeps state of nodes that have gone": any(
+            entries > 0 for entries in counts.stale_entries
+        ),
+        "a dispatcher does not hold the whole list": any(held != count for held in complete_sizes),
+        "a subset holds more than half of the list": any(
+            held > MAX_SUBSET_SHARE * count for held in subset_sizes
+        ),
+        "a configuration was not read": counts.reloads_applied < counts.reloads,
     }
-    return [rule for rule, holds in found.items() if holds]
+    return [rule for rule, violated in violations.items() if violated]
--- a/thornshelf/lab/scale/hollow.py
+++ b/thornshelf/lab/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Processes that hold thousands of hollow nodes, or many hollow dispatchers, each on real sockets of loopback.
+"""Processes that host thousands of hollow nodes, or many hollow dispatchers, on loopback sockets.
 
-A hollow node has the wire and the behaviour of a stand-in node and does no work. A hollow dispatcher is the whole
-program but for its process: its client front listens, and nobody comes. Both are told what to do over a pipe; a
-process whose pipe ends, ends.
+A hollow node is a fake node that speaks the binary protocol and does no work. A hollow dispatcher is the complete
+service, without a process of its own and without clients. Both are controlled by commands over a pipe, and exit when
+the pipe is closed.
 """
 
 from __future__ import annotations
@@ -26,15 +26,13 @@
 from thornshelf.loop.loop import IN
 from thornshelf.service import Service
 
-DRAIN_US = (
-    300_000  # after a drain is in the change log nothing new may come: 250 ms, and 50 ms for the socket
-)
-ANSWER_S = 30.0
+DRAIN_GRACE_US = 300_000  # offers after this are late: 250 ms to read the change log, 50 ms for the socket
+REPLY_TIMEOUT_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class Silence:
-    """These nodes say and hear nothing for so long, as behind a cut link."""
+    """Command: make nodes unresponsive for a time, as behind a network partition."""
 
     nodes: Sequence[int]
     for_us: int
@@ -42,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """The change log tells that these drain, or that they do no longer."""
+    """Command: nodes drain and reject offers from now on, or stop draining."""
 
     nodes: Sequence[int]
     draining: bool = True
@@ -50,38 +48,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """The processes of these nodes end: connections are reset, tasks are cut."""
+    """Command: stop nodes; connections are reset and tasks are lost."""
 
     nodes: Sequence[int]
 
 
 @dataclass(frozen=True, slots=True)
 class Rise:
-    """They listen again, cold and empty."""
+    """Command: start nodes again, without tasks."""
 
     nodes: Sequence[int]
 
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """Tell what has happened so far."""
+    """Command: change nothing. The reply to every command is a tally."""
 
 
 @dataclass(slots=True)
 class NodeTally:
-    """What the nodes of one process have seen."""
+    """Counts of all nodes of one process since its start."""
 
-    connections: int = 0  # open now
+    connections: int = 0  # currently open
     accepted: int = 0
     offers: int = 0
     messages: int = 0  # in both directions
     bytes: int = 0
-    late: int = 0  # offers to a node that drained
-    starts: dict[int, int] = field(default_factory=dict)  # by key, of tasks that must not be started twice
-    over: dict[int, int] = field(default_factory=dict)  # by key: when its node ended its run
+    late: int = 0  # offers to nodes that were already draining
+    starts: dict[int, int] = field(
+        default_factory=dict
+    )  # by idempotency key, of tasks that must not start twice
+    over: dict[int, int] = field(default_factory=dict)  # by idempotency key, the time when its node ended it
 
     def add(self, other: NodeTally) -> None:
-        """Take another process's tally in."""
+        """Add the counts of another process."""
         for name in ("connections", "accepted", "offers", "messages", "bytes", "late"):
             setattr(self, name, getattr(self, name) + getattr(other, name))
         for key, count in other.starts.items():
@@ -91,38 +91,38 @@
 
 @dataclass(slots=True)
 class DispatcherTally:
-    """What the hollow dispatchers of one process hold."""
+    """State of the hollow dispatchers of one process, in the order of their folders."""
 
-    held: list[int] = field(default_factory=list)  # nodes, of each
-    state: list[int] = field(default_factory=list)  # entries of tables that are kept by node, of each
+    held_nodes: list[int] = field(default_factory=list)  # nodes in the endpoint list
+    stale_entries: list[int] = field(default_factory=list)  # table entries of nodes that have been removed
 
 
-class Counting(Stream):
-    """A node's connection that counts what passes."""
+class CountingStream(Stream):
+    """A node's connection that counts messages and bytes."""
 
     tally: NodeTally
 
     def send(self, data: bytes) -> Any:
-        """Count what the node says, and send it."""
+        """Send to the dispatcher, and count the message."""
         self.tally.messages += 1
         self.tally.bytes += len(data)
         return super().send(data)
 
     def read(self, until: int | None = None) -> Generator[Wait, int, bytes | None]:
-        """Count the bytes that the dispatcher sends."""
+        """Receive from the dispatcher, and count the bytes."""
         data = yield from super().read(until)
         if data:
             self.tally.bytes += len(data)
         return data
 
     def close(self) -> None:
-        """One connection fewer."""
+        """Close the connection, and count it as closed."""
         self.tally.connections -= self.open
         super().close()
 
 
 class HollowNode(LoadNode):
-    """A node that refuses nothing, and counts."""
+    """A fake node that accepts all offers unless it drains, and keeps counts."""
 
     def __init__(
         self, loop: Loop, truth: Oracle, rng: random.Random, address: tuple[str, int], tally: NodeTally
@@ -130,32 +130,32 @@
         self.tally = tally
         super().__init__(loop, BINARY, truth, rng, address)
         self.rejected_fraction, self.mean_lifetime_us = 0.0, 1_500_000
-        self.drains_us = 0
+        self.draining_since_us = 0
 
     def connected(self, sock: Any) -> Stream:
-        """A connection that is counted."""
-        stream = Counting(self.loop, sock, "dispatcher")
+        """Wrap an accepted socket in a stream that counts."""
+        stream = CountingStream(self.loop, sock, "dispatcher")
         stream.tally = self.tally
         self.tally.connections += 1
         self.tally.accepted += 1
         return stream
 
     def order(self, order: ReceivedOrder, say: Any) -> None:
-        """A message of the dispatcher."""
+        """Count and handle a message of the dispatcher."""
         self.tally.messages += 1
         super().order(order, say)
 
     def _handle_offer(self, order: ReceivedOrder, say: Any) -> None:
         self.tally.offers += 1
-        if self.drains_us:
-            self.tally.late += self.loop.now - self.drains_us > DRAIN_US
+        if self.draining_since_us:
+            self.tally.late += self.loop.now - self.draining_since_us > DRAIN_GRACE_US
             say.end(order.uid, 34, 0, "unfit")
             return
         super()._handle_offer(order, say)
 
 
-class NodeProcess:
-    """The nodes of one process."""
+class NodeHost:
+    """Hosts hollow nodes and executes commands for them."""
 
     def __init__(self, pipe: Connection, numbers: Sequence[int], layout: Layout) -> None:
         self.loop, self.pipe, self.tally, self.truth = Loop(), pipe, NodeTally(), Oracle()
@@ -165,35 +165,35 @@
             for number in numbers
         }
 
-    def take(self, said: object) -> object:
-        """Carry out one command; gives what is answered."""
-        match said:
+    def execute(self, command: object) -> object:
+        """Execute a command for those of its nodes that are hosted here; returns the tally."""
+        match command:
             case Silence(nodes, for_us):
-                for node in self._mine(nodes):
+                for node in self._select(nodes):
                     node.unresponsive_until_us = self.loop.now + for_us
             case Drain(nodes, draining):
-                for node in self._mine(nodes):
-                    node.drains_us = self.loop.now if draining else 0
+                for node in self._select(nodes):
+                    node.draining_since_us = self.loop.now if draining else 0
             case Kill(nodes):
-                for node in self._mine(nodes):
+                for node in self._select(nodes):
                     node.die()
                     node.forget_tasks()
             case Rise(nodes):
-                for node in self._mine(nodes):
+                for node in self._select(nodes):
                     node.rise()
         self.tally.starts, self.tally.over = dict(self.truth.starts), self.truth.over
         return self.tally
 
-    def _mine(self, nodes: Sequence[int]) -> list[HollowNode]:
+    def _select(self, nodes: Sequence[int]) -> list[HollowNode]:
         return [self.nodes[number] for number in nodes if number in self.nodes]
 
 
-class DispatcherProcess:
-    """The hollow dispatchers of one process; their configurations are files."""
+class DispatcherHost:
+    """Hosts hollow dispatchers, one for each folder with ``config.json`` and ``operator.toml``."""
 
     def __init__(self, pipe: Connection, folders: Sequence[Path]) -> None:
         self.loop, self.pipe = Loop(), pipe
-        self.loop.on_fault = self._fault
+        self.loop.on_fault = self._raise_fault
         self.services = [
             Service(
                 read_config({"LB_CONFIG": str(folder / "config.json")}, str(folder / "operator.toml")),
@@ -203,38 +203,38 @@
             for folder in folders
         ]
 
-    def _fault(self, fault: BaseException) -> None:
-        raise fault
+    def _raise_fault(self, error: BaseException) -> None:
+        raise error
 
-    def take(self, said: object) -> object:
-        """Tell what they hold."""
+    def execute(self, command: object) -> object:
+        """Returns the state of the dispatchers, whatever the command is."""
         return DispatcherTally(
             [len(service.core.endpoints.nodes) for service in self.services],
-            [kept_by_node(service) for service in self.services],
+            [stale_node_entries(service) for service in self.services],
         )
 
 
-def kept_by_node(service: Service) -> int:
-    """Entries in the tables of a dispatcher that have one for each node, beyond one for each that there is."""
-    core, roster = service.core, service.core.endpoints
+def stale_node_entries(service: Service) -> int:
+    """Returns how many more entries the per-node tables of a dispatcher have than there are nodes."""
+    core, endpoints = service.core, service.core.endpoints
     tables: tuple[Any, ...] = (
-        roster.entries,
-        roster._machine_by_name,
-        roster._name_by_machine,
+        endpoints.entries,
+        endpoints._machine_by_name,
+        endpoints._name_by_machine,
         core.placer.machines,
     )
-    return sum(len(table) for table in tables) - len(tables) * len(roster.nodes)
+    return sum(len(table) for table in tables) - len(tables) * len(endpoints.nodes)
 
 
-def _serve(process: NodeProcess | DispatcherProcess) -> None:
-    """Answer commands until the pipe ends."""
-    pipe, loop = process.pipe, process.loop
+def _serve(host: NodeHost | DispatcherHost) -> None:
+    """Report readiness, then execute commands until the pipe is closed."""
+    pipe, loop = host.pipe, host.loop
 
     def commands() -> Generator[Wait, int, None]:
         while True:
             yield Wait(pipe.fileno(), IN)
             try:
-                pipe.send(process.take(pipe.recv()))
+                pipe.send(host.execute(pipe.recv()))
             except (EOFError, OSError):
                 loop.stop()
                 return
@@ -244,39 +244,41 @@
     loop.run()
 
 
-def _nodes(pipe: Connection, numbers: Sequence[int], layout: Layout) -> None:
-    _serve(NodeProcess(pipe, numbers, layout))
+def _run_nodes(pipe: Connection, numbers: Sequence[int], layout: Layout) -> None:
+    _serve(NodeHost(pipe, numbers, layout))
 
 
-def _dispatchers(pipe: Connection, folders: Sequence[Path], plant: str | None) -> None:
-    if plant is not None:
-        fault_injection.INJECTED_FAULTS[plant]()
-    _serve(DispatcherProcess(pipe, folders))
+def _run_dispatchers(pipe: Connection, folders: Sequence[Path], injected_fault: str | None) -> None:
+    if injected_fault is not None:
+        fault_injection.INJECTED_FAULTS[injected_fault]()
+    _serve(DispatcherHost(pipe, folders))
 
 
 class Worker:
-    """A hollow process, as the run sees it."""
+    """A child process that hosts hollow nodes or dispatchers; ready when the constructor returns."""
 
     def __init__(self, target: Callable[..., None], *arguments: Any) -> None:
         context = get_context("spawn")
-        self._pipe, theirs = context.Pipe()
-        self.process = context.Process(target=target, args=(theirs, *arguments), daemon=True)
+        self._pipe, child_pipe = context.Pipe()
+        self.process = context.Process(target=target, args=(child_pipe, *arguments), daemon=True)
         self.process.start()
-        theirs.close()
-        self._answer()
+        child_pipe.close()
+        self._receive_reply()
 
-    def _answer(self) -> Any:
-        if not self._pipe.poll(ANSWER_S):
-            raise TimeoutError(f"hollow process {self.process.pid} says nothing")
+    def _receive_reply(self) -> Any:
+        if not self._pipe.poll(REPLY_TIMEOUT_S):
+            raise TimeoutError(
+                f"hollow process {self.process.pid} did not reply within {REPLY_TIMEOUT_S:.0f} s"
+            )
         return self._pipe.recv()
 
-    def tell(self, said: object) -> Any:
-        """A command, and its answer."""
-        self._pipe.send(said)
-        return self._answer()
+    def tell(self, command: object) -> Any:
+        """Send a command and return the reply; raises ``TimeoutError`` without one."""
+        self._pipe.send(command)
+        return self._receive_reply()
 
     def end(self) -> None:
-        """Its pipe ends, and so does it; where it does not, by its id."""
+        """Close the pipe, and kill the process if it has not ended after 5 s."""
         self._pipe.close()
         self.process.join(5)
         if self.process.is_alive():
@@ -285,28 +287,28 @@
 
 
 class Nodes:
-    """All hollow nodes of a run."""
+    """All hollow nodes of a run, ``nodes_per_process`` in each child process."""
 
-    def __init__(self, layout: Layout, count: int, a_process: int) -> None:
+    def __init__(self, layout: Layout, count: int, nodes_per_process: int) -> None:
         numbers = range(count)
         self.workers = [
-            Worker(_nodes, list(numbers[first : first + a_process]), layout)
-            for first in range(0, count, a_process)
+            Worker(_run_nodes, list(numbers[first : first + nodes_per_process]), layout)
+            for first in range(0, count, nodes_per_process)
         ]
 
-    def tell(self, said: object) -> NodeTally:
-        """A command to all, and the sum of what they have seen."""
+    def tell(self, command: object) -> NodeTally:
+        """Send a command to all processes and return the sum of their tallies."""
         total = NodeTally()
         for worker in self.workers:
-            total.add(worker.tell(said))
+            total.add(worker.tell(command))
         return total
 
     def end(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         for worker in self.workers:
             worker.end()
 
 
-def dispatchers(folders: Sequence[Path], plant: str | None) -> Worker:
-    """A process of hollow dispatchers, with a planted fault or none."""
-    return Worker(_dispatchers, list(folders), plant)
+def start_dispatchers(folders: Sequence[Path], injected_fault: str | None) -> Worker:
+    """Start a process of hollow dispatchers, with an injected fault or none."""
+    return Worker(_run_dispatchers, list(folders), injected_fault)
--- a/thornshelf/lab/scale/output.py
+++ b/thornshelf/lab/scale/output.py
@@ -1,4 +1,4 @@
-"""What a scale run leaves: progress on a terminal, the file, the page's tables, and the chart beside it."""
+"""Output of a scale run: progress on the terminal, the JSON report, the tables of the page, and a chart."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from thornshelf.capacity.report import SUBSET_SUFFIX, Report, encode
 from thornshelf.capacity.rows import Row
 
-FILE, PAGE, CHART = "capacity.json", "CAPACITY.md", "capacity.svg"
-STEPS = 60  # points of a drawn curve
+REPORT_FILE, PAGE_FILE, CHART_FILE = "capacity.json", "CAPACITY.md", "capacity.svg"
+CURVE_STEPS = 60  # points per drawn curve
 
 
 class Progress:
-    """One line of what is going on; nothing where the output is no terminal, or only JSON is wanted."""
+    """A status line on standard error; nothing unless ``shown`` and standard error is a terminal."""
 
     def __init__(self, shown: bool) -> None:
         self._console = Console(stderr=True)
@@ -29,59 +29,59 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, trace: TracebackType | None
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
     ) -> None:
         if self._status is not None:
             self._status.stop()
 
     def say(self, text: str) -> None:
-        """What is going on now."""
+        """Replace the text of the status line."""
         if self._status is not None:
             self._status.update(text)
 
 
 def write(report: Report, folder: Path) -> None:
-    """The file, the page's tables and the chart: one run makes all three."""
-    page = folder / PAGE
+    """Write the report, the tables of the page and the chart into a folder that has the page."""
+    page = folder / PAGE_FILE
     text = render(page.read_text(), report)
-    (folder / FILE).write_bytes(encode(report))
+    (folder / REPORT_FILE).write_bytes(encode(report))
     page.write_text(text)
-    draw(report, folder / CHART)
+    draw_chart(report, folder / CHART_FILE)
 
 
-def draw(report: Report, path: Path) -> None:
-    """Measured points, curve, target and budget of each row with a budget."""
+def draw_chart(report: Report, path: Path) -> None:
+    """Plot measurements, fitted curves, target and budget of each row that has a budget."""
     import matplotlib
 
     matplotlib.use("Agg")
-    matplotlib.rcParams["svg.hashsalt"] = "capacity"  # the same report gives the same file
+    matplotlib.rcParams["svg.hashsalt"] = "capacity"  # makes the file reproducible
     from matplotlib import pyplot
 
     rows = [row for row in report.rows if row.budget is not None]
-    wide = math.ceil(len(rows) / 3)
-    figure, axes = pyplot.subplots(3, wide, figsize=(4.6 * wide, 10), constrained_layout=True)
+    columns = math.ceil(len(rows) / 3)
+    figure, axes = pyplot.subplots(3, columns, figsize=(4.6 * columns, 10), constrained_layout=True)
     for axis in axes.flat[len(rows) :]:
         axis.set_visible(False)
     for row, axis in zip(rows, axes.flat, strict=False):
-        _draw_row(report, row, axis)
+        _draw_row_chart(report, row, axis)
     figure.savefig(path, metadata={"Date": None})
     pyplot.close(figure)
 
 
-def _draw_row(report: Report, row: Row, axis: object) -> None:
+def _draw_row_chart(report: Report, row: Row, axis: object) -> None:
     from matplotlib.axes import Axes
 
     assert isinstance(axis, Axes)
-    for name, colour in ((row.slope, "tab:blue"), (row.slope + SUBSET_SUFFIX, "tab:green")):
+    for name, color in ((row.slope, "tab:blue"), (row.slope + SUBSET_SUFFIX, "tab:green")):
         slope = report.slopes.get(name)
         if slope is None:
             continue
-        target = _target(report, slope.variable)
+        target = _target_value(report, slope.variable)
         points = [*slope.points, slope.held_out]
-        axis.plot([one.x for one in points], [one.y * row.rate for one in points], "o", color=colour)
-        most = max(points[-1].x, target)
-        places = [most * (step + 1) / STEPS for step in range(STEPS)]
-        axis.plot(places, [slope.at(x) * row.rate for x in places], "-", color=colour, label=name)
+        axis.plot([point.x for point in points], [point.y * row.rate for point in points], "o", color=color)
+        max_x = max(points[-1].x, target)
+        xs = [max_x * (step + 1) / CURVE_STEPS for step in range(CURVE_STEPS)]
+        axis.plot(xs, [slope.at(x) * row.rate for x in xs], "-", color=color, label=name)
         axis.axvline(target, color="grey", linestyle=":")
     if row.budget is not None:
         axis.axhline(row.budget, color="tab:red", label="budget of all control")
@@ -91,7 +91,7 @@
     axis.legend(fontsize=7)
 
 
-def _target(report: Report, variable: str) -> float:
+def _target_value(report: Report, variable: str) -> float:
     return {
         "nodes": float(report.target.nodes),
         "dispatchers": float(report.dispatchers),
--- a/thornshelf/lab/scale/quantities.py
+++ b/thornshelf/lab/scale/quantities.py
@@ -1,7 +1,7 @@
-"""Costs of single parts of the program, measured in a process of their own with the program's own code.
+"""Measures the costs of single components, without sockets.
 
-Each function gives named quantities at one value of a variable. Processor time is the process's own, so other
-processes on the machine change it little.
+Each function returns quantities by name, at one value of a variable; ``QUANTITIES`` in run.py has their units. Each
+runs in a process of its own, and processor time is that of the process.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from thornshelf.placement.placer import Placer
 
 DECISIONS = 240
-QUIET_S = 10
-JOINED = 64  # members whose joining is played; larger fleets begin as if they had
+MEMBERSHIP_SAMPLE_S = 10  # of virtual time, in large fleets
+MAX_SIMULATED_JOINS = 64  # members whose joining is simulated; larger fleets start with a complete view
 
 
 class IdleNode:
-    """A node without a connection."""
+    """A node link that is always connected and ignores everything it is told."""
 
     connection_state, has_pending_data = "connected", False
 
@@ -49,84 +49,84 @@
         return lambda *_: []
 
 
-def settings() -> api.Settings:
-    """Those of the laboratory's configuration."""
+def example_settings() -> api.Settings:
+    """Returns the settings of the example configuration."""
     return read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)}).settings
 
 
-def a_core(layout: Layout, nodes: int) -> Dispatcher:
-    """The core of a dispatcher that knows so many nodes."""
-    core = Dispatcher(Loop(), settings(), 1, lambda *_: IdleNode(), lambda *_: None)
+def make_core(layout: Layout, nodes: int) -> Dispatcher:
+    """Returns the core of a dispatcher whose endpoint list has so many nodes."""
+    core = Dispatcher(Loop(), example_settings(), 1, lambda *_: IdleNode(), lambda *_: None)
     if nodes:
-        _, changes = decode_events(layout.whole(nodes), 0, lambda us: us, _refuse)
+        _, changes = decode_events(layout.full_list(nodes), 0, lambda us: us, _raise_fault)
         core.update_endpoints(changes[0])
         core.run_turn()
     return core
 
 
-def _refuse(fault: Exception) -> None:
-    raise fault
+def _raise_fault(error: Exception) -> None:
+    raise error
 
 
-def _settle_memory() -> None:
-    """As after a dispatcher's start: what was made until now is no work for the garbage collector."""
+def _freeze_garbage() -> None:
+    """Exempt existing objects from garbage collection, as a dispatcher does after its start."""
     gc.collect()
     gc.freeze()
 
 
-def _us(began: float, count: int) -> float:
-    return (time.process_time() - began) / count * 1e6
+def _cpu_us_per_call(started_s: float, count: int) -> float:
+    return (time.process_time() - started_s) / count * 1e6
 
 
-def list_at(nodes: int, seed: int) -> dict[str, float]:
-    """A whole list, as the change log sends it."""
-    return {"list_bytes": float(len(json.dumps(Layout(seed).whole(nodes))))}
+def measure_endpoint_list(nodes: int, seed: int) -> dict[str, float]:
+    """Size of the complete endpoint list in the JSON of the change log."""
+    return {"list_bytes": float(len(json.dumps(Layout(seed).full_list(nodes))))}
 
 
-def placement_at(nodes: int, seed: int) -> dict[str, float]:
-    """The decision module's state, and the time of one decision, with half of what the nodes admit in use."""
-    chance, layout = random.Random(seed), Layout(seed)
-    terms = replace(settings(), placers=2)
+def measure_placement(nodes: int, seed: int) -> dict[str, float]:
+    """Memory of the placer and time per decision, with one task running on each node."""
+    rng, layout = random.Random(seed), Layout(seed)
+    settings = replace(example_settings(), placers=2)
     entries = tuple(
-        api.Endpoint(n, api.Health.UP, layout.kind(n), terms.zone, 1, 0.0, 0.0, 1.0, 0.0)
+        api.Endpoint(n, api.Health.UP, layout.machine_type(n), settings.zone, 1, 0.0, 0.0, 1.0, 0.0)
         for n in range(nodes)
     )
     gc.collect()
     tracemalloc.start()
-    placer = Placer(terms, seed)
+    placer = Placer(settings, seed)
     placer.handle(1.0, [api.EndpointUpdate(True, 1, entries)])
-    size, _ = tracemalloc.get_traced_memory()
+    size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     for number in range(nodes):
-        ask = _ask(1 << 30 | number, number % 500, chance)
-        placer.handle(1.0, [api.TaskAdopted(ask, number)])
-    now, spent = 2.0, 0.0
-    _settle_memory()
+        request = _placement_request(1 << 30 | number, number % 500, rng)
+        placer.handle(1.0, [api.TaskAdopted(request, number)])
+    now, cpu_s = 2.0, 0.0
+    _freeze_garbage()
     for number in range(1, DECISIONS + 1):
         now += 0.01
-        ask = _ask(number, chance.randrange(500), chance)
-        began = time.process_time()
-        actions = placer.handle(now, [ask])
-        spent += time.process_time() - began
+        request = _placement_request(number, rng.randrange(500), rng)
+        started_s = time.process_time()
+        actions = placer.handle(now, [request])
+        cpu_s += time.process_time() - started_s
         for action in actions:
             if isinstance(action, api.StartAttempt):
                 placer.handle(now, [api.AttemptAccepted(number, action.machine, 0, 0.01)])
-    return {"placement_bytes": float(size), "decision_us": spent / DECISIONS * 1e6}
+    return {"placement_bytes": float(size_bytes), "decision_us": cpu_s / DECISIONS * 1e6}
 
 
-def _ask(number: int, service: int, chance: random.Random) -> api.PlacementRequest:
-    cores, memory = chance.choice((0.5, 1.0, 2.0)), chance.choice((1.0, 2.0, 3.0))
+def _placement_request(number: int, service: int, rng: random.Random) -> api.PlacementRequest:
+    cores, memory = rng.choice((0.5, 1.0, 2.0)), rng.choice((1.0, 2.0, 3.0))
     return api.PlacementRequest(number, "lookup", None, number, 8.0, 8.0, service, cores, memory)
 
 
-def standing_at(tasks: int, seed: int) -> dict[str, float]:
-    """Tasks that stand: memory in the core's and the module's tables, and what a hand-over of them sends."""
+def measure_running_tasks(tasks: int, seed: int) -> dict[str, float]:
+    """Memory of running tasks in the core and the placer, and the size of their state transfer to a successor."""
     layout = Layout(seed)
     nodes = max(14, min(1_000, tasks // 10))
-    core = a_core(layout, nodes)
+    core = make_core(layout, nodes)
     gc.collect()
     process = psutil.Process()
-    before = process.memory_info().rss
+    rss_before = process.memory_info().rss
     owner = DisconnectedClient("127.0.0.1")
     for uid in range(1, tasks + 1):
         name = layout.name(uid % nodes)
@@ -151,14 +151,14 @@
         if uid % 1_000 == 0:
             core.run_turn()
     core.run_turn()
-    grown = process.memory_info().rss - before
-    sent = sum(len(json.dumps(one)) + 1 for one in export_state(core))
-    return {"standing_bytes": float(grown), "handover_bytes": float(sent)}
+    grown_bytes = process.memory_info().rss - rss_before
+    transfer_bytes = sum(len(json.dumps(record)) + 1 for record in export_state(core))
+    return {"standing_bytes": float(grown_bytes), "handover_bytes": float(transfer_bytes)}
 
 
-def question_at(nodes: int, seed: int) -> dict[str, float]:
-    """A question for all nodes: the time that reading the table takes."""
-    core = a_core(Layout(seed), nodes)
+def measure_query(nodes: int, seed: int) -> dict[str, float]:
+    """Time to read the table of nodes once."""
+    core = make_core(Layout(seed), nodes)
     catalog = Catalog()
     catalog.add(
         *CoreTables(core, History(1_000), ErrorCounters(), lambda us: us // 1000).tables(
@@ -167,38 +167,39 @@
     )
     table = catalog.table("nodes")
     rounds = max(2, 4_000 // nodes)
-    _settle_memory()
-    began = time.process_time()
+    _freeze_garbage()
+    started_s = time.process_time()
     for _ in range(rounds):
         reading = TableReader(table, [column.name for column in table.columns], {})
         while not reading.exhausted:
             reading.read_rows(lambda: 0, 1, 1 << 30)
-    return {"question_us": _us(began, rounds)}
+    return {"question_us": _cpu_us_per_call(started_s, rounds)}
 
 
-def view_at(members: int, seed: int) -> dict[str, float]:
-    """The view of the fleet at rest, in virtual time: what one member sends, works and keeps."""
+def measure_membership(members: int, seed: int) -> dict[str, float]:
+    """Traffic, processor time and memory of one member of an idle fleet, in virtual time."""
     network, names = Network(seed), [f"m{number:04d}" for number in range(members)]
-    if members <= JOINED:
+    if members <= MAX_SIMULATED_JOINS:
         run_until_settled(network, names, 120 * SECOND)
     else:
-        run_until_settled(network, names[:JOINED], 120 * SECOND)
+        run_until_settled(network, names[:MAX_SIMULATED_JOINS], 120 * SECOND)
         network = Network(seed)
         run_settled(network, names)
     network.run(network.now + 4 * SECOND)
-    quiet_s = QUIET_S * max(1, JOINED // members)  # few members work so little that it takes longer to tell
-    bytes_before, sent_before, began = network.bytes, network.sent, time.process_time()
-    network.run(network.now + quiet_s * SECOND)
-    spent, each = time.process_time() - began, members * quiet_s
+    # Small fleets need longer for a measurable amount of work.
+    sample_s = MEMBERSHIP_SAMPLE_S * max(1, MAX_SIMULATED_JOINS // members)
+    bytes_before, sent_before, started_s = network.bytes, network.sent, time.process_time()
+    network.run(network.now + sample_s * SECOND)
+    cpu_s, member_seconds = time.process_time() - started_s, members * sample_s
     tracemalloc.start()
-    view = network.start("one-more", names[:2])
+    newcomer = network.start("one-more", names[:2])
     for member in network.members[names[0]].table.members.values():
-        view.table.add(member.record, network.now)
-    size, _ = tracemalloc.get_traced_memory()
+        newcomer.table.add(member.record, network.now)
+    size_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return {
-        "view_bytes": (network.bytes - bytes_before) / each,
-        "view_datagrams": (network.sent - sent_before) / each,
-        "view_us": spent / each * 1e6,
-        "view_kb": size / 1024,
+        "view_bytes": (network.bytes - bytes_before) / member_seconds,
+        "view_datagrams": (network.sent - sent_before) / member_seconds,
+        "view_us": cpu_s / member_seconds * 1e6,
+        "view_kb": size_bytes / 1024,
     }
--- a/thornshelf/lab/scale/run.py
+++ b/thornshelf/lab/scale/run.py
@@ -1,4 +1,4 @@
-"""The scale run: quantities by size, troubles under load, slopes, and what they come to at the target."""
+"""The scale run: measures quantities by size, injects failures under load, and extrapolates to the target."""
 
 from __future__ import annotations
 
@@ -29,68 +29,68 @@
 from thornshelf.lab.scale.faults import FaultScenario, ScenarioCounts
 from thornshelf.lab.scale.hollow import Count, Nodes
 from thornshelf.lab.scale.layout import Layout
-from thornshelf.lab.scale.sizes import Found, Spans, at_size
+from thornshelf.lab.scale.sizes import PhaseTimes, SizeMeasurement, measure_size
 from thornshelf.lab.scale.testbed import ScaleTestbed
 
-MOST_GROWTH = 1.5  # of what a member of the view sends, from the smallest fleet to the largest
+MAX_MEMBERSHIP_GROWTH = 1.5  # limit for the traffic of a member, from the smallest fleet to the largest
 WORKERS = 4
-PLACERS = 56  # dispatchers that the settings name while sizes are measured
+PLACERS = 56  # number of dispatchers in the settings while sizes are measured
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """The sizes of a run; the largest of each is held out of the fit."""
-
-    nodes: tuple[int, ...]  # of real dispatchers' lists
-    parts: tuple[int, ...]  # of lists that single parts are measured with
-    members: tuple[int, ...]  # of the view
-    standing: tuple[int, ...]  # tasks
-    linked: tuple[int, ...]  # hollow dispatchers over the same nodes
-    spans: Spans
-    a_process: int  # hollow nodes
-    hollow: int  # dispatchers among which the troubles are played
-    per_s: float  # set-ups at each real dispatcher during the troubles
-    troubled: int  # nodes during the troubles
-    part_workers: int  # processes that measure single parts at once
-    world_workers: int  # and that measure on sockets
-    seconds: float
+    """The sizes and limits of a run; the largest size of each list is held out of the fit."""
+
+    list_sizes: tuple[int, ...]  # in the endpoint lists of real dispatchers
+    component_sizes: tuple[int, ...]  # in the endpoint lists that components are measured with
+    fleet_sizes: tuple[int, ...]  # in the fleet, for membership
+    running_tasks: tuple[int, ...]  # on one dispatcher
+    connected_dispatchers: tuple[int, ...]  # hollow, over the same nodes
+    times: PhaseTimes
+    nodes_per_process: int
+    hollow_dispatchers: int  # in the failure scenario
+    requests_per_s: float  # at each real dispatcher in the failure scenario
+    scenario_nodes: int  # in the failure scenario's endpoint list
+    component_workers: int  # parallel processes that measure components
+    testbed_workers: int  # parallel processes with a testbed
+    max_seconds: float  # limit of the whole run
     full: bool = False
 
 
 FULL = Plan(
-    nodes=(14, 200, 1_000, 4_000, 9_000, 13_500, 18_000),
-    parts=(14, 200, 1_000, 4_000, 9_000, 13_500, 18_000),
-    members=(8, 16, 32, 64, 128),
-    standing=(1_000, 4_000, 16_000, 60_000, 180_000),
-    linked=(2, 4, 8, 16, 32),
-    spans=Spans(8.0, 6.0, 20.0, 6.0),
-    a_process=2_250,
-    hollow=24,
-    per_s=20.0,
-    troubled=196,
-    part_workers=4,
-    world_workers=1,
-    seconds=600.0,
+    list_sizes=(14, 200, 1_000, 4_000, 9_000, 13_500, 18_000),
+    component_sizes=(14, 200, 1_000, 4_000, 9_000, 13_500, 18_000),
+    fleet_sizes=(8, 16, 32, 64, 128),
+    running_tasks=(1_000, 4_000, 16_000, 60_000, 180_000),
+    connected_dispatchers=(2, 4, 8, 16, 32),
+    times=PhaseTimes(8.0, 6.0, 20.0, 6.0),
+    nodes_per_process=2_250,
+    hollow_dispatchers=24,
+    requests_per_s=20.0,
+    scenario_nodes=196,
+    component_workers=4,
+    testbed_workers=1,
+    max_seconds=600.0,
     full=True,
 )
 SHORT = Plan(
-    nodes=(14, 56, 112, 224, 448),
-    parts=(14, 100, 250, 500, 1_000),
-    members=(4, 6, 8, 12, 16),
-    standing=(500, 1_000, 2_000, 4_000, 8_000),
-    linked=(2, 3, 4, 6, 8),
-    spans=Spans(2.0, 1.5, 30.0, 1.25),
-    a_process=448,
-    hollow=6,
-    per_s=10.0,
-    troubled=196,
-    part_workers=4,
-    world_workers=5,
-    seconds=120.0,
+    list_sizes=(14, 56, 112, 224, 448),
+    component_sizes=(14, 100, 250, 500, 1_000),
+    fleet_sizes=(4, 6, 8, 12, 16),
+    running_tasks=(500, 1_000, 2_000, 4_000, 8_000),
+    connected_dispatchers=(2, 3, 4, 6, 8),
+    times=PhaseTimes(2.0, 1.5, 30.0, 1.25),
+    nodes_per_process=448,
+    hollow_dispatchers=6,
+    requests_per_s=10.0,
+    scenario_nodes=196,
+    component_workers=4,
+    testbed_workers=5,
+    max_seconds=120.0,
 )
 
-# Name, quantity, unit, variable, and the smallest difference that counts: what the measurement can tell, or, of a row
-# with a budget, some hundredths of that.
+# Name, description, unit, variable and floor: the resolution of the measurement or, if the row has a budget, a few
+# percent of it. These texts are part of docs/capacity.json.
 QUANTITIES: tuple[tuple[str, str, str, str, float], ...] = (
     ("list_bytes", "the whole list", "bytes a node", "nodes", 1.0),
     ("list_change_us", "one change of the list", "us a change", "nodes", 5_000.0),
@@ -121,148 +121,188 @@
     ("zone_lost_ms", "work as a zone is lost", "ms a node", "nodes", 50.0),
     ("zone_back_ms", "work as a zone returns", "ms a node", "nodes", 50.0),
 )
-SUBSET_SUFFIX = "_subset"  # a slope of a dispatcher that holds a subset
+SUBSET_SUFFIX = "_subset"  # of the names of slopes for a dispatcher with a subset
 
 Measured = dict[str, list[Point]]
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
-def call(plant: str | None, job: Callable[[], Any]) -> Any:
-    """Measure in this process, with a planted fault or none."""
-    if plant is not None:
-        INJECTED_FAULTS[plant]()
+def run_with_fault(injected_fault: str | None, job: Callable[[], Any]) -> Any:
+    """Inject a fault, if there is one, into this process and run a measurement in it."""
+    if injected_fault is not None:
+        INJECTED_FAULTS[injected_fault]()
     return job()
 
 
-class Jobs:
-    """Measurements in processes of their own, so many at once; each process makes one."""
+class JobRunner:
+    """Runs each measurement in a new process, at most ``workers`` in parallel."""
 
-    def __init__(self, workers: int, plant: str | None, bounds: Bounds, say: Say) -> None:
-        self._plant, self._bounds, self._say = plant, bounds, say
+    def __init__(
+        self, workers: int, injected_fault: str | None, bounds: Bounds, report_progress: ProgressCallback
+    ) -> None:
+        self._injected_fault, self._bounds, self._report_progress = injected_fault, bounds, report_progress
         self._pool = ProcessPoolExecutor(workers, mp_context=get_context("spawn"), max_tasks_per_child=1)
 
     def run(self, name: str, jobs: Sequence[Callable[[], Any]]) -> list[Any]:
-        """All results, in the order of the jobs."""
-        running = [self._pool.submit(call, self._plant, job) for job in jobs]
-        for done, result in enumerate(running):
-            while not result.done():
-                self._say(f"{name}: {done} of {len(running)}")
-                self._bounds.look()
+        """Returns the results in the order of the jobs; raises ``ResourceLimitError`` if a limit is exceeded."""
+        running = [self._pool.submit(run_with_fault, self._injected_fault, job) for job in jobs]
+        for done, future in enumerate(running):
+            while not future.done():
+                self._report_progress(f"{name}: {done} of {len(running)}")
+                self._bounds.check()
                 time.sleep(0.1)
-        return [result.result() for result in running]
+        return [future.result() for future in running]
 
-    def __enter__(self) -> Jobs:
+    def __enter__(self) -> JobRunner:
         return self
 
     def __exit__(self, kind: object, *_: object) -> None:
         self._pool.shutdown(wait=kind is None, cancel_futures=True)
 
 
-def parts(plan: Plan, seed: int) -> tuple[list[float], list[Callable[[], dict[str, float]]]]:
-    """The measurements of single parts, the longest first, and the value of each one's variable."""
+def component_jobs(plan: Plan, seed: int) -> tuple[list[float], list[Callable[[], dict[str, float]]]]:
+    """Returns the values of the variables and the measurements of components, largest first."""
     jobs: list[tuple[float, Callable[[], dict[str, float]]]] = []
-    for tasks in plan.standing:
-        jobs.append((tasks, partial(quantities.standing_at, tasks, seed)))
-    for members in plan.members:
-        jobs.append((members, partial(quantities.view_at, members, seed)))
-    for nodes in plan.parts:
-        jobs.append((nodes, partial(quantities.list_at, nodes, seed)))
-        jobs.append((nodes, partial(quantities.placement_at, nodes, seed)))
-        jobs.append((nodes, partial(quantities.question_at, nodes, seed)))
+    for tasks in plan.running_tasks:
+        jobs.append((tasks, partial(quantities.measure_running_tasks, tasks, seed)))
+    for members in plan.fleet_sizes:
+        jobs.append((members, partial(quantities.measure_membership, members, seed)))
+    for nodes in plan.component_sizes:
+        jobs.append((nodes, partial(quantities.measure_endpoint_list, nodes, seed)))
+        jobs.append((nodes, partial(quantities.measure_placement, nodes, seed)))
+        jobs.append((nodes, partial(quantities.measure_query, nodes, seed)))
     jobs.sort(key=lambda job: -job[0])
     return [x for x, _ in jobs], [job for _, job in jobs]
 
 
-def size(count: int, seed: int, port: int, a_process: int, seconds: float, spans: Spans) -> Found:
-    """Real dispatchers with a list of so many nodes."""
-    layout, bounds = Layout(seed, port), Bounds(seconds)
+def measure_at_size(
+    count: int, seed: int, port: int, nodes_per_process: int, max_seconds: float, times: PhaseTimes
+) -> SizeMeasurement:
+    """Measure real dispatchers with a list of ``count`` nodes."""
+    layout, bounds = Layout(seed, port), Bounds(max_seconds)
     with tempfile.TemporaryDirectory() as folder:
-        nodes = Nodes(layout, count, a_process)
+        nodes = Nodes(layout, count, nodes_per_process)
         try:
-            return at_size(count, layout, nodes, Path(folder), bounds, spans, PLACERS)
+            return measure_size(count, layout, nodes, Path(folder), bounds, times, PLACERS)
         finally:
             nodes.end()
 
 
-def links(members: int, seed: int, port: int, seconds: float) -> float:
-    """Connections that a node has, by the number of hollow dispatchers that hold it."""
+def measure_node_connections(members: int, seed: int, port: int, max_seconds: float) -> float:
+    """Returns the connections per node with so many hollow dispatchers."""
     layout, count = Layout(seed, port), 28
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(layout, count, count)
-        world = ScaleTestbed(layout, nodes, count, members, Path(folder), Bounds(seconds), members)
+        testbed = ScaleTestbed(layout, nodes, count, members, Path(folder), Bounds(max_seconds), members)
         try:
-            world.start_hollow(list(range(members)), False)
-            world.rest(1.5)
+            testbed.start_hollow(list(range(members)), False)
+            testbed.rest(1.5)
             return nodes.tell(Count()).accepted / count
         finally:
-            world.close()
+            testbed.close()
             nodes.end()
 
 
 def run_faults(
-    count: int, seed: int, port: int, seconds: float, hollow: int, per_s: float, plant: str | None
+    count: int,
+    seed: int,
+    port: int,
+    max_seconds: float,
+    hollow: int,
+    requests_per_s: float,
+    injected_fault: str | None,
 ) -> ScenarioCounts:
-    """The target's troubles in small."""
-    layout, bounds = Layout(seed, port), Bounds(seconds)
+    """Run the failure scenario with ``count`` nodes and so many hollow dispatchers."""
+    layout, bounds = Layout(seed, port), Bounds(max_seconds)
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(layout, count, count)
         try:
-            return FaultScenario(layout, nodes, count, hollow, Path(folder), bounds, per_s, plant).run()
+            return FaultScenario(
+                layout, nodes, count, hollow, Path(folder), bounds, requests_per_s, injected_fault
+            ).run()
         finally:
             nodes.end()
 
 
-def worlds(plan: Plan, seed: int, plant: str | None) -> list[Callable[[], Any]]:
-    """The measurements on sockets: the troubles, each size, each number of dispatchers; all at ports of their own."""
+def testbed_jobs(plan: Plan, seed: int, injected_fault: str | None) -> list[Callable[[], Any]]:
+    """Returns the measurements with testbeds: failures, sizes, numbers of dispatchers; each has its own port."""
     ports = itertools.count(7_400 + 20 * (seed % 100))
     jobs: list[Callable[[], Any]] = [
-        partial(run_faults, plan.troubled, seed, next(ports), plan.seconds, plan.hollow, plan.per_s, plant)
+        partial(
+            run_faults,
+            plan.scenario_nodes,
+            seed,
+            next(ports),
+            plan.max_seconds,
+            plan.hollow_dispatchers,
+            plan.requests_per_s,
+            injected_fault,
+        )
     ]
-    for count in plan.nodes:
-        jobs.append(partial(size, count, seed, next(ports), plan.a_process, plan.seconds, plan.spans))
-    for members in plan.linked:
-        jobs.append(partial(links, members, seed, next(ports), plan.seconds))
+    for count in plan.list_sizes:
+        jobs.append(
+            partial(
+                measure_at_size,
+                count,
+                seed,
+                next(ports),
+                plan.nodes_per_process,
+                plan.max_seconds,
+                plan.times,
+            )
+        )
+    for members in plan.connected_dispatchers:
+        jobs.append(partial(measure_node_connections, members, seed, next(ports), plan.max_seconds))
     return jobs
 
 
-def slopes(measured: Measured) -> dict[str, Any]:
-    """A curve for each quantity, with and without a subset."""
-    found = {}
+def fit_slopes(measured: Measured) -> dict[str, Any]:
+    """Fit a curve to each measured quantity, with and without a subset."""
+    slopes = {}
     for name, quantity, unit, variable, floor in QUANTITIES:
         for suffix in ("", SUBSET_SUFFIX):
             if points := measured.get(name + suffix):
                 text = quantity + (", of a subset" if suffix else "")
-                found[name + suffix] = fit(name + suffix, text, unit, variable, points, floor)
-    return found
+                slopes[name + suffix] = fit(name + suffix, text, unit, variable, points, floor)
+    return slopes
 
 
-def growth(points: Sequence[Point]) -> float:
-    """By how much a quantity grows from the smallest value of its variable to the largest."""
+def growth_ratio(points: Sequence[Point]) -> float:
+    """Returns the ratio of a quantity at the largest value of its variable to that at the smallest."""
     ordered = sorted(points, key=lambda point: point.x)
     return ordered[-1].y / max(ordered[0].y, 1e-9)
 
 
-def run(seed: int, plan: Plan, plant: str | None = None, say: Say = lambda text: None) -> Report:
-    """The whole run. All processes that it started have ended when it returns, or raises."""
-    bounds = Bounds(plan.seconds)
-    for package in (thornshelf.placement, thornshelf):  # as ``build`` does
+def run(
+    seed: int,
+    plan: Plan,
+    injected_fault: str | None = None,
+    report_progress: ProgressCallback = lambda text: None,
+) -> Report:
+    """Execute a plan. All processes that it started have ended when it returns or raises."""
+    bounds = Bounds(plan.max_seconds)
+    for package in (thornshelf.placement, thornshelf):  # so that no measurement compiles modules
         compileall.compile_dir(Path(str(package.__file__)).parent, quiet=1)
     try:
-        with Jobs(plan.part_workers, plant, bounds, say) as jobs:
-            values, work = parts(plan, seed)
-            measured = gathered(zip(values, jobs.run("parts", work), strict=True))
-        with Jobs(plan.world_workers, plant, bounds, say) as jobs:
-            counted, *rest = jobs.run("worlds", worlds(plan, seed, plant))
-        found, linked = rest[: len(plan.nodes)], rest[len(plan.nodes) :]
-        measured |= by_size(plan.nodes, found)
-        measured["node_connections"] = [Point(x, y) for x, y in zip(plan.linked, linked, strict=True)]
-        return judged(plan, seed, bounds, measured, counted, found)
+        with JobRunner(plan.component_workers, injected_fault, bounds, report_progress) as jobs:
+            values, component_measurements = component_jobs(plan, seed)
+            measured = points_by_quantity(
+                zip(values, jobs.run("components", component_measurements), strict=True)
+            )
+        with JobRunner(plan.testbed_workers, injected_fault, bounds, report_progress) as jobs:
+            counts, *rest = jobs.run("testbeds", testbed_jobs(plan, seed, injected_fault))
+        sizes, connections = rest[: len(plan.list_sizes)], rest[len(plan.list_sizes) :]
+        measured |= points_by_size(plan.list_sizes, sizes)
+        measured["node_connections"] = [
+            Point(x, y) for x, y in zip(plan.connected_dispatchers, connections, strict=True)
+        ]
+        return make_report(plan, seed, bounds, measured, counts, sizes)
     finally:
-        bounds.end_children()
+        bounds.terminate_children()
 
 
-def gathered(results: Iterable[tuple[float, dict[str, float]]]) -> Measured:
-    """The points of each quantity."""
+def points_by_quantity(results: Iterable[tuple[float, dict[str, float]]]) -> Measured:
+    """Group measurements by quantity; ``results`` has the variable's value and the quantities of each."""
     measured: Measured = defaultdict(list)
     for x, values in results:
         for name, y in values.items():
@@ -270,50 +310,52 @@
     return measured
 
 
-def by_size(counts: Sequence[int], found: Sequence[Found]) -> Measured:
-    """The points of real dispatchers' quantities, with and without a subset."""
-    subset = [{name + SUBSET_SUFFIX: y for name, y in one.subset.items()} for one in found]
-    whole = [one.whole for one in found]
-    return gathered([*zip(counts, whole, strict=True), *zip(counts, subset, strict=True)])
+def points_by_size(node_counts: Sequence[int], sizes: Sequence[SizeMeasurement]) -> Measured:
+    """Group the measurements of real dispatchers by quantity, with and without a subset."""
+    subset = [{name + SUBSET_SUFFIX: y for name, y in size.subset.items()} for size in sizes]
+    complete = [size.complete for size in sizes]
+    return points_by_quantity(
+        [*zip(node_counts, complete, strict=True), *zip(node_counts, subset, strict=True)]
+    )
 
 
-def judged(
+def make_report(
     plan: Plan,
     seed: int,
     bounds: Bounds,
     measured: Measured,
-    counted: ScenarioCounts,
-    found: Sequence[Found],
+    counts: ScenarioCounts,
+    sizes: Sequence[SizeMeasurement],
 ) -> Report:
-    """The report, with the rules that did not hold."""
-    broken = list(counted.rules)
-    if growth(measured["view_bytes"]) > MOST_GROWTH:
-        broken.append("what a member of the view sends grows with the fleet")
-    if sum(one.late for one in found):
-        broken.append("an offer went to a drained node at some size")
+    """Build the report, with the rules that were violated."""
+    violated = list(counts.violated_rules)
+    if growth_ratio(measured["view_bytes"]) > MAX_MEMBERSHIP_GROWTH:
+        violated.append("what a member of the view sends grows with the fleet")
+    if sum(size.late_offers for size in sizes):
+        violated.append("an offer went to a drained node at some size")
     return build_report(
-        slopes=slopes(measured),
-        machine=machine(),
+        slopes=fit_slopes(measured),
+        machine=describe_machine(),
         seed=seed,
-        commit=commit(),
+        commit=source_version(),
         short=not plan.full,
-        sizes=list(plan.nodes),
-        hollow_nodes=max(plan.nodes),
-        hollow_dispatchers=len(counted.held),
+        sizes=list(plan.list_sizes),
+        hollow_nodes=max(plan.list_sizes),
+        hollow_dispatchers=len(counts.held_nodes),
         real=2,
         processes=bounds.peak_processes,
-        peak_memory_mb=round(bounds.peak_memory / (1 << 20)),
-        asked=counted.asked,
-        served=counted.served,
-        lost=counted.lost + sum(one.lost for one in found),
-        doubled=counted.doubled + sum(one.doubled for one in found),
-        rules_broken=broken,
-        seconds=round(time.monotonic() - bounds.began, 1),
+        peak_memory_mb=round(bounds.peak_memory_bytes / (1 << 20)),
+        asked=counts.asked,
+        served=counts.served,
+        lost=counts.lost + sum(size.lost for size in sizes),
+        doubled=counts.doubled + sum(size.doubled for size in sizes),
+        rules_broken=violated,
+        seconds=round(time.monotonic() - bounds.started_s, 1),
     )
 
 
-def machine() -> Machine:
-    """What the figures were taken on."""
+def describe_machine() -> Machine:
+    """Describe the machine that the measurements are made on."""
     model = "unknown"
     try:
         lines = Path("/proc/cpuinfo").read_text().splitlines()
@@ -324,13 +366,13 @@
     return Machine(model, psutil.cpu_count() or 1, memory, platform.python_version(), platform.system())
 
 
-def commit() -> str:
-    """The version of the sources that were measured, where git knows it."""
+def source_version() -> str:
+    """Returns the git version of the sources, or "unknown"."""
     root = Path(__file__).parent
     try:
-        said = subprocess.run(
+        result = subprocess.run(
             ["git", "describe", "--always", "--dirty"], cwd=root, capture_output=True, text=True
         )
     except OSError:
         return "unknown"
-    return said.stdout.strip() or "unknown"
+    return result.stdout.strip() or "unknown"
--- a/thornshelf/lab/scale/sizes.py
+++ b/thornshelf/lab/scale/sizes.py
@@ -1,4 +1,4 @@
-"""What a real dispatcher costs by the size of its list: one that holds all nodes, and beside it one of a subset."""
+"""Measures real dispatchers at one size of the endpoint list: one that holds all nodes, and one with a subset."""
 
 from __future__ import annotations
 
@@ -14,177 +14,222 @@
 from thornshelf.lab.scale.layout import ZONES, Layout
 from thornshelf.lab.scale.testbed import Dispatcher, ScaleTestbed
 
-SETTLE_S = 40.0  # a start, or a lost zone, is waited for no longer
+MAX_SETTLE_S = 40.0  # maximum wait for idle dispatchers
 CHANGES = 40
 RELOADS = 8
-WINDOWS = 4  # of rest
-RELOAD_S, RELOAD_NODE_S = 0.2, 1.5e-5  # between two of them: longer than one takes
-CHANGE_S, CHANGE_NODE_S = 0.02, 6e-6  # between two changes: each is to be read by itself
-TASKS_S = 15.0  # the last tasks of a load are waited for no longer
+IDLE_SAMPLES = 4  # samples of idle processor time; the median counts
+RELOAD_INTERVAL_S, RELOAD_INTERVAL_PER_NODE_S = 0.2, 1.5e-5  # longer than a reload takes
+CHANGE_INTERVAL_S, CHANGE_INTERVAL_PER_NODE_S = (
+    0.02,
+    6e-6,
+)  # long enough for each change to be read separately
+MAX_TASK_WAIT_S = 15.0  # maximum wait for the end of the last tasks
 
 
 @dataclass(frozen=True, slots=True)
-class Spans:
-    """How long each part of a measurement takes, in seconds, and how many set-ups a second its load has."""
+class PhaseTimes:
+    """Durations of the phases of a measurement, and the request rate at each dispatcher under load."""
 
     rest_s: float
     load_s: float
-    per_s: float
-    keepalive_s: float  # idle links are closed so soon, so that rest is reached within seconds
+    requests_per_s: float
+    keepalive_s: float  # short, so that idle node connections close within seconds
 
 
 @dataclass(slots=True)
-class Found:
-    """Quantities of the dispatcher that holds all nodes, and of the one of a subset."""
+class SizeMeasurement:
+    """Quantities of the dispatcher with the complete list and of the one with a subset, and counts of errors."""
 
-    whole: dict[str, float]
+    complete: dict[str, float]
     subset: dict[str, float]
     lost: int
     doubled: int
-    late: int
+    late_offers: int
 
 
-def at_size(
-    count: int, layout: Layout, nodes: Nodes, folder: Path, bounds: Bounds, spans: Spans, placers: int
-) -> Found:
-    """Start, rest, load, changes, a reload, a lost zone and its return, with a list of so many nodes."""
+def measure_size(
+    count: int, layout: Layout, nodes: Nodes, folder: Path, bounds: Bounds, times: PhaseTimes, placers: int
+) -> SizeMeasurement:
+    """Measure start, idle state, list changes, load, reload, and loss and return of a zone, with ``count`` nodes.
+
+    ``placers`` is the number of dispatchers that the settings assume in the fleet.
+    """
     before = nodes.tell(Count())
-    world = ScaleTestbed(layout, nodes, count, 2, folder, bounds, placers)
-    world.keepalive_s = spans.keepalive_s
+    testbed = ScaleTestbed(layout, nodes, count, 2, folder, bounds, placers)
+    testbed.keepalive_s = times.keepalive_s
     try:
-        pair = (world.start_real(0, False), world.start_real(1, True))
-        world.ready()
-        found: tuple[dict[str, float], dict[str, float]] = ({}, {})
-        _start(world, pair, found)
-        _rest(world, pair, found, spans)
-        _changes(world, pair, found)
-        _load(world, pair, found, spans)
-        _reload(world, pair, found)
-        _zone(world, pair, found)
-        world.rest(0.5)
-        late = nodes.tell(Count()).late - before.late
-        return Found(*found, *_outcomes(world, nodes), late)
+        dispatchers = (testbed.start_real(0, False), testbed.start_real(1, True))
+        testbed.ready()
+        results: tuple[dict[str, float], dict[str, float]] = ({}, {})
+        _measure_start(testbed, dispatchers, results)
+        _measure_idle(testbed, dispatchers, results, times)
+        _measure_list_changes(testbed, dispatchers, results)
+        _measure_load(testbed, dispatchers, results, times)
+        _measure_reload(testbed, dispatchers, results)
+        _measure_zone_loss(testbed, dispatchers, results)
+        testbed.rest(0.5)
+        late_offers = nodes.tell(Count()).late - before.late
+        return SizeMeasurement(*results, *_count_failures(testbed, nodes), late_offers)
     finally:
-        world.close()
-
+        testbed.close()
 
-def _start(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
-    """Until all nodes of its part have been called."""
-    world.quiet(SETTLE_S)
-    for one, mine in zip(pair, found, strict=True):
-        mine["start_ms"] = one.ready_s * 1e3
-        mine["start_cpu_ms"] = one.cpu_us / 1e3
-        mine["descriptors"] = float(one.most_descriptors)
-        mine["started_kb"] = one.kb
 
-
-def _rest(
-    world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...], spans: Spans
+def _measure_start(
+    testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...], results: tuple[dict[str, float], ...]
+) -> None:
+    """Measure the start, until all nodes of the list or subset have been connected to."""
+    testbed.wait_until_idle(MAX_SETTLE_S)
+    for dispatcher, quantities in zip(dispatchers, results, strict=True):
+        quantities["start_ms"] = dispatcher.ready_s * 1e3
+        quantities["start_cpu_ms"] = dispatcher.cpu_us / 1e3
+        quantities["descriptors"] = float(dispatcher.peak_descriptors)
+        quantities["started_kb"] = dispatcher.memory_kb
+
+
+def _measure_idle(
+    testbed: ScaleTestbed,
+    dispatchers: tuple[Dispatcher, ...],
+    results: tuple[dict[str, float], ...],
+    times: PhaseTimes,
 ) -> None:
-    """With nothing to do: idle links have been closed. Work is the median of some windows."""
-    world.rest(2.0 * spans.keepalive_s)
-    sent, tally, began = _sent(world, pair), world.nodes.tell(Count()), time.monotonic()
-    windows = [_window(world, pair, spans.rest_s / WINDOWS) for _ in range(WINDOWS)]
-    passed = time.monotonic() - began
-    links = (world.nodes.tell(Count()).bytes - tally.bytes) / passed / len(pair)
-    for place, mine in enumerate(found):
-        mine["rest_us"] = median(window[place] for window in windows)
-        mine["rest_bytes"] = (_sent(world, pair)[place] - sent[place]) / passed + links
-        mine["held_kb"] = max(mine.pop("started_kb"), pair[place].kb)
-
-
-def _window(world: ScaleTestbed, pair: tuple[Dispatcher, ...], seconds: float) -> list[float]:
-    """Processor time a second of each, while so long passes."""
-    cpu, began = _spent(pair), time.monotonic()
-    world.rest(seconds)
-    passed = time.monotonic() - began
-    return [(after - before) / passed for before, after in zip(cpu, _spent(pair), strict=True)]
-
-
-def _changes(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
-    """Single nodes start anew, one after another."""
-    cpu, sent = _spent(pair), _sent(world, pair)
-    began = time.monotonic()
+    """Measure idle dispatchers, after idle node connections have been closed."""
+    testbed.rest(2.0 * times.keepalive_s)
+    sent_before, tally_before, started_s = (
+        _list_bytes_sent(testbed, dispatchers),
+        testbed.nodes.tell(Count()),
+        time.monotonic(),
+    )
+    samples = [_sample_cpu(testbed, dispatchers, times.rest_s / IDLE_SAMPLES) for _ in range(IDLE_SAMPLES)]
+    elapsed_s = time.monotonic() - started_s
+    node_bytes = (testbed.nodes.tell(Count()).bytes - tally_before.bytes) / elapsed_s / len(dispatchers)
+    for index, quantities in enumerate(results):
+        quantities["rest_us"] = median(sample[index] for sample in samples)
+        quantities["rest_bytes"] = (
+            _list_bytes_sent(testbed, dispatchers)[index] - sent_before[index]
+        ) / elapsed_s + node_bytes
+        quantities["held_kb"] = max(quantities.pop("started_kb"), dispatchers[index].memory_kb)
+
+
+def _sample_cpu(testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...], seconds: float) -> list[float]:
+    """Returns the processor time per second of each dispatcher, measured over an interval."""
+    cpu_before, started_s = _cpu_us(dispatchers), time.monotonic()
+    testbed.rest(seconds)
+    elapsed_s = time.monotonic() - started_s
+    return [
+        (after - before) / elapsed_s for before, after in zip(cpu_before, _cpu_us(dispatchers), strict=True)
+    ]
+
+
+def _measure_list_changes(
+    testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...], results: tuple[dict[str, float], ...]
+) -> None:
+    """Measure list changes: single nodes restart, one after another."""
+    cpu_before, sent_before = _cpu_us(dispatchers), _list_bytes_sent(testbed, dispatchers)
+    started_s = time.monotonic()
     for number in range(CHANGES):
-        world.tell(world.layout.entry(number % world.count, started_ms=1_000 + number))
-        world.rest(CHANGE_S + CHANGE_NODE_S * world.count)
-    world.quiet(5.0)
-    passed = time.monotonic() - began
-    for place, mine in enumerate(found):
-        rest = mine["rest_us"] * passed
-        mine["list_change_us"] = max(0.0, _spent(pair)[place] - cpu[place] - rest) / CHANGES
-        mine["list_change_bytes"] = (
-            _sent(world, pair)[place] - sent[place] - mine["rest_bytes"] * passed
+        testbed.tell(testbed.layout.entry(number % testbed.count, started_ms=1_000 + number))
+        testbed.rest(CHANGE_INTERVAL_S + CHANGE_INTERVAL_PER_NODE_S * testbed.count)
+    testbed.wait_until_idle(5.0)
+    elapsed_s = time.monotonic() - started_s
+    for index, quantities in enumerate(results):
+        rest = quantities["rest_us"] * elapsed_s
+        quantities["list_change_us"] = (
+            max(0.0, _cpu_us(dispatchers)[index] - cpu_before[index] - rest) / CHANGES
+        )
+        quantities["list_change_bytes"] = (
+            _list_bytes_sent(testbed, dispatchers)[index]
+            - sent_before[index]
+            - quantities["rest_bytes"] * elapsed_s
         ) / CHANGES
 
 
-def _load(
-    world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...], spans: Spans
+def _measure_load(
+    testbed: ScaleTestbed,
+    dispatchers: tuple[Dispatcher, ...],
+    results: tuple[dict[str, float], ...],
+    times: PhaseTimes,
+) -> None:
+    """Measure requests at a steady rate, then wait until their tasks have ended."""
+    cpu_before, log_bytes_before, tally_before = (
+        _cpu_us(dispatchers),
+        [dispatcher.log_bytes for dispatcher in dispatchers],
+        testbed.nodes.tell(Count()),
+    )
+    clients = [dispatcher.county for dispatcher in dispatchers if dispatcher.county is not None]
+    started_s = time.monotonic()
+    starts = max(1, testbed.load(times.load_s, times.requests_per_s))
+    tally: NodeTally = testbed.nodes.tell(Count())
+    elapsed_s = time.monotonic() - started_s
+    for index, quantities in enumerate(results):
+        quantities["start_us"] = (
+            _cpu_us(dispatchers)[index] - cpu_before[index] - quantities["rest_us"] * elapsed_s
+        ) / starts
+        quantities["log_bytes_a_start"] = (dispatchers[index].log_bytes - log_bytes_before[index]) / starts
+        quantities["client_bytes_a_start"] = clients[index].bytes / starts
+        quantities["client_messages_a_start"] = clients[index].messages / starts
+        quantities["node_bytes_a_start"] = (tally.bytes - tally_before.bytes) / starts / len(dispatchers)
+        quantities["node_messages_a_start"] = (
+            (tally.messages - tally_before.messages) / starts / len(dispatchers)
+        )
+    testbed.until(
+        lambda: all(task["done"] for population in clients for task in population.tasks.values()),
+        MAX_TASK_WAIT_S,
+    )
+    testbed.wait_until_idle(MAX_SETTLE_S)
+
+
+def _measure_reload(
+    testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...], results: tuple[dict[str, float], ...]
 ) -> None:
-    """Set-ups at a steady rate, until their tasks have ended."""
-    cpu, logs, tally = _spent(pair), [one.log_bytes for one in pair], world.nodes.tell(Count())
-    counties = [one.county for one in pair if one.county is not None]
-    began = time.monotonic()
-    starts = max(1, world.load(spans.load_s, spans.per_s))
-    after: NodeTally = world.nodes.tell(Count())
-    passed = time.monotonic() - began
-    for place, mine in enumerate(found):
-        mine["start_us"] = (_spent(pair)[place] - cpu[place] - mine["rest_us"] * passed) / starts
-        mine["log_bytes_a_start"] = (pair[place].log_bytes - logs[place]) / starts
-        mine["client_bytes_a_start"] = counties[place].bytes / starts
-        mine["client_messages_a_start"] = counties[place].messages / starts
-        mine["node_bytes_a_start"] = (after.bytes - tally.bytes) / starts / len(pair)
-        mine["node_messages_a_start"] = (after.messages - tally.messages) / starts / len(pair)
-    world.until(lambda: all(task["done"] for one in counties for task in one.tasks.values()), TASKS_S)
-    world.quiet(SETTLE_S)
-
-
-def _reload(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
-    """SIGHUP, with the file as it is; the median of some."""
-    seconds = RELOAD_S + RELOAD_NODE_S * world.count
-    windows = []
+    """Measure the reload of an unchanged configuration on SIGHUP, as the median of several."""
+    seconds = RELOAD_INTERVAL_S + RELOAD_INTERVAL_PER_NODE_S * testbed.count
+    samples = []
     for _ in range(RELOADS):
-        for one in pair:
-            os.kill(one.pid, signal.SIGHUP)
-        windows.append(_window(world, pair, seconds))
-    world.quiet(SETTLE_S)
-    for place, mine in enumerate(found):
-        mine["reload_us"] = (median(window[place] for window in windows) - mine["rest_us"]) * seconds
-
-
-def _zone(world: ScaleTestbed, pair: tuple[Dispatcher, ...], found: tuple[dict[str, float], ...]) -> None:
-    """All nodes of zone 1, the subset's own, are lost at once, and come back cold."""
-    lost = range(1, world.count, ZONES)
-    cpu, began = _spent(pair), time.monotonic()
-    world.nodes.tell(Kill(lost))
-    world.tell(*(world.layout.entry(node, "terminated") for node in lost))
-    world.rest(0.3)
-    world.quiet(SETTLE_S)
-    for place, mine in enumerate(found):
-        rest = mine["rest_us"] * (time.monotonic() - began)
-        mine["zone_lost_ms"] = (_spent(pair)[place] - cpu[place] - rest) / 1e3
-    cpu, began = _spent(pair), time.monotonic()
-    world.nodes.tell(Rise(lost))
+        for dispatcher in dispatchers:
+            os.kill(dispatcher.pid, signal.SIGHUP)
+        samples.append(_sample_cpu(testbed, dispatchers, seconds))
+    testbed.wait_until_idle(MAX_SETTLE_S)
+    for index, quantities in enumerate(results):
+        quantities["reload_us"] = (
+            median(sample[index] for sample in samples) - quantities["rest_us"]
+        ) * seconds
+
+
+def _measure_zone_loss(
+    testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...], results: tuple[dict[str, float], ...]
+) -> None:
+    """Measure the loss of zone 1, the subset's own, and its return with restarted nodes."""
+    lost = range(1, testbed.count, ZONES)
+    cpu_before, started_s = _cpu_us(dispatchers), time.monotonic()
+    testbed.nodes.tell(Kill(lost))
+    testbed.tell(*(testbed.layout.entry(node, "terminated") for node in lost))
+    testbed.rest(0.3)
+    testbed.wait_until_idle(MAX_SETTLE_S)
+    for index, quantities in enumerate(results):
+        rest = quantities["rest_us"] * (time.monotonic() - started_s)
+        quantities["zone_lost_ms"] = (_cpu_us(dispatchers)[index] - cpu_before[index] - rest) / 1e3
+    cpu_before, started_s = _cpu_us(dispatchers), time.monotonic()
+    testbed.nodes.tell(Rise(lost))
     now_ms = time.time_ns() // 1_000_000
-    world.tell(*(world.layout.entry(node, started_ms=now_ms) for node in lost))
-    world.rest(0.3)
-    world.quiet(SETTLE_S)
-    for place, mine in enumerate(found):
-        rest = mine["rest_us"] * (time.monotonic() - began)
-        mine["zone_back_ms"] = (_spent(pair)[place] - cpu[place] - rest) / 1e3
-    world.nodes.tell(Drain(lost, False))
+    testbed.tell(*(testbed.layout.entry(node, started_ms=now_ms) for node in lost))
+    testbed.rest(0.3)
+    testbed.wait_until_idle(MAX_SETTLE_S)
+    for index, quantities in enumerate(results):
+        rest = quantities["rest_us"] * (time.monotonic() - started_s)
+        quantities["zone_back_ms"] = (_cpu_us(dispatchers)[index] - cpu_before[index] - rest) / 1e3
+    testbed.nodes.tell(Drain(lost, False))
 
 
-def _outcomes(world: ScaleTestbed, nodes: Nodes) -> tuple[int, int]:
-    """Tasks lost and doubled, by the stand-ins' own count."""
+def _count_failures(testbed: ScaleTestbed, nodes: Nodes) -> tuple[int, int]:
+    """Returns the numbers of tasks lost and duplicated, as the fake clients and nodes count them."""
     tally = nodes.tell(Count())
-    world.truth.over = tally.over
-    return len(world.truth.lost(world.loop.now, 2_000_000)), len(world.truth.doubled())
+    testbed.truth.over = tally.over
+    return len(testbed.truth.lost(testbed.loop.now, 2_000_000)), len(testbed.truth.doubled())
 
 
-def _spent(pair: tuple[Dispatcher, ...]) -> list[float]:
-    return [one.cpu_us for one in pair]
+def _cpu_us(dispatchers: tuple[Dispatcher, ...]) -> list[float]:
+    return [dispatcher.cpu_us for dispatcher in dispatchers]
 
 
-def _sent(world: ScaleTestbed, pair: tuple[Dispatcher, ...]) -> list[float]:
-    return [float(world.keeper.sent[one.index]) for one in pair]
+def _list_bytes_sent(testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...]) -> list[float]:
+    return [float(testbed.keeper.sent[dispatcher.index]) for dispatcher in dispatchers]
--- a/thornshelf/lab/scale/testbed.py
+++ b/thornshelf/lab/scale/testbed.py
@@ -1,4 +1,4 @@
-"""The real and hollow dispatchers of one run over its hollow nodes, with their change logs, relays and clients."""
+"""Sets up real and hollow dispatchers over hollow nodes, with change logs, datagram relays and clients."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess, example_config, write_config
 from thornshelf.lab.scale.bounds import Bounds
-from thornshelf.lab.scale.hollow import Nodes, Worker, dispatchers
-from thornshelf.lab.scale.layout import ZONES, Layout, zone
+from thornshelf.lab.scale.hollow import Nodes, Worker, start_dispatchers
+from thornshelf.lab.scale.layout import ZONES, Layout, zone_name
 from thornshelf.loop import Loop
 
-KEY = "only for this experiment, 32 byte"
-SOCKETS = 19_500  # descriptors of a dispatcher: a link to each node of the target
-QUIET_SHARE = 0.15  # of a core: below it a process has done what it had to
+FLEET_KEY = "only for this experiment, 32 byte"
+MAX_SOCKETS = 19_500  # limit of a dispatcher: enough for a connection to each node of the target
+IDLE_SHARE = 0.15  # of a core: a process that uses less is idle
 SERVICES = 200
-_worlds = itertools.count(1)
+_testbed_numbers = itertools.count(1)
 
 
 def cpu_us(pid: int) -> float:
-    """Processor time of a process so far, in microseconds; from the scheduler's own count where there is one."""
+    """Returns the processor time of a process in microseconds, from the scheduler's statistics if available."""
     try:
         return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e3
     except (OSError, ValueError, IndexError):
@@ -38,44 +38,44 @@
 
 
 class Dispatcher:
-    """A real dispatcher, as ``run`` starts it, with its clients."""
+    """A real dispatcher process and its clients, which exist once it is ready."""
 
     def __init__(self, index: int, process: DispatcherProcess) -> None:
         self.index, self.process = index, process
-        self.began = time.monotonic()
+        self.started_s = time.monotonic()
         self.ready_s = 0.0
         self.county: ClientPopulation | None = None
-        self.handle = psutil.Process(process.process.pid)
-        self.most_descriptors = 0
+        self.process_info = psutil.Process(process.process.pid)
+        self.peak_descriptors = 0
 
     @property
     def pid(self) -> int:
-        """Its process's id."""
+        """The process id."""
         return self.process.process.pid
 
     @property
     def cpu_us(self) -> float:
-        """Processor time so far."""
+        """Processor time used so far, in microseconds."""
         return cpu_us(self.pid)
 
     @property
-    def kb(self) -> float:
-        """Memory that is its own."""
-        return float(self.handle.memory_full_info().uss) / 1024
+    def memory_kb(self) -> float:
+        """Unique set size in KB."""
+        return float(self.process_info.memory_full_info().uss) / 1024
 
     @property
     def descriptors(self) -> int:
-        """Open ones."""
-        return int(self.handle.num_fds())
+        """Number of open file descriptors."""
+        return int(self.process_info.num_fds())
 
     @property
     def log_bytes(self) -> int:
-        """Written so far."""
+        """Size of the log in bytes."""
         return self.process.log_path.stat().st_size
 
 
 class ScaleTestbed:
-    """One set of dispatchers over the first ``count`` nodes."""
+    """Dispatchers over the first ``count`` hollow nodes, driven by one event loop."""
 
     def __init__(
         self,
@@ -87,162 +87,169 @@
         bounds: Bounds,
         placers: int,
     ) -> None:
-        """``placers``: how many dispatchers the settings name; ``members``: how many there may be here."""
+        """``placers`` is the number of dispatchers in the settings, ``members`` the number that can be started."""
         self.layout, self.nodes, self.count, self.folder, self.bounds = layout, nodes, count, folder, bounds
         self.placers, self.keepalive_s = placers, 30.0
-        self.loop, self.chance, self.truth = Loop(), random.Random(layout.seed), Oracle()
+        self.loop, self.rng, self.truth = Loop(), random.Random(layout.seed), Oracle()
         self.relays, self.keeper = (
             DatagramRelays(self.loop, members, layout.seed),
             FakeEndpointSource(self.loop, members),
         )
-        self.keeper.events += layout.whole(count)["results"]
+        self.keeper.events += layout.full_list(count)["results"]
         self.real: list[Dispatcher] = []
         self.hollow: list[Worker] = []
-        self.key = folder / "fleet.key"
-        if not self.key.exists():
-            self.key.write_text(KEY)
-            self.key.chmod(0o600)
-        self.asked = next(_worlds) << 32  # the names of this world's tasks come after it
+        self.key_path = folder / "fleet.key"
+        if not self.key_path.exists():
+            self.key_path.write_text(FLEET_KEY)
+            self.key_path.chmod(0o600)
+        self.last_uid = next(_testbed_numbers) << 32  # the last task id; each testbed has a range of its own
 
     # dispatchers
 
-    def operator(self, index: int, subset: bool) -> str:
-        """The operator's file of a member."""
-        seeds = ", ".join(f'"{public(one)}:{self.relays.port}"' for one in (0, 1))
+    def operator_file(self, index: int, subset: bool) -> str:
+        """Returns the operator's file of a member."""
+        seeds = ", ".join(f'"{public(seed)}:{self.relays.port}"' for seed in (0, 1))
         text = (
             f'[fleet]\nname = "scale"\nlisten = "{private(index)}:{self.relays.port}"\n'
-            f'advertise = "{public(index)}:{self.relays.port}"\nseeds = [{seeds}]\nkey_file = "{self.key}"\n'
+            f'advertise = "{public(index)}:{self.relays.port}"\nseeds = [{seeds}]\nkey_file = "{self.key_path}"\n'
             "[fleet.uses]\nallowances = false\n"
         )
-        return text + (f'[subset]\nzone = "{zone(index % ZONES)}"\ndispatchers = 2\n' if subset else "")
-
-    def configuration(self, index: int, value: dict[str, Any]) -> None:
-        """The configuration of a member, changed in place."""
-        value["name"], value["listen"] = f"m{index:02d}", f"{private(index)}:0"
-        value["changelog"] = f"{private(index)}:{self.keeper.ports[index]}"
-        value["known"] = {"seq": 1, "results": self.keeper.events[:1]}
-        value["limits"] = {"sockets": SOCKETS}
-        settings = value["settings"]
-        settings |= {"n-instances": self.placers, "me": index, "az": zone(index % ZONES)}
+        return text + (f'[subset]\nzone = "{zone_name(index % ZONES)}"\ndispatchers = 2\n' if subset else "")
+
+    def configure(self, index: int, config: dict[str, Any]) -> None:
+        """Change an example configuration, in place, into that of a member."""
+        config["name"], config["listen"] = f"m{index:02d}", f"{private(index)}:0"
+        config["changelog"] = f"{private(index)}:{self.keeper.ports[index]}"
+        config["known"] = {"seq": 1, "results": self.keeper.events[:1]}
+        config["limits"] = {"sockets": MAX_SOCKETS}
+        settings = config["settings"]
+        settings |= {"n-instances": self.placers, "me": index, "az": zone_name(index % ZONES)}
         settings["limits"]["keepalive-s"] = self.keepalive_s
         settings["limits"]["peer-messages"] = False
 
-    def start_real(self, index: int, subset: bool, plant: str | None = None) -> Dispatcher:
-        """A real dispatcher's process begins."""
+    def start_real(self, index: int, subset: bool, injected_fault: str | None = None) -> Dispatcher:
+        """Start a real dispatcher, without waiting until it is ready."""
         folder = self.folder / f"real-{index}-{len(self.real)}"
         folder.mkdir()
         process = DispatcherProcess(
             folder,
             [],
-            self.operator(index, subset),
-            plant,
-            changes=lambda value: self.configuration(index, value),
+            self.operator_file(index, subset),
+            injected_fault,
+            changes=lambda config: self.configure(index, config),
             wait=False,
         )
         self.real.append(Dispatcher(index, process))
         return self.real[-1]
 
-    def start_hollow(self, indices: list[int], subset: bool, plant: str | None = None) -> None:
-        """Hollow dispatchers begin, all in one process."""
+    def start_hollow(self, indices: list[int], subset: bool, injected_fault: str | None = None) -> None:
+        """Start hollow dispatchers in one process, and wait until it is ready."""
         folders = []
         for index in indices:
             folder = self.folder / f"hollow-{len(self.keeper.ports)}-{index}"
             folder.mkdir()
-            value = example_config()
-            self.configuration(index, value)
-            write_config(folder, value, self.operator(index, subset))
+            config = example_config()
+            self.configure(index, config)
+            write_config(folder, config, self.operator_file(index, subset))
             folders.append(folder)
-        self.hollow.append(dispatchers(folders, plant))
+        self.hollow.append(start_dispatchers(folders, injected_fault))
 
     def ready(self, limit_s: float = 60.0) -> None:
-        """Wait until all real dispatchers serve; note when each did."""
+        """Wait until all real dispatchers serve; record how long each took, and create its clients."""
 
         def all_ready() -> bool:
-            for one in self.real:
-                if not one.ready_s and one.process.ready():
-                    one.ready_s = time.monotonic() - one.began
-                    one.county = ClientPopulation(
-                        self.loop, one.process.addresses, JSON, self.truth, random.Random(one.index)
+            for dispatcher in self.real:
+                if not dispatcher.ready_s and dispatcher.process.ready():
+                    dispatcher.ready_s = time.monotonic() - dispatcher.started_s
+                    dispatcher.county = ClientPopulation(
+                        self.loop,
+                        dispatcher.process.addresses,
+                        JSON,
+                        self.truth,
+                        random.Random(dispatcher.index),
                     )
-                    one.county.next_uid = one.index + 1 << 40
-            return all(one.ready_s for one in self.real)
+                    dispatcher.county.next_uid = dispatcher.index + 1 << 40
+            return all(dispatcher.ready_s for dispatcher in self.real)
 
         self.until(all_ready, limit_s)
 
-    # time
+    # the event loop
 
     def until(self, done: Callable[[], bool], limit_s: float) -> bool:
-        """Turn until something holds, or for so long."""
-        until, look = time.monotonic() + limit_s, 0.0
-        while time.monotonic() < until:
+        """Run the event loop until ``done()`` or the time limit; returns whether it was done."""
+        deadline_s, last_check_s = time.monotonic() + limit_s, 0.0
+        while time.monotonic() < deadline_s:
             self.loop.after(5_000, lambda: None)
             self.loop.turn()
-            if time.monotonic() - look >= 0.05:
-                look = time.monotonic()
-                self.bounds.look()
+            if time.monotonic() - last_check_s >= 0.05:
+                last_check_s = time.monotonic()
+                self.bounds.check()
                 if done():
                     return True
         return False
 
     def rest(self, seconds: float) -> None:
-        """Turn for a while."""
+        """Run the event loop for a time."""
         self.until(lambda: False, seconds)
 
-    def quiet(self, limit_s: float) -> None:
-        """Turn until all real dispatchers have done what they had to."""
-        before, at = [one.cpu_us for one in self.real], time.monotonic()
+    def wait_until_idle(self, limit_s: float) -> None:
+        """Run the event loop until all real dispatchers are idle, or the time limit."""
+        before, sampled_s = [dispatcher.cpu_us for dispatcher in self.real], time.monotonic()
 
-        def still() -> bool:
-            nonlocal before, at
-            for one in self.real:
-                one.most_descriptors = max(one.most_descriptors, one.descriptors)
-            if time.monotonic() - at < 0.4:
+        def all_idle() -> bool:
+            nonlocal before, sampled_s
+            for dispatcher in self.real:
+                dispatcher.peak_descriptors = max(dispatcher.peak_descriptors, dispatcher.descriptors)
+            if time.monotonic() - sampled_s < 0.4:
                 return False
-            now, passed = [one.cpu_us for one in self.real], (time.monotonic() - at) * 1e6
-            spent = max((b - a) / passed for a, b in zip(before, now, strict=True))
-            before, at = now, time.monotonic()
-            return spent < QUIET_SHARE
+            now, elapsed_us = (
+                [dispatcher.cpu_us for dispatcher in self.real],
+                (time.monotonic() - sampled_s) * 1e6,
+            )
+            max_load = max((b - a) / elapsed_us for a, b in zip(before, now, strict=True))
+            before, sampled_s = now, time.monotonic()
+            return max_load < IDLE_SHARE
 
-        self.until(still, limit_s)
+        self.until(all_idle, limit_s)
 
     # traffic
 
-    def tell(self, *entries: dict[str, Any]) -> None:
-        """An event of the change log, to all."""
-        self.keeper.publish(list(entries))
+    def tell(self, *instances: dict[str, Any]) -> None:
+        """Publish an event of the change log to all dispatchers."""
+        self.keeper.publish(list(instances))
 
-    def ask(self, one: Dispatcher, task_class: str = LOOKUP) -> None:
-        """A new task at a real dispatcher."""
-        assert one.county is not None
-        self.asked += 1
-        one.county.ask(self.asked, task_class, "1500", self.chance.randrange(SERVICES))
+    def submit_task(self, dispatcher: Dispatcher, task_class: str = LOOKUP) -> None:
+        """Request a new task from a real dispatcher."""
+        assert dispatcher.county is not None
+        self.last_uid += 1
+        dispatcher.county.ask(self.last_uid, task_class, "1500", self.rng.randrange(SERVICES))
 
-    def load(self, seconds: float, per_s: float) -> int:
-        """Set-ups at each real dispatcher at a steady rate; how many each got."""
-        count, pause_us = 0, int(1e6 / per_s)
+    def load(self, seconds: float, requests_per_s: float) -> int:
+        """Send requests to each real dispatcher at a steady rate; returns how many each received."""
+        count, pause_us = 0, int(1e6 / requests_per_s)
         end = time.monotonic() + seconds
 
-        def one_each() -> None:
+        def submit_to_each() -> None:
             nonlocal count
             if time.monotonic() < end:
                 count += 1
-                for one in self.real:
-                    self.ask(one)
-                self.loop.after(pause_us, one_each)
+                for dispatcher in self.real:
+                    self.submit_task(dispatcher)
+                self.loop.after(pause_us, submit_to_each)
 
-        one_each()
+        submit_to_each()
         self.rest(seconds)
         return count
 
     def close(self) -> None:
-        """End all dispatchers and give back all sockets."""
-        for one in self.real:
-            if one.process.process.poll() is None:
-                one.process.process.terminate()
+        """Stop all dispatchers and close all sockets."""
+        for dispatcher in self.real:
+            if dispatcher.process.process.poll() is None:
+                dispatcher.process.process.terminate()
         for worker in self.hollow:
             worker.end()
-        for one in self.real:
-            one.process.terminate()
+        for dispatcher in self.real:
+            dispatcher.process.terminate()
         self.relays.close()
         self.keeper.close()
         self.loop.close()
