--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,9 @@
-"""How long questions hold a turn, with 100,000 tasks, 1,024 nodes and 20,000 steps: python -m benchmarks.control.
+"""Measures how long queries delay a turn, with 100,000 tasks, 1,024 nodes and 20,000 history entries.
 
-The tables, slices and readers of the program over a core without sockets; each table is read whole by two shells at
-once. Milliseconds, by the processor and by the clock; and what a step in a task's life costs, with and without notes.
+    python -m benchmarks.control
+
+Two clients read each complete table at once, from a core without sockets. Prints the longest turn in milliseconds of
+processor and wall-clock time, and the cost of a task event with and without recording it in the history.
 """
 
 from __future__ import annotations
@@ -24,11 +26,11 @@
 from thornshelf.core.task import TaskState
 from thornshelf.loop import Loop
 
-TASKS, NODES, STEPS = 100_000, 1_024, 20_000
+TASKS, NODES, HISTORY_ENTRIES = 100_000, 1_024, 20_000
 
 
 class IdleNode:
-    """A node that does nothing."""
+    """A node link that is always connected and ignores everything it is told."""
 
     connection_state = "connected"
 
@@ -41,7 +43,7 @@
 
 
 class CountingClient:
-    """Counts what it is sent."""
+    """A query client that counts rows, pages and bytes."""
 
     can_accept = is_open = True
 
@@ -60,21 +62,21 @@
         return size
 
     def close_with_error(self, error: Exception) -> None:
-        """Fail: no query may be aborted here."""
+        """Raise the error: no query may be aborted here."""
         raise error
 
 
-def a_core() -> Dispatcher:
-    """A dispatcher's core that knows so many nodes and tasks."""
+def make_core() -> Dispatcher:
+    """Returns the core of a dispatcher with ``NODES`` nodes and ``TASKS`` running tasks."""
     config = read_config({"LB_CONFIG": str(Path(__file__).parent.parent / "examples" / "config.json")})
     core = Dispatcher(Loop(), config.settings, 1, lambda *_: IdleNode(), lambda *_: None)
-    named = [
+    endpoints = [
         NodeEndpoint(
-            f"s-{n + 1:08x}", f"127.0.0.1:{n + 1}", core_health(), "node-small", "jackson-dc", 1, 1.0, None
+            f"s-{n + 1:08x}", f"127.0.0.1:{n + 1}", node_health(), "node-small", "jackson-dc", 1, 1.0, None
         )
         for n in range(NODES)
     ]
-    core.update_endpoints(EndpointListUpdate(True, 1, named))
+    core.update_endpoints(EndpointListUpdate(True, 1, endpoints))
     core.run_turn()
     machines = list(core.endpoints.nodes)
     for uid in range(1, TASKS + 1):
@@ -98,58 +100,61 @@
     return core
 
 
-def core_health() -> Any:
-    """In service."""
+def node_health() -> Any:
+    """Returns the health of all nodes."""
     from thornshelf.placement import Health
 
     return Health.UP
 
 
-def read(core: Dispatcher, catalog: Catalog, table: str) -> dict[str, Any]:
-    """One complete table, by two clients at once."""
+def read_table(core: Dispatcher, catalog: Catalog, table: str) -> dict[str, Any]:
+    """Measure the reading of a complete table by two clients at once."""
     sessions = QuerySessions("m0", catalog, None, lambda: 1, 16)
     clients = [CountingClient(), CountingClient()]
-    began, turns, worst, wall = time.monotonic(), 0, 0, 0
+    started_s, turns, worst_cpu_ns, worst_wall_ns = time.monotonic(), 0, 0, 0
     for client in clients:
         names = [column.name for column in catalog.table(table).columns]
         sessions.start(client, QueryRequest(1, table, names), core.loop.now)
     while len(sessions):
         core.loop.turn(True)
-        cpu, clock = time.thread_time_ns(), time.monotonic_ns()
+        cpu_started_ns, started_ns = time.thread_time_ns(), time.monotonic_ns()
         sessions.run_turn(core.loop.now, 1, core.loop.turn_elapsed_us, False)
-        worst, wall = max(worst, time.thread_time_ns() - cpu), max(wall, time.monotonic_ns() - clock)
+        worst_cpu_ns, worst_wall_ns = (
+            max(worst_cpu_ns, time.thread_time_ns() - cpu_started_ns),
+            max(worst_wall_ns, time.monotonic_ns() - started_ns),
+        )
         turns += 1
     assert all(client.finished for client in clients)
     return {
-        "rows": clients[0].rows, "turns": turns, "worst_turn_ms": round(worst / 1e6, 2),
-        "worst_wall_ms": round(wall / 1e6, 2), "seconds": round(time.monotonic() - began, 2),
+        "rows": clients[0].rows, "turns": turns, "worst_turn_ms": round(worst_cpu_ns / 1e6, 2),
+        "worst_wall_ms": round(worst_wall_ns / 1e6, 2), "seconds": round(time.monotonic() - started_s, 2),
         "mb": round(clients[0].bytes / 1e6, 1),
     }  # fmt: skip
 
 
 def main() -> None:
-    """All tables."""
-    core, history = a_core(), History(STEPS)
-    for uid in range(1, STEPS + 1):
+    """Measure all tables and print the results as JSON."""
+    core, history = make_core(), History(HISTORY_ENTRIES)
+    for uid in range(1, HISTORY_ENTRIES + 1):
         history.record(core.loop.now, uid, uid, "offered", 1 + uid % NODES, "attempt", 0)
     catalog = Catalog()
     catalog.add(
         *CoreTables(core, history, ErrorCounters(), lambda us: us // 1000).tables(lambda: core.settings)
     )
-    # In a dispatcher these tables are old before they are large; a young one of 100,000 costs a collection 17 ms.
+    # Moves the tables to the oldest generation, as in a running dispatcher, so that no young collection scans them.
     gc.collect()
-    said: dict[str, Any] = {
-        name: read(core, catalog, name) for name in ("tasks", "nodes", "attempts", "history")
+    results: dict[str, Any] = {
+        name: read_table(core, catalog, name) for name in ("tasks", "nodes", "attempts", "history")
     }
     task = next(iter(core.all_tasks()))
-    count = 200_000
-    for name, held in (("step_off_ns", None), ("step_on_ns", history)):
-        core.history = held
-        took = timeit.timeit(
-            lambda: core.record_event(task, 1, "ended", 5, TaskState.OPEN, TaskState.OPEN), number=count
+    rounds = 200_000
+    for name, recorder in (("step_off_ns", None), ("step_on_ns", history)):
+        core.history = recorder
+        elapsed_s = timeit.timeit(
+            lambda: core.record_event(task, 1, "ended", 5, TaskState.OPEN, TaskState.OPEN), number=rounds
         )
-        said[name] = round(took / count * 1e9)
-    print(json.dumps(said))
+        results[name] = round(elapsed_s / rounds * 1e9)
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,8 +1,8 @@
-"""The cost of a decision as the fleet grows: the index alongside the full scan of all machines, in one run.
+"""Measures the cost of a decision by fleet size: the index compared with a full scan of all machines.
 
     python -m benchmarks.decision
 
-Tasks of many services arrive in batches and stay; each machine reports what all placers' tasks use on it.
+Tasks of many services arrive in batches and keep running; machines report the load of the tasks of all placers.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 
 class TimedPlacer(Placer):
-    """Records how long each update of the averages delays a call."""
+    """A placer that records how long each update of the averages takes."""
 
-    def __init__(self, terms: api.Settings, seed: int) -> None:
-        super().__init__(terms, seed)
+    def __init__(self, placer_settings: api.Settings, seed: int) -> None:
+        super().__init__(placer_settings, seed)
         self.updates_ms: list[float] = []
 
     def update_averages(self) -> None:
@@ -63,7 +63,7 @@
         self.requested = 0
 
     def draw_demand(self) -> tuple[float, float]:
-        """Draw the cores and memory that tasks of one service ask for."""
+        """Draw the cores and memory that tasks of one service request."""
         return self.random.choice((0.5, 1.0, 2.0)), self.random.choice((1.0, 2.0, 3.0))
 
     def ended_tasks(self, now: float) -> list[api.Event]:
@@ -104,10 +104,10 @@
         self.running.append((until, request, machine))
 
 
-def run(make: type[Placer], machines: int, batches: int) -> Result:
+def run(placer_type: type[Placer], machines: int, batches: int) -> Result:
     """Measure the decisions of a placer of this type."""
     workload = Workload(machines)
-    terms = settings(
+    placer_settings = settings(
         LOOKUP,
         replace(LEDGER, deadline_s=10.0),
         placers=PLACERS,
@@ -115,7 +115,7 @@
         overcommit_cores=3.0,
         overcommit_memory=2.0,
     )
-    placer = make(terms, 1)
+    placer = placer_type(placer_settings, 1)
     placer.handle(0.0, [listing(*(entry(m, kind=kind) for m, kind in workload.kinds.items()))])
     spent_s = longest_s = now = 0.0
     attempts = 0
@@ -137,29 +137,31 @@
 
 
 def compare_slices(machines: int, batches: int) -> None:
-    """Print what refreshing all estimates costs in one go, and in slices."""
-    usual = machine_index.SLICE
-    texts = []
-    for slice_size in (UNSLICED, usual):
+    """Print the cost of updating all averages at once, and in slices."""
+    default_slice = machine_index.SLICE
+    descriptions = []
+    for slice_size in (UNSLICED, default_slice):
         machine_index.SLICE = slice_size
         result = run(TimedPlacer, machines, batches)
         assert isinstance(result.placer, TimedPlacer)
         updates_ms = result.placer.updates_ms
-        texts.append(
+        descriptions.append(
             f"{statistics.median(updates_ms):5.2f} ms (at most {max(updates_ms):5.2f}), a decision"
             f" {result.decision_ms:.2f} ms, {result.attempts} attempts"
         )
-    machine_index.SLICE = usual
-    print(f"{machines:5} machines: an update of the averages in one go {texts[0]}; in slices {texts[1]}")
+    machine_index.SLICE = default_slice
+    print(
+        f"{machines:5} machines: an update of all averages at once {descriptions[0]}; in slices {descriptions[1]}"
+    )
 
 
 def main() -> None:
-    """Print a line for each size of fleet."""
+    """Print one line per fleet size."""
     for machines in (14, 200, 400, 1024):
         batches = 600 if machines < 1000 else 300
         scan = run(FullScanPlacer, machines, batches)
         indexed = run(Placer, machines, batches)
-        assert scan.attempts == indexed.attempts, "the choices differ"
+        assert scan.attempts == indexed.attempts, "the index and the full scan placed different tasks"
         print(
             f"{machines:5} machines: {scan.decision_ms:7.3f} ms a decision by the full scan,"
             f" {indexed.decision_ms:6.3f} by the index; the longest call {scan.longest_call_ms:6.1f} and"
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,9 +1,9 @@
-"""What membership costs a dispatcher: an earlier version, this one without it, and with it, side by side.
+"""Measures what membership costs a dispatcher: an earlier version, this version without it, and with it.
 
     python -m benchmarks.membership [TREE_OF_AN_EARLIER_VERSION]
 
-Each is a process of its own under the same load; with membership there are eleven other members, without dispatchers,
-in this process. Processor time for a task in microseconds, and memory; three rounds, the minimum counts.
+Each variant runs in a process of its own under the same load. With membership, this process hosts eleven other
+members, which have no dispatcher. Prints processor time per task and memory, the minimum of three rounds.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 class Cost(NamedTuple):
-    """The cost of one round."""
+    """The result of one round."""
 
     cpu_us_per_task: float
     memory_kb: int
@@ -52,7 +52,7 @@
 
 
 def _start_member(loop: Loop, relays: DatagramRelays, index: int) -> None:
-    """A member without a dispatcher, in this process."""
+    """Start a member without a dispatcher in this process."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setblocking(False)
     sock.bind((private(index), relays.port))
@@ -82,7 +82,7 @@
 
 
 def _operator_file(relays: DatagramRelays, key: Path) -> str:
-    """The operator's file of the dispatcher that is measured, with membership."""
+    """Returns the operator's file of the measured dispatcher, with membership."""
     return (
         f'[fleet]\nname = "lab"\nlisten = "{private(0)}:{relays.port}"\n'
         f'advertise = "{public(0)}:{relays.port}"\nkey_file = "{key}"\n'
@@ -90,7 +90,7 @@
 
 
 def run_round(variant: str, tree: Path | None) -> Cost:
-    """The cost of one variant of the dispatcher, under the same load."""
+    """Run one variant of the dispatcher under load and return its cost."""
     loop, oracle = Loop(), Oracle()
     relays, source = DatagramRelays(loop, OTHER_MEMBERS + 1, 1), FakeEndpointSource(loop, 1)
     nodes = [LoadNode(loop, BINARY, oracle, random.Random(n)) for n in range(NODES)]
@@ -102,9 +102,9 @@
         key.write_text(KEY)
         key.chmod(0o600)
 
-        def configure(value: dict[str, Any]) -> None:
-            value["listen"] = f"{private(0)}:0"
-            value["changelog"] = f"{private(0)}:{source.ports[0]}"
+        def configure(config: dict[str, Any]) -> None:
+            config["listen"] = f"{private(0)}:0"
+            config["changelog"] = f"{private(0)}:{source.ports[0]}"
 
         process = DispatcherProcess(
             Path(folder),
@@ -123,16 +123,16 @@
 
 
 def _measure(loop: Loop, process: DispatcherProcess, oracle: Oracle) -> Cost:
-    """The cost of a dispatcher once it is ready."""
+    """Wait until a dispatcher is ready, and return its cost under load."""
     while not process.ready():
         _turn(loop)
     clients = ClientPopulation(loop, process.addresses, JSON, oracle, random.Random(1))
     _run_until(loop, time.monotonic() + WARM_UP_S)
-    start = time.monotonic()
+    started_s = time.monotonic()
     cpu_us = process.cpu_us
     for number in range(int(SECONDS * TASKS_PER_S)):
         clients.ask(number + 1, LOOKUP, None, number % SERVICES)
-        _run_until(loop, start + number / TASKS_PER_S)
+        _run_until(loop, started_s + number / TASKS_PER_S)
     cpu_us = process.cpu_us - cpu_us
     placed = sum(request.answers[:1] == ["placed"] for request in oracle.asked.values())
     return Cost(cpu_us / (SECONDS * TASKS_PER_S), process.rss_kb, placed)
@@ -149,7 +149,7 @@
 
 
 def main() -> None:
-    """Print a line for each variant."""
+    """Print one line per variant."""
     tree = Path(sys.argv[1]) if len(sys.argv) > 1 else None
     variants = [WITHOUT, WITH] if tree is None else [EARLIER, WITHOUT, WITH]
     costs: dict[str, list[Cost]] = {variant: [] for variant in variants}
--- a/examples/toy_client.py
+++ b/examples/toy_client.py
@@ -1,4 +1,4 @@
-"""A toy client: it asks for some tasks in JSON lines and prints what it hears until all are over.
+"""A toy client: requests tasks in JSON lines and prints all answers until the tasks have ended.
 
 python examples/toy_client.py 127.0.0.1:3868 3
 """
@@ -23,12 +23,18 @@
                 "hint": "5000.0",
                 "extras": "cores:1;memory:2;service:00000000b4d65521",
             }
-            ask = {"kind": "launch", "uid": secrets.token_hex(8), "meta": meta, "body": "toy task"}
-            lines.write(json.dumps(ask) + "\n")
+            request = {"kind": "launch", "uid": secrets.token_hex(8), "meta": meta, "body": "toy task"}
+            lines.write(json.dumps(request) + "\n")
         lines.flush()
         for line in lines:
-            said = json.loads(line)
-            print(said["kind"], said["uid"], said.get("reason", ""), said.get("body", ""), said["meta"])
-            count -= said["kind"] == "stop"  # refused, failed or over
+            answer = json.loads(line)
+            print(
+                answer["kind"],
+                answer["uid"],
+                answer.get("reason", ""),
+                answer.get("body", ""),
+                answer["meta"],
+            )
+            count -= answer["kind"] == "stop"  # rejected, failed or ended
             if count == 0:
                 break
--- a/examples/toy_grpc_client.py
+++ b/examples/toy_grpc_client.py
@@ -1,4 +1,4 @@
-"""A toy gRPC client: some tasks on one Dispatch stream, with grpcio (`pip install grpcio`).
+"""A toy gRPC client: requests tasks on one Dispatch stream, with grpcio (`pip install grpcio`).
 
 python -m examples.toy_grpc_client 127.0.0.1:3869 3
 """
@@ -14,7 +14,7 @@
 
 if __name__ == "__main__":
     count = int(sys.argv[2]) if len(sys.argv) > 2 else 1
-    asks = [
+    requests = [
         pb.ClientMessage(
             ask=pb.Ask(
                 uid=secrets.randbits(64), task_class="lookup", left_ms=8000, tenant="pruett-county",
@@ -27,5 +27,5 @@
         dispatch = channel.stream_stream(
             "/thornshelf.v1.Placement/Dispatch", pb.ClientMessage.SerializeToString, pb.Verdict.FromString
         )
-        for verdict in dispatch(iter(asks), timeout=60):
+        for verdict in dispatch(iter(requests), timeout=60):
             print(f"{verdict.uid:016x}", verdict.WhichOneof("kind"), verdict.binding.description.decode())
--- a/examples/toy_node.py
+++ b/examples/toy_node.py
@@ -1,4 +1,4 @@
-"""A toy node: it runs each task for a few seconds and says so in the platform's binary messages.
+"""A toy node: accepts each task and reports its end after a few seconds, in binary messages.
 
 python examples/toy_node.py 127.0.0.1:3901
 """
@@ -11,43 +11,43 @@
 
 from thornshelf.wire import binary
 
-RUNS_S = 5.0
+TASK_DURATION_S = 5.0
 
 
 class Node(socketserver.BaseRequestHandler):
-    """One connection of a dispatcher."""
+    """Handles one connection of a dispatcher."""
 
     def handle(self) -> None:
         reader = binary.MessageReader()
         while data := self.request.recv(65536):
             reader.feed(data)
             while (message := reader.next()) is not None:
-                self.take(message)
+                self.handle_message(message)
 
-    def take(self, message: binary.Message) -> None:
+    def handle_message(self, message: binary.Message) -> None:
         name = f"{message.uid:016x}"
         if message.type == binary.SET_UP:
             print(f"{name} runs, class {message.text(binary.CLASS)}", flush=True)
-            self.say(binary.ANSWER, message.uid, {binary.DESCRIPTION: b"running on the toy node"})
-            threading.Timer(RUNS_S, self.release, (message.uid, 16)).start()
+            self.send(binary.ANSWER, message.uid, {binary.DESCRIPTION: b"running on the toy node"})
+            threading.Timer(TASK_DURATION_S, self.release, (message.uid, 16)).start()
         elif message.type == binary.RELEASE:
-            print(f"{name} is ended by the dispatcher", flush=True)
+            print(f"{name} was released by the dispatcher", flush=True)
             self.release(message.uid, 31)
         elif message.type == binary.TEST:
-            self.say(binary.TESTED, message.uid, {binary.CAUSE: b"\x01", binary.REPORT: b"x0:20;x1:40"})
+            self.send(binary.TESTED, message.uid, {binary.CAUSE: b"\x01", binary.REPORT: b"x0:20;x1:40"})
 
     def release(self, uid: int, cause: int) -> None:
-        self.say(binary.RELEASE, uid, {binary.CAUSE: bytes((cause,)), binary.REPORT: b"x0:20;x1:40"})
+        self.send(binary.RELEASE, uid, {binary.CAUSE: bytes((cause,)), binary.REPORT: b"x0:20;x1:40"})
 
-    def say(self, kind: int, uid: int, values: dict[int, bytes]) -> None:
+    def send(self, kind: int, uid: int, values: dict[int, bytes]) -> None:
         try:
             self.request.sendall(binary.encode(kind, uid, values))
         except OSError:
-            print("the dispatcher is gone", flush=True)
+            print("the dispatcher has disconnected", flush=True)
 
 
 class Server(socketserver.ThreadingTCPServer):
-    """Listens."""
+    """Accepts connections of dispatchers."""
 
     allow_reuse_address = daemon_threads = True
 
--- a/tests/golden/operator.py
+++ b/tests/golden/operator.py
@@ -126,12 +126,12 @@
     """Returns the parameters of a command: names, types, choices and defaults."""
     parameters = [
         {
-            "names": [*one.opts, *one.secondary_opts],
-            "required": one.required,
-            "type": one.type.to_info_dict(),
-            "default": str(one.default),
+            "names": [*parameter.opts, *parameter.secondary_opts],
+            "required": parameter.required,
+            "type": parameter.type.to_info_dict(),
+            "default": str(parameter.default),
         }
-        for one in command.params
+        for parameter in command.params
     ]
     return json.dumps(parameters).encode() + b"\n"
 
@@ -165,8 +165,8 @@
     return json.dumps([[column.name, column.sql_type] for column in table.columns]).encode() + b"\n"
 
 
-def saved_query(one: saved_queries.SavedQuery) -> bytes:
-    return json.dumps([one.sql, one.fleet]).encode() + b"\n"
+def saved_query(query: saved_queries.SavedQuery) -> bytes:
+    return json.dumps([query.sql, query.fleet]).encode() + b"\n"
 
 
 SHELL = Format(
