--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -29,7 +29,7 @@
 )
 
 
-def children() -> list[psutil.Process]:
+def child_processes() -> list[psutil.Process]:
     """Child processes, without the resource tracker of the interpreter."""
     return [
         process for process in psutil.Process().children(recursive=True) if not is_resource_tracker(process)
@@ -38,7 +38,7 @@
 
 def test_a_tiny_run_computes_every_row_meets_every_rule_and_leaves_no_process() -> None:
     """The sizes are too small for meaningful slopes, so held-out points are not checked."""
-    before = {process.pid for process in children()}
+    before = {process.pid for process in child_processes()}
     report = run(3, TINY)
     assert report.rules_broken == []
     assert report.lost == report.doubled == 0
@@ -64,7 +64,7 @@
         "mechanism",
     ):
         assert name in summary
-    assert {process.pid for process in children()} <= before
+    assert {process.pid for process in child_processes()} <= before
 
 
 BROKEN_RULES = {
--- a/thornshelf/capacity/curves.py
+++ b/thornshelf/capacity/curves.py
@@ -59,7 +59,7 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """A quantity with the cost curve fitted to its measurements.
+    """The cost curve fitted to the measurements of a quantity; the field names are keys of docs/capacity.json.
 
     ``name`` is its key in the report. ``floor`` is the resolution of the measurement, in ``unit``: an error is
     relative to the measured value or to the floor, whichever is greater.
--- a/thornshelf/capacity/page.py
+++ b/thornshelf/capacity/page.py
@@ -148,10 +148,8 @@
     nodes = target.nodes
 
     def costs_at(name: str) -> tuple[float, float]:
-        complete = slopes[name].at(nodes)
-        return complete, slopes[name + SUBSET_SUFFIX].at(
-            nodes
-        ) if name + SUBSET_SUFFIX in slopes else complete
+        every = slopes[name].at(nodes)
+        return every, slopes[name + SUBSET_SUFFIX].at(nodes) if name + SUBSET_SUFFIX in slopes else every
 
     change_us, reload_us = costs_at("list_change_us"), costs_at("reload_us")
     burst_changes = 3 * target.replacements_a_day
--- a/thornshelf/capacity/roles.py
+++ b/thornshelf/capacity/roles.py
@@ -7,12 +7,12 @@
 
 from thornshelf.capacity.rows import Aspect, Budget, MissingFeature, RowDefinition
 
-LIST = "list of nodes"
-LINK = "link to nodes"
-PLACING = "placing of tasks"
-VIEW = "view of the fleet"
+ENDPOINT_LIST = "list of nodes"
+CONNECTIONS = "link to nodes"
+PLACEMENT = "placing of tasks"
+MEMBERSHIP = "view of the fleet"
 CONFIGURATION = "configuration"
-START = "hand-over and restart"
+RESTART = "hand-over and restart"
 
 ROWS: tuple[RowDefinition, ...] = (
     RowDefinition(
@@ -40,41 +40,48 @@
         "frontends, core and nodes together",
     ),
     RowDefinition(
-        PLACING,
+        PLACEMENT,
         Aspect.PROCESSOR,
         "us/s",
         "decision_us",
         "starts_per_s",
         "placement/placer.py",
-        waits_for=LIST,
+        waits_for=ENDPOINT_LIST,
     ),
     RowDefinition(
-        PLACING,
+        PLACEMENT,
         Aspect.STATE,
         "bytes",
         "placement_bytes",
         "constant",
         "placement/placer.py, machine_index.py",
-        waits_for=LIST,
+        waits_for=ENDPOINT_LIST,
     ),
     RowDefinition(
-        PLACING, Aspect.MEMORY, "bytes", "standing_bytes", "constant", "core/task.py, placement/placer.py"
+        PLACEMENT, Aspect.MEMORY, "bytes", "standing_bytes", "constant", "core/task.py, placement/placer.py"
     ),
-    RowDefinition(LINK, Aspect.TRAFFIC, "bytes/s", "node_bytes_a_start", "starts_per_s", "nodes/binary.py"),
     RowDefinition(
-        LINK, Aspect.MESSAGES, "messages/s", "node_messages_a_start", "starts_per_s", "nodes/binary.py"
+        CONNECTIONS, Aspect.TRAFFIC, "bytes/s", "node_bytes_a_start", "starts_per_s", "nodes/binary.py"
     ),
     RowDefinition(
-        LINK,
+        CONNECTIONS,
+        Aspect.MESSAGES,
+        "messages/s",
+        "node_messages_a_start",
+        "starts_per_s",
+        "nodes/binary.py",
+    ),
+    RowDefinition(
+        CONNECTIONS,
         Aspect.STATE,
         "descriptors",
         "descriptors",
         "constant",
         "nodes/node_connection.py, connection_pool.py",
-        waits_for=LIST,
+        waits_for=ENDPOINT_LIST,
     ),
     RowDefinition(
-        LIST,
+        ENDPOINT_LIST,
         Aspect.MEMORY,
         "KB",
         "held_kb",
@@ -82,12 +89,21 @@
         "core/endpoint_registry.py, nodes, placement",
         Budget.MEMORY,
     ),
-    RowDefinition(LIST, Aspect.STATE, "bytes", "list_bytes", "constant", "discovery/endpoint_watch.py"),
     RowDefinition(
-        LIST, Aspect.PROCESSOR, "us/s", "rest_us", "constant", "loop, core, nodes at rest", Budget.CORE, LIST
+        ENDPOINT_LIST, Aspect.STATE, "bytes", "list_bytes", "constant", "discovery/endpoint_watch.py"
+    ),
+    RowDefinition(
+        ENDPOINT_LIST,
+        Aspect.PROCESSOR,
+        "us/s",
+        "rest_us",
+        "constant",
+        "loop, core, nodes at rest",
+        Budget.CORE,
+        ENDPOINT_LIST,
     ),
     RowDefinition(
-        LIST,
+        ENDPOINT_LIST,
         Aspect.PROCESSOR,
         "us/s",
         "list_change_us",
@@ -96,7 +112,7 @@
         Budget.CORE,
     ),
     RowDefinition(
-        LIST,
+        ENDPOINT_LIST,
         Aspect.TRAFFIC,
         "bytes/s",
         "list_change_bytes",
@@ -105,7 +121,7 @@
         Budget.TRAFFIC,
     ),
     RowDefinition(
-        LIST,
+        ENDPOINT_LIST,
         Aspect.TRAFFIC,
         "bytes/s",
         "rest_bytes",
@@ -114,7 +130,7 @@
         Budget.TRAFFIC,
     ),
     RowDefinition(
-        VIEW,
+        MEMBERSHIP,
         Aspect.TRAFFIC,
         "bytes/s",
         "view_bytes",
@@ -123,10 +139,15 @@
         Budget.TRAFFIC,
     ),
     RowDefinition(
-        VIEW, Aspect.MESSAGES, "datagrams/s", "view_datagrams", "constant", "membership, components/fleet.py"
+        MEMBERSHIP,
+        Aspect.MESSAGES,
+        "datagrams/s",
+        "view_datagrams",
+        "constant",
+        "membership, components/fleet.py",
     ),
-    RowDefinition(VIEW, Aspect.PROCESSOR, "us/s", "view_us", "constant", "membership", Budget.CORE),
-    RowDefinition(VIEW, Aspect.MEMORY, "KB", "view_kb", "constant", "membership", Budget.MEMORY),
+    RowDefinition(MEMBERSHIP, Aspect.PROCESSOR, "us/s", "view_us", "constant", "membership", Budget.CORE),
+    RowDefinition(MEMBERSHIP, Aspect.MEMORY, "KB", "view_kb", "constant", "membership", Budget.MEMORY),
     RowDefinition(
         CONFIGURATION,
         Aspect.PROCESSOR,
@@ -135,12 +156,14 @@
         "configuration_changes_per_s",
         "configuration.py, service.py (SIGHUP)",
         Budget.CORE,
-        LIST,
+        ENDPOINT_LIST,
+    ),
+    RowDefinition(RESTART, Aspect.TIME, "ms", "start_ms", "constant", "service.py", waits_for=ENDPOINT_LIST),
+    RowDefinition(
+        RESTART, Aspect.PROCESSOR, "ms", "start_cpu_ms", "constant", "service.py", waits_for=ENDPOINT_LIST
     ),
-    RowDefinition(START, Aspect.TIME, "ms", "start_ms", "constant", "service.py", waits_for=LIST),
-    RowDefinition(START, Aspect.PROCESSOR, "ms", "start_cpu_ms", "constant", "service.py", waits_for=LIST),
     RowDefinition(
-        START,
+        RESTART,
         Aspect.STATE,
         "bytes",
         "handover_bytes",
@@ -155,7 +178,7 @@
         "question_us",
         "constant",
         "control/tables.py",
-        waits_for=LIST,
+        waits_for=ENDPOINT_LIST,
     ),
     RowDefinition("node", Aspect.STATE, "connections", "node_connections", "constant", "the node's own"),
 )
--- a/thornshelf/capacity/rows.py
+++ b/thornshelf/capacity/rows.py
@@ -63,9 +63,9 @@
 class Row(msgspec.Struct, frozen=True):
     """A computed row; its field names are keys of docs/capacity.json.
 
-    ``today`` is the cost of the current deployment; ``at_target``, ``at_half`` and ``at_twice`` are the costs at the
-    target with the derived number of dispatchers, half of it and twice as many. ``factor`` is the cost at the target
-    divided by the budget.
+    ``today`` is the cost of the current deployment. ``at_target``, ``at_half`` and ``at_twice`` are the costs at the
+    target, with the derived number of dispatchers, half as many and twice as many. ``factor`` is the cost at the
+    target divided by the budget.
     """
 
     role: str
@@ -83,7 +83,7 @@
     waits_for: str = ""
 
     @property
-    def missed(self) -> bool:
+    def exceeds_budget(self) -> bool:
         """Whether the cost at the target exceeds the budget."""
         return self.factor is not None and self.factor > 1.0
 
@@ -99,11 +99,11 @@
 def row_cost(definition: RowDefinition, slopes: Mapping[str, Slope], deployment: Deployment) -> float:
     """Returns the cost of a row in a deployment."""
     slope = slopes[definition.slope]
-    variable, rate = (
+    x, rate = (
         float(getattr(deployment, slope.variable)),
         float(getattr(deployment, definition.rate_field)),
     )
-    return slope.at(variable) * rate
+    return slope.at(x) * rate
 
 
 def compute_rows(
@@ -177,8 +177,8 @@
 
     Of the rows over budget, it is the one whose role determines the most others; the greatest factor breaks ties.
     """
-    missed = [row for row in rows if row.missed]
-    if not missed:
+    over_budget = [row for row in rows if row.exceeds_budget]
+    if not over_budget:
         return None
-    dependents = {row.role: sum(other.waits_for == row.role for other in missed) for row in missed}
-    return max(missed, key=lambda row: (dependents[row.role], row.factor or 0.0))
+    dependents = {row.role: sum(other.waits_for == row.role for other in over_budget) for row in over_budget}
+    return max(over_budget, key=lambda row: (dependents[row.role], row.factor or 0.0))
--- a/thornshelf/lab/scale/run.py
+++ b/thornshelf/lab/scale/run.py
@@ -123,7 +123,7 @@
 )
 SUBSET_SUFFIX = "_subset"  # of the names of slopes for a dispatcher with a subset
 
-Measured = dict[str, list[Point]]
+PointsByQuantity = dict[str, list[Point]]
 ProgressCallback = Callable[[str], None]
 
 
@@ -256,7 +256,7 @@
     return jobs
 
 
-def fit_slopes(measured: Measured) -> dict[str, Any]:
+def fit_slopes(measured: PointsByQuantity) -> dict[str, Any]:
     """Fit a curve to each measured quantity, with and without a subset."""
     slopes = {}
     for name, quantity, unit, variable, floor in QUANTITIES:
@@ -301,16 +301,16 @@
         bounds.terminate_children()
 
 
-def points_by_quantity(results: Iterable[tuple[float, dict[str, float]]]) -> Measured:
+def points_by_quantity(results: Iterable[tuple[float, dict[str, float]]]) -> PointsByQuantity:
     """Group measurements by quantity; ``results`` has the variable's value and the quantities of each."""
-    measured: Measured = defaultdict(list)
+    measured: PointsByQuantity = defaultdict(list)
     for x, values in results:
         for name, y in values.items():
             measured[name].append(Point(x, y))
     return measured
 
 
-def points_by_size(node_counts: Sequence[int], sizes: Sequence[SizeMeasurement]) -> Measured:
+def points_by_size(node_counts: Sequence[int], sizes: Sequence[SizeMeasurement]) -> PointsByQuantity:
     """Group the measurements of real dispatchers by quantity, with and without a subset."""
     subset = [{name + SUBSET_SUFFIX: y for name, y in size.subset.items()} for size in sizes]
     complete = [size.complete for size in sizes]
@@ -323,7 +323,7 @@
     plan: Plan,
     seed: int,
     bounds: Bounds,
-    measured: Measured,
+    measured: PointsByQuantity,
     counts: ScenarioCounts,
     sizes: Sequence[SizeMeasurement],
 ) -> Report:
