--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -102,7 +102,7 @@
 
 
 def decode_all_entries(data: bytes) -> object:
-    return [one[1] for one in entries.read_frames(data) if isinstance(one, tuple)]
+    return [frame[1] for frame in entries.read_frames(data) if isinstance(frame, tuple)]
 
 
 WRITE_AHEAD_LOG = Format(
--- a/tests/golden/operator.py
+++ b/tests/golden/operator.py
@@ -172,8 +172,11 @@
 SHELL = Format(
     "shell.txt",
     [
-        *(Sample(f"table-{one.name}", partial(column_types, one)) for one in all_tables()),
-        *(Sample(f"query-{one.name}", partial(saved_query, one)) for one in saved_queries.SAVED_QUERIES),
+        *(Sample(f"table-{table.name}", partial(column_types, table)) for table in all_tables()),
+        *(
+            Sample(f"query-{query.name}", partial(saved_query, query))
+            for query in saved_queries.SAVED_QUERIES
+        ),
         *(
             Sample(f"settings-{name}", partial(setting_keys, f"{name}.toml"))
             for name in DEPLOY_FILES
--- a/thornshelf/capacity/curves.py
+++ b/thornshelf/capacity/curves.py
@@ -136,7 +136,8 @@
     chosen, least_error = Curve.CONSTANT, math.inf
     for rank in _CURVE_RANKS:
         error, curve = min(
-            ((_selection_error(one, fitted, floor), one) for one in rank), key=lambda pair: pair[0]
+            ((_selection_error(candidate, fitted, floor), candidate) for candidate in rank),
+            key=lambda pair: pair[0],
         )
         if least_error > SUFFICIENT_ERROR and error < MAX_ERROR_RATIO * least_error:
             chosen, least_error = curve, error
--- a/thornshelf/capacity/report.py
+++ b/thornshelf/capacity/report.py
@@ -105,10 +105,12 @@
     A slope whose name has ``suffix`` replaces the one without. Raises ``CapacityError`` if a slope is missing.
     """
     definitions: list[RowDefinition] = [
-        msgspec.structs.replace(one, slope=one.slope + suffix) if one.slope + suffix in slopes else one
-        for one in ROWS
+        msgspec.structs.replace(definition, slope=definition.slope + suffix)
+        if definition.slope + suffix in slopes
+        else definition
+        for definition in ROWS
     ]
-    if unknown := [one.slope for one in definitions if one.slope not in slopes]:
+    if unknown := [definition.slope for definition in definitions if definition.slope not in slopes]:
         raise CapacityError(f"slope {unknown[0]} is missing")
     rows = compute_rows(definitions, slopes, target, CURRENT_DEPLOYMENT, deployments)
     return rows, totals(rows, definitions, target)
--- a/thornshelf/capacity/target.py
+++ b/thornshelf/capacity/target.py
@@ -89,10 +89,10 @@
     return max(by_load, MIN_DISPATCHERS_PER_ZONE * target.zones)
 
 
-def target_deployment(target: Target, dispatchers: int, nodes_held: float | None = None) -> Deployment:
-    """Returns the target as one dispatcher sees it; ``nodes_held`` is the size of its subset, if it has one."""
+def target_deployment(target: Target, dispatchers: int, subset_size: float | None = None) -> Deployment:
+    """Returns the target as one dispatcher sees it; ``subset_size`` is its number of nodes, if not all."""
     return Deployment(
-        nodes=target.nodes if nodes_held is None else nodes_held,
+        nodes=target.nodes if subset_size is None else subset_size,
         dispatchers=dispatchers,
         standing=target.standing / dispatchers,
         starts_per_s=target.peak_starts_per_s / dispatchers,
--- a/thornshelf/lab/scale/quantities.py
+++ b/thornshelf/lab/scale/quantities.py
@@ -55,7 +55,7 @@
 
 
 def make_core(layout: Layout, nodes: int) -> Dispatcher:
-    """Returns the core of a dispatcher whose endpoint list has so many nodes."""
+    """Returns the core of a dispatcher whose endpoint list has ``nodes`` nodes."""
     core = Dispatcher(Loop(), example_settings(), 1, lambda *_: IdleNode(), lambda *_: None)
     if nodes:
         _, changes = decode_events(layout.full_list(nodes), 0, lambda us: us, _raise_fault)
@@ -79,12 +79,12 @@
 
 
 def measure_endpoint_list(nodes: int, seed: int) -> dict[str, float]:
-    """Size of the complete endpoint list in the JSON of the change log."""
+    """Measure the size of the complete endpoint list in the JSON of the change log."""
     return {"list_bytes": float(len(json.dumps(Layout(seed).full_list(nodes))))}
 
 
 def measure_placement(nodes: int, seed: int) -> dict[str, float]:
-    """Memory of the placer and time per decision, with one task running on each node."""
+    """Measure the memory of the placer and the time per decision, with one task running on each node."""
     rng, layout = random.Random(seed), Layout(seed)
     settings = replace(example_settings(), placers=2)
     entries = tuple(
@@ -120,7 +120,7 @@
 
 
 def measure_running_tasks(tasks: int, seed: int) -> dict[str, float]:
-    """Memory of running tasks in the core and the placer, and the size of their state transfer to a successor."""
+    """Measure the memory of running tasks, and the size of their state transfer to a successor."""
     layout = Layout(seed)
     nodes = max(14, min(1_000, tasks // 10))
     core = make_core(layout, nodes)
@@ -157,7 +157,7 @@
 
 
 def measure_query(nodes: int, seed: int) -> dict[str, float]:
-    """Time to read the table of nodes once."""
+    """Measure the time to read the complete table of nodes."""
     core = make_core(Layout(seed), nodes)
     catalog = Catalog()
     catalog.add(
@@ -177,7 +177,7 @@
 
 
 def measure_membership(members: int, seed: int) -> dict[str, float]:
-    """Traffic, processor time and memory of one member of an idle fleet, in virtual time."""
+    """Measure traffic, processor time and memory of one member of an idle fleet, in virtual time."""
     network, names = Network(seed), [f"m{number:04d}" for number in range(members)]
     if members <= MAX_SIMULATED_JOINS:
         run_until_settled(network, names, 120 * SECOND)
--- a/thornshelf/lab/scale/run.py
+++ b/thornshelf/lab/scale/run.py
@@ -53,7 +53,7 @@
     scenario_nodes: int  # in the failure scenario's endpoint list
     component_workers: int  # parallel processes that measure components
     testbed_workers: int  # parallel processes with a testbed
-    max_seconds: float  # limit of the whole run
+    max_seconds: float  # time limit of the run
     full: bool = False
 
 
@@ -189,7 +189,7 @@
 
 
 def measure_node_connections(members: int, seed: int, port: int, max_seconds: float) -> float:
-    """Returns the connections per node with so many hollow dispatchers."""
+    """Returns the number of connections that each node has with ``members`` hollow dispatchers."""
     layout, count = Layout(seed, port), 28
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(layout, count, count)
@@ -212,7 +212,7 @@
     requests_per_s: float,
     injected_fault: str | None,
 ) -> ScenarioCounts:
-    """Run the failure scenario with ``count`` nodes and so many hollow dispatchers."""
+    """Run the failure scenario with ``count`` nodes and ``hollow`` hollow dispatchers."""
     layout, bounds = Layout(seed, port), Bounds(max_seconds)
     with tempfile.TemporaryDirectory() as folder:
         nodes = Nodes(layout, count, count)
--- a/thornshelf/lab/scale/testbed.py
+++ b/thornshelf/lab/scale/testbed.py
@@ -107,7 +107,7 @@
     # dispatchers
 
     def operator_file(self, index: int, subset: bool) -> str:
-        """Returns the operator's file of a member."""
+        """Returns the operator's file of a member as TOML."""
         seeds = ", ".join(f'"{public(seed)}:{self.relays.port}"' for seed in (0, 1))
         text = (
             f'[fleet]\nname = "scale"\nlisten = "{private(index)}:{self.relays.port}"\n'
