--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -138,10 +138,10 @@
 
 def compare_slices(machines: int, batches: int) -> None:
     """Print the cost of updating all averages at once, and in slices."""
-    default_slice = machine_index.SLICE
+    default_slice = machine_index.REFRESH_SLICE_SIZE
     descriptions = []
     for slice_size in (UNSLICED, default_slice):
-        machine_index.SLICE = slice_size
+        machine_index.REFRESH_SLICE_SIZE = slice_size
         result = run(TimedPlacer, machines, batches)
         assert isinstance(result.placer, TimedPlacer)
         updates_ms = result.placer.updates_ms
@@ -149,7 +149,7 @@
             f"{statistics.median(updates_ms):5.2f} ms (at most {max(updates_ms):5.2f}), a decision"
             f" {result.decision_ms:.2f} ms, {result.attempts} attempts"
         )
-    machine_index.SLICE = default_slice
+    machine_index.REFRESH_SLICE_SIZE = default_slice
     print(
         f"{machines:5} machines: an update of all averages at once {descriptions[0]}; in slices {descriptions[1]}"
     )
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -144,7 +144,7 @@
 
 
 def _turn(loop: Loop) -> None:
-    loop.after(TURN_US, lambda: None)
+    loop.call_later(TURN_US, lambda: None)
     loop.turn()
 
 
--- a/tests/golden/fleet.py
+++ b/tests/golden/fleet.py
@@ -407,8 +407,8 @@
 def encode_drains() -> bytes:
     """Returns a member's own drains as an entry of the shared map."""
     gossip = DrainGossip()
-    gossip.update_own(node="s-1", started_ms=TIMESTAMP_US // 1000, stage=NodeStage.DRAINING, now_us=SECOND)
-    gossip.update_own(node="s-2", started_ms=0, stage=NodeStage.REMOVED, now_us=SECOND)
+    gossip.update_local(node="s-1", started_ms=TIMESTAMP_US // 1000, stage=NodeStage.DRAINING, now_us=SECOND)
+    gossip.update_local(node="s-2", started_ms=0, stage=NodeStage.REMOVED, now_us=SECOND)
     (page,) = gossip.encode_pages(now_us=SECOND)
     return page
 
@@ -416,7 +416,7 @@
 def decode_drains(data: bytes) -> object:
     gossip = DrainGossip()
     for node in ("s-1", "s-2", "s-3"):
-        gossip.update_own(node=node, started_ms=0, stage=0, now_us=SECOND)
+        gossip.update_local(node=node, started_ms=0, stage=0, now_us=SECOND)
     assert gossip.receive(writer="n0", part=0, value=data)
     return [gossip.reporters(node) for node in ("s-1", "s-2", "s-3")]
 
--- a/tests/golden/wires.py
+++ b/tests/golden/wires.py
@@ -150,7 +150,9 @@
     frontend, stream = SocketlessFrontend(), Recorder()
     line = decode_line(data)
     assert isinstance(line, jsonl.Line)
-    frontend._handle_line(JsonLinesConnection(frontend=frontend, stream=stream), line, arrived=TIMESTAMP_US)
+    frontend._handle_line(
+        JsonLinesConnection(frontend=frontend, stream=stream), line, arrived_us=TIMESTAMP_US
+    )
     stream.close()
     (request,) = frontend.core.inbox
     assert isinstance(request, TaskRequest)
@@ -210,9 +212,11 @@
     ),
     *(
         Sample(f"request-{kind}", partial(jsonl.encode_line, kind, 5), decode_line, jsonl.Line(kind, 5, {}))
-        for kind in jsonl.KINDS
+        for kind in jsonl.LINE_KINDS
+    ),
+    Sample(
+        "words", lambda: json.dumps([jsonl.LINE_KINDS, jsonl.CLIENT_FIELDS, jsonl.CAUSES]).encode() + b"\n"
     ),
-    Sample("words", lambda: json.dumps([jsonl.KINDS, jsonl.OUT_FIELDS, jsonl.CAUSES]).encode() + b"\n"),
 ]
 JSON_LINES = Format("lines.txt", ANSWERS + REQUESTS, binary=False)
 
@@ -397,11 +401,11 @@
     message = encode()
 
     def decode(data: bytes) -> object:
-        framer = grpc.Framer()
+        framer = grpc.MessageReader()
         framer.feed(data)
-        return grpc.parse(type(message), framer.next() or b"")
+        return grpc.decode_message(type(message), framer.next() or b"")
 
-    return Sample(name, lambda: grpc.frame(encode()), decode, message)
+    return Sample(name, lambda: grpc.encode_message(encode()), decode, message)
 
 
 def answer_samples(codec: GrpcCodecV1) -> list[Sample]:
@@ -420,9 +424,9 @@
         "move": lambda: codec.encode_migrate(TASK_UID),
         "check-reply": lambda: codec.check_reply_type(passed=True),
     }
-    samples = [grpc_sample(f"{codec.wire_form.value}-{name}", encode) for name, encode in encoders.items()]
+    samples = [grpc_sample(f"{codec.wire_format.value}-{name}", encode) for name, encode in encoders.items()]
     for outcome in Outcome:
-        name = f"{codec.wire_form.value}-release-{outcome.value}".replace(" ", "-")
+        name = f"{codec.wire_format.value}-release-{outcome.value}".replace(" ", "-")
         samples.append(
             grpc_sample(name, partial(codec.encode_release, TASK_UID, outcome, Reason.UNSPECIFIED, None))
         )
@@ -437,17 +441,19 @@
         frontend: Any = SimpleNamespace(core=core, admission_filter=None, loop=loop)
         connection = GrpcConnection(frontend=frontend, stream=Recorder())
         call = DispatchCall(connection=connection, stream_id=1, timeout_us=None, codec=codec)
-        assert call.submit(grpc.parse(codec.client_message_type, data[5:]).ask)
+        assert call.submit(grpc.decode_message(codec.client_message_type, data[5:]).ask)
         connected, request = core.inbox
         assert isinstance(connected, ClientConnected)
         assert isinstance(request, TaskRequest)
         connection.stream.close()
         return request_fields(request, loop.earliest_arrival_us)
 
-    name = codec.wire_form.value
+    name = codec.wire_format.value
     return [
-        Sample(f"{name}-ask", lambda: grpc.frame(full), import_ask, FULL_FIELDS),
-        Sample(f"{name}-ask-with-least", lambda: grpc.frame(minimal), import_ask, MINIMAL_GRPC_FIELDS),
+        Sample(f"{name}-ask", lambda: grpc.encode_message(full), import_ask, FULL_FIELDS),
+        Sample(
+            f"{name}-ask-with-least", lambda: grpc.encode_message(minimal), import_ask, MINIMAL_GRPC_FIELDS
+        ),
     ]
 
 
@@ -486,10 +492,10 @@
     """Returns samples of all messages to nodes."""
     v1, v2 = grpc_link_v1(), grpc_link_v2()
     return [
-        grpc_sample("v1-offer", lambda: v1._offer(make_attempt(v1))),
-        grpc_sample("v1-release-order", lambda: v1._release(TASK_UID)),
-        grpc_sample("v2-offer", lambda: v2._offer(make_attempt(v2))),
-        grpc_sample("v2-release-order", lambda: v2._release(TASK_UID)),
+        grpc_sample("v1-offer", lambda: v1._make_offer(make_attempt(v1))),
+        grpc_sample("v1-release-order", lambda: v1._make_release(TASK_UID)),
+        grpc_sample("v2-offer", lambda: v2._make_offer(make_attempt(v2))),
+        grpc_sample("v2-release-order", lambda: v2._make_release(TASK_UID)),
         grpc_sample("v2-question", lambda: pb2.NodeOrder(uid=TASK_UID, question=pb2.Question(key=KEY))),
     ]
 
@@ -501,11 +507,11 @@
 
     def decode(data: bytes) -> object:
         link = make_link()
-        link._process_report(grpc.parse(link.report_type, data[5:]))
+        link._process_report(grpc.decode_message(link.report_type, data[5:]))
         capabilities = link.capabilities if isinstance(link, GrpcLinkV2) else None
         return [*link.node.core.inbox, *([capabilities] if capabilities is not None else [])]
 
-    return Sample(name, lambda: grpc.frame(report), decode, list(items))
+    return Sample(name, lambda: grpc.encode_message(report), decode, list(items))
 
 
 NODE_FAILURE_CAUSE = FailureCause(reason=FailureReason.LICENCE, text="no licence", advice=RetryAdvice.CHANGED)
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -153,7 +153,7 @@
     cluster.client.ask(5, NodeBehavior.SILENT, left="999999999")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
-    max_wait_s = deadlines.MAX_CLASS_DEADLINES * core.task_classes["lookup"].deadline_s
+    max_wait_s = deadlines.MAX_DEADLINE_FACTOR * core.task_classes["lookup"].deadline_s
     assert core.tasks_by_uid[5].request.deadline_us <= cluster.loop.now + max_wait_s * 1e6
 
 
@@ -232,7 +232,7 @@
     while budget.client_count < 10 or any(sock.fileno() < 0 for sock in socks):
         cluster.loop.turn()
     for _ in range(20):
-        cluster.loop.after(1000, lambda: None)
+        cluster.loop.call_later(1000, lambda: None)
         cluster.loop.turn()
         clients: Any = frontend._idle_evictor._clients
         peak = max(peak, sum(client.stream.open for client in clients))
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -159,9 +159,9 @@
 def test_cancelled_timers_do_not_accumulate() -> None:
     """Guards against a heap that keeps cancelled timers until they are due."""
     loop, _ = a_loop()
-    active = [loop.after(10_000_000, lambda: None) for _ in range(100)]
+    active = [loop.call_later(10_000_000, lambda: None) for _ in range(100)]
     for _ in range(100_000):
-        loop.after(5_000_000, lambda: None).cancel()
+        loop.call_later(5_000_000, lambda: None).cancel()
         assert len(loop._timers) <= 2 * 100 + 300
     assert sum(entry[2].call is not None for entry in loop._timers) == len(active)
     loop.close()
@@ -173,7 +173,7 @@
     timers = []
     for number in range(3000):
         due = loop.now + rng.randrange(1_000_000)
-        timers.append((due, number, loop.at(due, partial(fired.append, number))))
+        timers.append((due, number, loop.call_at(due, partial(fired.append, number))))
     for due, number, timer in timers:
         if rng.random() < 0.8:
             timer.cancel()
@@ -230,7 +230,7 @@
 def test_in_the_middle_of_a_refresh_the_index_chooses_as_the_full_scan_does(
     seed: int, slice_size: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(machine_index, "SLICE", slice_size)
+    monkeypatch.setattr(machine_index, "REFRESH_SLICE_SIZE", slice_size)
     placer_settings = settings(SAFE, LEDGER, placers=16, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET)
     both = Placer(placer_settings, 1), IndexOrderPlacer(placer_settings, 1)
     assert run_both_placers(random.Random(seed), both, 40, 150) > 50
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -275,7 +275,7 @@
         while len(source.polled_paths) < 2:
             assert time.monotonic() < limit
             assert process.poll() is None
-            loop.after(20_000, lambda: None)
+            loop.call_later(20_000, lambda: None)
             loop.turn()
         source.sock.close()
         loop.close()
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -145,7 +145,7 @@
         return False
 
     has_capacity = False
-    loop.on_turn.append(withdraw)
+    loop.turn_hooks.append(withdraw)
     loop.turn(True)
     theirs.setblocking(False)
     try:
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -327,7 +327,7 @@
 def test_a_coroutine_that_fails_ends_no_other() -> None:
     loop = Loop()
     errors: list[BaseException] = []
-    loop.on_fault = errors.append
+    loop.on_exception = errors.append
 
     def bad() -> Generator[Wait, int, None]:
         yield Wait(until=loop.now)
@@ -344,8 +344,8 @@
 
     loop.spawn(bad())
     loop.spawn(good())
-    loop.on_turn.append(hook)
-    loop.after(0, lambda: [][0])
+    loop.turn_hooks.append(hook)
+    loop.call_later(0, lambda: [][0])
     loop.run()
     assert [str(error) for error in errors] == ["list index out of range", "in a coroutine"]
     loop.close()
--- a/tests/test_fleet_uses.py
+++ b/tests/test_fleet_uses.py
@@ -236,7 +236,7 @@
 def drain_gossip(*rows: tuple[str, int, int]) -> DrainGossip:
     gossip = DrainGossip()
     for node, started, stage in rows:
-        gossip.update_own(node, started, stage, 0)
+        gossip.update_local(node, started, stage, 0)
     return gossip
 
 
@@ -264,10 +264,10 @@
     later = drain_gossip(("s-1", 600, NodeStage.DRAINING))
     exchange(own, m01=later, m02=later)
     assert own.nodes_to_avoid(True, member_names(4)) == {"s-1"}
-    own.update_own("s-1", 600, NodeStage.UP, 2)
+    own.update_local("s-1", 600, NodeStage.UP, 2)
     # The own list has the new process, but the others report that this one drains, too.
     assert own.nodes_to_avoid(True, member_names(4)) == {"s-1"}
-    own.update_own("s-1", 700, NodeStage.UP, 3)
+    own.update_local("s-1", 700, NodeStage.UP, 3)
     assert own.nodes_to_avoid(True, member_names(4)) == set()
 
 
@@ -354,9 +354,9 @@
 def test_a_drain_reaches_a_member_with_an_unresponsive_endpoint_watch_through_the_fleet() -> None:
     network, policies = start_policies(6)
     for name, policy in policies.items():
-        policy.drain_gossip.update_own("s-4", 0, NodeStage.UP, network.now)
+        policy.drain_gossip.update_local("s-4", 0, NodeStage.UP, network.now)
         if name != "m05":
-            policy.drain_gossip.update_own("s-4", 0, NodeStage.DRAINING, network.now)
+            policy.drain_gossip.update_local("s-4", 0, NodeStage.DRAINING, network.now)
     changes_by_member = run_reviews(network, policies, 2.0, frozenset(("m05",)))
     avoided = [
         review.avoided_nodes for review in changes_by_member["m05"] if review.avoided_nodes is not None
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -34,7 +34,7 @@
     return [*parts, data]
 
 
-def read_all(reader: jsonl.LineReader | binary.MessageReader | grpc.Framer) -> list[object]:
+def read_all(reader: jsonl.LineReader | binary.MessageReader | grpc.MessageReader) -> list[object]:
     """All complete messages, with "error" for each invalid one; stops after a fatal error."""
     found: list[object] = []
     while True:
@@ -93,9 +93,9 @@
     tasks: list[tuple[int, bytes]], sizes: list[int]
 ) -> None:
     requests = [pb.Ask(uid=uid, description=text) for uid, text in tasks]
-    reader = grpc.Framer()
+    reader = grpc.MessageReader()
     found: list[object] = []
-    for part in split(b"".join(grpc.frame(request) for request in requests), sizes):
+    for part in split(b"".join(grpc.encode_message(request) for request in requests), sizes):
         reader.feed(part)
         found += read_all(reader)
     assert found == [request.SerializeToString() for request in requests]
@@ -104,13 +104,13 @@
 @FIXED
 @given(st.lists(st.binary(max_size=60), max_size=6))
 def test_random_bytes_raise_only_wire_errors(parts: list[bytes]) -> None:
-    for reader in (jsonl.LineReader(), binary.MessageReader(), grpc.Framer()):
+    for reader in (jsonl.LineReader(), binary.MessageReader(), grpc.MessageReader()):
         for part in parts:
             reader.feed(part)
             read_all(reader)
     for message_type in (pb.ClientMessage, pb.NodeReport, pb.Ask):
         with contextlib.suppress(WireError):
-            grpc.parse(message_type, b"".join(parts))
+            grpc.decode_message(message_type, b"".join(parts))
 
 
 @FIXED
@@ -124,15 +124,17 @@
         sent.extend(data)
         return Chunk(data)
 
-    peer = http2.Http2(not client, emit)
+    peer = http2.Http2Connection(not client, emit)
     if not client:
-        call = peer.call([(":method", "POST"), (":scheme", "http"), (":path", "/a"), (":authority", "a")])
-        peer.send(call, grpc.frame(pb.Ask(uid=1)))
+        call = peer.open_stream(
+            [(":method", "POST"), (":scheme", "http"), (":path", "/a"), (":authority", "a")]
+        )
+        peer.send(call, grpc.encode_message(pb.Ask(uid=1)))
     data = bytes(sent)
-    intact = http2.Http2(client, Chunk)
+    intact = http2.Http2Connection(client, Chunk)
     events = [event for part in split(data, sizes) for event in intact.receive(part)]
-    assert events == http2.Http2(client, Chunk).receive(data)
-    broken = http2.Http2(client, Chunk)
+    assert events == http2.Http2Connection(client, Chunk).receive(data)
+    broken = http2.Http2Connection(client, Chunk)
     with contextlib.suppress(WireError):
         for part in [data[:offset], *parts, data[offset:]]:
             broken.receive(part)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -79,7 +79,7 @@
             crowd[-1].sendall(launch_line(uid, NodeBehavior.RUN))
             crowd[-1].setblocking(False)
 
-    cluster.loop.at(shutdown.closes_at, connect_crowd)
+    cluster.loop.call_at(shutdown.closes_at, connect_crowd)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
     received = {uid: kind for sock in crowd for uid, kind in answers(read_all(cluster, sock)).items()}
     assert received.keys() == set(range(100, 250))
@@ -94,11 +94,11 @@
     cluster.run_for(20)
     shutdown = shut_down(cluster)
     request = launch_line(100, NodeBehavior.LATE)
-    cluster.loop.at(
+    cluster.loop.call_at(
         shutdown.closes_at, lambda: sock.sendall(request[: len(request) // 2] if rest else request)
     )
     if rest:
-        cluster.loop.at(shutdown.closes_at + 20_000, lambda: sock.sendall(request[len(request) // 2 :]))
+        cluster.loop.call_at(shutdown.closes_at + 20_000, lambda: sock.sendall(request[len(request) // 2 :]))
     cluster.run_until(lambda: cluster.offer_count(100) == 1)
     cluster.run_for(150)  # longer than the delay and the intervals of the shutdown
     assert not shutdown.stopped_at
@@ -142,8 +142,8 @@
     assert cluster.wait_for_events(5) == [PLACED]
     (fake_node,) = cluster.nodes
     shutdown = shut_down(cluster)
-    cluster.loop.at(shutdown.closes_at - 30_000, lambda: cluster.client.give_up(5))
-    cluster.loop.at(shutdown.closes_at - 30_000, fake_node.break_streams)
+    cluster.loop.call_at(shutdown.closes_at - 30_000, lambda: cluster.client.give_up(5))
+    cluster.loop.call_at(shutdown.closes_at - 30_000, fake_node.break_streams)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
     assert ("release", 5) in fake_node.seen
 
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -26,7 +26,7 @@
     """Makes a ``Place`` call, and returns its trailers."""
     client = cluster.client
     call = client.open("Place", **headers)
-    client.h2.send(call, grpc.frame(client.message(5, behavior, task_class)))
+    client.h2.send(call, grpc.encode_message(client.message(5, behavior, task_class)))
     client.h2.finish(call, [])
     cluster.run_until(lambda: call in client.status)
     return dict(client.status[call])
@@ -155,19 +155,21 @@
 
         return write
 
-    def deliver(receiver: http2.Http2) -> list[http2.Event]:
-        data = bytes(pipes[not receiver.client])
-        pipes[not receiver.client].clear()
+    def deliver(receiver: http2.Http2Connection) -> list[http2.Event]:
+        data = bytes(pipes[not receiver.is_client])
+        pipes[not receiver.is_client].clear()
         return receiver.receive(data)
 
-    client, server = http2.Http2(True, emit(True)), http2.Http2(False, emit(False))
+    client, server = http2.Http2Connection(True, emit(True)), http2.Http2Connection(False, emit(False))
     client._h2.update_settings({SettingCodes.INITIAL_WINDOW_SIZE: 10})
-    stream = client.call([(":method", "POST"), (":scheme", "http"), (":path", "/"), (":authority", "a")])
+    stream = client.open_stream(
+        [(":method", "POST"), (":scheme", "http"), (":path", "/"), (":authority", "a")]
+    )
     deliver(server)
     deliver(client)
     server.respond(stream, [(":status", "200")])
-    sent = server.send(stream, grpc.frame(pb.Binding(description=b"x" * 100)))
-    blocked = server.send(stream, grpc.frame(pb.Binding(description=b"y")))
+    sent = server.send(stream, grpc.encode_message(pb.Binding(description=b"x" * 100)))
+    blocked = server.send(stream, grpc.encode_message(pb.Binding(description=b"y")))
     assert sent.offset == 10
     assert not sent.fully_sent
     assert server.retract(stream, blocked)
@@ -176,12 +178,12 @@
     for _ in range(40):
         received += deliver(client)
         deliver(server)
-    messages = [event.data for event in received if isinstance(event, http2.Received)]
+    messages = [event.data for event in received if isinstance(event, http2.MessageReceived)]
     assert [pb.Binding.FromString(data).description for data in messages] == [b"x" * 100]
 
 
 def test_nothing_is_sent_after_a_broken_connection() -> None:
-    server = http2.Http2(False, Chunk)
+    server = http2.Http2Connection(False, Chunk)
     with pytest.raises(WireError):
         server.receive(b"no preface at all, and much more than 24 bytes")
     assert not server.send(1, b"late").chunks
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -33,7 +33,7 @@
     peer_sock.setblocking(False)  # waiting here would keep the loop from writing
     limit = time.monotonic() + TIMEOUT_S
     while total < 15 * 60_000 and time.monotonic() < limit:
-        loop.after(1000, lambda: None)
+        loop.call_later(1000, lambda: None)
         loop.turn()
         with contextlib.suppress(BlockingIOError):
             total += len(peer_sock.recv(1 << 20))
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -66,7 +66,7 @@
         end = self.loop.now + int(TIMEOUT_S * 1e6)
         while not condition():
             assert self.loop.now < end, "the condition did not hold in time"
-            self.loop.after(5_000, lambda: None)
+            self.loop.call_later(5_000, lambda: None)
             self.loop.turn()
 
     def run_for(self, milliseconds: int) -> None:
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -312,7 +312,7 @@
 def _frame(message: Any) -> bytes:
     from thornshelf.wire import grpc
 
-    return grpc.frame(message)
+    return grpc.encode_message(message)
 
 
 # retries
--- a/tests/test_translation_rules.py
+++ b/tests/test_translation_rules.py
@@ -36,11 +36,11 @@
 )
 from thornshelf.translation.routing import Router
 from thornshelf.translation.uncertain_attempts import (
-    ActiveKey,
+    ActiveKeyState,
     IdempotencyKeys,
     KeyAction,
     Resolution,
-    UncertainKey,
+    UncertainKeyState,
     resolve_status,
 )
 
@@ -220,7 +220,7 @@
     keys.mark_active(3, 7)
     assert keys.action_for(3, 10_000, False) is KeyAction.JOIN  # active keys do not expire
     keys.discard_if_active_as(3, 8)
-    assert keys.lookup(3, 0) == ActiveKey(7)
+    assert keys.lookup(3, 0) == ActiveKeyState(7)
     keys.discard_if_active_as(3, 7)
     assert len(keys) == 0
 
@@ -232,7 +232,7 @@
         super().__init__()
         self.keys, self.plain, self.now = (
             IdempotencyKeys(retention_us=50, max_uncertain=1000),
-            dict[int, ActiveKey | UncertainKey](),
+            dict[int, ActiveKeyState | UncertainKeyState](),
             0,
         )
 
@@ -243,12 +243,12 @@
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99))
     def mark_active(self, key: int, uid: int) -> None:
         self.keys.mark_active(key, uid)
-        self.plain[key] = ActiveKey(uid)
+        self.plain[key] = ActiveKeyState(uid)
 
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99), machine=st.integers(1, 3))
     def mark_uncertain(self, key: int, uid: int, machine: int) -> None:
         self.keys.mark_uncertain(key, machine, uid, self.now)
-        self.plain[key] = UncertainKey(machine, uid, self.now)
+        self.plain[key] = UncertainKeyState(machine, uid, self.now)
 
     @rule(key=st.integers(1, 5))
     def discard(self, key: int) -> None:
@@ -259,7 +259,7 @@
     def states_are_equal(self) -> None:
         for key in range(1, 6):
             known = self.plain.get(key)
-            if isinstance(known, UncertainKey) and self.now - known.since_us >= 50:
+            if isinstance(known, UncertainKeyState) and self.now - known.since_us >= 50:
                 known = None
             assert self.keys.lookup(key, self.now) == known
         assert self.keys.uncertain_count <= len(self.keys)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -45,7 +45,7 @@
 class RecordingClient:
     """Records the answers that are sent to it."""
 
-    is_connected, accepts_any_release, wire_form, peer = True, True, None, "127.0.0.1"
+    is_connected, accepts_any_release, wire_format, peer = True, True, None, "127.0.0.1"
 
     def __init__(self) -> None:
         self.answers: list[tuple[str, int, Any]] = []
--- a/thornshelf/components/control.py
+++ b/thornshelf/components/control.py
@@ -158,7 +158,7 @@
         self._sock = open_control_socket(config.socket, host.inherited is not None)
         self._socket_status = os.lstat(config.socket)
         host.loop.spawn(self._accept())
-        host.loop.on_turn.append(self._run_turn)
+        host.loop.turn_hooks.append(self._run_turn)
         parameters: dict[str, object] = {"socket": str(config.socket), "readers": config.readers}
         host.log(6, "control-socket-opened", parameters, "listening")
 
@@ -259,7 +259,7 @@
         if timer is not None:
             timer.cancel()
         loop = self.host.loop
-        self._timer = loop.at(max(due_us, loop.now + MIN_WAKE_DELAY_US), lambda: None)
+        self._timer = loop.call_at(max(due_us, loop.now + MIN_WAKE_DELAY_US), lambda: None)
 
     def _counters(self) -> dict[str, int]:
         counters = self._sessions.counters | self._turn_times.counters()
--- a/thornshelf/components/fleet.py
+++ b/thornshelf/components/fleet.py
@@ -83,9 +83,9 @@
         host.core.gossip = self
         host.endpoint_listeners.append(self.endpoints_changed)
         loop.spawn(self._receive_datagrams())
-        loop.after(0, self._tick)
-        loop.after(REVIEW_INTERVAL_US, self._first_review)
-        loop.after(REJECTION_COUNT_INTERVAL_US, self._log_rejection_counts)
+        loop.call_later(0, self._tick)
+        loop.call_later(REVIEW_INTERVAL_US, self._first_review)
+        loop.call_later(REJECTION_COUNT_INTERVAL_US, self._log_rejection_counts)
         parameters: dict[str, object] = {
             "fleet": membership_config.fleet,
             "member": membership_config.name,
@@ -214,7 +214,7 @@
         if self._timer is None or self._timer.due > due_us:
             if self._timer is not None:
                 self._timer.cancel()
-            self._timer = loop.at(due_us, self._tick)
+            self._timer = loop.call_at(due_us, self._tick)
 
     def _log_rejection_counts(self) -> None:
         """Log the counts of rejected datagrams by reason if they have changed."""
@@ -224,7 +224,7 @@
             self._logged_rejections = Counter(counts)
             text = "Datagrams that were rejected since the start, by reason."
             self.host.log(5, "rejected-datagrams-counted", dict(counts), text)
-        self.host.loop.after(REJECTION_COUNT_INTERVAL_US, self._log_rejection_counts)
+        self.host.loop.call_later(REJECTION_COUNT_INTERVAL_US, self._log_rejection_counts)
 
     # policies
 
@@ -260,7 +260,7 @@
                 outcome = Outcome.OK if result.is_healthy else Outcome.TIMED_OUT
                 core.inbox.append(HealthCheckCompleted(machine_numbers[result.node], outcome, 0))
         self.flush()
-        loop.after(REVIEW_INTERVAL_US, self._review)
+        loop.call_later(REVIEW_INTERVAL_US, self._review)
 
     def _apply_quota(self, quota: Quota) -> None:
         parameters: dict[str, object] = {
@@ -301,7 +301,7 @@
             current = core.endpoints.entries.get(machine_numbers.get(name, -1))
             is_unchanged = current is not None and current == replace(original, health=Health.DRAINING)
             progress = NodeProgress(self._started_ms(original), NodeStage.UP)
-            if is_unchanged and self.policies.drain_gossip.own_progress(name) == progress:
+            if is_unchanged and self.policies.drain_gossip.local_progress(name) == progress:
                 changed.append(original)
         if changed:
             core.update_endpoints(EndpointListUpdate(False, 0, changed))
@@ -318,7 +318,7 @@
         """Record the nodes of an endpoint list update for the gossip about draining nodes."""
         now_us = self.host.loop.now
         for endpoint in update.endpoints:
-            self.policies.drain_gossip.update_own(
+            self.policies.drain_gossip.update_local(
                 endpoint.name, self._started_ms(endpoint), STAGE_BY_HEALTH[endpoint.health], now_us
             )
 
--- a/thornshelf/components/subsetting.py
+++ b/thornshelf/components/subsetting.py
@@ -60,8 +60,8 @@
         config = host.config.subset
         assert config is not None
         host.core.placer.set_quota(host.settings.me, config.dispatchers, self._all_dispatchers)
-        host.core.endpoints.on_unknown_endpoint = self._retain_unknown
-        host.loop.after(config.selection.review_interval_us, self._review)
+        host.core.endpoints.on_new_endpoint = self._retain_unknown
+        host.loop.call_later(config.selection.review_interval_us, self._review)
         self._logged_fields = log_fields(self.subset)
         parameters: dict[str, object] = {"zone": config.selection.zone} | self._logged_fields
         host.log(6, "subset-changed", parameters, "this dispatcher uses a subset of the nodes")
@@ -100,7 +100,7 @@
             self._logged_fields = fields
             host.log(6, "subset-changed", fields, "the subset has changed")
         self._relist_if_needed()
-        host.loop.after(self.subset.config.review_interval_us, self._review)
+        host.loop.call_later(self.subset.config.review_interval_us, self._review)
 
 
 def create_component(host: Host) -> Component:
--- a/thornshelf/core/answers.py
+++ b/thornshelf/core/answers.py
@@ -101,4 +101,4 @@
         self._core.record_event(task, uid, counter, 0, "" if detail is None else detail.reason)
         translator = self._core.translator
         if translator is not None and detail is not None:
-            translator.count_untranslated_cause(client.wire_form, detail)
+            translator.count_untranslated_cause(client.wire_format, detail)
--- a/thornshelf/core/attempts.py
+++ b/thornshelf/core/attempts.py
@@ -48,7 +48,7 @@
         task.attempt = attempt
         core.tasks.index_machine(task, machine)
         core.record_event(task, task.request.uid, "offered", machine, "attempt", attempt.number)
-        task.timer = core.loop.at(
+        task.timer = core.loop.call_at(
             attempt.deadline_us, lambda: core.inbox.append(AttemptTimedOut(task, attempt))
         )
         node.send_attempt(attempt)
--- a/thornshelf/core/client_connection.py
+++ b/thornshelf/core/client_connection.py
@@ -37,7 +37,7 @@
         """Whether releases of tasks that were requested on other connections may be sent here."""
 
     @property
-    def wire_form(self) -> WireFormat:
+    def wire_format(self) -> WireFormat:
         """The wire format that the client uses."""
 
     @property
--- a/thornshelf/core/deadlines.py
+++ b/thornshelf/core/deadlines.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from thornshelf.core.parts import DispatcherParts
 
-MAX_CLASS_DEADLINES = 2  # the longest deadline of a request, as a multiple of its class's own
+MAX_DEADLINE_FACTOR = 2  # the longest deadline of a request, as a multiple of its class's own
 DEFAULT_SHORTEST_DEADLINE_S = 1.0  # used if the settings define no class
 
 
@@ -31,13 +31,13 @@
 
     def limit(self, request: TaskRequest) -> None:
         """Shorten a deadline that is too far in the future, so that a task's state is freed in bounded time."""
-        longest_s = MAX_CLASS_DEADLINES * self._core.task_classes[request.task_class].deadline_s
+        longest_s = MAX_DEADLINE_FACTOR * self._core.task_classes[request.task_class].deadline_s
         latest_us = self._core.loop.now + int(longest_s * 1e6)
         request.deadline_us = min(request.deadline_us, latest_us)
 
     def arm(self, task: TaskRecord) -> None:
         """Set a timer that fails a task if it is still open at its deadline."""
-        self._core.loop.at(task.request.deadline_us, lambda: self._deadline_exceeded(task))
+        self._core.loop.call_at(task.request.deadline_us, lambda: self._deadline_exceeded(task))
 
     def _deadline_exceeded(self, task: TaskRecord) -> None:
         if task.state is not TaskState.OPEN:
--- a/thornshelf/core/dispatcher.py
+++ b/thornshelf/core/dispatcher.py
@@ -123,7 +123,7 @@
         self._start_us = loop.now
         self._action_handlers = action_handlers(self)
         self._inbox_handlers = self._make_inbox_handlers()
-        loop.on_turn.append(self.run_turn)
+        loop.turn_hooks.append(self.run_turn)
 
     def _make_registry(
         self, make_node: Callable[[int, NodeEndpoint, Dispatcher], NodeConnection]
@@ -228,7 +228,7 @@
         if self.translator is None or endpoint is None or node is None:
             return
         contradictions = self.translator.record_capabilities(
-            item.machine, endpoint.name, item.wire_form, item.hello
+            item.machine, endpoint.name, item.wire_format, item.capabilities
         )
         for text in contradictions:
             self.log(4, "handshake-inconsistent", {"node": endpoint.name}, text)
--- a/thornshelf/core/endpoint_registry.py
+++ b/thornshelf/core/endpoint_registry.py
@@ -33,7 +33,7 @@
     ) -> None:
         self.nodes: dict[int, NodeConnection] = {}
         self.entries: dict[int, NodeEndpoint] = {}
-        self.on_unknown_endpoint: Callable[[str], None] | None = None  # called with each new endpoint name
+        self.on_new_endpoint: Callable[[str], None] | None = None  # called with each new endpoint name
         self._machine_by_name: dict[str, int] = {}
         self._name_by_machine: dict[int, str] = {}
         self._make_node = make_node
@@ -49,8 +49,8 @@
             machine = self._free_machine_id(name)
             self._machine_by_name[name] = machine
             self._name_by_machine[machine] = name
-            if self.on_unknown_endpoint is not None:
-                self.on_unknown_endpoint(name)
+            if self.on_new_endpoint is not None:
+                self.on_new_endpoint(name)
         return machine
 
     def has_work(self, name: str) -> bool:
--- a/thornshelf/core/idempotency.py
+++ b/thornshelf/core/idempotency.py
@@ -21,7 +21,7 @@
     execution_guarantee,
     failure_cause,
 )
-from thornshelf.translation.uncertain_attempts import ActiveKey, KeyAction, UncertainKey
+from thornshelf.translation.uncertain_attempts import ActiveKeyState, KeyAction, UncertainKeyState
 
 if TYPE_CHECKING:
     from thornshelf.core.dispatcher_port import DispatcherPort
@@ -49,16 +49,16 @@
         now = self.dispatcher.loop.now
         keys = self.translator.idempotency_keys
         known = keys.lookup(request.idempotency_key, now)
-        machine = known.machine if isinstance(known, UncertainKey) else 0
+        machine = known.machine if isinstance(known, UncertainKeyState) else 0
         match keys.action_for(request.idempotency_key, now, self._queries.can_query(machine)):
             case KeyAction.START:
                 self._activate(task)
                 return True
             case KeyAction.JOIN:
-                assert isinstance(known, ActiveKey)
+                assert isinstance(known, ActiveKeyState)
                 self._join(task, self.dispatcher.find_task(known.uid))
             case KeyAction.QUERY_NODE:
-                assert isinstance(known, UncertainKey)
+                assert isinstance(known, UncertainKeyState)
                 self._activate(task)
                 uncertain = UncertainAttempt(machine, Outcome.BROKEN, Reason.UNSPECIFIED, known)
                 self._queries.query(task, uncertain, known.uid)
@@ -73,7 +73,7 @@
         known = self.translator.idempotency_keys.lookup(
             task.request.idempotency_key, self.dispatcher.loop.now
         )
-        if known is None or isinstance(known, UncertainKey):
+        if known is None or isinstance(known, UncertainKeyState):
             self._activate(task)
 
     def release_key(self, task: TaskRecord) -> None:
@@ -82,7 +82,7 @@
             return
         key = task.request.idempotency_key
         keys = self.translator.idempotency_keys
-        if keys.lookup(key, self.dispatcher.loop.now) != ActiveKey(task.request.uid):
+        if keys.lookup(key, self.dispatcher.loop.now) != ActiveKeyState(task.request.uid):
             return
         if task.possibly_running_at is not None:
             keys.mark_uncertain(key, task.possibly_running_at, task.node_uid, self.dispatcher.loop.now)
@@ -119,7 +119,7 @@
             return
         deadline_us = task.request.deadline_us
         if deadline_us < known.request.deadline_us:
-            self.dispatcher.loop.at(deadline_us, lambda: self._joined_deadline_exceeded(known, uid))
+            self.dispatcher.loop.call_at(deadline_us, lambda: self._joined_deadline_exceeded(known, uid))
 
     def _joined_deadline_exceeded(self, known: TaskRecord, uid: int) -> None:
         """Fail a joined request if its own deadline passes before the task runs."""
--- a/thornshelf/core/messages.py
+++ b/thornshelf/core/messages.py
@@ -146,11 +146,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HandshakeCompleted:
-    """A node's wire format is known; ``hello`` has its capabilities, which generation v2 announces and may update."""
+    """A node's wire format is known; ``capabilities``: what generation v2 announces and may update."""
 
     machine: int
-    wire_form: WireFormat
-    hello: NodeCapabilities | None = None
+    wire_format: WireFormat
+    capabilities: NodeCapabilities | None = None
     is_new_connection: bool = True
 
 
--- a/thornshelf/core/placement_driver.py
+++ b/thornshelf/core/placement_driver.py
@@ -55,4 +55,4 @@
 
     def set_timer(self, at_s: float, token: int) -> None:
         """Set a timer that adds a ``TimerFired`` event for the placer at ``at_s`` Unix seconds or later."""
-        self._loop.at(self.loop_us(at_s), lambda: self.events.append(api.TimerFired(token)))
+        self._loop.call_at(self.loop_us(at_s), lambda: self.events.append(api.TimerFired(token)))
--- a/thornshelf/core/releases.py
+++ b/thornshelf/core/releases.py
@@ -38,7 +38,7 @@
 
     is_connected = False
     accepts_any_release = False
-    wire_form = WireFormat.JSON_LINES
+    wire_format = WireFormat.JSON_LINES
 
     def __init__(self, peer: str) -> None:
         self.peer = peer
@@ -155,7 +155,7 @@
     def _schedule(self) -> None:
         """Try to send pending releases now, and again when any trusted connection may take them."""
         self.send_pending()
-        self.loop.after(ANY_CLIENT_AFTER_US, self.send_pending)
+        self.loop.call_later(ANY_CLIENT_AFTER_US, self.send_pending)
 
     def _drop_expired(self) -> None:
         while self._pending[0].since_us < self.loop.now - PENDING_TTL_US:
--- a/thornshelf/core/running_tasks.py
+++ b/thornshelf/core/running_tasks.py
@@ -44,7 +44,7 @@
         else:
             # The endpoint list update that names the node may not have arrived yet.
             uid = task.node_uid
-            core.loop.after(UNKNOWN_NODE_TIMEOUT_US, lambda: self._end_if_unlisted(uid, machine))
+            core.loop.call_later(UNKNOWN_NODE_TIMEOUT_US, lambda: self._end_if_unlisted(uid, machine))
 
     def adopt_already_running(
         self, task: TaskRecord, machine: int, node_uid: int, description: bytes
@@ -125,7 +125,7 @@
         node = core.endpoints.nodes.get(task.machine)
         if node is not None:
             node.cancel_task(task.node_uid)
-            task.timer = core.loop.after(CANCEL_TIMEOUT_US, lambda: self._cancel_unconfirmed(task))
+            task.timer = core.loop.call_later(CANCEL_TIMEOUT_US, lambda: self._cancel_unconfirmed(task))
         else:
             core.inbox.append(TaskFinished(task.machine, task.node_uid, Outcome.CANCELLED))
 
--- a/thornshelf/core/status_queries.py
+++ b/thornshelf/core/status_queries.py
@@ -42,7 +42,7 @@
             self.dispatcher.loop.now + self.translator.config.query_timeout_us,
             task.request.deadline_us - DEADLINE_MARGIN_US,
         )
-        uncertain.timer = self.dispatcher.loop.at(until, lambda: self._query_timed_out(task, uncertain))
+        uncertain.timer = self.dispatcher.loop.call_at(until, lambda: self._query_timed_out(task, uncertain))
         self.dispatcher.endpoints.nodes[uncertain.machine].query_task(task.request.idempotency_key, uid)
 
     def cancel(self, task: TaskRecord) -> None:
@@ -74,7 +74,9 @@
             case Resolution.ENDED:
                 self._resolve_started(task, uncertain, reply, ended=True)
             case Resolution.PENDING:
-                self.dispatcher.loop.after(STATUS_QUERY_RETRY_US, lambda: self._query_again(task, uncertain))
+                self.dispatcher.loop.call_later(
+                    STATUS_QUERY_RETRY_US, lambda: self._query_again(task, uncertain)
+                )
             case Resolution.UNRESOLVED:
                 self._leave_unresolved(task, uncertain)
 
--- a/thornshelf/core/task.py
+++ b/thornshelf/core/task.py
@@ -11,7 +11,7 @@
 from thornshelf.loop import Timer
 from thornshelf.placement import Outcome, Reason
 from thornshelf.translation.failures import FailureCause
-from thornshelf.translation.uncertain_attempts import UncertainKey
+from thornshelf.translation.uncertain_attempts import UncertainKeyState
 
 
 class TaskState(enum.Enum):
@@ -33,7 +33,7 @@
     __slots__ = ("machine", "outcome", "previous", "reason", "timer")
 
     def __init__(
-        self, machine: int, outcome: Outcome, reason: Reason, previous: UncertainKey | None = None
+        self, machine: int, outcome: Outcome, reason: Reason, previous: UncertainKeyState | None = None
     ) -> None:
         self.machine = machine
         self.outcome = outcome
--- a/thornshelf/frontends/admission_filter.py
+++ b/thornshelf/frontends/admission_filter.py
@@ -228,7 +228,7 @@
         """Count a rejection, and schedule the log line that summarises it."""
         due_us = self.rejection_log.record(kind, source, known, self.loop.now)
         if due_us is not None:
-            self.loop.at(due_us, self._log_summary)
+            self.loop.call_at(due_us, self._log_summary)
 
     def _log_summary(self) -> None:
         summary = self.rejection_log.take_summary(self.loop.now)
--- a/thornshelf/frontends/grpc_calls.py
+++ b/thornshelf/frontends/grpc_calls.py
@@ -66,7 +66,7 @@
         self.deadline_us = None if timeout_us is None else self.loop.earliest_arrival_us + timeout_us
         self.timer: Timer | None = None
         if self.deadline_us is not None:
-            self.timer = self.loop.at(self.deadline_us, self.on_deadline)
+            self.timer = self.loop.call_at(self.deadline_us, self.on_deadline)
         self.closed = False
         self.request_received = False
 
@@ -83,7 +83,7 @@
 
     def send(self, message: Message) -> http2.OutgoingMessage:
         """Send one message to the client."""
-        return self.connection.http.send(self.stream_id, grpc.frame(message))
+        return self.connection.http.send(self.stream_id, grpc.encode_message(message))
 
     def finish(self, code: int, text: str = "", pushback_ms: int | None = None) -> None:
         """End the call with a status; does nothing if it has ended already."""
@@ -110,7 +110,7 @@
 
     def on_message(self, data: bytes) -> None:
         """Answer the health check."""
-        grpc.parse(self.codec.check_request_type, data)
+        grpc.decode_message(self.codec.check_request_type, data)
         reply = self.codec.check_reply_type(passed=not self.connection.frontend.shutting_down)
         self.send(reply)
         self.finish(grpc.OK)
@@ -122,9 +122,9 @@
     accepts_any_release = True
 
     @property
-    def wire_form(self) -> WireFormat:
+    def wire_format(self) -> WireFormat:
         """The protocol generation of the call."""
-        return self.codec.wire_form
+        return self.codec.wire_format
 
     def send_running(self, uid: int, description: bytes, metadata: AnswerMetadata | None = None) -> None:
         """Report that the task runs."""
@@ -254,7 +254,7 @@
             return
         self.request_received = True
         try:
-            self.submit(grpc.parse(self.codec.task_request_type, data))
+            self.submit(grpc.decode_message(self.codec.task_request_type, data))
         except WireError as error:
             if error.uid is None:
                 raise
--- a/thornshelf/frontends/grpc_connection.py
+++ b/thornshelf/frontends/grpc_connection.py
@@ -43,7 +43,7 @@
     def __init__(self, frontend: GrpcFrontendInterface, stream: Stream) -> None:
         self.frontend = frontend
         self.stream = stream
-        self.http = http2.Http2(False, stream.send)
+        self.http = http2.Http2Connection(False, stream.send)
         self.calls: dict[int, Call] = {}  # by stream id
         self.max_frames = MAX_FRAMES_PER_TURN  # the current limit
         self.read_backoff: ReadBackoff | None = (
@@ -64,7 +64,7 @@
 
     def handle_event(self, event: http2.Event) -> None:
         """Handle an event of the connection, by its call if it belongs to one."""
-        if isinstance(event, http2.Opened):
+        if isinstance(event, http2.HeadersReceived):
             self._open_call(event)
             return
         if isinstance(event, http2.GoAway):
@@ -73,15 +73,15 @@
         if call is None:
             return
         match event:
-            case http2.Received(data=data):
+            case http2.MessageReceived(data=data):
                 try:
                     call.on_message(data)
                 except WireError as error:
                     self.frontend.log_invalid_message(self.stream.peer, error)
                     call.finish(grpc.INTERNAL, str(error))
-            case http2.Ended():
+            case http2.StreamEnded():
                 call.on_half_close()
-            case http2.Broken():
+            case http2.StreamReset():
                 call.on_close()
 
     def end_early(self, call: Call, code: int, text: str, pushback_ms: int | None = None) -> None:
@@ -101,7 +101,7 @@
         headers = RESPONSE_HEADERS + status_trailers(code, text, pushback_ms)
         self.http.respond(stream_id, headers, end=True)
 
-    def _open_call(self, event: http2.Opened) -> None:
+    def _open_call(self, event: http2.HeadersReceived) -> None:
         """Open a call, or answer at once if it can't be served."""
         if not _is_grpc_request(event.headers):
             self.http.respond(event.stream, [(":status", "415")], end=True)
@@ -117,11 +117,11 @@
         else:
             self._start_call(event, method)
 
-    def _start_call(self, event: http2.Opened, method: _Method) -> None:
+    def _start_call(self, event: http2.HeadersReceived, method: _Method) -> None:
         """Start a call of a known method, unless its timeout is malformed."""
         text = event.headers.get("grpc-timeout")
         try:
-            timeout_us = None if text is None else grpc.read_timeout(text)
+            timeout_us = None if text is None else grpc.decode_timeout(text)
         except WireError as error:
             self._send_status(event.stream, grpc.INVALID_ARGUMENT, str(error))
             return
--- a/thornshelf/frontends/grpc_messages.py
+++ b/thornshelf/frontends/grpc_messages.py
@@ -29,7 +29,7 @@
     The encoding methods return a protobuf message.
     """
 
-    wire_form: ClassVar[WireFormat] = WireFormat.GRPC_V1
+    wire_format: ClassVar[WireFormat] = WireFormat.GRPC_V1
     service_path: ClassVar[str] = "/thornshelf.v1.Placement/"
     client_message_type: ClassVar[Any] = pb.ClientMessage
     task_request_type: ClassVar[Any] = pb.Ask
@@ -70,7 +70,7 @@
 class GrpcCodecV2(GrpcCodecV1):
     """The codec of thornshelf.v2."""
 
-    wire_form = WireFormat.GRPC_V2
+    wire_format = WireFormat.GRPC_V2
     service_path = "/thornshelf.v2.Placement/"
     client_message_type = pb2.ClientMessage
     task_request_type = pb2.Ask
--- a/thornshelf/frontends/grpc_ports.py
+++ b/thornshelf/frontends/grpc_ports.py
@@ -13,7 +13,7 @@
 from thornshelf.frontends.admission_filter import AdmissionFilter, ReadBackoff
 from thornshelf.loop import Loop, Stream
 from thornshelf.wire.errors import WireError
-from thornshelf.wire.http2 import Http2
+from thornshelf.wire.http2 import Http2Connection
 
 
 class GrpcFrontendInterface(Protocol):
@@ -32,7 +32,7 @@
     """The interface of a connection that its calls use."""
 
     stream: Stream
-    http: Http2
+    http: Http2Connection
     read_backoff: ReadBackoff | None
 
     @property
--- a/thornshelf/frontends/grpc_streams.py
+++ b/thornshelf/frontends/grpc_streams.py
@@ -47,12 +47,12 @@
 
     def on_message(self, data: bytes) -> None:
         """Handle a task request, a cancellation or an acknowledgement of a release."""
-        message: Any = grpc.parse(self.codec.client_message_type, data)
+        message: Any = grpc.decode_message(self.codec.client_message_type, data)
         if message.HasField("ask"):
             self._handle_request(message.ask)
         elif message.HasField("give_up"):
             self._handle_cancellation(message.give_up)
-        elif self.codec.wire_form is WireFormat.GRPC_V2 and message.HasField("heard"):
+        elif self.codec.wire_format is WireFormat.GRPC_V2 and message.HasField("heard"):
             self.acknowledges_releases = True
             self.sent_releases.pop(message.heard, None)
 
--- a/thornshelf/frontends/json_lines.py
+++ b/thornshelf/frontends/json_lines.py
@@ -54,7 +54,7 @@
     """One client connection; implements the core's ``ClientConnection``."""
 
     accepts_any_release = True
-    wire_form = WireFormat.JSON_LINES
+    wire_format = WireFormat.JSON_LINES
 
     def __init__(self, frontend: JsonLinesFrontend, stream: Stream) -> None:
         self.frontend = frontend
@@ -285,11 +285,11 @@
         uid = jsonl.UNKNOWN_UID if error.uid is None else error.uid
         connection.stream.send(jsonl.encode_line("stop", uid, reason=UNREADABLE))
 
-    def _handle_line(self, connection: JsonLinesConnection, line: jsonl.Line, arrived: int) -> None:
+    def _handle_line(self, connection: JsonLinesConnection, line: jsonl.Line, arrived_us: int) -> None:
         """Handle one line; raises ``WireError`` if a field of it is invalid."""
         match line.kind:
             case "launch":
-                self._handle_launch(connection, line, arrived)
+                self._handle_launch(connection, line, arrived_us)
             case "stop":
                 connection.open_requests.discard(line.uid)
                 connection.running.discard(line.uid)
--- a/thornshelf/lab/admission.py
+++ b/thornshelf/lab/admission.py
@@ -173,7 +173,7 @@
         self.known_clients.tally = tally = Tally()
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.loop.after(10_000, lambda: None)
+            self.loop.call_later(10_000, lambda: None)
             self.loop.turn()
             if self.dispatcher.process.poll() is None:
                 self.peak_descriptors = max(self.peak_descriptors, self.dispatcher.descriptors)
--- a/thornshelf/lab/fakes/clients.py
+++ b/thornshelf/lab/fakes/clients.py
@@ -144,10 +144,10 @@
     protobuf: Any = pb
 
     def begin(self, stream: Stream) -> None:
-        self.h2 = http2.Http2(True, stream.send)
+        self.h2 = http2.Http2Connection(True, stream.send)
         self.call = self.open("Dispatch")
         if self.hears and self.protobuf is pb2:
-            self.h2.send(self.call, grpc.frame(pb2.ClientMessage(heard=0)))
+            self.h2.send(self.call, grpc.encode_message(pb2.ClientMessage(heard=0)))
         self.status: dict[int, dict[str, str]] = {}
 
     def open(self, method: str, **extra_headers: str) -> int:
@@ -155,7 +155,7 @@
         path = f"/{self.form}.Placement/{method}"
         headers = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", HOST)]
         headers += [("te", "trailers"), ("content-type", "application/grpc")]
-        return self.h2.call(
+        return self.h2.open_stream(
             headers + [(name.replace("_", "-"), value) for name, value in extra_headers.items()]
         )
 
@@ -174,26 +174,26 @@
 
     def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
         message = self.protobuf.ClientMessage(ask=self.message(uid, behavior, task_class, **changes))
-        self.h2.send(self.call, grpc.frame(message))
+        self.h2.send(self.call, grpc.encode_message(message))
 
     def give_up(self, uid: int) -> None:
-        self.h2.send(self.call, grpc.frame(self.protobuf.ClientMessage(give_up=uid)))
+        self.h2.send(self.call, grpc.encode_message(self.protobuf.ClientMessage(give_up=uid)))
 
     def request_task(
         self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any
     ) -> None:
         ask = self.message(uid, NodeBehavior.RUN, task_class, key=f"{key:x}", hint=hint)
         ask.service, (ask.cores, ask.memory) = service, size
-        self.h2.send(self.call, grpc.frame(self.protobuf.ClientMessage(ask=ask)))
+        self.h2.send(self.call, grpc.encode_message(self.protobuf.ClientMessage(ask=ask)))
 
     def take(self, data: bytes) -> None:
         for event in self.h2.receive(data):
-            if isinstance(event, http2.Ended):
+            if isinstance(event, http2.StreamEnded):
                 self.status.setdefault(event.stream, event.trailers)
-            elif isinstance(event, http2.Opened) and "grpc-status" in event.headers:
+            elif isinstance(event, http2.HeadersReceived) and "grpc-status" in event.headers:
                 self.status[event.stream] = event.headers
-            elif isinstance(event, http2.Received):
-                self._handle_verdict(grpc.parse(self.protobuf.Verdict, event.data))
+            elif isinstance(event, http2.MessageReceived):
+                self._handle_verdict(grpc.decode_message(self.protobuf.Verdict, event.data))
 
     def _handle_verdict(self, verdict: Any) -> None:
         self.said.setdefault(verdict.uid, []).append(verdict)
@@ -207,7 +207,9 @@
                 self.on_event(verdict.uid, "failed", None)
             case "release":
                 if self.hears and self.protobuf is pb2:
-                    self.h2.send(self.call, grpc.frame(self.protobuf.ClientMessage(heard=verdict.uid)))
+                    self.h2.send(
+                        self.call, grpc.encode_message(self.protobuf.ClientMessage(heard=verdict.uid))
+                    )
                 self.on_event(verdict.uid, "released", verdict.release.outcome)
 
 
--- a/thornshelf/lab/fakes/cluster.py
+++ b/thornshelf/lab/fakes/cluster.py
@@ -118,7 +118,7 @@
         deadline = time.monotonic() + TIMEOUT_S
         while not done():
             assert time.monotonic() < deadline, "the condition did not hold in time"
-            self.loop.after(20_000, lambda: None)
+            self.loop.call_later(20_000, lambda: None)
             self.loop.turn()
 
     def run_for(self, milliseconds: int = 50) -> None:
--- a/thornshelf/lab/fakes/network.py
+++ b/thornshelf/lab/fakes/network.py
@@ -92,7 +92,7 @@
             if self.chance.random() >= self.loss:
                 delay_us = self.chance.randrange(self.late_us) if self.late_us else 0
                 if delay_us:
-                    self.loop.after(delay_us, lambda: self.deliver(receiver, data))
+                    self.loop.call_later(delay_us, lambda: self.deliver(receiver, data))
                 else:
                     self.deliver(receiver, data)
 
--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -298,7 +298,7 @@
 
 
 def _serve_grpc(node: FakeNode, stream: Stream) -> Generator[Wait, int, None]:
-    h2 = http2.Http2(False, stream.send)
+    h2 = http2.Http2Connection(False, stream.send)
     is_v2 = node.form == GRPC2
     package = "thornshelf.v2" if is_v2 else "thornshelf.v1"
     paths: dict[int, str] = {}
@@ -310,7 +310,7 @@
         except WireError:
             break
         for event in events:
-            if isinstance(event, http2.Opened):
+            if isinstance(event, http2.HeadersReceived):
                 service, _, paths[event.stream] = event.headers[":path"].rpartition("/")
                 if service != f"/{package}.Node":
                     trailers = [*headers, ("grpc-status", str(grpc.UNIMPLEMENTED))]
@@ -324,13 +324,13 @@
                     if is_v2 and node.manners.greets:
                         responder.hello(node.manners)
                     node.add_responder(responder)
-            elif isinstance(event, http2.Received) and paths[event.stream] == "Probe":
-                h2.send(event.stream, grpc.frame(pb.Load(fields={"x0": 12.0, "x1": 40.0})))
+            elif isinstance(event, http2.MessageReceived) and paths[event.stream] == "Probe":
+                h2.send(event.stream, grpc.encode_message(pb.Load(fields={"x0": 12.0, "x1": 40.0})))
                 h2.finish(event.stream, [("grpc-status", "0")])
-            elif isinstance(event, http2.Received) and is_v2:
+            elif isinstance(event, http2.MessageReceived) and is_v2:
                 node.order(_parse_v2_order(event.data), responders[event.stream])
-            elif isinstance(event, http2.Received):
-                message = grpc.parse(pb.NodeOrder, event.data)
+            elif isinstance(event, http2.MessageReceived):
+                message = grpc.decode_message(pb.NodeOrder, event.data)
                 offer, kind = message.offer, message.WhichOneof("kind") or ""
                 order = ReceivedOrder(kind, message.uid, offer.description, offer.key, offer.task_class)
                 node.order(order, responders[event.stream])
@@ -340,7 +340,7 @@
 
 
 def _parse_v2_order(data: bytes) -> ReceivedOrder:
-    message = grpc.parse(pb2.NodeOrder, data)
+    message = grpc.decode_message(pb2.NodeOrder, data)
     kind, offer = message.WhichOneof("kind") or "", message.offer
     if kind != "offer":
         return ReceivedOrder(kind, message.uid, key=message.question.key)
@@ -361,12 +361,12 @@
 class GrpcResponder:
     """Sends a node's messages by gRPC; ``protobuf``: the message types of v1 or v2; ``load``: the load report."""
 
-    def __init__(self, h2: http2.Http2, stream: int, protobuf: Any) -> None:
+    def __init__(self, h2: http2.Http2Connection, stream: int, protobuf: Any) -> None:
         self.h2, self.stream, self.protobuf = h2, stream, protobuf
         self.load = {"x0": 3.0, "x1": 4.0}
 
     def _send(self, **kind: Any) -> None:
-        self.h2.send(self.stream, grpc.frame(self.protobuf.NodeReport(**kind)))
+        self.h2.send(self.stream, grpc.encode_message(self.protobuf.NodeReport(**kind)))
 
     def hello(self, profile: NodeProfile) -> None:
         """Send the hello message of a v2 node."""
@@ -406,7 +406,7 @@
 
     def cut(self, uid: int) -> None:
         """Send half of a binding, and reset the stream."""
-        encoded = grpc.frame(
+        encoded = grpc.encode_message(
             self.protobuf.NodeReport(uid=uid, binding=self.protobuf.Binding(description=DESCRIPTION))
         )
         self.h2.send(self.stream, encoded[: len(encoded) // 2])
--- a/thornshelf/lab/fault_injection.py
+++ b/thornshelf/lab/fault_injection.py
@@ -76,7 +76,7 @@
 
 def unmarked_hint() -> None:
     """Nodes receive an assumed hint as if the client had given it."""
-    offer = GrpcLinkV2._offer
+    offer = GrpcLinkV2._make_offer
 
     def offer_unmarked(self: Any, attempt: Attempt) -> Any:
         effective_hint = self._hint
@@ -91,7 +91,7 @@
         finally:
             self._hint = effective_hint
 
-    GrpcLinkV2._offer = offer_unmarked  # type: ignore[method-assign]
+    GrpcLinkV2._make_offer = offer_unmarked  # type: ignore[method-assign]
 
 
 def no_refute() -> None:
@@ -201,7 +201,7 @@
 
 def all_to_all() -> None:
     """A member gossips with all others instead of a sample."""
-    MemberTable.sample = lambda self, count, without="": list(self.live_names)  # type: ignore[method-assign]
+    MemberTable.sample = lambda self, count, exclude="": list(self.live_names)  # type: ignore[method-assign]
 
 
 def leak() -> None:
--- a/thornshelf/lab/fleet_testbed.py
+++ b/thornshelf/lab/fleet_testbed.py
@@ -201,7 +201,7 @@
         began = time.monotonic()
         last_check = 0.0
         while time.monotonic() - began < limit_s:
-            self.loop.after(10_000, lambda: None)
+            self.loop.call_later(10_000, lambda: None)
             self.loop.turn()
             if time.monotonic() - last_check >= 0.05:
                 last_check = time.monotonic()
@@ -255,7 +255,7 @@
                 is_ledger = self.rng.random() < 0.04
                 hint, service = ("8200" if is_ledger else None), self.rng.randrange(30)
                 member.clients.ask(self.request_count, LEDGER if is_ledger else LOOKUP, hint, service)
-        self.loop.after(self.pause_us, self.load)
+        self.loop.call_later(self.pause_us, self.load)
 
     def end(self) -> int:
         """Shut all processes down, gracefully if they end in time; returns the greatest absolute exit code."""
--- a/thornshelf/lab/flood.py
+++ b/thornshelf/lab/flood.py
@@ -89,7 +89,7 @@
             tasks = [self.loop.spawn(self._repeat(kind, source)) for _ in range(clients)]
             end = time.monotonic() + PHASE_S
             while time.monotonic() < end:
-                self.loop.after(20_000, lambda: None)
+                self.loop.call_later(20_000, lambda: None)
                 self.loop.turn()
             self.running = False
             for task in tasks:
@@ -100,8 +100,8 @@
     def _repeat(self, kind: Any, source: Any) -> Generator[Wait, int, None]:
         """Connect and run one kind of client, again and again."""
         while self.running:
-            wire_form = GRPC2 if kind == self.open_streams else JSON
-            stream = yield from connect_from(self.loop, source(), self.addresses[wire_form], 1_000_000)
+            wire_format = GRPC2 if kind == self.open_streams else JSON
+            stream = yield from connect_from(self.loop, source(), self.addresses[wire_format], 1_000_000)
             if isinstance(stream, int):
                 self.counts["not connected: " + errno.errorcode.get(stream, str(stream))] += 1
                 yield Wait(until=self.loop.now + 5_000)
@@ -165,10 +165,10 @@
 
     def open_streams(self, stream: Stream) -> Generator[Wait, int, None]:
         """Send requests on many gRPC streams of one connection."""
-        h2 = http2.Http2(True, stream.send)
+        h2 = http2.Http2Connection(True, stream.send)
         headers = [(":method", "POST"), (":scheme", "http"), (":path", "/thornshelf.v2.Placement/Dispatch")]
         headers += [(":authority", HOST), ("te", "trailers"), ("content-type", "application/grpc")]
-        calls = [h2.call(headers) for _ in range(STREAMS)]
+        calls = [h2.open_stream(headers) for _ in range(STREAMS)]
         deadline_us = self.loop.now + 1_000_000
         while self.running and stream.open and self.loop.now < deadline_us:
             for call in calls:
@@ -176,7 +176,7 @@
                 request = pb2.Ask(
                     uid=self.uid, task_class=LOOKUP, key=self.uid, cores=1, memory=2, description=b"x"
                 )
-                h2.send(call, grpc.frame(pb2.ClientMessage(ask=request)))
+                h2.send(call, grpc.encode_message(pb2.ClientMessage(ask=request)))
                 self.counts["stream set-ups"] += 1
             data = yield from stream.read(self.loop.now + 20_000)
             if data == b"":
@@ -187,10 +187,10 @@
                     if isinstance(event, http2.GoAway):
                         self.counts["turned away with a word"] += 1
                         return
-                    if isinstance(event, http2.Ended | http2.Broken):
+                    if isinstance(event, http2.StreamEnded | http2.StreamReset):
                         cause = (
                             event.reason
-                            if isinstance(event, http2.Broken)
+                            if isinstance(event, http2.StreamReset)
                             else event.trailers.get("grpc-message")
                         )
                         self.counts[f"stream ended: {cause}"[:60]] += 1
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -50,7 +50,7 @@
     def order(self, order: ReceivedOrder, say: Any) -> None:
         """Handle an offer, a release or a question; deferred while the node is unresponsive."""
         if self.loop.now < self.unresponsive_until_us:
-            self.loop.at(self.unresponsive_until_us, lambda: self.order(order, say))
+            self.loop.call_at(self.unresponsive_until_us, lambda: self.order(order, say))
             return
         match order.kind:
             case "question":
@@ -87,7 +87,7 @@
             self.starting[order.uid] = order, responder
             self.used = [self.used[0] + cores, self.used[1] + memory]
             epoch = self.epoch
-            self.loop.after(self.random.randrange(5_000, 30_000), lambda: self._start_task(order, epoch))
+            self.loop.call_later(self.random.randrange(5_000, 30_000), lambda: self._start_task(order, epoch))
 
     def _update_load_report(self, responder: Any) -> None:
         free = NODE_CORES - self.used[0], NODE_MEMORY - self.used[1]
@@ -98,7 +98,7 @@
         if epoch != self.epoch:
             return
         if self.loop.now < self.unresponsive_until_us:
-            self.loop.at(self.unresponsive_until_us, lambda: self._start_task(order, epoch))
+            self.loop.call_at(self.unresponsive_until_us, lambda: self._start_task(order, epoch))
             return
         entry = self.starting.pop(order.uid, None)
         if entry is None:
@@ -116,7 +116,7 @@
                 responder.stream.flush()
         else:
             responder.bind(order.uid)
-        self.loop.after(
+        self.loop.call_later(
             int(self.random.expovariate(1 / self.mean_lifetime_us)) + 100_000,
             lambda: self._end_task(order, epoch),
         )
@@ -125,7 +125,7 @@
         if epoch != self.epoch or order.uid not in self.tasks:
             return
         if self.loop.now < self.unresponsive_until_us:
-            self.loop.at(self.unresponsive_until_us, lambda: self._end_task(order, epoch))
+            self.loop.call_at(self.unresponsive_until_us, lambda: self._end_task(order, epoch))
             return
         responder = self.tasks[order.uid][1]
         self._finish_task(order.uid, pb.ENDED)
@@ -167,7 +167,7 @@
         self.die()
         self.forget_tasks()
         self.form = form
-        self.loop.after(60_000, self.rise)
+        self.loop.call_later(60_000, self.rise)
 
     def forget_tasks(self) -> None:
         """Discard all tasks, as at a crash of the process."""
@@ -192,14 +192,14 @@
         self,
         loop: Loop,
         addresses: dict[str, tuple[str, int]],
-        wire_form: str,
+        wire_format: str,
         oracle: Oracle,
         rng: random.Random,
     ) -> None:
-        self.loop, self.addresses, self.wire_form, self.oracle, self.rng = (
+        self.loop, self.addresses, self.wire_format, self.oracle, self.rng = (
             loop,
             addresses,
-            wire_form,
+            wire_format,
             oracle,
             rng,
         )
@@ -212,13 +212,13 @@
         self.outcomes: Counter[str] = Counter()
         self.tasks: dict[int, dict[str, Any]] = {}
 
-    def client(self, wire_form: str, service: int) -> FakeClient:
+    def client(self, wire_format: str, service: int) -> FakeClient:
         """Return the client for a service's connection; a closed one is replaced."""
-        connection_key = wire_form, service % CONNECTIONS_PER_FORM
+        connection_key = wire_format, service % CONNECTIONS_PER_FORM
         client = self.clients.get(connection_key)
         if client is None or client.closed:
-            client = self.clients[connection_key] = CLIENT_TYPES[wire_form](
-                self.loop, self.addresses[wire_form]
+            client = self.clients[connection_key] = CLIENT_TYPES[wire_format](
+                self.loop, self.addresses[wire_format]
             )
             client.on_closed = partial(self._on_close, connection_key)
             client.placed, client.hears, client.on_traffic = self.placed, True, self._count_traffic
@@ -229,7 +229,12 @@
     def ask(self, key: int, task_class: str, hint: str | None, service: int) -> None:
         """Create a task with an idempotency key, and request it."""
         self.oracle.has_client_hint[key] = hint is not None
-        self.tasks[key] = {"class": task_class, "hint": hint, "service": service, "wire_form": self.wire_form}
+        self.tasks[key] = {
+            "class": task_class,
+            "hint": hint,
+            "service": service,
+            "wire_form": self.wire_format,
+        }
         self.tasks[key] |= {"retry_until_us": self.loop.now + 9_000_000, "done": False, "uid": 0}
         self.send_request(key)
 
@@ -285,7 +290,7 @@
             self._record_outcome(request.key, "failed")  # it may have run, and is never requested again
         elif self.loop.now < task["retry_until_us"]:
             delay_us = self.rng.randrange(300_000, 1_200_000)
-            self.loop.after(delay_us, lambda: self.send_request(request.key))
+            self.loop.call_later(delay_us, lambda: self.send_request(request.key))
         else:
             self._record_outcome(request.key, answer)
 
@@ -322,7 +327,7 @@
             task["placed"] = False
             count += 1
             delay_us = 0 if is_ledger else self.rng.randrange(within_us)
-            self.loop.after(delay_us, lambda key=key: self.send_request(key))  # type: ignore[misc]
+            self.loop.call_later(delay_us, lambda key=key: self.send_request(key))  # type: ignore[misc]
         return count
 
     def _count_traffic(self, size: int, lines: int) -> None:
@@ -342,12 +347,12 @@
                 and not (task["done"] or request.answers or request.void)
             ):
                 request.void = True
-                self.loop.after(2_000, lambda key=key: self.send_request(key))  # type: ignore[misc]
+                self.loop.call_later(2_000, lambda key=key: self.send_request(key))  # type: ignore[misc]
 
     def drop_connection(self) -> None:
         """Close a connection, and request its unanswered tasks again on a new one; placed tasks go on."""
         connection = self.rng.randrange(CONNECTIONS_PER_FORM)
-        client = self.clients.get((self.wire_form, connection))
+        client = self.clients.get((self.wire_format, connection))
         if client is None or client.stream is None or not client.stream.open:
             return
         client.stream.close()
@@ -355,11 +360,11 @@
         for key, task in self.tasks.items():
             request = self.oracle.asked.get(task["uid"])
             is_on_connection = (
-                task["wire_form"] == self.wire_form and task["service"] % CONNECTIONS_PER_FORM == connection
+                task["wire_form"] == self.wire_format and task["service"] % CONNECTIONS_PER_FORM == connection
             )
             if is_on_connection and request is not None and not task["done"] and not request.answers:
                 request.void = True
-                self.loop.after(50_000, lambda key=key: self.send_request(key))  # type: ignore[misc]
+                self.loop.call_later(50_000, lambda key=key: self.send_request(key))  # type: ignore[misc]
 
     def finish(self) -> None:
         """Record the outcome of all remaining tasks: ``placed``, or ``none`` without a final answer."""
--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -56,12 +56,12 @@
             task_class = LEDGER if self.rng.random() < LEDGER_FRACTION else LOOKUP
             request = (key, task_class, "1500", self.rng.randrange(1, 40))
             at_us = int(number / REQUESTS_PER_S * 1e6) + 500_000
-            self.loop.after(at_us, lambda request=request: self.clients.ask(*request))  # type: ignore[misc]
+            self.loop.call_later(at_us, lambda request=request: self.clients.ask(*request))  # type: ignore[misc]
 
     def run_until(self, deadline: float) -> None:
         """Run the loop, and record the peak number of descriptors of the last two processes."""
         while time.monotonic() < deadline:
-            self.loop.after(10_000, lambda: None)
+            self.loop.call_later(10_000, lambda: None)
             self.loop.turn()
             descriptors = sum(_descriptors(pid) for pid in self.pids[-2:])
             self.peak_descriptors = max(self.peak_descriptors, descriptors)
--- a/thornshelf/lab/scale/faults.py
+++ b/thornshelf/lab/scale/faults.py
@@ -92,14 +92,14 @@
             if self.loading:
                 for dispatcher in testbed.real:
                     testbed.submit_task(dispatcher, LEDGER if testbed.rng.random() < LEDGER_SHARE else LOOKUP)
-                testbed.loop.after(pause_us, send_request)
+                testbed.loop.call_later(pause_us, send_request)
 
         def reload() -> None:
             if self.loading:
                 for dispatcher in testbed.real:
                     self.counts.reloads += 1
                     os.kill(dispatcher.pid, signal.SIGHUP)
-                testbed.loop.after(1_000_000, reload)
+                testbed.loop.call_later(1_000_000, reload)
 
         send_request()
         reload()
--- a/thornshelf/lab/scale/hollow.py
+++ b/thornshelf/lab/scale/hollow.py
@@ -193,7 +193,7 @@
 
     def __init__(self, pipe: Connection, folders: Sequence[Path]) -> None:
         self.loop, self.pipe = Loop(), pipe
-        self.loop.on_fault = self._raise_fault
+        self.loop.on_exception = self._raise_fault
         self.services = [
             Service(
                 read_config({"LB_CONFIG": str(folder / "config.json")}, str(folder / "operator.toml")),
--- a/thornshelf/lab/scale/testbed.py
+++ b/thornshelf/lab/scale/testbed.py
@@ -179,7 +179,7 @@
         """Run the event loop until ``done()`` or the time limit; returns whether it was done."""
         deadline_s, last_check_s = time.monotonic() + limit_s, 0.0
         while time.monotonic() < deadline_s:
-            self.loop.after(5_000, lambda: None)
+            self.loop.call_later(5_000, lambda: None)
             self.loop.turn()
             if time.monotonic() - last_check_s >= 0.05:
                 last_check_s = time.monotonic()
@@ -235,7 +235,7 @@
                 count += 1
                 for dispatcher in self.real:
                     self.submit_task(dispatcher)
-                self.loop.after(pause_us, submit_to_each)
+                self.loop.call_later(pause_us, submit_to_each)
 
         submit_to_each()
         self.rest(seconds)
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -102,7 +102,7 @@
     """Schedule all faults, at fractions of the run's length."""
 
     def at_fraction(fraction: float, action: Any) -> None:
-        loop.after(int(fraction * plan.seconds * 1e6), action)
+        loop.call_later(int(fraction * plan.seconds * 1e6), action)
 
     unresponsive, restarted, broken, downgraded = rng.sample(nodes, 4)
     for node in nodes:
@@ -171,19 +171,22 @@
         hint = None if rng.random() < NO_HINT_SHARE else "1500"
         service = rng.randrange(SERVICES) + 1
         request = (key, LEDGER if is_ledger else LOOKUP, hint, service)
-        loop.after(int(min(at_s, 0.95 * plan.seconds) * 1e6), lambda request=request: clients.ask(*request))  # type: ignore[misc]
+        loop.call_later(
+            int(min(at_s, 0.95 * plan.seconds) * 1e6),
+            lambda request=request: clients.ask(*request),  # type: ignore[misc]
+        )
     fraction, within_s = rng.uniform(0.22, 0.56), rng.uniform(0.38, 3.0)
 
     def resubmit() -> None:
         result.resubmitted = clients.resubmit(fraction, int(within_s * 1e6))
 
-    loop.after(int(0.5 * plan.seconds * 1e6), resubmit)
+    loop.call_later(int(0.5 * plan.seconds * 1e6), resubmit)
 
 
 def _run_for(loop: Loop, seconds: float) -> None:
     end = time.monotonic() + seconds
     while time.monotonic() < end:
-        loop.after(20_000, lambda: None)
+        loop.call_later(20_000, lambda: None)
         loop.turn()
 
 
--- a/thornshelf/loop/loop.py
+++ b/thornshelf/loop/loop.py
@@ -89,10 +89,11 @@
 class Loop:
     """Runs coroutines and timers until ``stop`` is called.
 
-    ``on_turn``: hooks that run at the end of each turn, in their order; each returns whether it wants another turn
-    at once. ``on_fault``: called with an exception that ended a coroutine or a call; if it is None, such an exception
-    is raised from ``turn``. ``clock``: the monotonic clock, in nanoseconds. ``now``: the time of this turn, in
-    microseconds. ``earliest_arrival_us``: the earliest time at which the input of the present step may have arrived.
+    ``turn_hooks``: hooks that run at the end of each turn, in their order; each returns whether it wants another turn
+    at once. ``on_exception``: called with an exception that ended a coroutine or a call; if it is None, such
+    an exception is raised from ``turn``. ``clock``: the monotonic clock, in nanoseconds. ``now``: the time of
+    this turn, in microseconds. ``earliest_arrival_us``: the earliest time at which the input of the present
+    step may have arrived.
     """
 
     def __init__(self) -> None:
@@ -105,8 +106,8 @@
         self._ready: deque[tuple[Task, int, int]] = deque()
         self._running = False
         self._turn_end_calls: list[Callable[[], None]] = []
-        self.on_turn: list[Callable[[], bool]] = []
-        self.on_fault: Callable[[BaseException], None] | None = None
+        self.turn_hooks: list[Callable[[], bool]] = []
+        self.on_exception: Callable[[BaseException], None] | None = None
         self.clock: Callable[[], int] = time.monotonic_ns
         self.now = self.clock() // 1000
         self.earliest_arrival_us = self.now
@@ -142,7 +143,7 @@
             self._stop_waiting(task)
             task.coroutine.close()
 
-    def at(self, due: int, call: Callable[[], None]) -> Timer:
+    def call_at(self, due: int, call: Callable[[], None]) -> Timer:
         """Make a call in the first turn at or after the time ``due``, in microseconds."""
         timer = Timer(due, call, self)
         heapq.heappush(self._timers, (due, next(self._timer_sequence), timer))
@@ -156,9 +157,9 @@
             heapq.heapify(self._timers)
             self._cancelled_timers = 0
 
-    def after(self, delay: int, call: Callable[[], None]) -> Timer:
+    def call_later(self, delay: int, call: Callable[[], None]) -> Timer:
         """Make a call once ``delay`` microseconds have passed."""
-        return self.at(self.now + delay, call)
+        return self.call_at(self.now + delay, call)
 
     def unregister(self, fd: int) -> None:
         """Forget a descriptor that is about to be closed; coroutines that wait for it are resumed with 0."""
@@ -181,7 +182,7 @@
         registration.on_peer_close = call
         self._set_mask(fd, registration, registration.mask | PEER_CLOSED)
 
-    def at_turn_end(self, call: Callable[[], None]) -> None:
+    def call_at_turn_end(self, call: Callable[[], None]) -> None:
         """Make a call once, at the end of this turn, after the hooks: all that the turn sends is written together."""
         self._turn_end_calls.append(call)
 
@@ -231,7 +232,7 @@
             if steps % STEPS_PER_CLOCK_CHECK == 0 and self.turn_elapsed_us() >= TURN_BUDGET_US:
                 break
         needs_turn = False
-        for hook in self.on_turn:
+        for hook in self.turn_hooks:
             needs_turn = self._call_guarded(hook) or needs_turn
         calls, self._turn_end_calls = self._turn_end_calls, []
         for call in calls:
@@ -239,16 +240,16 @@
         return needs_turn
 
     def _call_guarded(self, call: Callable[[], Any]) -> bool:
-        """Make a call and report an exception to ``on_fault``, so that later calls are made all the same.
+        """Make a call and report an exception to ``on_exception``, so that later calls are made all the same.
 
         Returns the call's result as a flag, or True after an exception.
         """
         try:
             return bool(call())
         except Exception as error:
-            if self.on_fault is None:
+            if self.on_exception is None:
                 raise
-            self.on_fault(error)
+            self.on_exception(error)
             return True
 
     def _sleep_s(self) -> float:
@@ -314,9 +315,9 @@
         except Exception as error:  # an exception in one coroutine must not end the others
             task.done = True
             self._tasks.discard(task)
-            if self.on_fault is None:
+            if self.on_exception is None:
                 raise
-            self.on_fault(error)
+            self.on_exception(error)
             return
         task.wait = wait
         if wait.fd >= 0:
@@ -324,12 +325,12 @@
                 self._register(task, wait)
             except OSError as error:  # the coroutine waits for a closed descriptor
                 self.cancel(task)
-                if self.on_fault is None:
+                if self.on_exception is None:
                     raise
-                self.on_fault(error)
+                self.on_exception(error)
                 return
         if wait.until is not None:
-            task.timer = self.at(wait.until, lambda: self._time_out(task))
+            task.timer = self.call_at(wait.until, lambda: self._time_out(task))
 
     def _register(self, task: Task, wait: Wait) -> None:
         registration = self._registrations.get(wait.fd)
--- a/thornshelf/loop/stream.py
+++ b/thornshelf/loop/stream.py
@@ -78,7 +78,7 @@
                 self.close()
             elif not self._flush_scheduled and self._writer is None:
                 self._flush_scheduled = True
-                self.loop.at_turn_end(self.flush)
+                self.loop.call_at_turn_end(self.flush)
         return chunk
 
     def retract(self, chunk: Chunk) -> bool:
@@ -156,7 +156,7 @@
             self._writer = None
         if self.open and not self._flush_scheduled:
             self._flush_scheduled = True
-            self.loop.at_turn_end(self.flush)
+            self.loop.call_at_turn_end(self.flush)
 
     def _write(self) -> bool:
         """Write to the socket until it accepts no more; returns whether the buffer is empty."""
--- a/thornshelf/membership/drain_gossip.py
+++ b/thornshelf/membership/drain_gossip.py
@@ -86,7 +86,7 @@
         self._avoided: dict[str, NodeProgress] = {}
         self._pages: list[list[str]] = []  # the nodes on each published page
 
-    def update_own(self, node: str, started_ms: int, stage: int, now_us: int) -> None:
+    def update_local(self, node: str, started_ms: int, stage: int, now_us: int) -> None:
         """Update the progress of a node by this member's own endpoint list."""
         progress = NodeProgress(started_ms, stage)
         old = self._own.get(node)
@@ -189,7 +189,7 @@
             if own is not None and own.progress.stage == NodeStage.UP and len(reporters) >= min_reporters:
                 self._avoided[node] = own.progress
         for node, progress in list(self._avoided.items()):
-            if self.own_progress(node) != progress:
+            if self.local_progress(node) != progress:
                 del self._avoided[node]  # the own list has a newer state
         return set(self._avoided)
 
@@ -201,7 +201,7 @@
             for page, progress in reports.items():
                 yield ReportedProgress(node, page.writer, *progress, node in self._avoided)
 
-    def own_progress(self, node: str) -> NodeProgress | None:
+    def local_progress(self, node: str) -> NodeProgress | None:
         """Returns the progress of a node by the own endpoint list, or None if the list does not have it."""
         own = self._own.get(node)
         return None if own is None else own.progress
--- a/thornshelf/membership/member_table.py
+++ b/thornshelf/membership/member_table.py
@@ -70,16 +70,16 @@
         member = self.members.get(name)
         return None if member is None else member.state
 
-    def sample(self, count: int, without: str = "") -> list[str]:
-        """Returns the names of up to ``count`` random live members other than ``without``."""
+    def sample(self, count: int, exclude: str = "") -> list[str]:
+        """Returns the names of up to ``count`` random live members other than ``exclude``."""
         if count >= len(self.live_names):
-            names = [name for name in self.live_names if name != without]
+            names = [name for name in self.live_names if name != exclude]
             self._random.shuffle(names)
             return names[:count]
         names = []
         for _ in range(SAMPLE_ATTEMPTS * count):
             name = self.live_names[self._random.randrange(len(self.live_names))]
-            if name != without and name not in names:
+            if name != exclude and name not in names:
                 names.append(name)
                 if len(names) == count:
                     break
--- a/thornshelf/nodes/binary.py
+++ b/thornshelf/nodes/binary.py
@@ -30,7 +30,7 @@
     "displaced": Reason.PREEMPTED,
     "dismissed": Reason.DRAINED,
 }
-FACTS_BY_NAME = {
+UPDATE_KINDS_BY_NAME = {
     "running": TaskUpdateKind.STARTED,
     "use_cpu": TaskUpdateKind.CORES_USED,
     "use_ram": TaskUpdateKind.MEMORY_USED,
@@ -149,7 +149,7 @@
         self.node.attempt_finished(uid, outcome, reason, report)
 
     def _task_progressed(self, message: binary.Message) -> None:
-        kind = FACTS_BY_NAME.get(message.text(binary.NOTE_NAME) or "")
+        kind = UPDATE_KINDS_BY_NAME.get(message.text(binary.NOTE_NAME) or "")
         level = binary.parse_number(message.text(binary.FIGURE))
         if kind is TaskUpdateKind.STARTED and level is None:
             level = 1.0
--- a/thornshelf/nodes/grpc.py
+++ b/thornshelf/nodes/grpc.py
@@ -39,7 +39,7 @@
 OUTCOMES_BEFORE_START = {pb.ERROR: Outcome.ERROR, pb.FULL: Outcome.REFUSED, pb.MOOT: Outcome.NOT_SENT}
 OUTCOMES_AFTER_START = {pb.ENDED: Outcome.OK, pb.CANCELLED: Outcome.CANCELLED}
 REASONS_BY_NUMBER = {reason.value: reason for reason in Reason}
-FACTS_BY_NUMBER = {kind.value: kind for kind in TaskUpdateKind}
+UPDATE_KINDS_BY_NUMBER = {kind.value: kind for kind in TaskUpdateKind}
 
 _UNIMPLEMENTED = str(grpc.UNIMPLEMENTED)
 
@@ -55,7 +55,7 @@
 
     def __init__(self, node: BaseNodeConnection, stream: Stream) -> None:
         super().__init__(node, stream)
-        self._http = http2.Http2(True, stream.send)
+        self._http = http2.Http2Connection(True, stream.send)
         # The sent messages of attempts without an answer, by attempt id.
         self._unanswered: dict[int, http2.OutgoingMessage] = {}
         self._stream_unprocessed = False  # the node has answered that it has not processed the Bind stream
@@ -65,7 +65,7 @@
     def send_attempt(self, attempt: Attempt) -> None:
         """Send an attempt with the time that is left for it; one that is too long to be encoded ends as not sent."""
         try:
-            data = grpc.frame(self._offer(attempt))
+            data = grpc.encode_message(self._make_offer(attempt))
         except WireError:
             self.node.attempt_finished(attempt.uid, Outcome.NOT_SENT)
             return
@@ -74,7 +74,7 @@
     def _wait_ms(self, attempt: Attempt) -> int:
         return max(1, (attempt.deadline_us - self.node.loop.now) // 1000)
 
-    def _offer(self, attempt: Attempt) -> Message:
+    def _make_offer(self, attempt: Attempt) -> Message:
         offer = pb.Offer(
             task_class=attempt.task_class,
             wait_ms=self._wait_ms(attempt),
@@ -98,9 +98,9 @@
 
     def cancel_task(self, uid: int) -> http2.OutgoingMessage:
         """Send a release, which cancels an attempt or ends a running task."""
-        return self._http.send(self._bind_stream, grpc.frame(self._release(uid)))
+        return self._http.send(self._bind_stream, grpc.encode_message(self._make_release(uid)))
 
-    def _release(self, uid: int) -> Message:
+    def _make_release(self, uid: int) -> Message:
         return pb.NodeOrder(uid=uid, release=pb.Release(outcome=pb.CANCELLED))
 
     def check_health(self) -> None:
@@ -108,8 +108,8 @@
         self._start_health_check(pb.ProbeRequest())
 
     def _start_health_check(self, request: Message) -> None:
-        self._health_check_stream = self._call("Probe", grpc.write_timeout(HEALTH_CHECK_TIMEOUT_US))
-        self._http.send(self._health_check_stream, grpc.frame(request))
+        self._health_check_stream = self._call("Probe", grpc.encode_timeout(HEALTH_CHECK_TIMEOUT_US))
+        self._http.send(self._health_check_stream, grpc.encode_message(request))
         self._http.finish(self._health_check_stream, [])
 
     def ping(self) -> None:
@@ -143,37 +143,37 @@
     def _goaway_received(self, event: http2.GoAway) -> str | None:
         # Streams up to the last one named by GOAWAY are still processed, but no new attempts are sent on them.
         self.accepting = False
-        if event.last < self._bind_stream:
+        if event.last_stream_id < self._bind_stream:
             self._stream_unprocessed = True
             return "the node sent GOAWAY before it processed the stream"
         return None
 
     def _bind_event(self, event: http2.Event) -> str | None:
         match event:
-            case http2.Received(data=message):
+            case http2.MessageReceived(data=message):
                 self.messages_received += 1
-                self._process_report(grpc.parse(self.report_type, message))
-            case http2.Ended(trailers=trailers):
+                self._process_report(grpc.decode_message(self.report_type, message))
+            case http2.StreamEnded(trailers=trailers):
                 if trailers.get("grpc-status") == _UNIMPLEMENTED:
                     self.generation_rejected = True
                 return f"stream ended with status {trailers.get('grpc-status', 'none')}"
-            case http2.Broken(code=code, reason=reason):
+            case http2.StreamReset(code=code, reason=reason):
                 self._stream_unprocessed = code == http2.REFUSED_STREAM
                 return f"stream failed: {reason}, code {code}"
-            case http2.Opened(headers=headers) if headers.get(":status") != "200":
+            case http2.HeadersReceived(headers=headers) if headers.get(":status") != "200":
                 self.generation_rejected = True
                 return f"HTTP status {headers.get(':status')}"
-            case http2.Opened(headers=headers) if headers.get("grpc-status") == _UNIMPLEMENTED:
+            case http2.HeadersReceived(headers=headers) if headers.get("grpc-status") == _UNIMPLEMENTED:
                 self.generation_rejected = True
                 return "the node does not support this generation"
         return None
 
     def _health_check_event(self, event: http2.Event) -> None:
         match event:
-            case http2.Received(data=message):
-                fields = grpc.parse(self.load_type, message).fields  # type: ignore[attr-defined]
+            case http2.MessageReceived(data=message):
+                fields = grpc.decode_message(self.load_type, message).fields  # type: ignore[attr-defined]
                 self.node.health_check_completed(Outcome.OK, decode_load_report(_finite(fields)))
-            case http2.Ended() | http2.Broken():
+            case http2.StreamEnded() | http2.StreamReset():
                 # Ignored if the load report has arrived already.
                 self.node.health_check_completed(Outcome.ERROR, None)
 
@@ -188,7 +188,7 @@
         ]
         if timeout is not None:
             headers.append(("grpc-timeout", timeout))
-        return self._http.call(headers)
+        return self._http.open_stream(headers)
 
     def _process_report(self, report: Any) -> None:
         """Process one report whose kind exists in both generations."""
@@ -198,7 +198,7 @@
             case "end":
                 self._task_ended(report.uid, report.end)
             case "note":
-                kind = FACTS_BY_NUMBER.get(report.note.fact)
+                kind = UPDATE_KINDS_BY_NUMBER.get(report.note.fact)
                 if kind is not None and math.isfinite(report.note.level):
                     progress = TaskProgress(self.node.machine, report.uid, kind, report.note.level)
                     self.node.core.inbox.append(progress)
@@ -242,7 +242,7 @@
         self.capabilities: NodeCapabilities | None = None
         self._hint = hint
 
-    def _offer(self, attempt: Attempt) -> Message:
+    def _make_offer(self, attempt: Attempt) -> Message:
         request = attempt.request
         hint = self._hint(attempt)
         offer = pb2.Offer(
@@ -277,13 +277,13 @@
         text = "the request has no lifetime hint, the operator's default is used"
         self.node.core.log(NOTICE, "hint-assumed", fields, text)
 
-    def _release(self, uid: int) -> Message:
+    def _make_release(self, uid: int) -> Message:
         return pb2.NodeOrder(uid=uid, release=pb2.Release(outcome=pb2.CANCELLED))
 
     def query_task(self, idempotency_key: int, uid: int) -> None:
         """Ask the node about a task, after all orders that were sent before."""
         order = pb2.NodeOrder(uid=uid, question=pb2.Question(key=idempotency_key))
-        self._http.send(self._bind_stream, grpc.frame(order))
+        self._http.send(self._bind_stream, grpc.encode_message(order))
 
     def check_health(self) -> None:
         """Call ``Probe``, which the node answers with a load report."""
--- a/thornshelf/nodes/liveness.py
+++ b/thornshelf/nodes/liveness.py
@@ -35,7 +35,7 @@
         """Start checking the connection; call this for each request that awaits a reply."""
         if not self._check_scheduled:
             self._check_scheduled = True
-            self._link.node.loop.after(CHECK_INTERVAL_US, self._check)
+            self._link.node.loop.call_later(CHECK_INTERVAL_US, self._check)
 
     def bytes_received(self) -> None:
         """Record that the peer has sent data, which proves that it is alive."""
--- a/thornshelf/nodes/node_connection.py
+++ b/thornshelf/nodes/node_connection.py
@@ -176,7 +176,7 @@
         """Ask for a load report, unless a health check is still without a result."""
         if self._health_check is not None:
             return
-        timeout = self.loop.after(HEALTH_CHECK_TIMEOUT_US, self._health_check_timed_out)
+        timeout = self.loop.call_later(HEALTH_CHECK_TIMEOUT_US, self._health_check_timed_out)
         self._health_check = HealthCheck(self.loop.now, timeout)
         if self.link is not None and self.link.handshake_complete:
             self.link.check_health()
--- a/thornshelf/nodes/reconnect.py
+++ b/thornshelf/nodes/reconnect.py
@@ -43,7 +43,7 @@
         self._initial_timer: Timer | None = None
         delay_us = int(initial_connect_delay_s(settings.me, node.machine, settings.placers) * 1e6)
         if delay_us:
-            self._initial_timer = node.loop.after(delay_us, self._connect_initially)
+            self._initial_timer = node.loop.call_later(delay_us, self._connect_initially)
         else:
             self.ensure_connecting()
 
--- a/thornshelf/placement/machine_index.py
+++ b/thornshelf/placement/machine_index.py
@@ -17,7 +17,7 @@
 
 ResourcePair = tuple[float, float]  # cores and memory
 RESOURCES = (0, 1)  # the indices of a pair
-SLICE = 64  # machines refreshed with each decision, at about the cost of the decision itself
+REFRESH_SLICE_SIZE = 64  # machines refreshed with each decision, at about the cost of the decision itself
 MAX_CALLS_PER_REFRESH = 4  # ``advance_refresh`` completes a round after this many calls
 MIN_USAGE_RATIO = -4.0  # reported usage is clamped to this range, in multiples of the capacity
 MAX_USAGE_RATIO = 2.0
@@ -107,12 +107,12 @@
         if not self._refresh_queue:
             self._refresh_queue.extend(self.up)
         minimum_count = -(-len(self.up) // MAX_CALLS_PER_REFRESH)
-        self._refresh(max(SLICE, minimum_count))
+        self._refresh(max(REFRESH_SLICE_SIZE, minimum_count))
 
     def apply_changes(self) -> None:
         """Update sums and order for the machines that changed, and continue the current round, if any."""
         if self._refresh_queue:
-            self._refresh(SLICE)
+            self._refresh(REFRESH_SLICE_SIZE)
         if self.changed:
             for machine in self.changed:
                 if machine.position >= 0 and self._usage_of(machine) is not machine.indexed_usage:
--- a/thornshelf/service.py
+++ b/thornshelf/service.py
@@ -88,7 +88,7 @@
         # All conversions between Unix time and the loop's clock use this offset.
         self._unix_offset_us = time.time_ns() // 1000 - time.monotonic_ns() // 1000
         self.log = log or self._make_log()
-        self.loop.on_fault = self._log_exception
+        self.loop.on_exception = self._log_exception
         self.inherited = _inherit_sockets()
         self.admission_filter: AdmissionFilter | None = None
         self.translator: Translator | None = None
@@ -251,7 +251,7 @@
         self.core.is_endpoint_list_stale = (
             lambda: self.endpoint_watch is not None and not self.endpoint_watch.has_synced
         )
-        self.loop.after(ENDPOINT_LIST_TIMEOUT_US, lambda: None)  # ensures a turn when the wait times out
+        self.loop.call_later(ENDPOINT_LIST_TIMEOUT_US, lambda: None)  # ensures a turn when the wait times out
 
     def run(self) -> None:
         """Serve until SIGTERM or SIGINT, complete the open requests, and return."""
--- a/thornshelf/syslog.py
+++ b/thornshelf/syslog.py
@@ -183,7 +183,7 @@
         self._buffered_bytes += len(line)
         if not self._flush_scheduled:
             self._flush_scheduled = True
-            self.loop.at_turn_end(self.flush)
+            self.loop.call_at_turn_end(self.flush)
 
     def _begin_second(self) -> None:
         """Reset the line counts, and log for each message id how many lines of the last second were left out."""
@@ -206,4 +206,4 @@
             self(rfc5424.WARNING, "log", {"dropped": dropped}, "buffer was full, lines were dropped")
         self._flush_scheduled = bool(self._buffered)
         if self._buffered:
-            self.loop.after(FLUSH_RETRY_US, self.flush)
+            self.loop.call_later(FLUSH_RETRY_US, self.flush)
--- a/thornshelf/translation/field_mapping_audit.py
+++ b/thornshelf/translation/field_mapping_audit.py
@@ -48,8 +48,8 @@
     for name, kind in (("Line", jsonl.Line), ("Launch", jsonl.LaunchFields)):
         for field in dataclasses.fields(kind):
             yield f"{name}.{field.name}"
-    yield from (f"kind.{one}" for one in jsonl.KINDS)
-    yield from (f"out.{one}" for one in jsonl.OUT_FIELDS)
+    yield from (f"kind.{one}" for one in jsonl.LINE_KINDS)
+    yield from (f"out.{one}" for one in jsonl.CLIENT_FIELDS)
     yield from (f"cause.{one}" for one in jsonl.CAUSES)
 
 
@@ -64,7 +64,7 @@
     causes = {*node_binary.OUTCOMES_BEFORE_START, *node_binary.OUTCOMES_AFTER_START, "other"}
     yield from (f"cause.{one}" for one in causes)
     yield from (f"reason.{one}" for one in node_binary.REASONS_BY_NAME)
-    yield from (f"fact.{one}" for one in node_binary.FACTS_BY_NAME)
+    yield from (f"fact.{one}" for one in node_binary.UPDATE_KINDS_BY_NAME)
 
 
 def elements(wire_format: WireFormat) -> set[str]:
--- a/thornshelf/translation/uncertain_attempts.py
+++ b/thornshelf/translation/uncertain_attempts.py
@@ -26,14 +26,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ActiveKey:
+class ActiveKeyState:
     """The task is open or running under this id."""
 
     uid: int
 
 
 @dataclass(frozen=True, slots=True)
-class UncertainKey:
+class UncertainKeyState:
     """An attempt under this id may be running, or have run, on this node; uncertain since ``since_us``."""
 
     machine: int
@@ -41,7 +41,7 @@
     since_us: int
 
 
-KeyState = ActiveKey | UncertainKey
+KeyState = ActiveKeyState | UncertainKeyState
 
 
 class KeyAction(enum.Enum):
@@ -81,7 +81,7 @@
         while self._uncertain_keys:
             key = next(iter(self._uncertain_keys))
             state = self._states[key]
-            assert isinstance(state, UncertainKey)
+            assert isinstance(state, UncertainKeyState)
             if now_us - state.since_us < self.retention_us:
                 return
             self.discard(key)
@@ -96,7 +96,7 @@
         match self.lookup(key, now_us):
             case None:
                 return KeyAction.START
-            case ActiveKey():
+            case ActiveKeyState():
                 return KeyAction.JOIN
             case _:
                 return KeyAction.QUERY_NODE if can_query else KeyAction.FAIL
@@ -104,12 +104,12 @@
     def mark_active(self, key: int, uid: int) -> None:
         """The task of a key is open or running under an id."""
         self._uncertain_keys.pop(key, None)
-        self._states[key] = ActiveKey(uid)
+        self._states[key] = ActiveKeyState(uid)
 
     def mark_uncertain(self, key: int, machine: int, uid: int, now_us: int) -> None:
         """An attempt may have run and is not tracked any more; evicts the oldest keys beyond the bound."""
         self.discard(key)
-        self._states[key] = UncertainKey(machine, uid, now_us)
+        self._states[key] = UncertainKeyState(machine, uid, now_us)
         self._uncertain_keys[key] = None
         while len(self._uncertain_keys) > self.max_uncertain:
             self.discard(next(iter(self._uncertain_keys)))
--- a/thornshelf/wire/errors.py
+++ b/thornshelf/wire/errors.py
@@ -15,7 +15,7 @@
     EVICTED = enum.auto()
     CLOSED_BY_PEER = enum.auto()
     INVALID_INPUT = enum.auto()
-    UNUSABLE = enum.auto()  # any other cause, which the text of the reason states
+    OTHER = enum.auto()  # any other cause, which the text of the reason states
 
 
 class DisconnectReason(NamedTuple):
@@ -27,7 +27,7 @@
     @classmethod
     def unusable(cls, text: str) -> DisconnectReason:
         """Return the reason for ending a connection that can't be used any longer; ``text`` says why."""
-        return cls(DisconnectCause.UNUSABLE, text)
+        return cls(DisconnectCause.OTHER, text)
 
     @classmethod
     def invalid_input(cls, error: Exception) -> DisconnectReason:
--- a/thornshelf/wire/grpc.py
+++ b/thornshelf/wire/grpc.py
@@ -35,7 +35,7 @@
 _Message = TypeVar("_Message", bound=Message)
 
 
-def frame(message: Message) -> bytes:
+def encode_message(message: Message) -> bytes:
     """Encode a message with its length prefix, uncompressed. Raises ``WireError`` if it is too long."""
     data = message.SerializeToString()
     if len(data) > MAX_MESSAGE:
@@ -43,7 +43,7 @@
     return b"\x00" + len(data).to_bytes(4, "big") + data
 
 
-def parse(kind: type[_Message], data: bytes) -> _Message:
+def decode_message(kind: type[_Message], data: bytes) -> _Message:
     """Decode a message without its length prefix. Raises ``WireError`` if it is malformed."""
     try:
         return kind.FromString(data)
@@ -51,7 +51,7 @@
         raise WireError(f"no {kind.__name__}: {error}", fatal=True) from None
 
 
-def read_timeout(text: str) -> int:
+def decode_timeout(text: str) -> int:
     """Decode the value of grpc-timeout; returns microseconds. Raises ``WireError`` if it is malformed."""
     match = _TIMEOUT.fullmatch(text)
     if match is None:
@@ -59,7 +59,7 @@
     return int(match[1]) * _UNIT_NS[match[2]] // 1000
 
 
-def write_timeout(microseconds: int) -> str:
+def encode_timeout(microseconds: int) -> str:
     """Encode a remaining time as the value of grpc-timeout: at most 8 digits, rounded down if necessary."""
     remaining_us = max(0, microseconds)
     return f"{remaining_us}u" if remaining_us < 100_000_000 else f"{min(remaining_us // 1000, 99_999_999)}m"
@@ -70,7 +70,7 @@
     return _UNSAFE.sub(lambda found: b"%%%02X" % found[0][0], text.encode("utf-8", "replace")).decode("ascii")
 
 
-class Framer:
+class MessageReader:
     """Splits the data of one HTTP/2 stream into messages, without their prefixes.
 
     Between two calls of ``feed`` it holds at most one incomplete message, if the caller takes the complete ones.
--- a/thornshelf/wire/http2.py
+++ b/thornshelf/wire/http2.py
@@ -19,21 +19,28 @@
 from hyperframe.frame import GoAwayFrame, SettingsFrame, WindowUpdateFrame
 
 from thornshelf.wire.errors import WireError
-from thornshelf.wire.grpc import Framer
-from thornshelf.wire.http2_events import Broken, Ended, Event, GoAway, Opened, Received
+from thornshelf.wire.grpc import MessageReader
+from thornshelf.wire.http2_events import (
+    Event,
+    GoAway,
+    HeadersReceived,
+    MessageReceived,
+    StreamEnded,
+    StreamReset,
+)
 from thornshelf.wire.pending_write import PendingWrite
 
 __all__ = [
     "CANCEL",
     "REFUSED_STREAM",
-    "Broken",
-    "Ended",
     "Event",
     "GoAway",
-    "Http2",
-    "Opened",
+    "HeadersReceived",
+    "Http2Connection",
+    "MessageReceived",
     "OutgoingMessage",
-    "Received",
+    "StreamEnded",
+    "StreamReset",
     "rejection_frames",
 ]
 
@@ -82,28 +89,28 @@
         self.consumed_bytes = 0  # of DATA frames since the last WINDOW_UPDATE of the stream
         self.receiving = False  # the peer has sent headers and not ended its side of the stream
         self.ended = False  # this side of the stream has been ended
-        self.framer = Framer()
+        self.framer = MessageReader()
         self.queue: deque[OutgoingMessage] = deque()
         self.queued_bytes = 0
         self.trailers: list[tuple[str, str]] | None = None  # to be sent after the queue, see ``finish``
 
 
-class Http2:
+class Http2Connection:
     """One HTTP/2 connection without its socket.
 
-    ``client``: whether this side is the client; ``emit``: sends bytes, and returns the write, which knows whether it
-    has completed. ``peer_settings_received``: whether the peer has sent its SETTINGS frame, which proves that it
-    supports HTTP/2.
+    ``is_client``: whether this side is the client; ``emit``: sends bytes, and returns the write, which knows
+    whether it has completed. ``peer_settings_received``: whether the peer has sent its SETTINGS frame, which
+    proves that it supports HTTP/2.
     """
 
-    def __init__(self, client: bool, emit: Callable[[bytes], PendingWrite]) -> None:
-        self.client = client
+    def __init__(self, is_client: bool, emit: Callable[[bytes], PendingWrite]) -> None:
+        self.is_client = is_client
         self._emit = emit
-        config = h2.config.H2Configuration(client_side=client, header_encoding="utf-8")
+        config = h2.config.H2Configuration(client_side=is_client, header_encoding="utf-8")
         self._h2 = h2.connection.H2Connection(config)
         self._streams: dict[int, _Stream] = {}
         self._buffer = b""  # input that is not yet a complete frame
-        self._preface_length = 0 if client else _PREFACE_LENGTH
+        self._preface_length = 0 if is_client else _PREFACE_LENGTH
         self._last_peer_stream = 0
         self._consumed_bytes = 0  # of DATA frames since the last WINDOW_UPDATE of the connection
         self.peer_settings_received = False
@@ -116,7 +123,7 @@
         """Number of open streams."""
         return len(self._streams)
 
-    def call(self, headers: list[tuple[str, str]]) -> int:
+    def open_stream(self, headers: list[tuple[str, str]]) -> int:
         """Open a stream as a client; returns its id."""
         stream = self._h2.get_next_available_stream_id()
         self._h2.send_headers(stream, headers)
@@ -260,32 +267,32 @@
                 opened = self._streams[stream] = _Stream()
                 opened.receiving = True
                 self._last_peer_stream = max(self._last_peer_stream, stream)
-                events.append(Opened(stream, _decode_headers(headers)))
+                events.append(HeadersReceived(stream, _decode_headers(headers)))
             case h2.events.ResponseReceived(stream_id=stream, headers=headers):
                 if (state := self._streams.get(stream)) is not None:
                     state.receiving = True
-                events.append(Opened(stream, _decode_headers(headers)))
+                events.append(HeadersReceived(stream, _decode_headers(headers)))
             case h2.events.DataReceived(stream_id=stream, data=data, flow_controlled_length=length):
                 if length:
                     self._h2.acknowledge_received_data(length, stream)
                 if (state := self._streams.get(stream)) is not None:
                     self._extract_messages(stream, state, data, events)
             case h2.events.TrailersReceived(stream_id=stream, headers=headers):
-                events.append(Ended(stream, _decode_headers(headers)))
+                events.append(StreamEnded(stream, _decode_headers(headers)))
             case h2.events.StreamEnded(stream_id=stream):
                 state = self._streams.get(stream)
                 if state is not None:
                     state.receiving = False
                 if state is not None and state.framer.mid_message:
                     self.reset(stream)
-                    events.append(Broken(stream, CANCEL, "the peer ended the stream within a message"))
-                elif not (events and isinstance(events[-1], Ended) and events[-1].stream == stream):
-                    events.append(Ended(stream, {}))
-                if self.client:
+                    events.append(StreamReset(stream, CANCEL, "the peer ended the stream within a message"))
+                elif not (events and isinstance(events[-1], StreamEnded) and events[-1].stream == stream):
+                    events.append(StreamEnded(stream, {}))
+                if self.is_client:
                     self.reset(stream)  # ends this side too: the server has finished the call
             case h2.events.StreamReset(stream_id=stream, error_code=code):
                 self._streams.pop(stream, None)
-                events.append(Broken(stream, int(code), "reset by the peer"))
+                events.append(StreamReset(stream, int(code), "reset by the peer"))
             case h2.events.RemoteSettingsChanged():
                 self.peer_settings_received = True
             case _:
@@ -313,10 +320,10 @@
         state.framer.feed(data)
         try:
             while (message := state.framer.next()) is not None:
-                events.append(Received(stream, message))
+                events.append(MessageReceived(stream, message))
         except WireError as error:
             self.reset(stream)
-            events.append(Broken(stream, CANCEL, str(error)))
+            events.append(StreamReset(stream, CANCEL, str(error)))
 
     def _try_send_queued(self, stream: int) -> None:
         """Emit as much of a stream's queue as the windows allow; discards the stream if the peer has closed it."""
--- a/thornshelf/wire/http2_events.py
+++ b/thornshelf/wire/http2_events.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class HeadersReceived:
     """Headers were received: those of a request on a server, those of a response on a client."""
 
     stream: int
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Received:
+class MessageReceived:
     """One complete gRPC message was received; ``data`` is without its length prefix."""
 
     stream: int
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class StreamEnded:
     """The peer has ended its side of the stream; ``trailers`` is empty if it sent none."""
 
     stream: int
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class StreamReset:
     """The stream was reset by the peer, or by this side for invalid input; ``code``: the HTTP/2 error code."""
 
     stream: int
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GoAway:
-    """The peer accepts no stream with an id above ``last``; streams up to it continue."""
+    """The peer accepts no stream with an id above ``last_stream_id``; streams up to it continue."""
 
-    last: int
+    last_stream_id: int
     code: int
 
 
-Event = Opened | Received | Ended | Broken | GoAway
+Event = HeadersReceived | MessageReceived | StreamEnded | StreamReset | GoAway
--- a/thornshelf/wire/jsonl.py
+++ b/thornshelf/wire/jsonl.py
@@ -44,8 +44,8 @@
 
 
 # All kinds of lines, and the fields and causes of lines to clients, which the field mapping covers.
-KINDS = ("launch", "running", "stop", "stopped", "migrate", "check", "checked")
-OUT_FIELDS = ("wait", "why", "hint", "assumed")
+LINE_KINDS = ("launch", "running", "stop", "stopped", "migrate", "check", "checked")
+CLIENT_FIELDS = ("wait", "why", "hint", "assumed")
 REFUSED = 34
 FAILED = 41
 UNREADABLE = 100
