--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -13,7 +13,7 @@
 from collections import deque
 from dataclasses import dataclass, replace
 
-from tests.conftest import SAFE, entry, listing, settings
+from tests.conftest import SAFE, endpoint, endpoint_update, settings
 from tests.test_fleet import LEDGER, FullScanPlacer
 from thornshelf import placement as api
 from thornshelf.placement import Placer, machine_index
@@ -116,7 +116,7 @@
         overcommit_memory=2.0,
     )
     placer = placer_type(placer_settings, 1)
-    placer.handle(0.0, [listing(*(entry(m, kind=kind) for m, kind in workload.kinds.items()))])
+    placer.handle(0.0, [endpoint_update(*(endpoint(m, kind=kind) for m, kind in workload.kinds.items()))])
     spent_s = longest_s = now = 0.0
     attempts = 0
     for number in range(batches):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -60,24 +60,24 @@
     return replace(base, **changes)
 
 
-def entry(machine: int, **changes: Any) -> api.Endpoint:
+def endpoint(machine: int, **changes: Any) -> api.Endpoint:
     """Return an endpoint list entry of a small machine that is up; ``changes`` replace its fields."""
     base = api.Endpoint(machine, api.Health.UP, "small", "here", 1, 0.0, 0.0, 1.0, 0.0)
     return replace(base, **changes)
 
 
-def listing(*entries: api.Endpoint, complete: bool = True) -> api.EndpointUpdate:
+def endpoint_update(*entries: api.Endpoint, complete: bool = True) -> api.EndpointUpdate:
     """Return an update of the endpoint list; ``complete``: it replaces the whole list."""
     return api.EndpointUpdate(complete, 1, entries)
 
 
-def ask(request: int, **changes: Any) -> api.PlacementRequest:
+def placement_request(request: int, **changes: Any) -> api.PlacementRequest:
     """Return a request for a small task of the class ``safe``; ``changes`` replace its fields."""
     base = api.PlacementRequest(request, "safe", None, request, 6.0, None, 7, 1.0, 1.0)
     return replace(base, **changes)
 
 
-def ended(
+def attempt_ended(
     request: int, machine: int, outcome: api.Outcome, attempt: int = 0, **changes: Any
 ) -> api.AttemptEnded:
     """Return the end of an attempt; ``changes`` replace its fields."""
@@ -85,14 +85,14 @@
     return replace(base, **changes)
 
 
-def placer(*machines: api.Endpoint, using: api.Settings | None = None) -> Placer:
+def make_placer(*machines: api.Endpoint, placer_settings: api.Settings | None = None) -> Placer:
     """Return a placer that received its endpoint list at time 0."""
-    new_placer = Placer(using or settings(), 1)
-    new_placer.handle(0.0, [listing(*machines)])
+    new_placer = Placer(placer_settings or settings(), 1)
+    new_placer.handle(0.0, [endpoint_update(*machines)])
     return new_placer
 
 
-def offers(actions: list[api.Action]) -> list[api.StartAttempt]:
+def started_attempts(actions: list[api.Action]) -> list[api.StartAttempt]:
     """Return the offers among some actions."""
     return [action for action in actions if isinstance(action, api.StartAttempt)]
 
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -37,7 +37,7 @@
         monkeypatch.setattr(front, "MESSAGE_TIMEOUT_US", 50_000)
 
 
-def stranger(cluster: FakeCluster, front: str, host: str = HOST) -> socket.socket:
+def connect_raw(cluster: FakeCluster, front: str, host: str = HOST) -> socket.socket:
     """A connection from the address ``host`` that has sent nothing."""
     address = cluster.service.frontends[front == GRPC].listener.address
     sock = socket.create_connection(address, timeout=TIMEOUT_S, source_address=(host, 0))
@@ -71,7 +71,7 @@
     cluster = FakeCluster(front)
     cluster.client.ask(5, NodeBehavior.END)
     cluster.wait_for_events(5, 2)
-    silent = stranger(cluster, front)
+    silent = connect_raw(cluster, front)
     read_all(cluster, silent)
     cluster.run_for(150)
     cluster.client.ask(6, NodeBehavior.RUN)
@@ -180,12 +180,12 @@
     cluster.client.ask(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     # One of the idle connections comes from the client's own host.
-    requester, silent = stranger(cluster, JSON, "127.0.0.2"), stranger(cluster, JSON, "127.0.0.1")
+    requester, silent = connect_raw(cluster, JSON, "127.0.0.2"), connect_raw(cluster, JSON, "127.0.0.1")
     meta = {"class": "lookup", "left": 8000, "extras": "cores:1;memory:2"}
     line = {"kind": "launch", "uid": f"{6:016x}", "meta": meta, "body": NodeBehavior.RUN.value.decode()}
     requester.sendall(json.dumps(line).encode() + b"\n")
     cluster.run_until(lambda: 6 in cluster.nodes[0].running)
-    late = stranger(cluster, JSON, "127.0.0.4")
+    late = connect_raw(cluster, JSON, "127.0.0.4")
     cluster.client.stream.close()
     cluster.run_for(10)
     cluster.nodes[0].die()
@@ -213,7 +213,7 @@
     if front == GRPC:  # an open call would keep the connection from being idle
         cluster.client.h2.finish(cluster.client.call, [])
         cluster.run_until(lambda: cluster.client.call in cluster.client.status)
-    silent = stranger(cluster, front)
+    silent = connect_raw(cluster, front)
     cluster.run_until(lambda: cluster.service.connection_budget.client_count == 2)
     cluster.service.connection_budget.total = cluster.service.connection_budget.client_floor = 2
     cluster.connect_client(front)
@@ -227,7 +227,7 @@
     cluster = FakeCluster(front)
     budget = cluster.service.connection_budget
     budget.total = budget.client_floor = 10
-    socks = [stranger(cluster, front) for _ in range(50)]
+    socks = [connect_raw(cluster, front) for _ in range(50)]
     peak, frontend = 0, cluster.service.frontends[front == GRPC]
     while budget.client_count < 10 or any(sock.fileno() < 0 for sock in socks):
         cluster.loop.turn()
--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -14,7 +14,7 @@
 from thornshelf.wire.errors import WireError
 
 PLACED, FAILED = ("placed", DESCRIPTION), ("failed", None)
-ONCE_ONLY = "ledger-batch"
+NON_IDEMPOTENT_CLASS = "ledger-batch"
 WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 
 
@@ -22,7 +22,7 @@
     """Return a node on which one task runs, and another that must not run twice is in flight."""
     cluster.client.ask(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.ask(6, NodeBehavior.SILENT, ONCE_ONLY)
+    cluster.client.ask(6, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     return cluster.nodes[0]
 
@@ -166,7 +166,7 @@
 
 
 @WIRES
-@pytest.mark.parametrize("task_class", ["lookup", ONCE_ONLY])
+@pytest.mark.parametrize("task_class", ["lookup", NON_IDEMPOTENT_CLASS])
 def test_no_attempt_is_sent_on_a_connection_that_its_node_has_closed(
     front: str, node: str, task_class: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -11,26 +11,26 @@
 
 WIRE_FORMATS = [(JSON, BINARY), (GRPC, GRPC), (JSON, GRPC), (GRPC, BINARY)]
 PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
-ONCE_ONLY = "ledger-batch"
+NON_IDEMPOTENT_CLASS = "ledger-batch"
 
 # behavior of the node, task class, events at the client, number of attempts that the nodes received
 CASES: list[tuple[NodeBehavior, str, list[tuple[Any, ...]], int]] = [
     (NodeBehavior.RUN, "lookup", [PLACED], 1),
-    (NodeBehavior.RUN, ONCE_ONLY, [PLACED], 1),
+    (NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, [PLACED], 1),
     (NodeBehavior.END, "lookup", [PLACED, ("released", pb.ENDED)], 1),
-    (NodeBehavior.EVICT, ONCE_ONLY, [PLACED, ("released", pb.RESET)], 1),
+    (NodeBehavior.EVICT, NON_IDEMPOTENT_CLASS, [PLACED, ("released", pb.RESET)], 1),
     (NodeBehavior.TWICE, "lookup", [PLACED], 1),  # a second answer is ignored
     (NodeBehavior.STRAY, "lookup", [PLACED], 1),  # an answer without an attempt is ignored
-    (NodeBehavior.FULL_TWICE, ONCE_ONLY, [REFUSED], 2),
+    (NodeBehavior.FULL_TWICE, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
     (NodeBehavior.FULL, "lookup", [REFUSED], 2),
-    (NodeBehavior.FULL, ONCE_ONLY, [REFUSED], 2),
-    (NodeBehavior.MOOT, ONCE_ONLY, [REFUSED], 2),
+    (NodeBehavior.FULL, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
+    (NodeBehavior.MOOT, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
     (NodeBehavior.FAULT, "lookup", [REFUSED], 2),
-    (NodeBehavior.FAULT, ONCE_ONLY, [FAILED], 1),
+    (NodeBehavior.FAULT, NON_IDEMPOTENT_CLASS, [FAILED], 1),
     (NodeBehavior.RESET, "lookup", [REFUSED], 2),
-    (NodeBehavior.RESET, ONCE_ONLY, [FAILED], 1),
+    (NodeBehavior.RESET, NON_IDEMPOTENT_CLASS, [FAILED], 1),
     (NodeBehavior.CUT, "lookup", [REFUSED], 2),
-    (NodeBehavior.CUT, ONCE_ONLY, [FAILED], 1),  # it may have run, so it is not started again
+    (NodeBehavior.CUT, NON_IDEMPOTENT_CLASS, [FAILED], 1),  # it may have run, so it is not started again
 ]
 
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-@pytest.mark.parametrize("task_class", ["lookup", ONCE_ONLY])
+@pytest.mark.parametrize("task_class", ["lookup", NON_IDEMPOTENT_CLASS])
 def test_a_request_is_answered_by_its_deadline_and_its_attempt_cancelled(
     front: str, node: str, task_class: str
 ) -> None:
@@ -122,7 +122,7 @@
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_the_tasks_of_a_dead_node_are_released(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     for fake_node in cluster.nodes:
         fake_node.die()
@@ -132,7 +132,7 @@
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_a_broken_node_connection_releases_no_task(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     running_node = next(fake_node for fake_node in cluster.nodes if fake_node.seen)
     running_node.break_streams()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -12,7 +12,15 @@
 
 import pytest
 
-from tests.conftest import SAFE, ask, ended, entry, listing, offers, settings
+from tests.conftest import (
+    SAFE,
+    attempt_ended,
+    endpoint,
+    endpoint_update,
+    placement_request,
+    settings,
+    started_attempts,
+)
 from tests.test_fleet import FLEET, LEDGER, FullScanPlacer, run_both_placers
 from tests.test_turns import a_loop, entries
 from thornshelf import placement as api
@@ -128,11 +136,11 @@
     all_placers = []
     for me in range(placers):
         one = Placer(replace(settings(SAFE, placers=placers), me=me), 1)
-        one.handle(0.0, [listing(entry(1))])
+        one.handle(0.0, [endpoint_update(endpoint(1))])
         now = 0.1
         for number in (1, 2):
-            assert offers(one.handle(now, [ask(number)]))
-            one.handle(now + 0.01, [ended(number, 1, api.Outcome.NOT_CONNECTED, 0, last=True)])
+            assert started_attempts(one.handle(now, [placement_request(number)]))
+            one.handle(now + 0.01, [attempt_ended(number, 1, api.Outcome.NOT_CONNECTED, 0, last=True)])
             one.handle(now + 0.01, [api.HealthCheckResult(1, api.Outcome.TIMED_OUT, 0.1, None)])
             now += 1.0
         assert one.outliers.ejected_ids == {1}
@@ -249,7 +257,7 @@
 def test_no_call_refreshes_all_estimates_of_a_large_fleet() -> None:
     """Guards against calls that recompute all estimates at once."""
     one = Placer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
-    one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, MANY + 1)))])
+    one.handle(0.0, [endpoint_update(*(endpoint(m, kind="large") for m in range(1, MANY + 1)))])
     refreshed: Counter[int] = Counter()
     reindex = one.endpoints.index._reindex
 
@@ -261,7 +269,7 @@
     max_refreshed = 0
     for call in range(200):
         before = refreshed.total()
-        one.handle(1.0 + call * 0.05, [ask(call + 1, service=call % 8, cores=0.1, memory=0.1)])
+        one.handle(1.0 + call * 0.05, [placement_request(call + 1, service=call % 8, cores=0.1, memory=0.1)])
         max_refreshed = max(max_refreshed, refreshed.total() - before)
     assert max_refreshed <= 448  # a quarter of the fleet, and 64 per decision
     assert min(refreshed.values()) >= 8
@@ -270,9 +278,9 @@
 
 def test_with_few_decisions_a_refresh_is_complete_after_four_calls() -> None:
     one = Placer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
-    one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, MANY + 1)))])
+    one.handle(0.0, [endpoint_update(*(endpoint(m, kind="large") for m in range(1, MANY + 1)))])
     for call in range(5):
-        one.handle(1.0 + call, [ask(call + 1, cores=0.1, memory=0.1)])
+        one.handle(1.0 + call, [placement_request(call + 1, cores=0.1, memory=0.1)])
         if not one.endpoints.index._refresh_queue:
             return
     raise AssertionError("the refresh is not complete")
@@ -280,7 +288,7 @@
 
 def small_task(request: int, service: int, *eligible: int) -> api.PlacementRequest:
     """Return a request so small that affinity to its service's preferred machines decides."""
-    return ask(
+    return placement_request(
         request,
         service=service,
         cores=0.25,
@@ -295,11 +303,11 @@
     The failed task is of another service. No service is requested twice, so affinity has its full scale.
     """
     one = Placer(settings(SAFE), 1)
-    one.handle(0.0, [listing(*(entry(machine) for machine in range(machines)))])
+    one.handle(0.0, [endpoint_update(*(endpoint(machine) for machine in range(machines)))])
     order = sorted(range(machines), key=lambda machine: unit_hash(2, machine))
     failed, healthy = order[machines // 3], order[machines // 2]
     one.handle(0.1, [small_task(1, 1, failed)])
-    one.handle(0.2, [ended(1, failed, api.Outcome.TIMED_OUT)])
+    one.handle(0.2, [attempt_ended(1, failed, api.Outcome.TIMED_OUT)])
     one.handle(0.6, [small_task(2, 3, order[0])])
     return one, failed, healthy
 
@@ -308,7 +316,7 @@
     """Guards against an affinity exponent that outgrows all others in a large fleet."""
     one, failed, healthy = placer_with_failed_machine(4096)
     actions = one.handle(1.2, [small_task(3, 2, failed, healthy)])
-    assert [offer.machine for offer in offers(actions)] == [healthy]
+    assert [offer.machine for offer in started_attempts(actions)] == [healthy]
 
 
 def test_the_most_preferred_machines_keep_their_exponents_at_any_fleet_size() -> None:
@@ -330,31 +338,32 @@
     one, failed, healthy = placer_with_failed_machine(18_000)
     one.machines[failed].consecutive_failures = 10_000
     actions = one.handle(1.2, [small_task(3, 2, failed, healthy)])
-    assert [offer.machine for offer in offers(actions)] == [healthy]
+    assert [offer.machine for offer in started_attempts(actions)] == [healthy]
     actions = one.handle(1.7, [small_task(4, 2, failed)])
-    assert [offer.machine for offer in offers(actions)] == [failed]
+    assert [offer.machine for offer in started_attempts(actions)] == [failed]
 
 
 @pytest.mark.parametrize("free", [-1e9, 1e9, -1e300])
 def test_reports_out_of_range_from_one_machine_do_not_affect_the_others(free: float) -> None:
     """Guards against sums distorted by one machine, by which all tasks are priced."""
     one = Placer(settings(SAFE), 1)
-    one.handle(0.0, [listing(*(entry(machine) for machine in range(8)))])
+    one.handle(0.0, [endpoint_update(*(endpoint(machine) for machine in range(8)))])
     one.handle(0.1, [small_task(1, 1, 3)])
     report = api.LoadReport(free_cores=free, free_memory=free)
     one.handle(
-        0.2, [api.AttemptAccepted(1, 3, 0, 0.1), ended(1, 3, api.Outcome.OK, last=True, report=report)]
+        0.2,
+        [api.AttemptAccepted(1, 3, 0, 0.1), attempt_ended(1, 3, api.Outcome.OK, last=True, report=report)],
     )
     for number in range(2, 8):
         actions = one.handle(0.2 + number, [small_task(number, number), small_task(100 + number, number)])
-        assert len(offers(actions)) == 2
+        assert len(started_attempts(actions)) == 2
 
 
 @pytest.mark.parametrize("cores", [1e4, 1e6, 1e9])
 def test_a_task_of_any_size_does_not_affect_those_requested_with_it(cores: float) -> None:
     """Guards against overflow: tasks are ordered by price before those that fit nowhere are rejected."""
     one = Placer(settings(SAFE), 1)
-    one.handle(0.0, [listing(*(entry(machine) for machine in range(8)))])
-    actions = one.handle(0.1, [ask(1, cores=cores), small_task(2, 1)])
-    assert [offer.request_id for offer in offers(actions)] == [2]
+    one.handle(0.0, [endpoint_update(*(endpoint(machine) for machine in range(8)))])
+    actions = one.handle(0.1, [placement_request(1, cores=cores), small_task(2, 1)])
+    assert [offer.request_id for offer in started_attempts(actions)] == [2]
     assert [action.request_id for action in actions if isinstance(action, api.Reject)] == [1]
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from tests.conftest import ask, entry, offers, placer, settings
+from tests.conftest import endpoint, make_placer, placement_request, settings, started_attempts
 from tests.test_edges import ScriptedEndpointSource, changed_environment, event, json_response
 from tests.test_turns import FakeNode, Rig, entries
 from thornshelf import placement as api
@@ -189,8 +189,12 @@
 
 
 def test_a_start_in_the_future_does_not_overflow_the_placement() -> None:
-    subject = placer(entry(1, started_at=1e12), entry(2), using=settings(placers=3, slow_start_attempts=51.0))
-    assert offers(subject.handle(1.0, [ask(5)]))
+    subject = make_placer(
+        endpoint(1, started_at=1e12),
+        endpoint(2),
+        placer_settings=settings(placers=3, slow_start_attempts=51.0),
+    )
+    assert started_attempts(subject.handle(1.0, [placement_request(5)]))
 
 
 def test_a_malformed_address_is_a_failed_connect() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,15 @@
 
 import pytest
 
-from tests.conftest import SAFE, ask, ended, entry, listing, offers, settings
+from tests.conftest import (
+    SAFE,
+    attempt_ended,
+    endpoint,
+    endpoint_update,
+    placement_request,
+    settings,
+    started_attempts,
+)
 from thornshelf import placement as api
 from thornshelf.placement.candidates import RANK_TOLERANCE, TARGET_UTILIZATION
 from thornshelf.placement.fit import Fit
@@ -113,8 +121,8 @@
     """Pass random events to both placers and compare their actions; return the number of attempts."""
     now, number, attempts_started = 0.0, 0, 0
     live_attempts: list[tuple[int, int, int, bool]] = []
-    states = {m: entry(m, kind=rng.choice(("small", "large"))) for m in range(1, machines + 1)}
-    events: list[api.Event] = [listing(*states.values())]
+    states = {m: endpoint(m, kind=rng.choice(("small", "large"))) for m in range(1, machines + 1)}
+    events: list[api.Event] = [endpoint_update(*states.values())]
     for _ in range(steps):
         now += rng.choice((0.002, 0.05, 0.3))
         for _ in range(rng.randrange(12)):
@@ -125,7 +133,7 @@
             }
             if rng.random() < 0.1:
                 request_fields = {"cores": 6.0, "memory": 14.0, "task_class": "ledger"}
-            events.append(ask(number, service=rng.randrange(30), **request_fields))
+            events.append(placement_request(number, service=rng.randrange(30), **request_fields))
         for _ in range(min(len(live_attempts), rng.randrange(14))):
             request, machine, attempt, bound = live_attempts.pop(rng.randrange(len(live_attempts)))
             report = api.LoadReport(rng.uniform(-4.0, 30.0), rng.uniform(0.0, 60.0))
@@ -139,16 +147,18 @@
             outcome = rng.choice((api.Outcome.OK, api.Outcome.REFUSED, api.Outcome.TIMED_OUT))
             outcome = api.Outcome.OK if bound else outcome
             reason = rng.choice((api.Reason.QUEUE_FULL, api.Reason.NO_CORES, api.Reason.UNSPECIFIED))
-            events.append(ended(request, machine, outcome, attempt, reason=reason, last=bound, report=report))
+            events.append(
+                attempt_ended(request, machine, outcome, attempt, reason=reason, last=bound, report=report)
+            )
         if rng.random() < 0.15:
             changed = rng.choice(list(states))
             health = rng.choice((api.Health.UP, api.Health.UP, api.Health.DRAINING, api.Health.REMOVED))
             states[changed] = replace(states[changed], health=health, started_at=now)
-            events.append(listing(states[changed], complete=False))
+            events.append(endpoint_update(states[changed], complete=False))
         one, other = (placer.handle(now, events) for placer in placers)
         assert one == other
-        attempts_started += len(offers(one))
-        for offer in offers(one):
+        attempts_started += len(started_attempts(one))
+        for offer in started_attempts(one):
             attempt = len(placers[0].requests[offer.request_id].attempts) - 1
             live_attempts.append((offer.request_id, offer.machine, attempt, False))
         events = []
@@ -195,12 +205,14 @@
 def test_a_decision_computes_what_has_changed_and_no_more(machines: int) -> None:
     """Guards against decisions whose cost grows with the fleet."""
     one = CountingPlacer(settings(placers=1024, overcommit_cores=2.5, overcommit_memory=1.5, **FLEET), 1)
-    one.handle(0.0, [listing(*(entry(m, kind="large") for m in range(1, machines + 1)))])
+    one.handle(0.0, [endpoint_update(*(endpoint(m, kind="large") for m in range(1, machines + 1)))])
 
     def requests(first: int, count: int) -> list[api.Event]:
-        return [ask(n, service=n % 8, cores=0.1, memory=0.1) for n in range(first, first + count)]
+        return [
+            placement_request(n, service=n % 8, cores=0.1, memory=0.1) for n in range(first, first + count)
+        ]
 
     one.handle(1.0, requests(1, 64))
     one.work = 0
-    assert len(offers(one.handle(1.1, requests(65, 100)))) == 100
+    assert len(started_attempts(one.handle(1.1, requests(65, 100)))) == 100
     assert one.work < 100 * 30  # a full scan takes at least 100 times the number of machines
--- a/tests/test_fleet_uses.py
+++ b/tests/test_fleet_uses.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.conftest import SAFE, ask, entry, listing, offers
+from tests.conftest import SAFE, endpoint, endpoint_update, placement_request, started_attempts
 from tests.conftest import settings as deployment
 from thornshelf import placement as api
 from thornshelf.lab.membership import SECOND, Network, run_until_settled
@@ -159,13 +159,16 @@
 def test_the_placer_takes_a_quota_and_partitions_nothing_while_members_disagree() -> None:
     rules = {"slow_start_attempts": 51.0, "slow_start_window_s": 3.0, "slow_start_s": 14.0}
     placer = Placer(deployment(SAFE, placers=16, **rules), 1)
-    placer.handle(0.0, [listing(entry(1, started_at=0.5, kind="large"))])
+    placer.handle(0.0, [endpoint_update(endpoint(1, started_at=0.5, kind="large"))])
     counts = []
     for strict_divisor, round_robin in ((16, False), (8, False), (NO_QUOTA, False)):
         placer.set_quota(0, 8, strict_divisor, round_robin)
         placer.machines[1].recent_attempts.clear()
         counts.append(
-            sum(bool(offers(placer.handle(1.0, [ask(n, cores=0.01, memory=0.01)]))) for n in range(20))
+            sum(
+                bool(started_attempts(placer.handle(1.0, [placement_request(n, cores=0.01, memory=0.01)])))
+                for n in range(20)
+            )
         )
         for request in list(placer.requests.values()):
             for attempt in request.attempts:
@@ -203,14 +206,16 @@
 
 def test_an_outlier_is_less_preferred_but_never_excluded() -> None:
     placer = Placer(deployment(SAFE), 1)
-    placer.handle(0.0, [listing(entry(1, kind="large"), entry(2, kind="large"))])
+    placer.handle(0.0, [endpoint_update(endpoint(1, kind="large"), endpoint(2, kind="large"))])
     placer.machines[1].gossip_penalty = 1.0
     chosen = Counter(
-        offer.machine for n in range(6) for offer in offers(placer.handle(0.1, [ask(n, service=n)]))
+        offer.machine
+        for n in range(6)
+        for offer in started_attempts(placer.handle(0.1, [placement_request(n, service=n)]))
     )
     assert chosen[2] == 6
-    placer.handle(0.2, [listing(entry(2, health=api.Health.DRAINING), complete=False)])
-    assert [offer.machine for offer in offers(placer.handle(0.3, [ask(90)]))] == [1]
+    placer.handle(0.2, [endpoint_update(endpoint(2, health=api.Health.DRAINING), complete=False)])
+    assert [offer.machine for offer in started_attempts(placer.handle(0.3, [placement_request(90)]))] == [1]
 
 
 def test_two_members_check_a_suspect_for_all_and_when_one_goes_the_others_keep_theirs() -> None:
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.test_bad_clients import read_all, stranger
+from tests.test_bad_clients import connect_raw, read_all
 from thornshelf.lab.fakes.cluster import BINARY, DESCRIPTION, GRPC, HOST, JSON, FakeCluster, NodeBehavior
 from thornshelf.lifecycle import graceful_shutdown
 from thornshelf.wire import jsonl
@@ -90,7 +90,7 @@
 def test_unread_input_at_shutdown_is_answered_and_not_reset(rest: bytes) -> None:
     """Guards against resetting a connection by a close, if its request has arrived after the last poll."""
     cluster = connected_cluster()
-    sock = stranger(cluster, JSON)
+    sock = connect_raw(cluster, JSON)
     cluster.run_for(20)
     shutdown = shut_down(cluster)
     request = launch_line(100, NodeBehavior.LATE)
@@ -188,8 +188,8 @@
 def test_a_client_that_has_just_sent_makes_no_room_for_another() -> None:
     """Guards against evicting a client whose request has arrived and was not read yet."""
     cluster = FakeCluster(nodes=0)
-    silent = stranger(cluster, JSON)
-    active = stranger(cluster, JSON)
+    silent = connect_raw(cluster, JSON)
+    active = connect_raw(cluster, JSON)
     cluster.run_until(lambda: len(cluster.service.json_frontend._connections) == 3)
     cluster.run_for(20)
     active.sendall(launch_line(6, NodeBehavior.RUN))
@@ -207,7 +207,7 @@
 ) -> None:
     monkeypatch.setattr(graceful_shutdown, "FLUSH_TIMEOUT_US", 50_000)
     cluster = connected_cluster()
-    sock = stranger(cluster, JSON, HOST)
+    sock = connect_raw(cluster, JSON, HOST)
     sock.sendall(launch_line(100, NodeBehavior.RUN)[:30])  # an incomplete request
     cluster.run_for(20)
     shutdown = shut_down(cluster)
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -17,7 +17,7 @@
 from thornshelf.wire import placement_pb2 as pb
 from thornshelf.wire.errors import WireError
 
-ONCE_ONLY = "ledger-batch"
+NON_IDEMPOTENT_CLASS = "ledger-batch"
 
 
 def place(
@@ -35,9 +35,9 @@
 @pytest.mark.parametrize(
     ("behavior", "task_class", "status"),
     [
-        (NodeBehavior.RUN, ONCE_ONLY, grpc.OK),
+        (NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, grpc.OK),
         (NodeBehavior.FULL, "lookup", grpc.RESOURCE_EXHAUSTED),
-        (NodeBehavior.CUT, ONCE_ONLY, grpc.ABORTED),
+        (NodeBehavior.CUT, NON_IDEMPOTENT_CLASS, grpc.ABORTED),
         (NodeBehavior.RUN, "no-such-class", grpc.INVALID_ARGUMENT),
     ],
 )
@@ -106,7 +106,7 @@
     for node in cluster.nodes:
         refuse: Any = lambda _, responder: responder.h2.reset(responder.stream, http2.REFUSED_STREAM)  # noqa: E731
         node.order = refuse  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [("refused", "1000")]
 
 
@@ -124,10 +124,10 @@
             default_order(order, say)
 
     node.order = order  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: bool(held))
     cluster.run_for(20)
-    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.run_for(20)
     assert node.offers(6) == 0  # a connection after GOAWAY accepts no new attempt
     held[0].bind(5)
@@ -201,7 +201,9 @@
 def test_a_grpcio_client_is_served() -> None:
     cluster = FakeCluster(JSON, GRPC)
     address = "%s:%d" % cluster.service.frontends[1].listener.address
-    request = pb.Ask(uid=5, task_class=ONCE_ONLY, left_ms=8000, key=5, cores=1, memory=2, service=7)
+    request = pb.Ask(
+        uid=5, task_class=NON_IDEMPOTENT_CLASS, left_ms=8000, key=5, cores=1, memory=2, service=7
+    )
 
     def work() -> tuple[Any, ...]:
         with grpcio.insecure_channel(address) as channel:
@@ -272,7 +274,7 @@
         cluster.nodes[0].port = port
         cluster.update_lifecycle(0, "in_service")  # moves the node to the address of the grpcio server
         cluster.run_for(10)
-        cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+        cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(5) == [("placed", NodeBehavior.RUN.value)]
         cluster.service.core.endpoints.nodes[1].check_health()
         cluster.client.give_up(5)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,11 +19,11 @@
 from thornshelf.wire import binary, jsonl
 from thornshelf.wire import placement_pb2 as pb
 
-ONCE_ONLY = "ledger-batch"
+NON_IDEMPOTENT_CLASS = "ledger-batch"
 PLACED, REFUSED, FAILED = ("placed", DESCRIPTION), ("refused", "1000"), ("failed", None)
 
 
-def raw(cluster: FakeCluster) -> socket.socket:
+def connect_raw(cluster: FakeCluster) -> socket.socket:
     """Connect a blocking client socket."""
     sock = socket.create_connection(cluster.service.json_frontend.listener.address)
     sock.settimeout(5.0)
@@ -66,7 +66,7 @@
 def test_half_closed_and_reset_connections_cancel_their_open_tasks() -> None:
     cluster = FakeCluster()
     for uid, end in ((5, "half"), (6, "reset")):
-        sock = raw(cluster)
+        sock = connect_raw(cluster)
         sock.sendall(launch(uid, NodeBehavior.SILENT))
         cluster.run_until(lambda uid=uid: cluster.offer_count(uid) == 1)  # type: ignore[misc]
         if end == "half":
@@ -111,7 +111,7 @@
 def test_the_tasks_of_a_restarted_process_are_released() -> None:
     """The endpoint list has a later start time for the same name, so earlier tasks there have ended."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     cluster.run_for(5)
     started = (cluster.loop.now + cluster.service._unix_offset_us) // 1000
@@ -141,7 +141,7 @@
 def test_a_task_that_ends_as_it_starts(described: bool, events: list[tuple[Any, ...]]) -> None:
     """A release with cause 16 is both answer and end if it has a description, and otherwise a reset."""
     cluster = FakeCluster()
-    cluster.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     values = {binary.CAUSE: b"\x10", binary.REPORT: b"x0:3;x1:4"}
     if described:
@@ -155,7 +155,7 @@
 def test_descriptor_exhaustion_does_not_count_as_a_dead_node(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against releasing running tasks: only a refused connection proves that a process is dead."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
 
     def full(*_: object) -> socket.socket:
@@ -172,7 +172,7 @@
 def test_a_task_never_ran_if_the_node_refuses_the_connection() -> None:
     cluster = FakeCluster(nodes=1)
     cluster.nodes[0].die()
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     # A task that must not run twice may only be rejected if it never ran.
     assert cluster.wait_for_events(5) == [REFUSED]
 
@@ -192,7 +192,7 @@
 
 def test_garbage_from_a_node_closes_its_connection() -> None:
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.nodes[0].streams[0].send(b"\xff\xff garbage")
     assert cluster.wait_for_events(5) == [FAILED]  # it may have run
@@ -267,7 +267,7 @@
 def test_a_task_that_starts_for_a_closed_connection_is_cancelled() -> None:
     """Guards against a running task unknown to any client, which its client would request and start again."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.SILENT, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     core.tasks_by_uid[5].subscribers[5].stream.close()  # type: ignore[attr-defined]
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,17 @@
 from hypothesis import settings as runs
 from hypothesis import strategies as st
 
-from tests.conftest import SAFE, answers, ask, ended, entry, listing, offers, placer, settings
+from tests.conftest import (
+    SAFE,
+    answers,
+    attempt_ended,
+    endpoint,
+    endpoint_update,
+    make_placer,
+    placement_request,
+    settings,
+    started_attempts,
+)
 from thornshelf import placement as api
 
 WITH_KEY = replace(SAFE, idempotency=api.Idempotency.WITH_KEY, idempotency_window_s=5.0)
@@ -20,30 +30,30 @@
 
 
 def test_rule_1_an_open_request_fails_just_before_its_deadline() -> None:
-    one = placer(entry(1))
-    actions = one.handle(1.0, [ask(1, budget_s=2.0)])
+    one = make_placer(endpoint(1))
+    actions = one.handle(1.0, [placement_request(1, budget_s=2.0)])
     due = next(action for action in actions if isinstance(action, api.SetTimer) and action.token == 1)
     assert 2.9 < due.at < 3.0
     assert answers(one.handle(due.at, [api.TimerFired(1)])) == [api.Fail(1)]
-    assert not offers(one.handle(3.1, [ended(1, 1, api.Outcome.REFUSED)]))
+    assert not started_attempts(one.handle(3.1, [attempt_ended(1, 1, api.Outcome.REFUSED)]))
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_rule_2_a_non_idempotent_task_that_may_have_run_is_neither_retried_nor_rejected(
     outcome: api.Outcome,
 ) -> None:
-    one = placer(entry(1), entry(2), using=settings(NOT_IDEMPOTENT))
-    first = offers(one.handle(1.0, [ask(1)]))[0].machine
-    actions = one.handle(1.5, [ended(1, first, outcome)])
-    assert not offers(actions)
+    one = make_placer(endpoint(1), endpoint(2), placer_settings=settings(NOT_IDEMPOTENT))
+    first = started_attempts(one.handle(1.0, [placement_request(1)]))[0].machine
+    actions = one.handle(1.5, [attempt_ended(1, first, outcome)])
+    assert not started_attempts(actions)
     assert answers(actions) == [api.Fail(1)]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN_OUTCOMES)
 def test_rule_2_a_non_idempotent_task_that_never_ran_is_retried(outcome: api.Outcome) -> None:
-    one = placer(entry(1), entry(2), using=settings(NOT_IDEMPOTENT))
-    first = offers(one.handle(1.0, [ask(1)]))[0].machine
-    assert offers(one.handle(1.5, [ended(1, first, outcome)]))
+    one = make_placer(endpoint(1), endpoint(2), placer_settings=settings(NOT_IDEMPOTENT))
+    first = started_attempts(one.handle(1.0, [placement_request(1)]))[0].machine
+    assert started_attempts(one.handle(1.5, [attempt_ended(1, first, outcome)]))
 
 
 @pytest.mark.parametrize(
@@ -59,39 +69,44 @@
 def test_rule_2_a_task_with_an_idempotency_key_stays_in_its_scope(
     scope: api.Scope, zone: str, cell: int, sent: bool
 ) -> None:
-    one = placer(entry(1), using=settings(replace(WITH_KEY, idempotency_scope=scope)))
-    one.handle(1.0, [ask(1)])
-    one.handle(1.1, [listing(entry(2, zone=zone, cell=cell), complete=False)])
-    actions = one.handle(1.5, [ended(1, 1, api.Outcome.TIMED_OUT)])
-    assert bool(offers(actions)) is sent
+    one = make_placer(endpoint(1), placer_settings=settings(replace(WITH_KEY, idempotency_scope=scope)))
+    one.handle(1.0, [placement_request(1)])
+    one.handle(1.1, [endpoint_update(endpoint(2, zone=zone, cell=cell), complete=False)])
+    actions = one.handle(1.5, [attempt_ended(1, 1, api.Outcome.TIMED_OUT)])
+    assert bool(started_attempts(actions)) is sent
     if not sent:
         assert answers(actions) == [api.Fail(1)]
 
 
 def test_rule_2_a_task_with_a_key_is_not_retried_after_its_window_but_rejected_in_scope_all() -> None:
-    one = placer(entry(1), entry(2), using=settings(WITH_KEY))
-    first = offers(one.handle(1.0, [ask(1, budget_s=9.0)]))[0].machine
-    assert answers(one.handle(6.0, [ended(1, first, api.Outcome.TIMED_OUT)])) == [api.Reject(1)]
+    one = make_placer(endpoint(1), endpoint(2), placer_settings=settings(WITH_KEY))
+    first = started_attempts(one.handle(1.0, [placement_request(1, budget_s=9.0)]))[0].machine
+    assert answers(one.handle(6.0, [attempt_ended(1, first, api.Outcome.TIMED_OUT)])) == [api.Reject(1)]
 
 
 def test_rule_3_no_attempt_at_a_machine_that_drains_or_is_removed() -> None:
-    one = placer(entry(1), entry(2), entry(3))
-    one.handle(1.0, [listing(entry(1, health=api.Health.DRAINING), complete=False)])
-    one.handle(1.1, [listing(entry(1, health=api.Health.DRAINING), entry(2))])
-    assert {offer.machine for offer in offers(one.handle(2.0, [ask(n) for n in range(30)]))} == {2}
-    one.handle(2.1, [listing(entry(2, health=api.Health.REMOVED), complete=False)])
-    assert not offers(one.handle(2.2, [ask(n) for n in range(40, 50)]))
+    one = make_placer(endpoint(1), endpoint(2), endpoint(3))
+    one.handle(1.0, [endpoint_update(endpoint(1, health=api.Health.DRAINING), complete=False)])
+    one.handle(1.1, [endpoint_update(endpoint(1, health=api.Health.DRAINING), endpoint(2))])
+    assert {
+        offer.machine
+        for offer in started_attempts(one.handle(2.0, [placement_request(n) for n in range(30)]))
+    } == {2}
+    one.handle(2.1, [endpoint_update(endpoint(2, health=api.Health.REMOVED), complete=False)])
+    assert not started_attempts(one.handle(2.2, [placement_request(n) for n in range(40, 50)]))
 
 
 def test_rule_4_all_placers_together_stay_within_the_slow_start_attempts() -> None:
     """With fewer attempts than placers, some placers have none, and the sum is within the limit."""
     sent = 0
     for me in range(20):
-        one = placer(entry(1, kind="large", started_at=0.5), using=settings(me=me, placers=20))
+        one = make_placer(
+            endpoint(1, kind="large", started_at=0.5), placer_settings=settings(me=me, placers=20)
+        )
         for n in range(40):
-            actions = one.handle(1.0 + 0.02 * n, [ask(n, cores=0.1, memory=0.1)])
-            sent += len(offers(actions))
-            one.handle(1.0 + 0.02 * n, [ended(n, 1, api.Outcome.REFUSED)])
+            actions = one.handle(1.0 + 0.02 * n, [placement_request(n, cores=0.1, memory=0.1)])
+            sent += len(started_attempts(actions))
+            one.handle(1.0 + 0.02 * n, [attempt_ended(n, 1, api.Outcome.REFUSED)])
     assert sent <= 12
 
 
@@ -109,11 +124,11 @@
     scope: api.Scope, zone: str, cell: int, sent: int
 ) -> None:
     spread = replace(SAFE, spread_scope=scope, max_per_domain=2)
-    one = placer(entry(1), using=settings(spread))
-    one.handle(0.5, [api.TaskAdopted(ask(90), 1)])
-    assert len(offers(one.handle(1.0, [ask(1), ask(2)]))) == 1
-    one.handle(1.1, [listing(entry(2, zone=zone, cell=cell), complete=False)])
-    assert len(offers(one.handle(1.2, [ask(3)]))) == sent
+    one = make_placer(endpoint(1), placer_settings=settings(spread))
+    one.handle(0.5, [api.TaskAdopted(placement_request(90), 1)])
+    assert len(started_attempts(one.handle(1.0, [placement_request(1), placement_request(2)]))) == 1
+    one.handle(1.1, [endpoint_update(endpoint(2, zone=zone, cell=cell), complete=False)])
+    assert len(started_attempts(one.handle(1.2, [placement_request(3)]))) == sent
 
 
 class StepKind(enum.Enum):
@@ -186,7 +201,7 @@
     def __init__(self, task_class: api.TaskClass) -> None:
         self.task_class = task_class
         self.entries = {
-            machine: entry(
+            machine: endpoint(
                 machine,
                 zone=("here", "there")[machine % 2],
                 cell=machine % 3,
@@ -224,7 +239,7 @@
             case StepKind.ENDPOINT_UPDATE:
                 machine = step.choice % 6
                 self.entries[machine] = replace(self.entries[machine], health=step.health)
-                return [listing(self.entries[machine], complete=False)]
+                return [endpoint_update(self.entries[machine], complete=False)]
             case StepKind.GOSSIP:
                 return [api.GossipMessage(step.choice % 3, bytes([1, *range(step.choice)]))]
             case StepKind.END | StepKind.ACCEPT | StepKind.TASK_UPDATE:
@@ -238,14 +253,14 @@
         self.deadlines[request] = self.clock + 1.0 + step.wait_s
         self.service[request] = step.choice % 3
         self.attempts[request] = []
-        return ask(request, service=step.choice % 3, budget_s=1.0 + step.wait_s)
+        return placement_request(request, service=step.choice % 3, budget_s=1.0 + step.wait_s)
 
     def _adopt(self, step: Step) -> api.Event:
         self.last_request += 1
         request = self.last_request
         self.service[request] = step.choice % 3
         self.attempts[request] = [ModelAttempt(step.choice % 6, self.clock, AttemptState.RUNNING)]
-        return api.TaskAdopted(ask(request, service=step.choice % 3), step.choice % 6)
+        return api.TaskAdopted(placement_request(request, service=step.choice % 3), step.choice % 6)
 
     def _attempt_events(self, step: Step) -> list[api.Event]:
         active = [
@@ -265,7 +280,7 @@
         if step.kind is StepKind.END:
             never_ran = step.outcome in NEVER_RAN_OUTCOMES and not was_running
             attempt.state = AttemptState.NEVER_RAN if never_ran else AttemptState.MAY_HAVE_RUN
-            return [ended(request, machine, step.outcome, number, last=was_running)]
+            return [attempt_ended(request, machine, step.outcome, number, last=was_running)]
         if not was_running and request in self.deadlines:
             attempt.state = AttemptState.RUNNING
             if not self._is_due(request):
@@ -366,11 +381,11 @@
         spread_scope=spread,
         max_per_domain=2,
     )
-    using = settings(
+    placer_settings = settings(
         task_class, placers=3, may_gossip=True, accepts_before_running=not running, slow_start_attempts=5.0
     )
     model = RuleModel(task_class)
-    one = placer(*model.entries.values(), using=using)
+    one = make_placer(*model.entries.values(), placer_settings=placer_settings)
     for step in steps:
         events = model.events(step)
         for action in one.handle(model.clock, events):
@@ -382,34 +397,41 @@
     """With more placers than attempts, different placers send in each slot, within the limit of a window."""
     sent = []
     for me in range(40):
-        one = placer(entry(1, kind="large", started_at=0.5), using=settings(me=me, placers=40))
+        one = make_placer(
+            endpoint(1, kind="large", started_at=0.5), placer_settings=settings(me=me, placers=40)
+        )
         for n in range(80):
             clock = 1.0 + 0.1 * n
-            sent += [(clock, me) for _ in offers(one.handle(clock, [ask(n, cores=0.1, memory=0.1)]))]
-            one.handle(clock, [ended(n, 1, api.Outcome.REFUSED)])
+            sent += [
+                (clock, me)
+                for _ in started_attempts(one.handle(clock, [placement_request(n, cores=0.1, memory=0.1)]))
+            ]
+            one.handle(clock, [attempt_ended(n, 1, api.Outcome.REFUSED)])
     assert max(sum(start <= at < start + 1.0 for at, _ in sent) for start, _ in sent) <= 12
     assert len({me for _, me in sent}) > 12
 
 
 def test_unexpected_input_breaks_no_rule_and_ejects_no_machine() -> None:
     """A clock that jumps, gossip that is malformed or repeated, and events that arrive far too late."""
-    using = settings(placers=3, may_gossip=True)
-    one = placer(entry(1), entry(2), using=using)
+    placer_settings = settings(placers=3, may_gossip=True)
+    one = make_placer(endpoint(1), endpoint(2), placer_settings=placer_settings)
     messages = [b"", b"\x01", b"\x02abcdefgh", b"\x01short", b"\x01" + b"\xff" * 8, b"\x01" + b"\xff" * 8]
     one.handle(1.0, [api.GossipMessage(sender, data) for sender in (1, 2, 99) for data in messages])
-    first = offers(one.handle(1.1, [ask(1, budget_s=6.0)]))[0].machine
-    jumped = one.handle(500.0, [api.TimerFired(1), ended(1, first, api.Outcome.TIMED_OUT)])
+    first = started_attempts(one.handle(1.1, [placement_request(1, budget_s=6.0)]))[0].machine
+    jumped = one.handle(500.0, [api.TimerFired(1), attempt_ended(1, first, api.Outcome.TIMED_OUT)])
     assert len(answers(jumped)) == 1
-    assert not offers(jumped)
+    assert not started_attempts(jumped)
     assert not [action for action in jumped if isinstance(action, api.Log | api.CheckHealth)]
-    one.handle(500.1, [ended(1, first, api.Outcome.OK), api.AttemptAccepted(1, first, 0, 499.0)])
-    assert len(offers(one.handle(500.2, [ask(n, service=n) for n in range(2, 6)]))) == 4
+    one.handle(500.1, [attempt_ended(1, first, api.Outcome.OK), api.AttemptAccepted(1, first, 0, 499.0)])
+    assert (
+        len(started_attempts(one.handle(500.2, [placement_request(n, service=n) for n in range(2, 6)]))) == 4
+    )
 
 
 def test_a_load_report_does_not_hide_own_running_tasks() -> None:
     """Guards against a delayed report that shows a machine as empty while own tasks fill it."""
-    one = placer(entry(1))
-    one.handle(1.0, [api.TaskAdopted(ask(n, cores=2.0), 1) for n in range(4)])
+    one = make_placer(endpoint(1))
+    one.handle(1.0, [api.TaskAdopted(placement_request(n, cores=2.0), 1) for n in range(4)])
     empty = api.LoadReport(free_cores=8.0, free_memory=16.0)
     one.handle(5.0, [api.HealthCheckResult(1, api.Outcome.OK, 0.1, empty)])
-    assert answers(one.handle(5.1, [ask(9)])) == [api.Reject(9)]
+    assert answers(one.handle(5.1, [placement_request(9)])) == [api.Reject(9)]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.conftest import ask, entry, listing, offers, settings
+from tests.conftest import endpoint, endpoint_update, placement_request, settings, started_attempts
 from tests.test_turns import a_loop
 from thornshelf import placement as api
 from thornshelf.core import Dispatcher, EndpointListUpdate, NodeEndpoint
@@ -45,21 +45,23 @@
     def update_endpoints(self, now: float, *machines: api.Endpoint, complete: bool = True) -> None:
         self.machines = machines
         for one in self.placers:
-            one.handle(now, [listing(*machines, complete=complete)])
+            one.handle(now, [endpoint_update(*machines, complete=complete)])
 
     def send(self, now: float) -> None:
         """Have each placer send as many attempts as it may."""
         for one in self.placers:
             while True:
                 self.requested += 1
-                if not offers(one.handle(now, [ask(self.requested, cores=0.001, memory=0.001)])):
+                if not started_attempts(
+                    one.handle(now, [placement_request(self.requested, cores=0.001, memory=0.001)])
+                ):
                     break
                 self.sent.append(now)
 
     def restart(self, now: float, numbers: range) -> None:
         for me in numbers:
             self.placers[me] = self.start(me)
-            self.placers[me].handle(now, [listing(*self.machines)])
+            self.placers[me].handle(now, [endpoint_update(*self.machines)])
 
     def max_in_window(self) -> int:
         """Return the maximum number of attempts in any window of the rule's length."""
@@ -72,7 +74,7 @@
 
 
 def warming_up_entry(started_at: float) -> api.Endpoint:
-    return entry(SLOW_START_MACHINE, started_at=started_at)
+    return endpoint(SLOW_START_MACHINE, started_at=started_at)
 
 
 @pytest.mark.parametrize(("count", "max_attempts"), COUNTS)
@@ -112,8 +114,8 @@
     fleet = PlacerFleet(1, 51)
     fleet.update_endpoints(1000.0, warming_up_entry(0.0))
     fleet.restart(1000.1, range(1))
-    fleet.placers[0].handle(1000.1, [ask(5)])
-    (made,) = offers(fleet.placers[0].handle(1000.2, [ask(6)]))
+    fleet.placers[0].handle(1000.1, [placement_request(5)])
+    (made,) = started_attempts(fleet.placers[0].handle(1000.2, [placement_request(6)]))
     assert made.machine == SLOW_START_MACHINE
 
 
@@ -124,7 +126,11 @@
     for one in fleet.placers:
         for number in range(10):
             fleet.requested += 1
-            made = offers(one.handle(1001.0 + number / 100, [ask(fleet.requested, cores=0.01, memory=0.01)]))
+            made = started_attempts(
+                one.handle(
+                    1001.0 + number / 100, [placement_request(fleet.requested, cores=0.01, memory=0.01)]
+                )
+            )
             fleet.sent += [1001.0] * len(made)
     assert fleet.max_in_window() == 40
     fleet.update_endpoints(1002.0, warming_up_entry(1000.9), complete=False)  # listed a second late
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from tests.test_platform import PLACED, raw
+from tests.test_platform import PLACED, connect_raw
 from thornshelf.lab.fakes.cluster import JSON, TIMEOUT_S, FakeCluster, NodeBehavior
 from thornshelf.loop import Loop, Stream
 
@@ -48,7 +48,7 @@
 def test_a_broken_stream_does_not_block_its_reader() -> None:
     """Guards against a reader that pauses forever because bytes that can't be written still count as buffered."""
     cluster = FakeCluster()
-    sock = raw(cluster)
+    sock = connect_raw(cluster)
     cluster.run_until(lambda: len(cluster.service.json_frontend._connections) == 2)
     stream = list(cluster.service.json_frontend._connections)[1].stream
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -10,7 +10,7 @@
 from tests.translation_helpers import (
     ASSUME,
     CLIENTS,
-    ONCE_ONLY,
+    NON_IDEMPOTENT_CLASS,
     PLACED,
     counters,
     log_lines,
@@ -59,7 +59,7 @@
 def test_a_missing_hint_is_assumed_by_policy_and_reported(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, terms=ASSUME, manners=needs_hint)
     cluster.client.ask(5, NodeBehavior.RUN, hint=None)
-    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # the policy is of another class
+    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint=None)  # the policy is of another class
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.wait_for_events(6)[0][0] == "refused"
     (order,) = (one for node in cluster.nodes for one in node.orders if one.uid == 5)
@@ -83,7 +83,7 @@
 
 def test_a_clients_hint_and_resources_reach_a_new_node() -> None:
     cluster = FakeCluster(JSON, GRPC2)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY, hint="8200.0")
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint="8200.0")
     cluster.wait_for_events(5)
     (order,) = (one for node in cluster.nodes for one in node.orders)
     offer = order.more
@@ -116,7 +116,7 @@
     front: str, behavior: NodeBehavior, reason: int, text: str
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, behavior, ONCE_ONLY)
+    cluster.client.ask(5, behavior, NON_IDEMPOTENT_CLASS)
     assert (
         cluster.wait_for_events(5)[0][0] == "refused"
     )  # it never ran: this holds for tasks that must not be started twice, too
@@ -149,10 +149,12 @@
 
 
 def test_a_class_without_a_suitable_node_is_rejected_at_once() -> None:
-    cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(minimum_generations={ONCE_ONLY: 2}))
+    cluster = FakeCluster(
+        JSON, BINARY, terms=TranslationConfig(minimum_generations={NON_IDEMPOTENT_CLASS: 2})
+    )
     cluster.run_for(50)
     requested_us = cluster.loop.now
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.loop.now - requested_us < 500_000
     assert reason_text(cluster.client.said[5][0]).startswith(
@@ -165,12 +167,12 @@
 
 def test_in_a_mixed_fleet_a_class_is_routed_to_suitable_nodes() -> None:
     terms = TranslationConfig(
-        minimum_generations={ONCE_ONLY: 2}, default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY)
+        minimum_generations={NON_IDEMPOTENT_CLASS: 2}, default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY)
     )
     cluster = FakeCluster(JSON, BINARY, nodes=3, terms=terms)
     cluster.nodes[2].form = GRPC2
     for uid in range(5, 11):
-        cluster.client.ask(uid, NodeBehavior.RUN, ONCE_ONLY)
+        cluster.client.ask(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(uid) == [PLACED]
     assert [len(node.runs) for node in cluster.nodes] == [0, 0, 6]
 
@@ -181,7 +183,7 @@
 def test_a_node_is_upgraded_or_downgraded_in_place(before: str, after: str) -> None:
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.GRPC_V1, WireFormat.BINARY))
     cluster = FakeCluster(JSON, before, nodes=1, terms=terms)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [PLACED]
     node = cluster.nodes[0]
     node.form = after
@@ -190,7 +192,7 @@
     node.break_streams()
     uid = 6
     while True:  # until it is reached in its new format; no attempt may be lost or started twice meanwhile
-        cluster.client.ask(uid, NodeBehavior.RUN, ONCE_ONLY)
+        cluster.client.ask(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         events = cluster.wait_for_events(uid)[0]
         assert events[0] in ("placed", "refused")
         if events == PLACED:
@@ -234,13 +236,13 @@
 
     for node in cluster.nodes:
         node.order = partial(order, node)  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.FULL, ONCE_ONLY, hint=None)
+    cluster.client.ask(5, NodeBehavior.FULL, NON_IDEMPOTENT_CLASS, hint=None)
     assert cluster.wait_for_events(5)[0][0] in ("refused", "failed")
     assert start_count(cluster, 5) == 0
     cluster.run_for(100)
     assert len(cluster.client.heard[5]) == 1
     assert cluster.offer_count(5) == 1
-    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(6)[0][0] in ("placed", "refused")
 
 
@@ -289,7 +291,7 @@
         node.manners.greets = False
 
     cluster = FakeCluster(JSON, GRPC2, terms=TranslationConfig(hello_timeout_us=100_000), manners=rude)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
 
@@ -348,7 +350,7 @@
     cluster.run_for(20)
     for uid in range(10, 30):
         cluster.client.ask(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
-    cluster.client.ask(30, NodeBehavior.RUN, ONCE_ONLY)
+    cluster.client.ask(30, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
     order = [one.uid for one in cluster.nodes[0].orders]
     assert events[20] == "refused"
--- a/tests/translation_helpers.py
+++ b/tests/translation_helpers.py
@@ -11,7 +11,7 @@
 from thornshelf.translation.translator import TranslationConfig
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-ONCE_ONLY = "ledger-batch"  # a class whose tasks must not be started twice
+NON_IDEMPOTENT_CLASS = "ledger-batch"  # a class whose tasks must not be started twice
 PLACED = ("placed", DESCRIPTION)
 REJECTED = ("refused", "1000")
 FAILED = ("failed", None)
