--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -85,16 +85,16 @@
 def test_requests_beyond_a_sources_rate_are_rejected_at_once_with_a_retry_after(front: str) -> None:
     cluster = FakeCluster(front, admission=filter_config(Limits(request_rate=Rate(2, 1_000_000, 3))))
     for uid in range(5, 11):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
     events = [cluster.wait_for_events(uid)[0] for uid in range(5, 11)]
     assert [event[0] for event in events] == ["placed"] * 3 + ["refused"] * 3
     assert all(0 < int(event[1]) <= 2000 for event in events[3:])
     if front == JSON:
-        assert cluster.client.said[10][0].meta["why"].startswith("overloaded: set-ups of its address")
+        assert cluster.client.messages[10][0].meta["why"].startswith("overloaded: set-ups of its address")
     if front == GRPC2:
-        assert cluster.client.said[10][0].refusal.reason == pb2.OVERLOADED
+        assert cluster.client.messages[10][0].refusal.reason == pb2.OVERLOADED
     cluster.run_for(600)
-    cluster.client.ask(20, NodeBehavior.RUN)
+    cluster.client.send_request(20, NodeBehavior.RUN)
     assert cluster.wait_for_events(20) == [PLACED]
 
 
@@ -128,7 +128,7 @@
     known = [connect(cluster, source="127.1.0.1") for _ in range(4)]
     assert all(read_until_closed(cluster, one) is None for one in known)
     assert sum(read_until_closed(cluster, one) is None for one in unknown) < 2  # at least one was evicted
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     for one in (*unknown, *known):
         one.close()
     cluster.run_for(50)
@@ -139,10 +139,10 @@
 def test_a_source_becomes_known_by_its_placed_tasks() -> None:
     cluster = FakeCluster(JSON, admission=filter_config(unknown_request_rate=Rate(1, 1_000_000, 4)))
     for uid in range(5, 9):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
         assert cluster.wait_for_events(uid) == [PLACED]
     for uid in range(9, 30):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
         # The rate of unknown sources does not apply to it any more.
         assert cluster.wait_for_events(uid) == [PLACED]
 
@@ -150,7 +150,7 @@
 def test_a_flood_of_requests_does_not_starve_other_connections() -> None:
     cluster = FakeCluster(JSON, admission=filter_config(Limits(request_rate=Rate(1, 1_000_000, 1))))
     for uid in range(100, 1100):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
     address = cluster.service.frontends[0].listener.address
     known = socket.create_connection(address, timeout=TIMEOUT_S, source_address=("127.1.0.1", 0))
     known.setblocking(False)
@@ -160,7 +160,7 @@
     while (reply := read_until_closed(cluster, known)) is None:
         assert cluster.loop.now - started < 2_000_000
     assert b'"running"' in reply
-    assert len(cluster.client.heard) < 500
+    assert len(cluster.client.events) < 500
     summaries = [
         values for _, message_id, values, _ in cluster.logged if message_id == "connections-rejected"
     ]
@@ -184,7 +184,9 @@
     )
     cluster = FakeCluster(JSON, fair_queue=queue_config, retry_after_jitter=JitterConfig(100, 3_000_000))
     for uid in range(5, 45):
-        cluster.client.ask(uid, NodeBehavior.RUN, tenant="hollis-county" if uid % 2 else "pruett-county")
+        cluster.client.send_request(
+            uid, NodeBehavior.RUN, tenant="hollis-county" if uid % 2 else "pruett-county"
+        )
     events = {uid: cluster.wait_for_events(uid)[0] for uid in range(5, 45)}
     refused = [uid for uid, one in events.items() if one[0] == "refused"]
     waits = [int(events[uid][1]) for uid in refused]
@@ -201,7 +203,7 @@
     ledger = cluster.service.admission_filter.descriptor_ledger  # type: ignore[union-attr]
     while ledger.acquire("clients"):
         pass
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     assert ledger.used["nodes"] == 2
     for node in cluster.nodes:
@@ -302,7 +304,7 @@
     cluster.client.stream.close()
     cluster.service.json_frontend.listener.address = dispatcher.addresses[JSON]
     first = cluster.client = cluster.connect_client(JSON)
-    first.ask(5, NodeBehavior.RUN, "ledger-batch")
+    first.send_request(5, NodeBehavior.RUN, "ledger-batch")
     assert cluster.wait_for_events(5) == [PLACED]
     os.kill(dispatcher.process.pid, signal.SIGUSR2)
     wait_for(cluster, dispatcher.log_path, "taken over from the predecessor")
@@ -310,13 +312,13 @@
     assert dispatcher.process.wait(TIMEOUT_S) == 0
     second = cluster.connect_client(JSON)
     second.placed.add(5)
-    second.ask(6, NodeBehavior.RUN)
-    cluster.run_until(lambda: 6 in second.heard)
+    second.send_request(6, NodeBehavior.RUN)
+    cluster.run_until(lambda: 6 in second.events)
     node = next(node for node in cluster.nodes if 5 in node.running)
     node.over(5, pb2.ENDED)
     node.voices[-1].end(5, 16, pb2.ENDED)
-    cluster.run_until(lambda: 5 in second.heard)
-    assert second.heard[5] == [("released", pb2.ENDED)]
+    cluster.run_until(lambda: 5 in second.events)
+    assert second.events[5] == [("released", pb2.ENDED)]
     assert [cluster.offer_count(uid) for uid in (5, 6)] == [1, 1]
 
 
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -69,12 +69,12 @@
 ) -> None:
     shorten_timeouts(monkeypatch)
     cluster = FakeCluster(front)
-    cluster.client.ask(5, NodeBehavior.END)
+    cluster.client.send_request(5, NodeBehavior.END)
     cluster.wait_for_events(5, 2)
     silent = connect_raw(cluster, front)
     read_all(cluster, silent)
     cluster.run_for(150)
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
     assert not cluster.client.closed
 
@@ -85,7 +85,7 @@
     cluster = FakeCluster(front, nodes=1)
     other = cluster.connect_client(front)
     for client, uid in ((cluster.client, 5), (other, 6)):
-        client.ask(uid, NodeBehavior.SILENT)
+        client.send_request(uid, NodeBehavior.SILENT)
         cluster.run_until(lambda uid=uid: cluster.offer_count(uid) == 1)  # type: ignore[misc]
     cluster.client.stream.send(b'{"kind":"stop"' if front == JSON else b"\0\0\x20\0\0\0\0\0\x01half")
     cluster.run_until(lambda: cluster.client.closed)
@@ -108,16 +108,16 @@
     """Guards against a second answer, which the client could not match to a request."""
     cluster = FakeCluster(front, nodes=1)
     for _ in range(3):
-        cluster.client.ask(5, NodeBehavior.RUN)
+        cluster.client.send_request(5, NodeBehavior.RUN)
     if front == JSON:
         cluster.run_until(lambda: cluster.client.closed)
     else:
-        cluster.run_until(lambda: cluster.client.call in cluster.client.status)
-        assert cluster.client.status[cluster.client.call]["grpc-status"] == str(grpc.INVALID_ARGUMENT)
+        cluster.run_until(lambda: cluster.client.stream_id in cluster.client.status)
+        assert cluster.client.status[cluster.client.stream_id]["grpc-status"] == str(grpc.INVALID_ARGUMENT)
     cluster.run_until(
         lambda: 5 not in cluster.service.core.tasks_by_uid or ("offer", 5) in cluster.nodes[0].seen
     )
-    assert len(cluster.client.heard.get(5, [])) <= 1
+    assert len(cluster.client.events.get(5, [])) <= 1
     assert cluster.service.core.open_count == 0
 
 
@@ -125,12 +125,12 @@
 def test_an_id_in_use_on_another_connection_fails_only_the_second_request(front: str) -> None:
     cluster = FakeCluster(front)
     other = cluster.connect_client(front)
-    cluster.client.ask(5, NodeBehavior.SILENT, left="400")
+    cluster.client.send_request(5, NodeBehavior.SILENT, left="400")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    other.ask(5, NodeBehavior.RUN)
-    cluster.run_until(lambda: 5 in other.heard)
-    assert other.heard == {5: [FAILED]}
-    assert cluster.client.heard == {}
+    other.send_request(5, NodeBehavior.RUN)
+    cluster.run_until(lambda: 5 in other.events)
+    assert other.events == {5: [FAILED]}
+    assert cluster.client.events == {}
     assert cluster.wait_for_events(5) == [FAILED]
     assert cluster.offer_count(5) == 1
 
@@ -139,7 +139,7 @@
 @pytest.mark.parametrize("change", [{"tenant": "nobody"}, {"left": "1e300"}, {"left": "-1"}])
 def test_an_invalid_request_is_answered_and_leaves_no_state(front: str, change: dict[str, str]) -> None:
     cluster = FakeCluster(front)
-    cluster.client.ask(5, NodeBehavior.RUN, **change)
+    cluster.client.send_request(5, NodeBehavior.RUN, **change)
     assert cluster.wait_for_events(5) == [FAILED]
     assert cluster.offer_count(5) == 0
     assert not cluster.service.core.tasks_by_uid
@@ -150,7 +150,7 @@
 def test_a_request_deadline_is_limited_by_that_of_its_class(front: str) -> None:
     """Guards against timers and tasks that are kept for days because a client asked for it."""
     cluster = FakeCluster(front)
-    cluster.client.ask(5, NodeBehavior.SILENT, left="999999999")
+    cluster.client.send_request(5, NodeBehavior.SILENT, left="999999999")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     max_wait_s = deadlines.MAX_DEADLINE_FACTOR * core.task_classes["lookup"].deadline_s
@@ -162,22 +162,22 @@
     cluster = FakeCluster(front)
     other = cluster.connect_client(front)
     for uid in range(100, 1100):
-        cluster.client.ask(uid, NodeBehavior.RUN, "no-such-class")
-    other.ask(5, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN, "no-such-class")
+    other.send_request(5, NodeBehavior.RUN)
     max_per_turn = 0
-    while 5 not in other.heard:
+    while 5 not in other.events:
         before = len(cluster.logged)
         cluster.loop.turn()
         max_per_turn = max(max_per_turn, len(cluster.logged) - before)
     assert max_per_turn <= 64
     assert len(cluster.logged) < 1000
-    cluster.run_until(lambda: len(cluster.client.heard) == 1000)
+    cluster.run_until(lambda: len(cluster.client.events) == 1000)
 
 
 def test_releases_are_sent_only_to_connections_that_requested_tasks() -> None:
     """Guards against losing a release by sending it to the newest connection, which never requested a task."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     # One of the idle connections comes from the client's own host.
     requester, silent = connect_raw(cluster, JSON, "127.0.0.2"), connect_raw(cluster, JSON, "127.0.0.1")
@@ -208,11 +208,11 @@
 @FRONTS
 def test_connections_without_a_message_are_evicted_first(front: str) -> None:
     cluster = FakeCluster(front, BINARY)
-    cluster.client.ask(5, NodeBehavior.RUN if front == JSON else NodeBehavior.END)
+    cluster.client.send_request(5, NodeBehavior.RUN if front == JSON else NodeBehavior.END)
     cluster.wait_for_events(5)
     if front == GRPC:  # an open call would keep the connection from being idle
-        cluster.client.h2.finish(cluster.client.call, [])
-        cluster.run_until(lambda: cluster.client.call in cluster.client.status)
+        cluster.client.h2.finish(cluster.client.stream_id, [])
+        cluster.run_until(lambda: cluster.client.stream_id in cluster.client.status)
     silent = connect_raw(cluster, front)
     cluster.run_until(lambda: cluster.service.connection_budget.client_count == 2)
     cluster.service.connection_budget.total = cluster.service.connection_budget.client_floor = 2
@@ -245,14 +245,14 @@
 def test_a_task_ended_on_another_connection_is_removed_from_its_own(front: str) -> None:
     """Guards against a table of running tasks that grows as long as the connection is open."""
     cluster = FakeCluster(front)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     owner: Any = cluster.service.core.tasks_by_uid[5].subscribers[5]
     assert owner.running == {5}
-    cluster.connect_client(front).give_up(5)
+    cluster.connect_client(front).cancel(5)
     cluster.run_until(lambda: 5 not in cluster.service.core.tasks_by_uid)
     assert not owner.running
-    assert cluster.client.heard[5] == [PLACED]
+    assert cluster.client.events[5] == [PLACED]
 
 
 def test_releases_buffered_when_a_stream_ends_are_not_sent_twice() -> None:
@@ -260,13 +260,13 @@
     cluster = FakeCluster(GRPC)
     core = cluster.service.core
     for uid in (5, 6):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
         cluster.wait_for_events(uid)
-    cluster.client.h2.finish(cluster.client.call, [])
+    cluster.client.h2.finish(cluster.client.stream_id, [])
     cluster.run_for(10)
     core.inbox.extend(TaskFinished(core.tasks_by_uid[uid].machine, uid, Outcome.OK) for uid in (5, 6))
-    cluster.run_until(lambda: cluster.client.call in cluster.client.status)
-    assert [len(cluster.client.heard[uid]) for uid in (5, 6)] == [2, 2]
+    cluster.run_until(lambda: cluster.client.stream_id in cluster.client.status)
+    assert [len(cluster.client.events[uid]) for uid in (5, 6)] == [2, 2]
     assert core.counters["released"] == 2
     assert not core.releases._pending
 
@@ -275,7 +275,7 @@
     monkeypatch.setattr(releases, "PENDING_TTL_US", 20_000)
     cluster = FakeCluster(nodes=1)
     for uid in (5, 6):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
         cluster.wait_for_events(uid)
     core = cluster.service.core
     owner = core.tasks_by_uid[5].subscribers[5]
@@ -290,7 +290,7 @@
 
 def test_a_connection_is_not_evicted_while_its_release_is_in_transit() -> None:
     cluster = FakeCluster()
-    cluster.client.ask(5, NodeBehavior.END)
+    cluster.client.send_request(5, NodeBehavior.END)
     cluster.wait_for_events(5, 2)
     (connection,) = cluster.service.json_frontend._connections
     connection.stream.last_send_us = cluster.loop.now
@@ -310,9 +310,11 @@
         name = f"s-{uid + 100:08x}"
         cluster.update_endpoint(cluster.endpoint(0) | {"instanceId": name})
         client = cluster.connect_client(front)
-        client.ask(uid, NodeBehavior.RUN, at="s-0000ffff") if uid % 2 else client.ask(uid, NodeBehavior.RUN)
+        client.send_request(uid, NodeBehavior.RUN, at="s-0000ffff") if uid % 2 else client.send_request(
+            uid, NodeBehavior.RUN
+        )
         cluster.run_until(lambda uid=uid: uid in core.tasks_by_uid)  # type: ignore[misc]
-        client.give_up(uid)
+        client.cancel(uid)
         client.stream.flush()
         client.stream.close()
         cluster.update_endpoint(cluster.endpoint(0) | {"instanceId": name, "lifecycle": "terminated"})
@@ -339,29 +341,29 @@
     """Guards against diverting a release from its owner to a client that reports the same running task."""
     cluster = FakeCluster(front, BINARY)
     other = cluster.connect_client(front)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     core = cluster.service.core
     machine = core.tasks_by_uid[5].machine
-    other.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
-    other.ask(6, NodeBehavior.RUN)  # handled after the claim
-    cluster.run_until(lambda: 6 in other.heard)
+    other.send_request(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
+    other.send_request(6, NodeBehavior.RUN)  # handled after the claim
+    cluster.run_until(lambda: 6 in other.events)
     core.inbox.append(TaskFinished(machine, 5, Outcome.OK))
     assert len(cluster.wait_for_events(5, 2)) == 2
-    assert 5 not in other.heard
+    assert 5 not in other.events
 
 
 @FRONTS
 def test_an_owner_that_reconnects_and_claims_its_task_gets_its_release(front: str) -> None:
     cluster = FakeCluster(front, BINARY)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     core = cluster.service.core
     machine = core.tasks_by_uid[5].machine
     cluster.client.stream.close()
     reconnected = cluster.connect_client(front)
-    reconnected.ask(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
-    reconnected.ask(6, NodeBehavior.RUN)
-    cluster.run_until(lambda: 6 in reconnected.heard)
+    reconnected.send_request(5, NodeBehavior.RUN, at=f"s-{machine:08x}")
+    reconnected.send_request(6, NodeBehavior.RUN)
+    cluster.run_until(lambda: 6 in reconnected.events)
     core.inbox.append(TaskFinished(machine, 5, Outcome.OK))
-    cluster.run_until(lambda: 5 in reconnected.heard)
+    cluster.run_until(lambda: 5 in reconnected.events)
--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -20,9 +20,9 @@
 
 def node_with_running_and_open_task(cluster: FakeCluster) -> Any:
     """Return a node on which one task runs, and another that must not run twice is in flight."""
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.ask(6, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(6, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     return cluster.nodes[0]
 
@@ -43,11 +43,11 @@
     assert cluster.wait_for_events(6) == [FAILED]  # it may have run
     bad.deaf = False
     cluster.run_until(lambda: len(bad.streams) == 2)
-    assert cluster.client.heard[5] == [PLACED]
+    assert cluster.client.events[5] == [PLACED]
     assert cluster.offer_count(6) == 1
-    cluster.client.ask(7, NodeBehavior.RUN)
+    cluster.client.send_request(7, NodeBehavior.RUN)
     assert cluster.wait_for_events(7) == [PLACED]
-    cluster.client.give_up(5)
+    cluster.client.cancel(5)
     cluster.run_until(lambda: ("release", 5) in bad.seen)
 
 
@@ -57,7 +57,7 @@
     """Without an attempt in flight, too, updates of running tasks would be lost until so much data has arrived."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     (bad,) = cluster.nodes
     bad.streams[0].send(b"\x2f\xff")
@@ -67,7 +67,7 @@
         swallowed += 1
         cluster.run_for(2)
     assert swallowed < 100
-    assert cluster.client.heard[5] == [PLACED]
+    assert cluster.client.events[5] == [PLACED]
 
 
 @WIRES
@@ -80,7 +80,7 @@
     cluster.run_for(20)
     for candidate in cluster.nodes:
         candidate.deaf = True
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     core = cluster.service.core
     cluster.run_until(lambda: 5 in core.tasks_by_uid and core.tasks_by_uid[5].attempt is not None)
     attempt: Any = core.tasks_by_uid[5].attempt
@@ -101,7 +101,7 @@
     cluster.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
     assert len(slow.streams) == 1
     assert slow.streams[0].open
-    assert 6 not in cluster.client.heard
+    assert 6 not in cluster.client.events
 
 
 CORRUPT_ANSWERS = [
@@ -121,7 +121,7 @@
     bad.streams[0].send(answer)
     assert cluster.wait_for_events(6) == [FAILED]
     assert cluster.offer_count(6) == 1
-    assert cluster.client.heard[5] == [PLACED]
+    assert cluster.client.events[5] == [PLACED]
     cluster.run_until(lambda: len(bad.streams) == 2)
 
 
@@ -143,13 +143,13 @@
     cluster.loop.unregister(node.sock.fileno())
     node.sock.close()
     cluster.update_endpoint(cluster.endpoint(0) | {"instanceId": "s-00000009", "lifecycle": lifecycle})
-    cluster.client.ask(5, NodeBehavior.RUN, at="s-00000009")
-    cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid or 5 in cluster.client.heard)
+    cluster.client.send_request(5, NodeBehavior.RUN, at="s-00000009")
+    cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid or 5 in cluster.client.events)
     if lifecycle == "in_service":
         cluster.wait_for_events(5)
     else:
         cluster.run_for(600)
-        assert cluster.client.heard == {}
+        assert cluster.client.events == {}
     assert len([line for line in cluster.logged if line[1] == "node-process-dead"]) == (
         lifecycle == "in_service"
     )
@@ -161,7 +161,7 @@
     cluster = FakeCluster(nodes=1)
     node_with_running_and_open_task(cluster)
     cluster.nodes[0].break_streams()
-    cluster.client.ask(7, NodeBehavior.RUN)
+    cluster.client.send_request(7, NodeBehavior.RUN)
     assert cluster.wait_for_events(7) == [PLACED]
 
 
@@ -180,7 +180,7 @@
     (closing_node,) = cluster.nodes
     monkeypatch.setattr(loop_module, "STEPS_PER_CLOCK_CHECK", 1)
     monkeypatch.setattr(loop_module, "TURN_BUDGET_US", 0)
-    cluster.client.ask(5, NodeBehavior.RUN, task_class)
+    cluster.client.send_request(5, NodeBehavior.RUN, task_class)
     cluster.client.stream.flush()
     closing_node.streams[0].close()
     assert cluster.wait_for_events(5) == [PLACED]
--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -45,10 +45,10 @@
     offers: int,
 ) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, behavior, task_class)
+    cluster.client.send_request(5, behavior, task_class)
     first_events = cluster.wait_for_events(5, len(expected))
     cluster.run_for(5)
-    assert (cluster.client.heard[5], cluster.offer_count(5)) == (expected, offers)
+    assert (cluster.client.events[5], cluster.offer_count(5)) == (expected, offers)
     assert first_events == expected
 
 
@@ -59,7 +59,7 @@
 ) -> None:
     cluster = FakeCluster(front, node)
     requested_us = cluster.loop.now
-    cluster.client.ask(5, NodeBehavior.SILENT, task_class, left="250")
+    cluster.client.send_request(5, NodeBehavior.SILENT, task_class, left="250")
     assert cluster.wait_for_events(5) == [FAILED]
     assert cluster.loop.now - requested_us < 2_000_000
     cluster.run_until(lambda: any(("release", 5) in fake_node.seen for fake_node in cluster.nodes))
@@ -69,29 +69,29 @@
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_a_client_cancels_running_and_open_tasks(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.ask(6, NodeBehavior.SILENT)
+    cluster.client.send_request(6, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
-    cluster.client.give_up(5)
-    cluster.client.give_up(6)
+    cluster.client.cancel(5)
+    cluster.client.cancel(6)
     cluster.run_until(lambda: all(any(("release", uid) in n.seen for n in cluster.nodes) for uid in (5, 6)))
     cluster.run_for()
-    assert cluster.client.heard == {5: [PLACED]}  # a client that ends a task gets no release
+    assert cluster.client.events == {5: [PLACED]}  # a client that ends a task gets no release
 
 
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_closing_a_connection_cancels_open_tasks_and_keeps_running_ones(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.ask(6, NodeBehavior.SILENT)
+    cluster.client.send_request(6, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     cluster.client.stream.close()
     cluster.run_until(lambda: any(("release", 6) in fake_node.seen for fake_node in cluster.nodes))
     assert not any(("release", 5) in fake_node.seen for fake_node in cluster.nodes)
     other = cluster.client = cluster.connect_client(front)
-    other.give_up(5)  # a running task can be cancelled on any connection
+    other.cancel(5)  # a running task can be cancelled on any connection
     cluster.run_until(lambda: any(("release", 5) in fake_node.seen for fake_node in cluster.nodes))
 
 
@@ -99,30 +99,32 @@
 def test_one_client_uses_both_wire_formats(node: str) -> None:
     cluster = FakeCluster(JSON, node)
     lines, calls = cluster.client, cluster.connect_client(GRPC)
-    lines.ask(5, NodeBehavior.RUN)
-    cluster.run_until(lambda: 5 in lines.heard)
-    calls.ask(5, NodeBehavior.RUN)  # the id is in use, and its only answer was sent in the other format
-    calls.ask(6, NodeBehavior.RUN)
-    cluster.run_until(lambda: 6 in calls.heard)
-    calls.give_up(5)
-    lines.give_up(6)
+    lines.send_request(5, NodeBehavior.RUN)
+    cluster.run_until(lambda: 5 in lines.events)
+    calls.send_request(
+        5, NodeBehavior.RUN
+    )  # the id is in use, and its only answer was sent in the other format
+    calls.send_request(6, NodeBehavior.RUN)
+    cluster.run_until(lambda: 6 in calls.events)
+    calls.cancel(5)
+    lines.cancel(6)
     cluster.run_until(lambda: all(any(("release", uid) in n.seen for n in cluster.nodes) for uid in (5, 6)))
-    lines.ask(7, NodeBehavior.RUN)
-    cluster.run_until(lambda: 7 in lines.heard)
+    lines.send_request(7, NodeBehavior.RUN)
+    cluster.run_until(lambda: 7 in lines.events)
     lines.stream.close()
     cluster.run_for()
     for fake_node in cluster.nodes:
         fake_node.die()  # the release of 7 goes to the client's remaining connection
-    cluster.run_until(lambda: 7 in calls.heard)
-    assert lines.heard == {5: [PLACED], 7: [PLACED]}
-    assert calls.heard == {5: [FAILED], 6: [PLACED], 7: [("released", pb.RESET)]}
+    cluster.run_until(lambda: 7 in calls.events)
+    assert lines.events == {5: [PLACED], 7: [PLACED]}
+    assert calls.events == {5: [FAILED], 6: [PLACED], 7: [("released", pb.RESET)]}
     assert [cluster.offer_count(uid) for uid in (5, 6, 7)] == [1, 1, 1]
 
 
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_the_tasks_of_a_dead_node_are_released(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     for fake_node in cluster.nodes:
         fake_node.die()
@@ -132,13 +134,13 @@
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_a_broken_node_connection_releases_no_task(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     running_node = next(fake_node for fake_node in cluster.nodes if fake_node.seen)
     running_node.break_streams()
     cluster.run_until(lambda: len(running_node.streams) == 2)  # reconnected, to receive the end of the task
     cluster.run_for()
-    assert cluster.client.heard[5] == [PLACED]
+    assert cluster.client.events[5] == [PLACED]
 
 
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
@@ -146,7 +148,7 @@
     cluster = FakeCluster(front, node)
     for index in (0, 1):
         cluster.update_lifecycle(index, "terminating")
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [REFUSED]
     assert cluster.offer_count(5) == 0
 
@@ -154,22 +156,22 @@
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_a_handed_over_task_is_released_but_not_answered(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN, at="s-00000001")
+    cluster.client.send_request(5, NodeBehavior.RUN, at="s-00000001")
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))  # connected, to receive the end of the task
     cluster.run_for()
-    assert cluster.client.heard == {}
+    assert cluster.client.events == {}
     assert cluster.offer_count(5) == 0
     cluster.update_lifecycle(0, "terminated")
-    cluster.run_until(lambda: 5 in cluster.client.heard)
-    assert cluster.client.heard[5][0][0] in ("released", "failed")
+    cluster.run_until(lambda: 5 in cluster.client.events)
+    assert cluster.client.events[5][0][0] in ("released", "failed")
 
 
 @pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
 def test_an_invalid_request_fails_without_affecting_others(front: str, node: str) -> None:
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN, "no-such-class")
-    cluster.client.ask(6, NodeBehavior.RUN, left="nan")
-    cluster.client.ask(7, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN, "no-such-class")
+    cluster.client.send_request(6, NodeBehavior.RUN, left="nan")
+    cluster.client.send_request(7, NodeBehavior.RUN)
     assert cluster.wait_for_events(7) == [PLACED]
-    assert cluster.client.heard == {5: [FAILED], 6: [FAILED], 7: [PLACED]}
+    assert cluster.client.events == {5: [FAILED], 6: [FAILED], 7: [PLACED]}
     assert len(cluster.logged) == 2
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -183,7 +183,7 @@
     """Guards against a start time with which every later placement decision fails."""
     cluster = FakeCluster()
     cluster.update_endpoint(cluster.endpoint(0, started=started))
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5)[0][0] == "placed"
     assert not [line for line in cluster.logged if line[1] == "placement-failed"]
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -26,7 +26,7 @@
 def abandon_request(client: Any, how: str, uid: int = 5) -> None:
     """Cancel a request, or close or reset its connection; the kernel has the data before the next turn."""
     if how == "cancel":
-        client.give_up(uid)
+        client.cancel(uid)
     client.stream.flush()
     if how == "reset":
         client.stream.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
@@ -56,7 +56,7 @@
     cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
     cluster.run_for(20)
     for uid in range(5, 5 + count):
-        cluster.client.ask(uid, NodeBehavior.RUN)
+        cluster.client.send_request(uid, NodeBehavior.RUN)
     cluster.client.stream.flush()
     abandon_request(cluster.client, how)
     cluster.run_for(100)
@@ -80,7 +80,7 @@
 
     monkeypatch.setattr(reconnect, "connect", delayed_connect)
     cluster = FakeCluster(front, node)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.run_until(lambda: unsent_count(cluster) == 1)
     can_connect = True
     abandon_request(cluster.client, how)
@@ -100,7 +100,7 @@
     """The rejection is processed first, while the disconnect of the client waits behind a full inbox."""
     cluster = FakeCluster(front, node)
     cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
-    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     machine = core.tasks_by_uid[5].attempt.machine  # type: ignore[union-attr]
@@ -170,13 +170,13 @@
     """A handed-over task gets no answer, and its release goes to a connected client."""
     cluster = FakeCluster()
     other = cluster.connect_client(JSON)
-    other.ask(6, NodeBehavior.RUN)
-    cluster.run_until(lambda: 6 in other.heard)
-    cluster.client.ask(5, NodeBehavior.RUN, at="s-00000001")
+    other.send_request(6, NodeBehavior.RUN)
+    cluster.run_until(lambda: 6 in other.events)
+    cluster.client.send_request(5, NodeBehavior.RUN, at="s-00000001")
     abandon_request(cluster.client, "close")
     cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid)
     cluster.service.core.inbox.append(TaskFinished(1, 5, Outcome.OK))
-    cluster.run_until(lambda: 5 in other.heard)
+    cluster.run_until(lambda: 5 in other.events)
 
 
 @WIRES
@@ -185,12 +185,12 @@
     cluster = FakeCluster(front, node)
     other = cluster.connect_client(front)
     for client, uid in ((cluster.client, 5), (other, 6)):
-        client.ask(uid, NodeBehavior.RUN)
-        cluster.run_until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
+        client.send_request(uid, NodeBehavior.RUN)
+        cluster.run_until(lambda client=client, uid=uid: uid in client.events)  # type: ignore[misc]
     core = cluster.service.core
     core.inbox.append(TaskFinished(core.tasks_by_uid[5].machine, 5, Outcome.OK))
     abandon_request(cluster.client, "close")
-    cluster.run_until(lambda: 5 in other.heard)
+    cluster.run_until(lambda: 5 in other.events)
 
 
 def record_peer_close(loop: Loop, sock: socket.socket) -> list[int]:
@@ -252,7 +252,7 @@
         return original(text)
 
     monkeypatch.setattr(jsonl, "parse_line", record_and_parse)
-    cluster.client.ask(3, NodeBehavior.RUN)
+    cluster.client.send_request(3, NodeBehavior.RUN)
     cluster.wait_for_events(3)
     parsed.clear()
     lines = [request_line(uid) for uid in range(100, 300)]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -97,6 +97,6 @@
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     budget.total, budget.client_floor = 3, 2  # one connection for all nodes together
     for uid in range(5, 11):
-        cluster.client.ask(uid, NodeBehavior.END, service=f"{uid:016x}")
+        cluster.client.send_request(uid, NodeBehavior.END, service=f"{uid:016x}")
         assert cluster.wait_for_events(uid)[0] == PLACED
-    cluster.run_until(lambda: all(len(cluster.client.heard[uid]) == 2 for uid in range(5, 11)))
+    cluster.run_until(lambda: all(len(cluster.client.events[uid]) == 2 for uid in range(5, 11)))
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -112,7 +112,7 @@
 @WIRES
 def test_it_stops_once_the_last_answer_is_sent_to_a_slow_reader(front: str, node: str) -> None:
     cluster = connected_cluster(front, node)
-    cluster.client.ask(5, NodeBehavior.LATE)
+    cluster.client.send_request(5, NodeBehavior.LATE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     shutdown = shut_down(cluster)
     cluster.run_for(200)
@@ -130,19 +130,19 @@
     assert not shutdown.stopped_at
     writable.append(True)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
-    cluster.run_until(lambda: 5 in cluster.client.heard)
-    assert cluster.client.heard[5] == [PLACED]
+    cluster.run_until(lambda: 5 in cluster.client.events)
+    assert cluster.client.events[5] == [PLACED]
 
 
 @WIRES
 def test_a_release_is_sent_before_it_stops(front: str, node: str) -> None:
     """Guards against a task that runs on without a client because its node's connection is still being opened."""
     cluster = connected_cluster(front, node, nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     (fake_node,) = cluster.nodes
     shutdown = shut_down(cluster)
-    cluster.loop.call_at(shutdown.closes_at - 30_000, lambda: cluster.client.give_up(5))
+    cluster.loop.call_at(shutdown.closes_at - 30_000, lambda: cluster.client.cancel(5))
     cluster.loop.call_at(shutdown.closes_at - 30_000, fake_node.break_streams)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
     assert ("release", 5) in fake_node.seen
@@ -152,12 +152,12 @@
 def test_a_release_is_sent_again_where_its_connection_broke(front: str, node: str) -> None:
     """Guards against a release that is lost in the operating system's buffers when the connection is reset."""
     cluster = FakeCluster(front, node, nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     (fake_node,) = cluster.nodes
     link: Any = cluster.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
     fake_node.deaf = True
-    cluster.client.give_up(5)
+    cluster.client.cancel(5)
     cluster.run_until(
         lambda: 1 in cluster.service.core.tasks_by_machine
         and bool(cluster.service.core.endpoints.nodes[1].pending_cancellations)  # type: ignore[attr-defined]
@@ -175,7 +175,7 @@
 def test_a_connection_with_unsent_data_makes_no_room() -> None:
     """Guards against evicting a connection whose release was written and has not arrived."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     node: Any = cluster.service.core.endpoints.nodes[1]
     node.cancel_task(5)
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -25,8 +25,8 @@
 ) -> dict[str, str]:
     """Makes a ``Place`` call, and returns its trailers."""
     client = cluster.client
-    call = client.open("Place", **headers)
-    client.h2.send(call, grpc.encode_message(client.message(5, behavior, task_class)))
+    call = client.open_stream("Place", **headers)
+    client.h2.send(call, grpc.encode_message(client.make_ask(5, behavior, task_class)))
     client.h2.finish(call, [])
     cluster.run_until(lambda: call in client.status)
     return dict(client.status[call])
@@ -46,7 +46,7 @@
     trailers = place(cluster, behavior, task_class)
     assert trailers["grpc-status"] == str(status)
     assert trailers.get("grpc-retry-pushback-ms") == ("1000" if status == grpc.RESOURCE_EXHAUSTED else None)
-    assert cluster.client.heard == ({5: [("placed", DESCRIPTION)]} if status == grpc.OK else {})
+    assert cluster.client.events == ({5: [("placed", DESCRIPTION)]} if status == grpc.OK else {})
 
 
 def test_grpc_timeout_ends_the_call_and_withdraws_the_attempt() -> None:
@@ -55,10 +55,10 @@
     assert trailers["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
     cluster.run_until(lambda: any(("release", 5) in node.seen for node in cluster.nodes))
     client = cluster.client
-    client.call = client.open("Dispatch", grpc_timeout="100m")
-    client.ask(6, NodeBehavior.SILENT)
-    cluster.run_until(lambda: client.call in client.status)
-    assert client.status[client.call]["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
+    client.stream_id = client.open_stream("Dispatch", grpc_timeout="100m")
+    client.send_request(6, NodeBehavior.SILENT)
+    cluster.run_until(lambda: client.stream_id in client.status)
+    assert client.status[client.stream_id]["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
     cluster.run_until(lambda: any(("release", 6) in node.seen for node in cluster.nodes))
 
 
@@ -74,28 +74,28 @@
     method: str, headers: dict[str, str], status: int
 ) -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    call = cluster.client.open(method, **headers)
+    call = cluster.client.open_stream(method, **headers)
     cluster.run_until(lambda: call in cluster.client.status)
     assert cluster.client.status[call]["grpc-status"] == str(status)
-    cluster.client.ask(5, NodeBehavior.RUN)  # the connection is still usable
+    cluster.client.send_request(5, NodeBehavior.RUN)  # the connection is still usable
     cluster.wait_for_events(5)
 
 
 def test_malformed_message_ends_only_its_stream() -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    call = cluster.client.open("Dispatch")
+    call = cluster.client.open_stream("Dispatch")
     cluster.client.h2.send(call, b"\x00\x00\x00\x00\x02\xff\xff")
     cluster.run_until(lambda: call in cluster.client.status)
     assert cluster.client.status[call]["grpc-status"] == str(grpc.INTERNAL)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
 
 
 def test_rst_stream_by_a_client_cancels_its_open_tasks() -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    cluster.client.h2.reset(cluster.client.call)
+    cluster.client.h2.reset(cluster.client.stream_id)
     cluster.run_until(lambda: any(("release", 5) in node.seen for node in cluster.nodes))
     assert cluster.service.core.open_count == 0
 
@@ -106,7 +106,7 @@
     for node in cluster.nodes:
         refuse: Any = lambda _, responder: responder.h2.reset(responder.stream, http2.REFUSED_STREAM)  # noqa: E731
         node.order = refuse  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [("refused", "1000")]
 
 
@@ -124,10 +124,10 @@
             default_order(order, say)
 
     node.order = order  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: bool(held))
     cluster.run_for(20)
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.run_for(20)
     assert node.offers(6) == 0  # a connection after GOAWAY accepts no new attempt
     held[0].bind(5)
@@ -138,7 +138,7 @@
 
 def test_a_dispatcher_that_shuts_down_answers_open_requests_and_closes() -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    cluster.client.ask(5, NodeBehavior.SILENT, left=1500)
+    cluster.client.send_request(5, NodeBehavior.SILENT, left=1500)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.service.shut_down()
     assert cluster.wait_for_events(5) == [("failed", None)]
@@ -274,10 +274,10 @@
         cluster.nodes[0].port = port
         cluster.update_lifecycle(0, "in_service")  # moves the node to the address of the grpcio server
         cluster.run_for(10)
-        cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(5) == [("placed", NodeBehavior.RUN.value)]
         cluster.service.core.endpoints.nodes[1].check_health()
-        cluster.client.give_up(5)
+        cluster.client.cancel(5)
         cluster.run_until(lambda: handler.orders.qsize() == 2)
         assert [handler.orders.get(), handler.orders.get()] == [("offer", 5), ("release", 5)]
     finally:
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -55,9 +55,11 @@
         if step < 120:
             uid += 1
             task_class = rng.choice(("lookup", "lookup", "ledger-batch"))
-            world.client.ask(uid, rng.choice(COMMON_BEHAVIORS), task_class, left=str(rng.choice((60, 4000))))
+            world.client.send_request(
+                uid, rng.choice(COMMON_BEHAVIORS), task_class, left=str(rng.choice((60, 4000)))
+            )
         if rng.random() < 0.2 and uid > 5:
-            world.client.give_up(rng.randrange(1, uid))
+            world.client.cancel(rng.randrange(1, uid))
         if step % 40 == 20:
             rng.choice(world.nodes).break_streams()
         if step == 100:
@@ -71,7 +73,7 @@
     assert totals["bound"] > 20
     world.update_lifecycle(2, "terminated")
     for number in range(1, uid + 1):
-        world.client.give_up(number)
+        world.client.cancel(number)
     for _ in range(20_000):
         if world.service.core.tasks_by_uid:
             turn()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -48,7 +48,7 @@
 def test_an_unreadable_line_is_skipped(line: bytes) -> None:
     cluster = FakeCluster()
     cluster.client.send(line)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     assert [entry[1] for entry in cluster.logged] == ["bad-line"]
 
@@ -58,8 +58,8 @@
     other = cluster.connect_client(JSON)
     cluster.client.send(b"x" * (jsonl.MAX_MESSAGE + 1))
     cluster.run_until(lambda: cluster.client.closed)
-    other.ask(5, NodeBehavior.RUN)
-    cluster.run_until(lambda: 5 in other.heard)
+    other.send_request(5, NodeBehavior.RUN)
+    cluster.run_until(lambda: 5 in other.events)
     assert [entry[1] for entry in cluster.logged] == ["bad-line"]
 
 
@@ -82,7 +82,7 @@
 def test_a_full_descriptor_table_closes_an_idle_connection_and_keeps_busy_ones() -> None:
     """Guards against running out of descriptors: idle clients are evicted, clients with open requests are not."""
     cluster = FakeCluster()
-    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     budget = cluster.service.json_frontend.listener.budget
     budget.total = budget.client_floor = 2
@@ -90,28 +90,28 @@
     cluster.run_for(10)
     third = cluster.connect_client(JSON)
     cluster.run_until(lambda: idle.closed)
-    third.ask(6, NodeBehavior.RUN)
-    cluster.run_until(lambda: 6 in third.heard)
+    third.send_request(6, NodeBehavior.RUN)
+    cluster.run_until(lambda: 6 in third.events)
     assert not cluster.client.closed
     assert budget.client_count == 2
 
 
 def test_a_new_node_may_reuse_the_address_of_a_removed_one() -> None:
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.update_lifecycle(0, "terminated")
     assert cluster.wait_for_events(5, 2)[1][0] == "released"
     entry = cluster.endpoint(0) | {"instanceId": "s-00000009"}
     cluster.update_endpoint(entry)
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
 
 
 def test_the_tasks_of_a_restarted_process_are_released() -> None:
     """The endpoint list has a later start time for the same name, so earlier tasks there have ended."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     cluster.run_for(5)
     started = (cluster.loop.now + cluster.service._unix_offset_us) // 1000
@@ -123,7 +123,7 @@
     """Guards against lost reports about handed-over tasks, which a node sends only on an open connection."""
     cluster = FakeCluster(nodes=1)
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))
-    cluster.client.ask(5, NodeBehavior.RUN, at="s-00000001")
+    cluster.client.send_request(5, NodeBehavior.RUN, at="s-00000001")
     cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid)
     for name in (b"use_cpu", b"use_ram"):
         note = {binary.NOTE_NAME: name, binary.FIGURE: b"0.25"}
@@ -141,7 +141,7 @@
 def test_a_task_that_ends_as_it_starts(described: bool, events: list[tuple[Any, ...]]) -> None:
     """A release with cause 16 is both answer and end if it has a description, and otherwise a reset."""
     cluster = FakeCluster()
-    cluster.client.ask(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     values = {binary.CAUSE: b"\x10", binary.REPORT: b"x0:3;x1:4"}
     if described:
@@ -155,7 +155,7 @@
 def test_descriptor_exhaustion_does_not_count_as_a_dead_node(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against releasing running tasks: only a refused connection proves that a process is dead."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
 
     def full(*_: object) -> socket.socket:
@@ -165,34 +165,34 @@
         patch.setattr(socket, "socket", full)
         cluster.nodes[0].break_streams()
         cluster.run_for()
-    assert cluster.client.heard[5] == [PLACED]
+    assert cluster.client.events[5] == [PLACED]
     cluster.run_until(lambda: len(cluster.nodes[0].streams) == 2)
 
 
 def test_a_task_never_ran_if_the_node_refuses_the_connection() -> None:
     cluster = FakeCluster(nodes=1)
     cluster.nodes[0].die()
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     # A task that must not run twice may only be rejected if it never ran.
     assert cluster.wait_for_events(5) == [REFUSED]
 
 
 def test_delayed_answers_and_answers_for_unknown_tasks_are_ignored() -> None:
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.SILENT, left="200")
+    cluster.client.send_request(5, NodeBehavior.SILENT, left="200")
     assert cluster.wait_for_events(5) == [FAILED]
     stream = cluster.nodes[0].streams[0]
     for uid in (5, 77):
         stream.send(binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: b"late"}))
         stream.send(binary.encode(binary.RELEASE, uid, {binary.CAUSE: b"\x10"}))
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     cluster.wait_for_events(6)
-    assert cluster.client.heard == {5: [FAILED], 6: [PLACED]}
+    assert cluster.client.events == {5: [FAILED], 6: [PLACED]}
 
 
 def test_garbage_from_a_node_closes_its_connection() -> None:
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.nodes[0].streams[0].send(b"\xff\xff garbage")
     assert cluster.wait_for_events(5) == [FAILED]  # it may have run
@@ -201,7 +201,7 @@
 
 def test_a_release_waits_for_the_clients_next_connection() -> None:
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.client.stream.close()
     cluster.run_for(10)
@@ -209,14 +209,14 @@
     cluster.run_for(10)
     returned = cluster.connect_client(JSON)
     # A client that never got the answer interprets the cause of the release as a rejection or failure.
-    cluster.run_until(lambda: 5 in returned.heard)
+    cluster.run_until(lambda: 5 in returned.events)
 
 
 def test_a_rejection_carries_a_retry_after_within_the_limit() -> None:
     cluster = FakeCluster()
     core = cluster.service.core
     for uid, wait, expected in ((5, 1.5, "1500"), (6, 99.0, "3000"), (7, None, None)):
-        cluster.client.ask(uid, NodeBehavior.SILENT)
+        cluster.client.send_request(uid, NodeBehavior.SILENT)
         cluster.run_until(lambda uid=uid: uid in core.tasks_by_uid)  # type: ignore[misc]
         core.apply_action(api.Reject(core.tasks_by_uid[uid].number, wait))
         assert cluster.wait_for_events(uid) == [("refused", expected)]
@@ -224,18 +224,18 @@
 
 def test_a_migration_notifies_the_client_and_the_node() -> None:
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     core = cluster.service.core
     core.apply_action(api.Migrate(core.tasks_by_uid[5].number))
     cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen and 5 not in core.tasks_by_uid)
     cluster.run_for(10)
-    assert cluster.client.heard[5] == [PLACED]  # a migration is neither an answer nor a release
+    assert cluster.client.events[5] == [PLACED]  # a migration is neither an answer nor a release
 
 
 def test_at_most_one_attempt_is_in_flight_whatever_the_placer_requests() -> None:
     cluster = FakeCluster()
-    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     for machine in (1, 2):
@@ -256,10 +256,10 @@
         raise KeyError("odd")
 
     monkeypatch.setattr(core.placer, "handle", fault)
-    cluster.client.ask(5, NodeBehavior.RUN, left="100")
+    cluster.client.send_request(5, NodeBehavior.RUN, left="100")
     assert cluster.wait_for_events(5) == [FAILED]
     monkeypatch.setattr(core.placer, "handle", original_handle)
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
     assert {"placement-failed", "deadline-exceeded"} <= {entry[1] for entry in cluster.logged}
 
@@ -267,27 +267,27 @@
 def test_a_task_that_starts_for_a_closed_connection_is_cancelled() -> None:
     """Guards against a running task unknown to any client, which its client would request and start again."""
     cluster = FakeCluster(nodes=1)
-    cluster.client.ask(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     core.tasks_by_uid[5].subscribers[5].stream.close()  # type: ignore[attr-defined]
     core.inbox.appendleft(TaskStarted(1, 5, b"it runs"))
     cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen)
-    assert cluster.client.heard == {}
+    assert cluster.client.events == {}
 
 
 def test_open_requests_beyond_the_limit_are_rejected() -> None:
     cluster = FakeCluster()
     core = cluster.service.core
     core.settings = replace(core.settings, limits=replace(core.settings.limits, max_open_requests=1))
-    cluster.client.ask(5, NodeBehavior.SILENT)
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [("refused", None)]
 
 
 def test_shutdown_answers_open_requests_first() -> None:
     cluster = FakeCluster()
-    cluster.client.ask(5, NodeBehavior.SILENT, left="1200")
+    cluster.client.send_request(5, NodeBehavior.SILENT, left="1200")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.service.shut_down()
     cluster.loop.run()  # returns within the longest deadline
@@ -329,7 +329,7 @@
 def test_state_of_finished_tasks_is_bounded() -> None:
     cluster = FakeCluster(nodes=1)
     for uid in range(1, 100):
-        cluster.client.ask(uid, NodeBehavior.END)
+        cluster.client.send_request(uid, NodeBehavior.END)
         cluster.wait_for_events(uid, 2)
     (connection,) = cluster.service.json_frontend._connections
     node: Any = cluster.service.core.endpoints.nodes[1]
@@ -341,7 +341,7 @@
 def test_attempts_at_a_replaced_process_are_cancelled_and_retried_elsewhere() -> None:
     cluster = FakeCluster()
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
-    cluster.client.ask(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     index = next(i for i, node in enumerate(cluster.nodes) if node.offers(5))
     old = cluster.nodes[index].streams[0]
@@ -388,8 +388,8 @@
     ports = tuple(f":{node.port}" for node in cluster.nodes)
     monkeypatch.setattr(core.placer, "handle", handle)
     monkeypatch.setattr(Stream, "_write", write)
-    cluster.client.ask(5, NodeBehavior.SILENT)
-    cluster.client.ask(6, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(6, NodeBehavior.SILENT)
     cluster.run_until(lambda: all(len(fake_node.seen) >= 3 for fake_node in cluster.nodes))
     here, there = (node.port for node in cluster.nodes)
     for uid, first, second in ((5, here, there), (6, there, here)):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -73,7 +73,7 @@
 
     monkeypatch.setattr(socket.socket, "accept", accept)
     cluster.client = cluster.connect_client(JSON)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     assert not errors
 
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -91,7 +91,7 @@
         self.nodes[index].voices[-1].end(uid, 16, 0)
 
     def released(self, uid: int) -> bool:
-        return any(event[0] == "released" for event in self.client.heard.get(uid, []))
+        return any(event[0] == "released" for event in self.client.events.get(uid, []))
 
     def offers(self, index: int) -> int:
         return sum(kind == "offer" for kind, _ in self.nodes[index].seen)
@@ -127,8 +127,8 @@
 def test_only_nodes_of_the_own_zone_are_connected_and_sent_tasks(make_rig: RigFactory) -> None:
     rig = make_rig()
     for uid in range(1, 9):
-        rig.client.ask(uid, NodeBehavior.RUN)
-    rig.run_until(lambda: len(rig.client.heard) == 8)
+        rig.client.send_request(uid, NodeBehavior.RUN)
+    rig.run_until(lambda: len(rig.client.events) == 8)
     assert not any(rig.connected(index) for index in (2, 3, 4))
     assert rig.offers(0) + rig.offers(1) == 8
     assert len(rig.service.core.endpoints.entries) == 2
@@ -140,7 +140,7 @@
         rig.nodes[index].die()
     rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.run_until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
-    rig.client.ask(21, NodeBehavior.RUN)
+    rig.client.send_request(21, NodeBehavior.RUN)
     rig.run_until(lambda: 21 in rig.client.placed)
     where = next(index for index in (2, 3, 4) if rig.offers(index))
     for index in (0, 1):
@@ -152,7 +152,7 @@
     rig.run_for(300)
     assert len(rig.service.core.endpoints.nodes) == 3
     assert not rig.released(21)
-    rig.client.ask(22, NodeBehavior.RUN)
+    rig.client.send_request(22, NodeBehavior.RUN)
     rig.run_until(lambda: 22 in rig.client.placed)
     assert rig.offers(where) == 1
     rig.end_task(21, where)
@@ -166,13 +166,13 @@
         rig.nodes[index].die()
     rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.run_until(lambda: rig.connected(2))
-    rig.client.ask(31, NodeBehavior.RUN)
+    rig.client.send_request(31, NodeBehavior.RUN)
     rig.run_until(lambda: 31 in rig.client.placed)
     rig.endpoint_source.publish([rig.entry(2, "terminating")])
     machine = rig.service.core.endpoints.machine_id("s-00000003")
     rig.run_until(lambda: not rig.service.core.endpoints.is_up(machine))
-    rig.client.ask(32, NodeBehavior.RUN)
-    rig.run_until(lambda: 32 in rig.client.heard)
+    rig.client.send_request(32, NodeBehavior.RUN)
+    rig.run_until(lambda: 32 in rig.client.events)
     rig.run_for(200)
     assert rig.offers(2) == 1
     assert not rig.released(31)
@@ -191,7 +191,7 @@
     )
     sampled = {entry.name for zone in component.subset.zones.values() for entry in zone.sample}
     unsampled = next(index for index in range(2, own) if f"s-{index + 1:08x}" not in sampled)
-    rig.client.ask(41, NodeBehavior.RUN)
+    rig.client.send_request(41, NodeBehavior.RUN)
     rig.run_until(lambda: 41 in rig.client.placed)
     rig.hand_over(51, unsampled)
     rig.run_until(lambda: bool(rig.nodes[unsampled].voices))
@@ -214,7 +214,7 @@
     rig.endpoint_source.silent.add(0)
     rig.run_for(100)
     rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
-    rig.client.ask(61, NodeBehavior.RUN)
+    rig.client.send_request(61, NodeBehavior.RUN)
     rig.run_until(lambda: 61 in rig.client.placed)  # on a node whose removal the dispatcher does not know of
     rig.run_for(1_500)
     assert len(rig.service.core.endpoints.nodes) == 2
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -42,30 +42,32 @@
 def test_a_missing_hint_is_rejected_with_the_reason(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, manners=needs_hint)
     cluster.run_for(50)  # their hellos have arrived
-    cluster.client.ask(5, NodeBehavior.RUN, hint=None)
+    cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
-    message = cluster.client.said[5][0]
+    message = cluster.client.messages[5][0]
     if front == JSON:
         assert message.reason == 34
         assert message.meta["why"].startswith("hint needed: ")
     if front == GRPC2:
         assert (message.refusal.reason, message.refusal.advice) == (pb2.HINT_NEEDED, pb2.CHANGED)
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
 
 
 @CLIENTS
 def test_a_missing_hint_is_assumed_by_policy_and_reported(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, terms=ASSUME, manners=needs_hint)
-    cluster.client.ask(5, NodeBehavior.RUN, hint=None)
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint=None)  # the policy is of another class
+    cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
+    cluster.client.send_request(
+        6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint=None
+    )  # the policy is of another class
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.wait_for_events(6)[0][0] == "refused"
     (order,) = (one for node in cluster.nodes for one in node.orders if one.uid == 5)
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
     assert [values["ms"] for values in log_lines(cluster, "hint-assumed")] == [15_000]
-    message = cluster.client.said[5][0]
+    message = cluster.client.messages[5][0]
     if front == JSON:
         assert message.meta == {"hint": "15000", "assumed": "hint"}
     if front == GRPC2:
@@ -75,15 +77,15 @@
 def test_a_hint_assumed_by_another_dispatcher_counts_as_missing() -> None:
     cluster = FakeCluster(GRPC2, GRPC2, manners=needs_hint)
     cluster.run_for(50)
-    ask = cluster.client.message(5, NodeBehavior.RUN, "lookup")
+    ask = cluster.client.make_ask(5, NodeBehavior.RUN, "lookup")
     ask.hint.assumed = True
-    cluster.client.h2.send(cluster.client.call, _frame(pb2.ClientMessage(ask=ask)))
+    cluster.client.h2.send(cluster.client.stream_id, _frame(pb2.ClientMessage(ask=ask)))
     assert cluster.wait_for_events(5)[0][0] == "refused"
 
 
 def test_a_clients_hint_and_resources_reach_a_new_node() -> None:
     cluster = FakeCluster(JSON, GRPC2)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint="8200.0")
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint="8200.0")
     cluster.wait_for_events(5)
     (order,) = (one for node in cluster.nodes for one in node.orders)
     offer = order.more
@@ -94,7 +96,7 @@
 
 def test_fields_omitted_for_an_old_node_are_counted() -> None:
     cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     assert counters(cluster)["left out to binary messages: hint"] == 1
     assert counters(cluster)["left out to binary messages: cores"] == 1
@@ -116,11 +118,11 @@
     front: str, behavior: NodeBehavior, reason: int, text: str
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, behavior, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, behavior, NON_IDEMPOTENT_CLASS)
     assert (
         cluster.wait_for_events(5)[0][0] == "refused"
     )  # it never ran: this holds for tasks that must not be started twice, too
-    message = cluster.client.said[5][0]
+    message = cluster.client.messages[5][0]
     if front == JSON:
         assert (message.reason, message.meta["why"]) == (34, text)
     if front == GRPC2:
@@ -132,17 +134,17 @@
 def test_a_failure_of_the_task_itself_does_not_exclude_the_node() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
     for uid in range(5, 9):
-        cluster.client.ask(uid, NodeBehavior.LICENCE)
+        cluster.client.send_request(uid, NodeBehavior.LICENCE)
         cluster.wait_for_events(uid)
-    cluster.client.ask(9, NodeBehavior.RUN)
+    cluster.client.send_request(9, NodeBehavior.RUN)
     assert cluster.wait_for_events(9) == [PLACED]
 
 
 def test_a_new_client_gets_the_reason_of_an_old_node() -> None:
     cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    cluster.client.ask(5, NodeBehavior.FULL)
+    cluster.client.send_request(5, NodeBehavior.FULL)
     cluster.wait_for_events(5)
-    assert cluster.client.said[5][0].refusal.reason == pb2.NO_CORES
+    assert cluster.client.messages[5][0].refusal.reason == pb2.NO_CORES
 
 
 # routes
@@ -154,14 +156,14 @@
     )
     cluster.run_for(50)
     requested_us = cluster.loop.now
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.loop.now - requested_us < 500_000
-    assert reason_text(cluster.client.said[5][0]).startswith(
+    assert reason_text(cluster.client.messages[5][0]).startswith(
         "wrong generation: ledger-batch wants nodes of generation 2"
     )
     assert cluster.offer_count(5) == 0
-    cluster.client.ask(6, NodeBehavior.RUN)
+    cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
 
 
@@ -172,7 +174,7 @@
     cluster = FakeCluster(JSON, BINARY, nodes=3, terms=terms)
     cluster.nodes[2].form = GRPC2
     for uid in range(5, 11):
-        cluster.client.ask(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(uid) == [PLACED]
     assert [len(node.runs) for node in cluster.nodes] == [0, 0, 6]
 
@@ -183,7 +185,7 @@
 def test_a_node_is_upgraded_or_downgraded_in_place(before: str, after: str) -> None:
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.GRPC_V1, WireFormat.BINARY))
     cluster = FakeCluster(JSON, before, nodes=1, terms=terms)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [PLACED]
     node = cluster.nodes[0]
     node.form = after
@@ -192,7 +194,7 @@
     node.break_streams()
     uid = 6
     while True:  # until it is reached in its new format; no attempt may be lost or started twice meanwhile
-        cluster.client.ask(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         events = cluster.wait_for_events(uid)[0]
         assert events[0] in ("placed", "refused")
         if events == PLACED:
@@ -207,13 +209,13 @@
     """The first attempt is refused by an old node; the second finds a new one there that needs a hint."""
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY))
     cluster = FakeCluster(JSON, BINARY, nodes=2, terms=terms)
-    cluster.client.ask(4, NodeBehavior.RUN)
+    cluster.client.send_request(4, NodeBehavior.RUN)
     cluster.wait_for_events(4)
     cluster.run_for(100)
     for node in cluster.nodes:
         node.form, node.manners.requires = GRPC2, (pb2.HINT,)
         node.break_streams()
-    cluster.client.ask(5, NodeBehavior.RUN, hint=None)
+    cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
 
@@ -222,7 +224,7 @@
     """Between the attempt and the retry; what the new process requires is known before the retry leaves."""
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY))
     cluster = FakeCluster(JSON, BINARY, nodes=2, terms=terms)
-    cluster.client.ask(4, NodeBehavior.RUN)
+    cluster.client.send_request(4, NodeBehavior.RUN)
     cluster.wait_for_events(4)
     cluster.run_for(100)
     usual = {node: node.order for node in cluster.nodes}
@@ -236,13 +238,13 @@
 
     for node in cluster.nodes:
         node.order = partial(order, node)  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.FULL, NON_IDEMPOTENT_CLASS, hint=None)
+    cluster.client.send_request(5, NodeBehavior.FULL, NON_IDEMPOTENT_CLASS, hint=None)
     assert cluster.wait_for_events(5)[0][0] in ("refused", "failed")
     assert start_count(cluster, 5) == 0
     cluster.run_for(100)
-    assert len(cluster.client.heard[5]) == 1
+    assert len(cluster.client.events[5]) == 1
     assert cluster.offer_count(5) == 1
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(6)[0][0] in ("placed", "refused")
 
 
@@ -255,10 +257,10 @@
     assert report.WhichOneof("kind") == "hello"
     assert report.hello.generation == 3
     cluster = FakeCluster(GRPC2, GRPC2, manners=lambda node: setattr(node.manners, "generation", 3))
-    ask = cluster.client.message(5, NodeBehavior.RUN, "lookup").SerializeToString() + extra
+    ask = cluster.client.make_ask(5, NodeBehavior.RUN, "lookup").SerializeToString() + extra
     body = pb2.ClientMessage(ask=pb2.Ask.FromString(ask)).SerializeToString()
     assert extra in body  # it is preserved
-    cluster.client.h2.send(cluster.client.call, b"\0" + len(body).to_bytes(4, "big") + body)
+    cluster.client.h2.send(cluster.client.stream_id, b"\0" + len(body).to_bytes(4, "big") + body)
     assert cluster.wait_for_events(5) == [PLACED]
 
 
@@ -268,20 +270,20 @@
 
     cluster = FakeCluster(JSON, GRPC2, manners=impostor)
     cluster.run_for(50)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
-    assert "not the node that the list names" in reason_text(cluster.client.said[5][0])
+    assert "not the node that the list names" in reason_text(cluster.client.messages[5][0])
     assert len(log_lines(cluster, "handshake-inconsistent")) == 2
 
 
 def test_a_requirement_that_was_not_declared_is_learned() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.NEEDS_HINT, hint=None)
+    cluster.client.send_request(5, NodeBehavior.NEEDS_HINT, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
     assert len(log_lines(cluster, "rejection-unexpected")) == 1
-    cluster.client.ask(6, NodeBehavior.RUN, hint=None)
+    cluster.client.send_request(6, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(6)[0][0] == "refused"
     assert cluster.offer_count(6) == 0
 
@@ -291,7 +293,7 @@
         node.manners.greets = False
 
     cluster = FakeCluster(JSON, GRPC2, terms=TranslationConfig(hello_timeout_us=100_000), manners=rude)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
 
@@ -299,16 +301,16 @@
 @pytest.mark.parametrize("front", [GRPC, GRPC2])
 def test_both_generations_are_served_to_clients(front: str) -> None:
     cluster = FakeCluster(front, BINARY)
-    cluster.client.ask(5, NodeBehavior.END)
+    cluster.client.send_request(5, NodeBehavior.END)
     assert cluster.wait_for_events(5, 2) == [PLACED, ("released", pb2.ENDED)]
-    call = cluster.client.open("Place")
-    ask = cluster.client.message(6, NodeBehavior.FULL, "lookup")
+    call = cluster.client.open_stream("Place")
+    ask = cluster.client.make_ask(6, NodeBehavior.FULL, "lookup")
     cluster.client.h2.send(call, _frame(ask))
     cluster.client.h2.finish(call, [])
     cluster.run_until(lambda: call in cluster.client.status)
     # v2 answers by a message, v1 by the status
     assert cluster.client.status[call]["grpc-status"] == ("0" if front == GRPC2 else "8")
-    assert (6 in cluster.client.heard) == (front == GRPC2)
+    assert (6 in cluster.client.events) == (front == GRPC2)
 
 
 def _frame(message: Any) -> bytes:
@@ -323,12 +325,12 @@
 def test_retries_are_bounded_by_the_budget() -> None:
     none = RetryBudgetConfig(earned_per_attempt_milli=0, earned_per_s_milli=0, capacity_milli=0)
     cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig(limits_retries=True, service_budget=none))
-    cluster.client.ask(5, NodeBehavior.FULL)
+    cluster.client.send_request(5, NodeBehavior.FULL)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
-    assert cluster.client.said[5][0].refusal.reason == pb2.OVERLOADED
+    assert cluster.client.messages[5][0].refusal.reason == pb2.OVERLOADED
     plain = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    plain.client.ask(5, NodeBehavior.FULL)
+    plain.client.send_request(5, NodeBehavior.FULL)
     assert plain.wait_for_events(5)[0][0] == "refused"
     assert plain.offer_count(5) == 2
 
@@ -336,7 +338,7 @@
 def test_the_waits_of_many_rejected_requests_are_spread() -> None:
     cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(limits_retries=True))
     for uid in range(10, 60):
-        cluster.client.ask(uid, NodeBehavior.FULL)
+        cluster.client.send_request(uid, NodeBehavior.FULL)
     waits = [int(cluster.wait_for_events(uid)[0][1]) for uid in range(10, 60)]
     assert len(set(waits)) > 25
     assert all(1000 <= one <= 3000 for one in waits)
@@ -349,8 +351,8 @@
     cluster = FakeCluster(JSON, BINARY, nodes=1, terms=terms)
     cluster.run_for(20)
     for uid in range(10, 30):
-        cluster.client.ask(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
-    cluster.client.ask(30, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
+    cluster.client.send_request(30, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
     order = [one.uid for one in cluster.nodes[0].orders]
     assert events[20] == "refused"
@@ -360,7 +362,7 @@
     assert not cluster.service.core.queue
     refused = [uid for uid, kind in events.items() if kind == "refused"]
     assert len(refused) >= 10
-    assert reason_text(cluster.client.said[20][0]).startswith("overloaded")
+    assert reason_text(cluster.client.messages[20][0]).startswith("overloaded")
 
 
 def test_descriptions_of_any_bytes_are_unchanged_between_the_formats() -> None:
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -45,12 +45,12 @@
     front: str, behavior: NodeBehavior, expected: list[tuple[Any, ...]], starts: int
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, behavior, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, behavior, NON_IDEMPOTENT_CLASS)
     events = cluster.wait_for_events(5)
     cluster.run_for(100)
     assert [event[0] for event in events] == [event[0] for event in expected]
     assert start_count(cluster, 5) == starts
-    assert len(cluster.client.heard[5]) == 1
+    assert len(cluster.client.events[5]) == 1
 
 
 def test_without_status_queries_an_uncertain_attempt_fails() -> None:
@@ -61,13 +61,13 @@
         FakeCluster(JSON, GRPC2, manners=disable_replies),
         FakeCluster(JSON, BINARY, terms=TranslationConfig()),
     ):
-        cluster.client.ask(5, NodeBehavior.CUT, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(5, NodeBehavior.CUT, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(5) == [FAILED]
         assert start_count(cluster, 5) == 1
-        cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+        cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
         assert cluster.wait_for_events(6) == [FAILED]
         assert start_count(cluster, 5) == 1
-        assert reason_text(cluster.client.said[6][0]).startswith("in doubt: ")
+        assert reason_text(cluster.client.messages[6][0]).startswith("in doubt: ")
 
 
 @pytest.mark.parametrize("second", [JSON, GRPC, GRPC2])
@@ -75,18 +75,18 @@
     """The client disconnects as its answer is cut; a request under a new id finds the task running."""
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(second)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     running_node = next(node for node in cluster.nodes if node.orders)
     order, say = running_node.waiting.pop(5)
     running_node.begin(order, say, tell=False)
     say.cut(5)
     cluster.client.stream.close()
-    other.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
-    cluster.run_until(lambda: 6 in other.heard)
+    other.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+    cluster.run_until(lambda: 6 in other.events)
     cluster.run_for(100)
     # The disconnect cancelled the task, so the second client may see its end as well.
-    kinds = [event[0] for event in other.heard[6]]
+    kinds = [event[0] for event in other.events[6]]
     assert kinds in (["placed"], ["placed", "released"])
     assert start_count(cluster, 5) == 1
 
@@ -94,87 +94,87 @@
 def test_requests_of_several_clients_with_one_key_share_a_task() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(GRPC2)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    other.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+    other.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     cluster.run_for(50)
-    assert cluster.client.heard == {}
-    assert other.heard == {}
+    assert cluster.client.events == {}
+    assert other.events == {}
     running_node = next(node for node in cluster.nodes if node.orders)
     running_node.start(5)
-    cluster.run_until(lambda: 5 in cluster.client.heard and 6 in other.heard)
-    assert (cluster.client.heard[5], other.heard[6]) == ([PLACED], [PLACED])
+    cluster.run_until(lambda: 5 in cluster.client.events and 6 in other.events)
+    assert (cluster.client.events[5], other.events[6]) == ([PLACED], [PLACED])
     assert start_count(cluster, 5) == 1
     third = cluster.connect_client(GRPC)
-    third.ask(7, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")  # the task runs by now
-    cluster.run_until(lambda: 7 in third.heard)
-    assert third.heard[7] == [PLACED]
-    assert third.said[7][0].binding.description == DESCRIPTION
-    cluster.client.give_up(5)  # one of three clients; the task continues for the others
+    third.send_request(7, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")  # the task runs by now
+    cluster.run_until(lambda: 7 in third.events)
+    assert third.events[7] == [PLACED]
+    assert third.messages[7][0].binding.description == DESCRIPTION
+    cluster.client.cancel(5)  # one of three clients; the task continues for the others
     cluster.run_for(50)
     assert 5 in running_node.running
     running_node.over(5, pb2.ENDED)
     running_node.voices[-1].end(5, 16, pb2.ENDED)
-    cluster.run_until(lambda: len(other.heard[6]) == 2 and len(third.heard[7]) == 2)
+    cluster.run_until(lambda: len(other.events[6]) == 2 and len(third.events[7]) == 2)
     cluster.run_for(50)
-    assert other.heard[6] == third.heard[7] == [PLACED, ("released", pb2.ENDED)]
-    assert cluster.client.heard[5] == [PLACED]
+    assert other.events[6] == third.events[7] == [PLACED, ("released", pb2.ENDED)]
+    assert cluster.client.events[5] == [PLACED]
     assert not cluster.service.core.tasks_by_uid
 
 
 def test_one_of_two_clients_disconnects_while_the_task_is_open() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(GRPC2)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    other.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+    other.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     cluster.run_for(50)
     cluster.client.stream.close()
     cluster.run_for(50)
     next(node for node in cluster.nodes if node.orders).start(5)
-    cluster.run_until(lambda: 6 in other.heard)
-    assert other.heard[6] == [PLACED]
+    cluster.run_until(lambda: 6 in other.events)
+    assert other.events[6] == [PLACED]
     assert start_count(cluster, 5) == 1
     assert cluster.service.core.open_count == 0
 
 
 def test_a_joined_request_is_answered_by_its_own_deadline() -> None:
     cluster = FakeCluster(JSON, GRPC2)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}", left="200")
+    cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}", left="200")
     assert cluster.wait_for_events(6) == [FAILED]
-    assert 5 not in cluster.client.heard
+    assert 5 not in cluster.client.events
 
 
 def test_a_late_start_of_a_cancelled_attempt_is_cancelled_and_counted() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     node = cluster.nodes[0]
     cluster.run_until(lambda: 5 in node.waiting)
     order, say = node.waiting[5]
-    cluster.client.give_up(5)
+    cluster.client.cancel(5)
     cluster.run_until(lambda: ("release", 5) in node.seen)
     node.begin(order, say)  # the node starts the attempt despite the cancellation
     cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
     cluster.run_for(50)
     assert 5 not in node.running
     assert counters(cluster)["late yes"] == 1
-    assert cluster.client.heard == {}
+    assert cluster.client.events == {}
     # The key is uncertain, and the node replies that its task ran.
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+    cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     assert [event[0] for event in cluster.wait_for_events(6, 2)] == ["placed", "released"]
     assert len(node.ran) == 1
 
 
 def test_a_late_start_after_a_retry_with_the_key_is_cancelled() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     node = cluster.nodes[0]
     cluster.run_until(lambda: 5 in node.waiting)
     order, say = node.waiting[5]
-    cluster.client.give_up(5)
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+    cluster.client.cancel(5)
+    cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     cluster.run_until(lambda: ("question", 5) in node.seen)
     assert cluster.wait_for_events(6) == [PLACED]
     assert len(node.runs) == 1
@@ -187,7 +187,7 @@
 def test_late_starts_after_never_ran_replies_are_counted_against_the_node() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=2)
     for uid in (5, 6):
-        cluster.client.ask(uid, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(uid, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: sum(len(fake_node.waiting) for fake_node in cluster.nodes) == 2)
     cluster.run_for(20)
     for node in cluster.nodes:
@@ -208,7 +208,7 @@
 def test_a_timed_out_attempt_is_resolved_by_a_query() -> None:
     """A timed-out attempt is cancelled and queried, and the node replies that it never ran."""
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     node, core = cluster.nodes[0], cluster.service.core
     cluster.run_until(lambda: 5 in node.waiting)
     task = core.tasks_by_uid[5]
@@ -224,12 +224,12 @@
     node.begin(*pending_attempt)
     cluster.run_until(lambda: 5 not in node.running)
     assert counters(cluster)["late yes"] == 1
-    assert cluster.client.heard[5] == events
+    assert cluster.client.events[5] == events
 
 
 def test_a_node_with_a_pending_attempt_is_queried_again() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
     node = cluster.nodes[0]
     cluster.run_until(lambda: 5 in node.waiting)
     order, _ = node.waiting[5]
@@ -243,17 +243,17 @@
 
 def test_an_uncertain_key_expires_and_may_be_used_again() -> None:
     cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(uncertain_retention_us=300_000))
-    cluster.client.ask(5, NodeBehavior.CUT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.CUT, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [FAILED]
     cluster.run_for(350)
-    cluster.client.ask(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+    cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     assert cluster.wait_for_events(6) == [PLACED]
 
 
 def test_a_task_that_ended_releases_its_key_at_once() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     for uid in (5, 6, 7):
-        cluster.client.ask(uid, NodeBehavior.END, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
+        cluster.client.send_request(uid, NodeBehavior.END, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
         assert [event[0] for event in cluster.wait_for_events(uid, 2)] == ["placed", "released"]
     assert len(cluster.service.core.translator.idempotency_keys) == 0  # type: ignore[union-attr]
 
@@ -261,7 +261,7 @@
 def test_idempotent_tasks_are_not_joined() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     for uid in (5, 6):
-        cluster.client.ask(uid, NodeBehavior.RUN, key=f"{5:016x}")
+        cluster.client.send_request(uid, NodeBehavior.RUN, key=f"{5:016x}")
         assert cluster.wait_for_events(uid) == [PLACED]
     assert cluster.offer_count(5) == cluster.offer_count(6) == 1
 
@@ -271,7 +271,7 @@
 
 def test_a_task_end_lost_with_a_broken_connection_is_found_by_a_query() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN)
+    cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     node = cluster.nodes[0]
     node.over(5, pb2.ENDED)  # the report of this end is lost
@@ -281,7 +281,7 @@
 
 def test_tasks_of_a_process_replaced_at_its_address_are_released() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     node = cluster.nodes[0]
     node.running.clear()
@@ -295,21 +295,21 @@
     cluster = FakeCluster(front, BINARY, terms=TranslationConfig())
     other = cluster.connect_client(front)
     for client, uid in ((cluster.client, 5), (cluster.client, 6), (other, 7)):
-        client.hears = True
-        client.ask(uid, NodeBehavior.RUN)
-        cluster.run_until(lambda client=client, uid=uid: uid in client.heard)  # type: ignore[misc]
+        client.acknowledges_releases = True
+        client.send_request(uid, NodeBehavior.RUN)
+        cluster.run_until(lambda client=client, uid=uid: uid in client.events)  # type: ignore[misc]
     running_node = {uid: next(node for node in cluster.nodes if uid in node.running) for uid in (5, 6)}
     running_node[6].over(6, pb2.ENDED)
     running_node[6].voices[-1].end(6, 16, pb2.ENDED)
     assert cluster.wait_for_events(6, 2)[1][0] == "released"
     cluster.run_for(50)  # the acknowledgement has arrived
-    cluster.client.take = lambda _: None  # receives the release without acknowledging it
+    cluster.client.receive = lambda _: None  # receives the release without acknowledging it
     running_node[5].over(5, pb2.ENDED)
     running_node[5].voices[-1].end(5, 16, pb2.ENDED)
     cluster.run_for(50)
     other.placed.update((5, 6))
     cluster.client.stream.close()
-    cluster.run_until(lambda: 5 in other.heard)
+    cluster.run_until(lambda: 5 in other.events)
     cluster.run_for(400)
-    assert other.heard[5] == [("released", pb2.ENDED)]
-    assert 6 not in other.heard
+    assert other.events[5] == [("released", pb2.ENDED)]
+    assert 6 not in other.events
--- a/thornshelf/lab/fakes/clients.py
+++ b/thornshelf/lab/fakes/clients.py
@@ -17,18 +17,18 @@
 class FakeClient:
     """A client that connects at once and records what it receives.
 
-    ``heard``: events by request id, such as ``("placed", description)``, in the same terms for all wire forms;
-    ``said``: the received messages themselves, by request id; ``placed``: ids of requests that were placed;
-    ``hears``: the client acknowledges releases; ``on_closed``: called with whether the client was ever connected;
-    ``on_traffic``: called with the bytes and lines sent or received, by a client of JSON lines only.
+    ``events``: events by request id, such as ``("placed", description)``, in the same terms for all wire forms;
+    ``messages``: the received messages themselves, by request id; ``placed``: ids of requests that were placed;
+    ``acknowledges_releases``: the client acknowledges releases; ``on_closed``: called with whether the client was
+    ever connected; ``on_traffic``: called with the bytes and lines sent or received, by a client of JSON lines only.
     """
 
     def __init__(self, loop: Loop, address: tuple[str, int]) -> None:
         self.loop, self.address = loop, address
-        self.heard: dict[int, list[tuple[Any, ...]]] = {}
+        self.events: dict[int, list[tuple[Any, ...]]] = {}
         self.placed: set[int] = set()
-        self.hears = False
-        self.said: dict[int, list[Any]] = {}
+        self.acknowledges_releases = False
+        self.messages: dict[int, list[Any]] = {}
         self.stream: Stream | None = None
         self.closed = False
         self.on_closed: Callable[[bool], None] = lambda _: None
@@ -37,7 +37,7 @@
 
     def on_event(self, uid: int, *event: Any) -> None:
         """Record an event; an owner may replace this method."""
-        self.heard.setdefault(uid, []).append(event)
+        self.events.setdefault(uid, []).append(event)
 
     def _run(self) -> Generator[Wait, int, None]:
         stream = yield from connect(self.loop, *self.address, self.loop.now + 5_000_000)
@@ -46,27 +46,29 @@
             self.on_closed(False)
             return
         self.stream = stream
-        self.begin(stream)
+        self.on_connected(stream)
         while data := (yield from stream.read()):
-            self.take(data)
+            self.receive(data)
         stream.close()
         if not self.closed:
             self.closed = True
             self.on_closed(True)
 
-    def begin(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         """Prepare the protocol on a new connection."""
         raise NotImplementedError
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Handle received data."""
         raise NotImplementedError
 
-    def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
+    def send_request(
+        self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any
+    ) -> None:
         """Send a request for a small task; ``changes`` replace fields of the message."""
         raise NotImplementedError
 
-    def give_up(self, uid: int) -> None:
+    def cancel(self, uid: int) -> None:
         """Cancel a request."""
         raise NotImplementedError
 
@@ -85,9 +87,9 @@
 class FakeJsonLinesClient(FakeClient):
     """A client that uses JSON lines."""
 
-    def begin(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         self.reader = jsonl.LineReader()
-        if self.hears:  # announces that this client acknowledges releases
+        if self.acknowledges_releases:  # announces that this client acknowledges releases
             stream.send(jsonl.encode_line("stopped", jsonl.UNKNOWN_UID))
 
     def send(self, data: bytes) -> None:
@@ -95,7 +97,9 @@
         self.on_traffic(len(data), data.count(b"\n"))
         self.stream.send(data)
 
-    def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
+    def send_request(
+        self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any
+    ) -> None:
         extras = f"cores:1;memory:2;service:{7:016x}"
         if "at" in changes:
             extras += f";at:{changes.pop('at')}"
@@ -105,7 +109,7 @@
         line = {"kind": "launch", "uid": f"{uid:016x}", "meta": meta, "body": behavior.value.decode()}
         self.send(json.dumps(line).encode() + b"\n")
 
-    def give_up(self, uid: int) -> None:
+    def cancel(self, uid: int) -> None:
         self.send(jsonl.encode_line("stop", uid, reason=16))
 
     def request_task(
@@ -116,17 +120,17 @@
         meta |= {"extras": extras} | ({} if hint is None else {"hint": hint})
         self.send(jsonl.encode_line("launch", uid, meta, body=b"x"))
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         self.on_traffic(len(data), data.count(b"\n"))
         self.reader.feed(data)
         while (line := self.reader.next()) is not None:
-            self.said.setdefault(line.uid, []).append(line)
+            self.messages.setdefault(line.uid, []).append(line)
             placed = line.uid in self.placed
             if line.kind == "running":
                 self.placed.add(line.uid)
                 self.on_event(line.uid, "placed", line.body)
             elif line.kind == "stop" and placed:
-                if self.hears:
+                if self.acknowledges_releases:
                     self.send(jsonl.encode_line("stopped", line.uid))
                 self.on_event(line.uid, "released", _RELEASE_OUTCOMES[line.reason or 0])
             elif line.kind == "stop":
@@ -140,26 +144,26 @@
 class FakeGrpcV1Client(FakeClient):
     """A client that uses gRPC v1, on one Dispatch stream."""
 
-    form = "thornshelf.v1"
+    package = "thornshelf.v1"
     protobuf: Any = pb
 
-    def begin(self, stream: Stream) -> None:
+    def on_connected(self, stream: Stream) -> None:
         self.h2 = http2.Http2Connection(True, stream.send)
-        self.call = self.open("Dispatch")
-        if self.hears and self.protobuf is pb2:
-            self.h2.send(self.call, grpc.encode_message(pb2.ClientMessage(heard=0)))
+        self.stream_id = self.open_stream("Dispatch")
+        if self.acknowledges_releases and self.protobuf is pb2:
+            self.h2.send(self.stream_id, grpc.encode_message(pb2.ClientMessage(heard=0)))
         self.status: dict[int, dict[str, str]] = {}
 
-    def open(self, method: str, **extra_headers: str) -> int:
+    def open_stream(self, method: str, **extra_headers: str) -> int:
         """Open a stream for a method; returns its id."""
-        path = f"/{self.form}.Placement/{method}"
+        path = f"/{self.package}.Placement/{method}"
         headers = [(":method", "POST"), (":scheme", "http"), (":path", path), (":authority", HOST)]
         headers += [("te", "trailers"), ("content-type", "application/grpc")]
         return self.h2.open_stream(
             headers + [(name.replace("_", "-"), value) for name, value in extra_headers.items()]
         )
 
-    def message(self, uid: int, behavior: NodeBehavior, task_class: str, **changes: Any) -> Any:
+    def make_ask(self, uid: int, behavior: NodeBehavior, task_class: str, **changes: Any) -> Any:
         """Return an ``Ask`` message; ``changes`` replace its fields, and ``hint=None`` omits the hint."""
         values: dict[str, Any] = {"left_ms": float(changes.pop("left", 8000)), "tenant": "hollis-county"}
         key, hint = changes.pop("key", f"{uid:x}"), changes.pop("hint", "8200")
@@ -172,21 +176,23 @@
             uid=uid, task_class=task_class, cores=1.0, memory=2.0, service=7, description=behavior.value, **values,
         )  # fmt: skip
 
-    def ask(self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any) -> None:
-        message = self.protobuf.ClientMessage(ask=self.message(uid, behavior, task_class, **changes))
-        self.h2.send(self.call, grpc.encode_message(message))
+    def send_request(
+        self, uid: int, behavior: NodeBehavior, task_class: str = "lookup", **changes: Any
+    ) -> None:
+        message = self.protobuf.ClientMessage(ask=self.make_ask(uid, behavior, task_class, **changes))
+        self.h2.send(self.stream_id, grpc.encode_message(message))
 
-    def give_up(self, uid: int) -> None:
-        self.h2.send(self.call, grpc.encode_message(self.protobuf.ClientMessage(give_up=uid)))
+    def cancel(self, uid: int) -> None:
+        self.h2.send(self.stream_id, grpc.encode_message(self.protobuf.ClientMessage(give_up=uid)))
 
     def request_task(
         self, uid: int, key: int, task_class: str, hint: str | None, service: int, size: Any
     ) -> None:
-        ask = self.message(uid, NodeBehavior.RUN, task_class, key=f"{key:x}", hint=hint)
+        ask = self.make_ask(uid, NodeBehavior.RUN, task_class, key=f"{key:x}", hint=hint)
         ask.service, (ask.cores, ask.memory) = service, size
-        self.h2.send(self.call, grpc.encode_message(self.protobuf.ClientMessage(ask=ask)))
+        self.h2.send(self.stream_id, grpc.encode_message(self.protobuf.ClientMessage(ask=ask)))
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         for event in self.h2.receive(data):
             if isinstance(event, http2.StreamEnded):
                 self.status.setdefault(event.stream, event.trailers)
@@ -196,7 +202,7 @@
                 self._handle_verdict(grpc.decode_message(self.protobuf.Verdict, event.data))
 
     def _handle_verdict(self, verdict: Any) -> None:
-        self.said.setdefault(verdict.uid, []).append(verdict)
+        self.messages.setdefault(verdict.uid, []).append(verdict)
         match verdict.WhichOneof("kind"):
             case "binding":
                 self.on_event(verdict.uid, "placed", verdict.binding.description)
@@ -206,9 +212,9 @@
             case "failure":
                 self.on_event(verdict.uid, "failed", None)
             case "release":
-                if self.hears and self.protobuf is pb2:
+                if self.acknowledges_releases and self.protobuf is pb2:
                     self.h2.send(
-                        self.call, grpc.encode_message(self.protobuf.ClientMessage(heard=verdict.uid))
+                        self.stream_id, grpc.encode_message(self.protobuf.ClientMessage(heard=verdict.uid))
                     )
                 self.on_event(verdict.uid, "released", verdict.release.outcome)
 
@@ -216,7 +222,7 @@
 class FakeGrpcV2Client(FakeGrpcV1Client):
     """A client that uses gRPC v2."""
 
-    form = "thornshelf.v2"
+    package = "thornshelf.v2"
     protobuf = pb2
 
 
--- a/thornshelf/lab/fakes/cluster.py
+++ b/thornshelf/lab/fakes/cluster.py
@@ -132,5 +132,5 @@
 
     def wait_for_events(self, uid: int, count: int = 1) -> list[tuple[Any, ...]]:
         """Return the client's events for a request, once there are at least ``count``."""
-        self.run_until(lambda: len(self.client.heard.get(uid, [])) >= count)
-        return list(self.client.heard[uid])
+        self.run_until(lambda: len(self.client.events.get(uid, [])) >= count)
+        return list(self.client.events[uid])
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -221,7 +221,11 @@
                 self.loop, self.addresses[wire_format]
             )
             client.on_closed = partial(self._on_close, connection_key)
-            client.placed, client.hears, client.on_traffic = self.placed, True, self._count_traffic
+            client.placed, client.acknowledges_releases, client.on_traffic = (
+                self.placed,
+                True,
+                self._count_traffic,
+            )
             self.connections += 1
             client.on_event = partial(self._handle_answer, self.connections)  # type: ignore[method-assign]
         return client
@@ -320,7 +324,7 @@
             request.void = True
             client = self.clients.get((task["wire_form"], task["service"] % CONNECTIONS_PER_FORM))
             if client is not None and client.stream is not None and client.stream.open:
-                client.give_up(uid)
+                client.cancel(uid)
             if is_ledger:
                 task["wire_form"] = JSON if task["wire_form"] != JSON else GRPC2
             task["retry_until_us"] = self.loop.now + 9_000_000
--- a/thornshelf/lab/show.py
+++ b/thornshelf/lab/show.py
@@ -57,11 +57,11 @@
     try:
         for number, (wire_format, behavior, task_class, hint, explanation) in enumerate(SCENARIOS, 1):
             client = clients[wire_format]
-            client.ask(number, behavior, task_class, hint=hint)
+            client.send_request(number, behavior, task_class, hint=hint)
             event_count = 2 if behavior is NodeBehavior.END else 1
-            cluster.run_until(lambda c=client, n=number, w=event_count: len(c.heard.get(n, [])) >= w)  # type: ignore[misc]
+            cluster.run_until(lambda c=client, n=number, w=event_count: len(c.events.get(n, [])) >= w)  # type: ignore[misc]
             write(f"{number}. {'old' if wire_format == JSON else 'new'} client, {task_class}: {explanation}")
-            for message in client.said[number]:
+            for message in client.messages[number]:
                 text = message if wire_format == GRPC2 else (message.kind, message.reason, message.meta)
                 write("     " + " ".join(str(text).split()))
         write("Translation counters: " + json.dumps(dict(cluster.service.core.translator.counters)))  # type: ignore[union-attr]
