--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -198,7 +198,7 @@
 
 def test_clients_cannot_use_the_descriptors_of_nodes() -> None:
     cluster = FakeCluster(
-        JSON, admission=AdmissionFilterConfig(filter_config().controller, {"nodes": 2}), nodes=2
+        JSON, admission=AdmissionFilterConfig(filter_config().controller, {"nodes": 2}), node_count=2
     )
     ledger = cluster.service.admission_filter.descriptor_ledger  # type: ignore[union-attr]
     while ledger.acquire("clients"):
@@ -207,7 +207,7 @@
     assert cluster.wait_for_events(5) == [PLACED]
     assert ledger.used["nodes"] == 2
     for node in cluster.nodes:
-        node.die()
+        node.crash()
     cluster.run_until(lambda: ledger.used["nodes"] == 0)
 
 
@@ -315,8 +315,8 @@
     second.send_request(6, NodeBehavior.RUN)
     cluster.run_until(lambda: 6 in second.events)
     node = next(node for node in cluster.nodes if 5 in node.running)
-    node.over(5, pb2.ENDED)
-    node.voices[-1].end(5, 16, pb2.ENDED)
+    node.record_end(5, pb2.ENDED)
+    node.responders[-1].end(5, 16, pb2.ENDED)
     cluster.run_until(lambda: 5 in second.events)
     assert second.events[5] == [("released", pb2.ENDED)]
     assert [cluster.offer_count(uid) for uid in (5, 6)] == [1, 1]
--- a/tests/test_bad_clients.py
+++ b/tests/test_bad_clients.py
@@ -82,17 +82,19 @@
 @FRONTS
 def test_an_incomplete_message_closes_its_connection(front: str, monkeypatch: pytest.MonkeyPatch) -> None:
     shorten_timeouts(monkeypatch)
-    cluster = FakeCluster(front, nodes=1)
+    cluster = FakeCluster(front, node_count=1)
     other = cluster.connect_client(front)
     for client, uid in ((cluster.client, 5), (other, 6)):
-        client.send_request(uid, NodeBehavior.SILENT)
+        client.send_request(uid, NodeBehavior.IGNORE)
         cluster.run_until(lambda uid=uid: cluster.offer_count(uid) == 1)  # type: ignore[misc]
     cluster.client.stream.send(b'{"kind":"stop"' if front == JSON else b"\0\0\x20\0\0\0\0\0\x01half")
     cluster.run_until(lambda: cluster.client.closed)
-    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen)  # its open request is cancelled
+    cluster.run_until(
+        lambda: ("release", 5) in cluster.nodes[0].received_kinds
+    )  # its open request is cancelled
     cluster.run_for(100)
     assert not other.closed
-    assert ("release", 6) not in cluster.nodes[0].seen
+    assert ("release", 6) not in cluster.nodes[0].received_kinds
 
 
 def test_a_malformed_line_is_answered_even_without_a_known_id() -> None:
@@ -106,7 +108,7 @@
 @FRONTS
 def test_two_requests_with_one_id_end_their_connection_or_stream(front: str) -> None:
     """Guards against a second answer, which the client could not match to a request."""
-    cluster = FakeCluster(front, nodes=1)
+    cluster = FakeCluster(front, node_count=1)
     for _ in range(3):
         cluster.client.send_request(5, NodeBehavior.RUN)
     if front == JSON:
@@ -115,7 +117,7 @@
         cluster.run_until(lambda: cluster.client.stream_id in cluster.client.status)
         assert cluster.client.status[cluster.client.stream_id]["grpc-status"] == str(grpc.INVALID_ARGUMENT)
     cluster.run_until(
-        lambda: 5 not in cluster.service.core.tasks_by_uid or ("offer", 5) in cluster.nodes[0].seen
+        lambda: 5 not in cluster.service.core.tasks_by_uid or ("offer", 5) in cluster.nodes[0].received_kinds
     )
     assert len(cluster.client.events.get(5, [])) <= 1
     assert cluster.service.core.open_count == 0
@@ -125,7 +127,7 @@
 def test_an_id_in_use_on_another_connection_fails_only_the_second_request(front: str) -> None:
     cluster = FakeCluster(front)
     other = cluster.connect_client(front)
-    cluster.client.send_request(5, NodeBehavior.SILENT, left="400")
+    cluster.client.send_request(5, NodeBehavior.IGNORE, left="400")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     other.send_request(5, NodeBehavior.RUN)
     cluster.run_until(lambda: 5 in other.events)
@@ -150,7 +152,7 @@
 def test_a_request_deadline_is_limited_by_that_of_its_class(front: str) -> None:
     """Guards against timers and tasks that are kept for days because a client asked for it."""
     cluster = FakeCluster(front)
-    cluster.client.send_request(5, NodeBehavior.SILENT, left="999999999")
+    cluster.client.send_request(5, NodeBehavior.IGNORE, left="999999999")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     max_wait_s = deadlines.MAX_DEADLINE_FACTOR * core.task_classes["lookup"].deadline_s
@@ -176,7 +178,7 @@
 
 def test_releases_are_sent_only_to_connections_that_requested_tasks() -> None:
     """Guards against losing a release by sending it to the newest connection, which never requested a task."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     # One of the idle connections comes from the client's own host.
@@ -188,7 +190,7 @@
     late = connect_raw(cluster, JSON, "127.0.0.4")
     cluster.client.stream.close()
     cluster.run_for(10)
-    cluster.nodes[0].die()
+    cluster.nodes[0].crash()
     limit, received = time.monotonic() + TIMEOUT_S, b""
     while received.count(b'"stop"') < 2 and time.monotonic() < limit:
         cluster.run_for(20)
@@ -273,7 +275,7 @@
 
 def test_pending_releases_expire_if_no_client_connects(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(releases, "PENDING_TTL_US", 20_000)
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     for uid in (5, 6):
         cluster.client.send_request(uid, NodeBehavior.RUN)
         cluster.wait_for_events(uid)
@@ -304,7 +306,7 @@
     front: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(running_tasks, "UNKNOWN_NODE_TIMEOUT_US", 100_000)
-    cluster = FakeCluster(front, nodes=1)
+    cluster = FakeCluster(front, node_count=1)
     core = cluster.service.core
     for uid in range(1, 30):
         name = f"s-{uid + 100:08x}"
--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -22,7 +22,7 @@
     """Return a node on which one task runs, and another that must not run twice is in flight."""
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.send_request(6, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(6, NodeBehavior.IGNORE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     return cluster.nodes[0]
 
@@ -34,21 +34,21 @@
 ) -> None:
     """The connection stays open, so that only missing data reveals it; updates arrive on the next connection."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    cluster = FakeCluster(front, node, nodes=1)
+    cluster = FakeCluster(front, node, node_count=1)
     bad = node_with_running_and_open_task(cluster)
     if failure == "partial":
         bad.streams[0].send(b"\x00\x40half" if node == BINARY else b"\x00\x00\x40\x00half")
     else:
-        bad.deaf = True
+        bad.ignores_input = True
     assert cluster.wait_for_events(6) == [FAILED]  # it may have run
-    bad.deaf = False
+    bad.ignores_input = False
     cluster.run_until(lambda: len(bad.streams) == 2)
     assert cluster.client.events[5] == [PLACED]
     assert cluster.offer_count(6) == 1
     cluster.client.send_request(7, NodeBehavior.RUN)
     assert cluster.wait_for_events(7) == [PLACED]
     cluster.client.cancel(5)
-    cluster.run_until(lambda: ("release", 5) in bad.seen)
+    cluster.run_until(lambda: ("release", 5) in bad.received_kinds)
 
 
 def test_a_wrong_length_that_swallows_later_messages_is_detected_though_bytes_arrive(
@@ -56,7 +56,7 @@
 ) -> None:
     """Without an attempt in flight, too, updates of running tasks would be lost until so much data has arrived."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     (bad,) = cluster.nodes
@@ -79,15 +79,15 @@
     cluster.run_until(lambda: all(candidate.streams for candidate in cluster.nodes))
     cluster.run_for(20)
     for candidate in cluster.nodes:
-        candidate.deaf = True
+        candidate.ignores_input = True
     cluster.client.send_request(5, NodeBehavior.RUN)
     core = cluster.service.core
     cluster.run_until(lambda: 5 in core.tasks_by_uid and core.tasks_by_uid[5].attempt is not None)
     attempt: Any = core.tasks_by_uid[5].attempt
     other = cluster.nodes[2 - attempt.machine]
-    other.deaf = False
+    other.ignores_input = False
     assert cluster.wait_for_events(5) == [PLACED]
-    assert other.offers(5) == 1
+    assert other.offer_count(5) == 1
 
 
 @WIRES
@@ -96,7 +96,7 @@
 ) -> None:
     """A node that answers pings may still answer the attempt."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 2_000)
-    cluster = FakeCluster(front, node, nodes=1)
+    cluster = FakeCluster(front, node, node_count=1)
     slow = node_with_running_and_open_task(cluster)
     cluster.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
     assert len(slow.streams) == 1
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("answer", CORRUPT_ANSWERS)
 def test_a_corrupt_answer_is_never_passed_on(answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     bad = node_with_running_and_open_task(cluster)
     bad.streams[0].send(answer)
     assert cluster.wait_for_events(6) == [FAILED]
@@ -126,18 +126,18 @@
 
 
 def test_a_binding_without_a_description_is_never_passed_on() -> None:
-    cluster = FakeCluster(JSON, GRPC, nodes=1)
+    cluster = FakeCluster(JSON, GRPC, node_count=1)
     node = node_with_running_and_open_task(cluster)
     link: Any = cluster.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
     with pytest.raises(WireError, match="without a description"):
         link._process_report(pb.NodeReport(uid=6, binding=pb.Binding()))
-    assert node.offers(6) == 1
+    assert node.offer_count(6) == 1
 
 
 @pytest.mark.parametrize("lifecycle", ["terminating", "in_service"])
 def test_a_refused_connect_proves_a_draining_node_dead_only_after_its_own_break(lifecycle: str) -> None:
     """A draining node refuses connections while its tasks run on; a new dispatcher must not release these."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     (node,) = cluster.nodes
     cluster.loop.cancel(node._accepting)
     cluster.loop.unregister(node.sock.fileno())
@@ -158,7 +158,7 @@
 def test_a_connection_that_breaks_while_new_is_replaced_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against attempts delayed by a backoff that is meant for nodes that close every connection."""
     monkeypatch.setattr(reconnect, "RECONNECT_BACKOFF_US", 60_000_000)
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     node_with_running_and_open_task(cluster)
     cluster.nodes[0].break_streams()
     cluster.client.send_request(7, NodeBehavior.RUN)
@@ -174,7 +174,7 @@
 
     The request is read first, and the turn's budget ends before the node's close is read.
     """
-    cluster = FakeCluster(front, node, nodes=1)
+    cluster = FakeCluster(front, node, node_count=1)
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))
     cluster.run_for(30)
     (closing_node,) = cluster.nodes
--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -19,18 +19,23 @@
     (NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, [PLACED], 1),
     (NodeBehavior.END, "lookup", [PLACED, ("released", pb.ENDED)], 1),
     (NodeBehavior.EVICT, NON_IDEMPOTENT_CLASS, [PLACED, ("released", pb.RESET)], 1),
-    (NodeBehavior.TWICE, "lookup", [PLACED], 1),  # a second answer is ignored
-    (NodeBehavior.STRAY, "lookup", [PLACED], 1),  # an answer without an attempt is ignored
-    (NodeBehavior.FULL_TWICE, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
-    (NodeBehavior.FULL, "lookup", [REFUSED], 2),
-    (NodeBehavior.FULL, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
+    (NodeBehavior.BIND_TWICE, "lookup", [PLACED], 1),  # a second answer is ignored
+    (NodeBehavior.BIND_UNKNOWN, "lookup", [PLACED], 1),  # an answer without an attempt is ignored
+    (NodeBehavior.REFUSE_TWICE, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
+    (NodeBehavior.REFUSE, "lookup", [REFUSED], 2),
+    (NodeBehavior.REFUSE, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
     (NodeBehavior.MOOT, NON_IDEMPOTENT_CLASS, [REFUSED], 2),
-    (NodeBehavior.FAULT, "lookup", [REFUSED], 2),
-    (NodeBehavior.FAULT, NON_IDEMPOTENT_CLASS, [FAILED], 1),
+    (NodeBehavior.ERROR, "lookup", [REFUSED], 2),
+    (NodeBehavior.ERROR, NON_IDEMPOTENT_CLASS, [FAILED], 1),
     (NodeBehavior.RESET, "lookup", [REFUSED], 2),
     (NodeBehavior.RESET, NON_IDEMPOTENT_CLASS, [FAILED], 1),
-    (NodeBehavior.CUT, "lookup", [REFUSED], 2),
-    (NodeBehavior.CUT, NON_IDEMPOTENT_CLASS, [FAILED], 1),  # it may have run, so it is not started again
+    (NodeBehavior.TRUNCATE_BINDING, "lookup", [REFUSED], 2),
+    (
+        NodeBehavior.TRUNCATE_BINDING,
+        NON_IDEMPOTENT_CLASS,
+        [FAILED],
+        1,
+    ),  # it may have run, so it is not started again
 ]
 
 
@@ -59,10 +64,10 @@
 ) -> None:
     cluster = FakeCluster(front, node)
     requested_us = cluster.loop.now
-    cluster.client.send_request(5, NodeBehavior.SILENT, task_class, left="250")
+    cluster.client.send_request(5, NodeBehavior.IGNORE, task_class, left="250")
     assert cluster.wait_for_events(5) == [FAILED]
     assert cluster.loop.now - requested_us < 2_000_000
-    cluster.run_until(lambda: any(("release", 5) in fake_node.seen for fake_node in cluster.nodes))
+    cluster.run_until(lambda: any(("release", 5) in fake_node.received_kinds for fake_node in cluster.nodes))
     assert cluster.offer_count(5) == 1
 
 
@@ -71,11 +76,13 @@
     cluster = FakeCluster(front, node)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.send_request(6, NodeBehavior.SILENT)
+    cluster.client.send_request(6, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     cluster.client.cancel(5)
     cluster.client.cancel(6)
-    cluster.run_until(lambda: all(any(("release", uid) in n.seen for n in cluster.nodes) for uid in (5, 6)))
+    cluster.run_until(
+        lambda: all(any(("release", uid) in n.received_kinds for n in cluster.nodes) for uid in (5, 6))
+    )
     cluster.run_for()
     assert cluster.client.events == {5: [PLACED]}  # a client that ends a task gets no release
 
@@ -85,14 +92,14 @@
     cluster = FakeCluster(front, node)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
-    cluster.client.send_request(6, NodeBehavior.SILENT)
+    cluster.client.send_request(6, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(6) == 1)
     cluster.client.stream.close()
-    cluster.run_until(lambda: any(("release", 6) in fake_node.seen for fake_node in cluster.nodes))
-    assert not any(("release", 5) in fake_node.seen for fake_node in cluster.nodes)
+    cluster.run_until(lambda: any(("release", 6) in fake_node.received_kinds for fake_node in cluster.nodes))
+    assert not any(("release", 5) in fake_node.received_kinds for fake_node in cluster.nodes)
     other = cluster.client = cluster.connect_client(front)
     other.cancel(5)  # a running task can be cancelled on any connection
-    cluster.run_until(lambda: any(("release", 5) in fake_node.seen for fake_node in cluster.nodes))
+    cluster.run_until(lambda: any(("release", 5) in fake_node.received_kinds for fake_node in cluster.nodes))
 
 
 @pytest.mark.parametrize("node", [BINARY, GRPC])
@@ -108,13 +115,15 @@
     cluster.run_until(lambda: 6 in calls.events)
     calls.cancel(5)
     lines.cancel(6)
-    cluster.run_until(lambda: all(any(("release", uid) in n.seen for n in cluster.nodes) for uid in (5, 6)))
+    cluster.run_until(
+        lambda: all(any(("release", uid) in n.received_kinds for n in cluster.nodes) for uid in (5, 6))
+    )
     lines.send_request(7, NodeBehavior.RUN)
     cluster.run_until(lambda: 7 in lines.events)
     lines.stream.close()
     cluster.run_for()
     for fake_node in cluster.nodes:
-        fake_node.die()  # the release of 7 goes to the client's remaining connection
+        fake_node.crash()  # the release of 7 goes to the client's remaining connection
     cluster.run_until(lambda: 7 in calls.events)
     assert lines.events == {5: [PLACED], 7: [PLACED]}
     assert calls.events == {5: [FAILED], 6: [PLACED], 7: [("released", pb.RESET)]}
@@ -127,7 +136,7 @@
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     for fake_node in cluster.nodes:
-        fake_node.die()
+        fake_node.crash()
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb.RESET)
 
 
@@ -136,7 +145,7 @@
     cluster = FakeCluster(front, node)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
-    running_node = next(fake_node for fake_node in cluster.nodes if fake_node.seen)
+    running_node = next(fake_node for fake_node in cluster.nodes if fake_node.received_kinds)
     running_node.break_streams()
     cluster.run_until(lambda: len(running_node.streams) == 2)  # reconnected, to receive the end of the task
     cluster.run_for()
--- a/tests/test_change_log.py
+++ b/tests/test_change_log.py
@@ -56,7 +56,7 @@
     drain = event(4, "s-00000001")
     drain["fleet"]["instances"] = [entry, {**drain["fleet"]["instances"][0], "lifecycle": "terminating"}]  # type: ignore[index]
     updates, logged, source = watch_responses(
-        FakeCluster(nodes=0), json_response({"seq": 5, "results": [drain, event(5, "s-00000002")]})
+        FakeCluster(node_count=0), json_response({"seq": 5, "results": [drain, event(5, "s-00000002")]})
     )
     reported = [(endpoint.name, endpoint.health) for update in updates for endpoint in update.endpoints]
     assert reported == [("s-00000001", Health.DRAINING), ("s-00000002", Health.UP)]
@@ -67,7 +67,7 @@
 def test_an_event_without_a_number_or_a_list_is_skipped() -> None:
     events = [{"fleet": {}}, {"seq": 4, "fleet": {"instances": 5}}, 7, event(5, "a")]
     updates, logged, source = watch_responses(
-        FakeCluster(nodes=0), json_response({"seq": 5, "results": events})
+        FakeCluster(node_count=0), json_response({"seq": 5, "results": events})
     )
     assert [update.endpoints[0].name for update in updates] == ["a"]
     assert [name for name, _ in logged] == ["endpoint-invalid"] * 3
@@ -81,7 +81,7 @@
     corrupt = event(5, "s-00000001")
     corrupt["fleet"].update(reset=True, instances=[CORRUPT_ENTRIES[1]])  # type: ignore[attr-defined]
     updates, _, _ = watch_responses(
-        FakeCluster(nodes=0), json_response({"seq": 5, "results": [complete, corrupt]})
+        FakeCluster(node_count=0), json_response({"seq": 5, "results": [complete, corrupt]})
     )
     assert [(update.complete, len(update.endpoints)) for update in updates] == [(True, 1), (False, 0)]
 
@@ -95,7 +95,7 @@
 
 def test_a_relist_is_reported_as_one_merged_update() -> None:
     """Guards against removing nodes, and their tasks, that were added after the first event, a complete list."""
-    cluster = FakeCluster(nodes=0)
+    cluster = FakeCluster(node_count=0)
     complete: dict[str, Any] = event(1, "s-00000001")
     complete["fleet"].update(reset=True)
     events = [complete, event(2, "s-00000002"), removal(3, "s-00000001")]
@@ -123,7 +123,7 @@
 )
 def test_after_a_failed_relist_the_watch_goes_on_after_the_last_known_event(answer: bytes) -> None:
     """Guards against retrying a failed relist forever, so that the next drain is never applied."""
-    cluster = FakeCluster(nodes=0)
+    cluster = FakeCluster(node_count=0)
     updates: list[EndpointListUpdate] = []
     drain = event(8, "s-00000001")
     source = ScriptedEndpointSource(
@@ -212,7 +212,7 @@
 
 
 def test_a_watch_at_a_new_address_is_not_responding_before_its_first_answer() -> None:
-    cluster = FakeCluster(nodes=0)
+    cluster = FakeCluster(node_count=0)
     source = ScriptedEndpointSource(
         cluster.loop, [json_response({"seq": 4, "results": [event(4, "a")]}), None]
     )
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -100,7 +100,7 @@
     """The rejection is processed first, while the disconnect of the client waits behind a full inbox."""
     cluster = FakeCluster(front, node)
     cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
-    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     machine = core.tasks_by_uid[5].attempt.machine  # type: ignore[union-attr]
@@ -261,7 +261,9 @@
     abandon_request(cluster.client, "close")
     cluster.run_until(lambda: [task.request.uid for task in cluster.service.core.all_tasks()] == [5])
     assert len(parsed) == 2
-    assert not any(kind == "offer" and uid >= 100 for node in cluster.nodes for kind, uid in node.seen)
+    assert not any(
+        kind == "offer" and uid >= 100 for node in cluster.nodes for kind, uid in node.received_kinds
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -72,7 +72,7 @@
 
 def test_a_flood_of_clients_leaves_each_node_its_connection() -> None:
     """Guards against clients that take the descriptor that a node has just released, so that its reports are late."""
-    cluster = FakeCluster(nodes=4)
+    cluster = FakeCluster(node_count=4)
     budget = cluster.service.connection_budget
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     budget.total, budget.client_floor = 40, 4
@@ -92,7 +92,7 @@
 
 
 def test_tasks_are_placed_and_released_with_fewer_connections_than_nodes() -> None:
-    cluster = FakeCluster(nodes=6)
+    cluster = FakeCluster(node_count=6)
     budget = cluster.service.connection_budget
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
     budget.total, budget.client_floor = 3, 2  # one connection for all nodes together
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -154,7 +154,7 @@
 def test_the_endpoint_watch_goes_on_after_breaks_silence_and_garbage(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, value in (("POLL_TIMEOUT_MS", 50), ("RESPONSE_GRACE_US", 50_000), ("MIN_BACKOFF_US", 2_000)):
         monkeypatch.setattr(endpoint_watch, name, value)
-    cluster = FakeCluster(nodes=0)
+    cluster = FakeCluster(node_count=0)
     source = ScriptedEndpointSource(
         cluster.loop,
         [
@@ -203,7 +203,7 @@
 
 def test_reload_moves_the_endpoint_watch_at_once_and_keeps_its_number() -> None:
     """The old address stays open and does not respond, and the new one must not wait for it."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     old_source = ScriptedEndpointSource(
         cluster.loop, [json_response({"seq": 7, "results": [event(7, "a")]}), None]
     )
@@ -308,7 +308,7 @@
     monkeypatch.setattr(syslog, "RECONNECT_US", 5_000)
     with socket.create_server((HOST, 0)) as collector:
         collector.settimeout(TIMEOUT_S)
-        cluster = FakeCluster(nodes=0)
+        cluster = FakeCluster(node_count=0)
         log = Syslog(cluster.loop, "n0", "thornshelf", 0, ("tcp", collector.getsockname()))
         for number in range(2):
             log(6, "test", {}, f"line {number}")
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -93,7 +93,7 @@
     sock = connect_raw(cluster, JSON)
     cluster.run_for(20)
     shutdown = shut_down(cluster)
-    request = launch_line(100, NodeBehavior.LATE)
+    request = launch_line(100, NodeBehavior.DELAY)
     cluster.loop.call_at(
         shutdown.closes_at, lambda: sock.sendall(request[: len(request) // 2] if rest else request)
     )
@@ -103,8 +103,8 @@
     cluster.run_for(150)  # longer than the delay and the intervals of the shutdown
     assert not shutdown.stopped_at
     for node in cluster.nodes:
-        if 100 in node.waiting:
-            node.start(100)
+        if 100 in node.delayed_tasks:
+            node.start_delayed(100)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
     assert answers(read_all(cluster, sock)) == {100: "running"}
 
@@ -112,7 +112,7 @@
 @WIRES
 def test_it_stops_once_the_last_answer_is_sent_to_a_slow_reader(front: str, node: str) -> None:
     cluster = connected_cluster(front, node)
-    cluster.client.send_request(5, NodeBehavior.LATE)
+    cluster.client.send_request(5, NodeBehavior.DELAY)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     shutdown = shut_down(cluster)
     cluster.run_for(200)
@@ -123,8 +123,8 @@
     write = connection.stream._write
     connection.stream._write = lambda: False if len(writable) == 0 else write()
     for waiting_node in cluster.nodes:
-        if 5 in waiting_node.waiting:
-            waiting_node.start(5)
+        if 5 in waiting_node.delayed_tasks:
+            waiting_node.start_delayed(5)
     cluster.run_until(lambda: bool(connection.stream.buffered_bytes))
     cluster.run_for(200)
     assert not shutdown.stopped_at
@@ -137,7 +137,7 @@
 @WIRES
 def test_a_release_is_sent_before_it_stops(front: str, node: str) -> None:
     """Guards against a task that runs on without a client because its node's connection is still being opened."""
-    cluster = connected_cluster(front, node, nodes=1)
+    cluster = connected_cluster(front, node, node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     (fake_node,) = cluster.nodes
@@ -145,18 +145,18 @@
     cluster.loop.call_at(shutdown.closes_at - 30_000, lambda: cluster.client.cancel(5))
     cluster.loop.call_at(shutdown.closes_at - 30_000, fake_node.break_streams)
     cluster.run_until(lambda: bool(shutdown.stopped_at))
-    assert ("release", 5) in fake_node.seen
+    assert ("release", 5) in fake_node.received_kinds
 
 
 @WIRES
 def test_a_release_is_sent_again_where_its_connection_broke(front: str, node: str) -> None:
     """Guards against a release that is lost in the operating system's buffers when the connection is reset."""
-    cluster = FakeCluster(front, node, nodes=1)
+    cluster = FakeCluster(front, node, node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     (fake_node,) = cluster.nodes
     link: Any = cluster.service.core.endpoints.nodes[1].link  # type: ignore[attr-defined]
-    fake_node.deaf = True
+    fake_node.ignores_input = True
     cluster.client.cancel(5)
     cluster.run_until(
         lambda: 1 in cluster.service.core.tasks_by_machine
@@ -164,30 +164,30 @@
     )
     cluster.run_for(20)
     assert not link.stream.buffered_bytes
-    assert ("release", 5) not in fake_node.seen
+    assert ("release", 5) not in fake_node.received_kinds
     fake_node.break_streams()
-    fake_node.deaf = False
-    cluster.run_until(lambda: ("release", 5) in fake_node.seen)
+    fake_node.ignores_input = False
+    cluster.run_until(lambda: ("release", 5) in fake_node.received_kinds)
     cluster.run_until(lambda: not cluster.service.core.endpoints.nodes[1].pending_cancellations)  # type: ignore[attr-defined]
-    assert fake_node.seen.count(("release", 5)) == 1
+    assert fake_node.received_kinds.count(("release", 5)) == 1
 
 
 def test_a_connection_with_unsent_data_makes_no_room() -> None:
     """Guards against evicting a connection whose release was written and has not arrived."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5) == [PLACED]
     node: Any = cluster.service.core.endpoints.nodes[1]
     node.cancel_task(5)
     assert not node.idle
     assert not node.listening_only
-    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen)
+    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].received_kinds)
     cluster.run_until(lambda: node.idle)
 
 
 def test_a_client_that_has_just_sent_makes_no_room_for_another() -> None:
     """Guards against evicting a client whose request has arrived and was not read yet."""
-    cluster = FakeCluster(nodes=0)
+    cluster = FakeCluster(node_count=0)
     silent = connect_raw(cluster, JSON)
     active = connect_raw(cluster, JSON)
     cluster.run_until(lambda: len(cluster.service.json_frontend._connections) == 3)
--- a/tests/test_grpc.py
+++ b/tests/test_grpc.py
@@ -11,7 +11,7 @@
 import pytest
 from h2.settings import SettingCodes
 
-from thornshelf.lab.fakes.cluster import DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior, ReceivedOrder
+from thornshelf.lab.fakes.cluster import DESCRIPTION, GRPC, JSON, FakeCluster, NodeBehavior, ReceivedMessage
 from thornshelf.loop import Chunk
 from thornshelf.wire import grpc, http2
 from thornshelf.wire import placement_pb2 as pb
@@ -36,8 +36,8 @@
     ("behavior", "task_class", "status"),
     [
         (NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, grpc.OK),
-        (NodeBehavior.FULL, "lookup", grpc.RESOURCE_EXHAUSTED),
-        (NodeBehavior.CUT, NON_IDEMPOTENT_CLASS, grpc.ABORTED),
+        (NodeBehavior.REFUSE, "lookup", grpc.RESOURCE_EXHAUSTED),
+        (NodeBehavior.TRUNCATE_BINDING, NON_IDEMPOTENT_CLASS, grpc.ABORTED),
         (NodeBehavior.RUN, "no-such-class", grpc.INVALID_ARGUMENT),
     ],
 )
@@ -51,15 +51,15 @@
 
 def test_grpc_timeout_ends_the_call_and_withdraws_the_attempt() -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    trailers = place(cluster, NodeBehavior.SILENT, grpc_timeout="150m")
+    trailers = place(cluster, NodeBehavior.IGNORE, grpc_timeout="150m")
     assert trailers["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
-    cluster.run_until(lambda: any(("release", 5) in node.seen for node in cluster.nodes))
+    cluster.run_until(lambda: any(("release", 5) in node.received_kinds for node in cluster.nodes))
     client = cluster.client
     client.stream_id = client.open_stream("Dispatch", grpc_timeout="100m")
-    client.send_request(6, NodeBehavior.SILENT)
+    client.send_request(6, NodeBehavior.IGNORE)
     cluster.run_until(lambda: client.stream_id in client.status)
     assert client.status[client.stream_id]["grpc-status"] == str(grpc.DEADLINE_EXCEEDED)
-    cluster.run_until(lambda: any(("release", 6) in node.seen for node in cluster.nodes))
+    cluster.run_until(lambda: any(("release", 6) in node.received_kinds for node in cluster.nodes))
 
 
 @pytest.mark.parametrize(
@@ -93,10 +93,10 @@
 
 def test_rst_stream_by_a_client_cancels_its_open_tasks() -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.client.h2.reset(cluster.client.stream_id)
-    cluster.run_until(lambda: any(("release", 5) in node.seen for node in cluster.nodes))
+    cluster.run_until(lambda: any(("release", 5) in node.received_kinds for node in cluster.nodes))
     assert cluster.service.core.open_count == 0
 
 
@@ -105,40 +105,40 @@
     cluster = FakeCluster(GRPC, GRPC)
     for node in cluster.nodes:
         refuse: Any = lambda _, responder: responder.h2.reset(responder.stream, http2.REFUSED_STREAM)  # noqa: E731
-        node.order = refuse  # type: ignore[method-assign]
+        node.handle_message = refuse  # type: ignore[method-assign]
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [("refused", "1000")]
 
 
 def test_after_goaway_by_a_node_open_attempts_continue_and_new_ones_wait_for_a_new_connection() -> None:
-    cluster = FakeCluster(GRPC, GRPC, nodes=1)
-    node, default_order = cluster.nodes[0], cluster.nodes[0].order
+    cluster = FakeCluster(GRPC, GRPC, node_count=1)
+    node, default_order = cluster.nodes[0], cluster.nodes[0].handle_message
     held: list[Any] = []
 
-    def order(order: ReceivedOrder, say: Any) -> None:
+    def order(order: ReceivedMessage, responder: Any) -> None:
         if not held:
-            node.seen.append((order.kind, order.uid))
-            held.append(say)
-            say.h2.go_away()
+            node.received_kinds.append((order.kind, order.uid))
+            held.append(responder)
+            responder.h2.go_away()
         else:
-            default_order(order, say)
+            default_order(order, responder)
 
-    node.order = order  # type: ignore[method-assign]
+    node.handle_message = order  # type: ignore[method-assign]
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: bool(held))
     cluster.run_for(20)
     cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.run_for(20)
-    assert node.offers(6) == 0  # a connection after GOAWAY accepts no new attempt
+    assert node.offer_count(6) == 0  # a connection after GOAWAY accepts no new attempt
     held[0].bind(5)
     assert cluster.wait_for_events(5) == cluster.wait_for_events(6) == [("placed", DESCRIPTION)]
     assert len(node.streams) == 2
-    assert node.offers(5) == 1
+    assert node.offer_count(5) == 1
 
 
 def test_a_dispatcher_that_shuts_down_answers_open_requests_and_closes() -> None:
     cluster = FakeCluster(GRPC, GRPC)
-    cluster.client.send_request(5, NodeBehavior.SILENT, left=1500)
+    cluster.client.send_request(5, NodeBehavior.IGNORE, left=1500)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.service.shut_down()
     assert cluster.wait_for_events(5) == [("failed", None)]
@@ -218,13 +218,13 @@
             passed = check(pb.CheckRequest(), timeout=10).passed
             request.description = NodeBehavior.RUN.value
             placed = place(request, timeout=10).binding.description
-            request.uid, request.description = 7, NodeBehavior.SILENT.value
+            request.uid, request.description = 7, NodeBehavior.IGNORE.value
             with pytest.raises(grpcio.RpcError) as late:
                 place(request, timeout=0.3)
             request.uid, request.description = 8, NodeBehavior.END.value
             verdicts = dispatch(iter([pb.ClientMessage(ask=request)]), timeout=10)
             kinds = [verdict.WhichOneof("kind") for verdict in verdicts]
-            request.uid, request.description = 6, NodeBehavior.FULL.value
+            request.uid, request.description = 6, NodeBehavior.REFUSE.value
             with pytest.raises(grpcio.RpcError) as refused:
                 place(request, timeout=10)
             return passed, placed, refused.value.code(), late.value.code(), kinds
@@ -270,7 +270,7 @@
     port = server.add_insecure_port("127.0.0.1:0")
     server.start()
     try:
-        cluster = FakeCluster(JSON, GRPC, nodes=1)
+        cluster = FakeCluster(JSON, GRPC, node_count=1)
         cluster.nodes[0].port = port
         cluster.update_lifecycle(0, "in_service")  # moves the node to the address of the grpcio server
         cluster.run_for(10)
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize(("frontend", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 def test_the_placement_state_matches_what_the_sockets_carry(frontend: str, node: str) -> None:
-    world, rng = FakeCluster(frontend, node, nodes=3), random.Random(7)
+    world, rng = FakeCluster(frontend, node, node_count=3), random.Random(7)
     clock = [world.loop.clock()]
     world.loop.clock = lambda: clock[0]  # independent of the speed of the test machine
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -67,14 +67,14 @@
     cluster = FakeCluster()
     for uid, end in ((5, "half"), (6, "reset")):
         sock = connect_raw(cluster)
-        sock.sendall(launch(uid, NodeBehavior.SILENT))
+        sock.sendall(launch(uid, NodeBehavior.IGNORE))
         cluster.run_until(lambda uid=uid: cluster.offer_count(uid) == 1)  # type: ignore[misc]
         if end == "half":
             sock.shutdown(socket.SHUT_WR)
         else:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             sock.close()
-        cluster.run_until(lambda uid=uid: any(("release", uid) in n.seen for n in cluster.nodes))  # type: ignore[misc]
+        cluster.run_until(lambda uid=uid: any(("release", uid) in n.received_kinds for n in cluster.nodes))  # type: ignore[misc]
         sock.close()
     assert cluster.service.core.open_count == 0
 
@@ -82,7 +82,7 @@
 def test_a_full_descriptor_table_closes_an_idle_connection_and_keeps_busy_ones() -> None:
     """Guards against running out of descriptors: idle clients are evicted, clients with open requests are not."""
     cluster = FakeCluster()
-    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     budget = cluster.service.json_frontend.listener.budget
     budget.total = budget.client_floor = 2
@@ -97,7 +97,7 @@
 
 
 def test_a_new_node_may_reuse_the_address_of_a_removed_one() -> None:
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.update_lifecycle(0, "terminated")
@@ -110,7 +110,7 @@
 
 def test_the_tasks_of_a_restarted_process_are_released() -> None:
     """The endpoint list has a later start time for the same name, so earlier tasks there have ended."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     cluster.run_for(5)
@@ -121,7 +121,7 @@
 
 def test_nodes_are_connected_before_they_have_a_task() -> None:
     """Guards against lost reports about handed-over tasks, which a node sends only on an open connection."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))
     cluster.client.send_request(5, NodeBehavior.RUN, at="s-00000001")
     cluster.run_until(lambda: 5 in cluster.service.core.tasks_by_uid)
@@ -141,12 +141,12 @@
 def test_a_task_that_ends_as_it_starts(described: bool, events: list[tuple[Any, ...]]) -> None:
     """A release with cause 16 is both answer and end if it has a description, and otherwise a reset."""
     cluster = FakeCluster()
-    cluster.client.send_request(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.IGNORE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     values = {binary.CAUSE: b"\x10", binary.REPORT: b"x0:3;x1:4"}
     if described:
         values[binary.DESCRIPTION] = DESCRIPTION
-    attempted_node = next(node for node in cluster.nodes if node.seen)
+    attempted_node = next(node for node in cluster.nodes if node.received_kinds)
     attempted_node.streams[0].send(binary.encode(binary.RELEASE, 5, values))
     assert cluster.wait_for_events(5, len(events)) == events
     assert cluster.offer_count(5) == 1
@@ -154,7 +154,7 @@
 
 def test_descriptor_exhaustion_does_not_count_as_a_dead_node(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against releasing running tasks: only a refused connection proves that a process is dead."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
 
@@ -170,16 +170,16 @@
 
 
 def test_a_task_never_ran_if_the_node_refuses_the_connection() -> None:
-    cluster = FakeCluster(nodes=1)
-    cluster.nodes[0].die()
+    cluster = FakeCluster(node_count=1)
+    cluster.nodes[0].crash()
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     # A task that must not run twice may only be rejected if it never ran.
     assert cluster.wait_for_events(5) == [REFUSED]
 
 
 def test_delayed_answers_and_answers_for_unknown_tasks_are_ignored() -> None:
-    cluster = FakeCluster(nodes=1)
-    cluster.client.send_request(5, NodeBehavior.SILENT, left="200")
+    cluster = FakeCluster(node_count=1)
+    cluster.client.send_request(5, NodeBehavior.IGNORE, left="200")
     assert cluster.wait_for_events(5) == [FAILED]
     stream = cluster.nodes[0].streams[0]
     for uid in (5, 77):
@@ -191,8 +191,8 @@
 
 
 def test_garbage_from_a_node_closes_its_connection() -> None:
-    cluster = FakeCluster(nodes=1)
-    cluster.client.send_request(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(node_count=1)
+    cluster.client.send_request(5, NodeBehavior.IGNORE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.nodes[0].streams[0].send(b"\xff\xff garbage")
     assert cluster.wait_for_events(5) == [FAILED]  # it may have run
@@ -200,7 +200,7 @@
 
 
 def test_a_release_waits_for_the_clients_next_connection() -> None:
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.client.stream.close()
@@ -216,26 +216,28 @@
     cluster = FakeCluster()
     core = cluster.service.core
     for uid, wait, expected in ((5, 1.5, "1500"), (6, 99.0, "3000"), (7, None, None)):
-        cluster.client.send_request(uid, NodeBehavior.SILENT)
+        cluster.client.send_request(uid, NodeBehavior.IGNORE)
         cluster.run_until(lambda uid=uid: uid in core.tasks_by_uid)  # type: ignore[misc]
         core.apply_action(api.Reject(core.tasks_by_uid[uid].number, wait))
         assert cluster.wait_for_events(uid) == [("refused", expected)]
 
 
 def test_a_migration_notifies_the_client_and_the_node() -> None:
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     core = cluster.service.core
     core.apply_action(api.Migrate(core.tasks_by_uid[5].number))
-    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen and 5 not in core.tasks_by_uid)
+    cluster.run_until(
+        lambda: ("release", 5) in cluster.nodes[0].received_kinds and 5 not in core.tasks_by_uid
+    )
     cluster.run_for(10)
     assert cluster.client.events[5] == [PLACED]  # a migration is neither an answer nor a release
 
 
 def test_at_most_one_attempt_is_in_flight_whatever_the_placer_requests() -> None:
     cluster = FakeCluster()
-    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     for machine in (1, 2):
@@ -266,13 +268,13 @@
 
 def test_a_task_that_starts_for_a_closed_connection_is_cancelled() -> None:
     """Guards against a running task unknown to any client, which its client would request and start again."""
-    cluster = FakeCluster(nodes=1)
-    cluster.client.send_request(5, NodeBehavior.SILENT, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(node_count=1)
+    cluster.client.send_request(5, NodeBehavior.IGNORE, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     core = cluster.service.core
     core.tasks_by_uid[5].subscribers[5].stream.close()  # type: ignore[attr-defined]
     core.inbox.appendleft(TaskStarted(1, 5, b"it runs"))
-    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].seen)
+    cluster.run_until(lambda: ("release", 5) in cluster.nodes[0].received_kinds)
     assert cluster.client.events == {}
 
 
@@ -280,14 +282,14 @@
     cluster = FakeCluster()
     core = cluster.service.core
     core.settings = replace(core.settings, limits=replace(core.settings.limits, max_open_requests=1))
-    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [("refused", None)]
 
 
 def test_shutdown_answers_open_requests_first() -> None:
     cluster = FakeCluster()
-    cluster.client.send_request(5, NodeBehavior.SILENT, left="1200")
+    cluster.client.send_request(5, NodeBehavior.IGNORE, left="1200")
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.service.shut_down()
     cluster.loop.run()  # returns within the longest deadline
@@ -310,7 +312,7 @@
 
 def test_attempts_buffered_for_a_draining_node_are_withdrawn() -> None:
     """A draining node must not receive the first byte of a new attempt."""
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     core = cluster.service.core
     cluster.run_for(5)
     node: Any = core.endpoints.nodes[1]
@@ -327,7 +329,7 @@
 
 
 def test_state_of_finished_tasks_is_bounded() -> None:
-    cluster = FakeCluster(nodes=1)
+    cluster = FakeCluster(node_count=1)
     for uid in range(1, 100):
         cluster.client.send_request(uid, NodeBehavior.END)
         cluster.wait_for_events(uid, 2)
@@ -341,9 +343,9 @@
 def test_attempts_at_a_replaced_process_are_cancelled_and_retried_elsewhere() -> None:
     cluster = FakeCluster()
     cluster.run_until(lambda: all(node.streams for node in cluster.nodes))
-    cluster.client.send_request(5, NodeBehavior.SILENT)
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    index = next(i for i, node in enumerate(cluster.nodes) if node.offers(5))
+    index = next(i for i, node in enumerate(cluster.nodes) if node.offer_count(5))
     old = cluster.nodes[index].streams[0]
     at_ms = time.time_ns() // 1_000_000 + 1
     # A start time before the connection was made: still the same process.
@@ -388,9 +390,9 @@
     ports = tuple(f":{node.port}" for node in cluster.nodes)
     monkeypatch.setattr(core.placer, "handle", handle)
     monkeypatch.setattr(Stream, "_write", write)
-    cluster.client.send_request(5, NodeBehavior.SILENT)
-    cluster.client.send_request(6, NodeBehavior.SILENT)
-    cluster.run_until(lambda: all(len(fake_node.seen) >= 3 for fake_node in cluster.nodes))
+    cluster.client.send_request(5, NodeBehavior.IGNORE)
+    cluster.client.send_request(6, NodeBehavior.IGNORE)
+    cluster.run_until(lambda: all(len(fake_node.received_kinds) >= 3 for fake_node in cluster.nodes))
     here, there = (node.port for node in cluster.nodes)
     for uid, first, second in ((5, here, there), (6, there, here)):
         cancelled, retried = (first, binary.RELEASE, uid), (second, binary.SET_UP, uid)
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -88,13 +88,13 @@
 
     def end_task(self, uid: int, index: int) -> None:
         """Report the end of a task on the node's newest connection."""
-        self.nodes[index].voices[-1].end(uid, 16, 0)
+        self.nodes[index].responders[-1].end(uid, 16, 0)
 
     def released(self, uid: int) -> bool:
         return any(event[0] == "released" for event in self.client.events.get(uid, []))
 
     def offers(self, index: int) -> int:
-        return sum(kind == "offer" for kind, _ in self.nodes[index].seen)
+        return sum(kind == "offer" for kind, _ in self.nodes[index].received_kinds)
 
     def logs(self, name: str) -> list[dict[str, object]]:
         return [values for _, message_id, values, _ in self.logged if message_id == name]
@@ -137,14 +137,14 @@
 def test_a_lost_zone_is_served_by_others_and_its_return_loses_no_task(make_rig: RigFactory) -> None:
     rig = make_rig(subset=replace(CONFIG, cooldown_us=100_000))
     for index in (0, 1):
-        rig.nodes[index].die()
+        rig.nodes[index].crash()
     rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.run_until(lambda: any(rig.connected(index) for index in (2, 3, 4)))
     rig.client.send_request(21, NodeBehavior.RUN)
     rig.run_until(lambda: 21 in rig.client.placed)
     where = next(index for index in (2, 3, 4) if rig.offers(index))
     for index in (0, 1):
-        rig.nodes[index].rise()
+        rig.nodes[index].listen()
     rig.endpoint_source.publish([rig.entry(index, started_ms=1) for index in (0, 1)])
     # The two nodes of the own zone, and the one on which a task runs.
     rig.run_until(lambda: len(rig.service.core.endpoints.nodes) == 3)
@@ -163,7 +163,7 @@
 def test_the_drain_of_a_spare_node_takes_effect_in_the_turn_that_reads_it(make_rig: RigFactory) -> None:
     rig = make_rig(others=1)
     for index in (0, 1):
-        rig.nodes[index].die()
+        rig.nodes[index].crash()
     rig.endpoint_source.publish([rig.entry(index, "terminated") for index in (0, 1)])
     rig.run_until(lambda: rig.connected(2))
     rig.client.send_request(31, NodeBehavior.RUN)
@@ -194,7 +194,7 @@
     rig.client.send_request(41, NodeBehavior.RUN)
     rig.run_until(lambda: 41 in rig.client.placed)
     rig.hand_over(51, unsampled)
-    rig.run_until(lambda: bool(rig.nodes[unsampled].voices))
+    rig.run_until(lambda: bool(rig.nodes[unsampled].responders))
     rig.end_task(51, unsampled)
     rig.run_until(lambda: rig.released(51))
     rig.run_for(200)
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -27,7 +27,7 @@
     FakeCluster,
     FakeNode,
     NodeBehavior,
-    ReceivedOrder,
+    ReceivedMessage,
 )
 from thornshelf.retries.budget import RetryBudgetConfig
 from thornshelf.retries.deadline_queue import DeadlineQueueConfig
@@ -40,7 +40,7 @@
 
 @CLIENTS
 def test_a_missing_hint_is_rejected_with_the_reason(front: str) -> None:
-    cluster = FakeCluster(front, GRPC2, manners=needs_hint)
+    cluster = FakeCluster(front, GRPC2, prepare_node=needs_hint)
     cluster.run_for(50)  # their hellos have arrived
     cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
@@ -57,14 +57,14 @@
 
 @CLIENTS
 def test_a_missing_hint_is_assumed_by_policy_and_reported(front: str) -> None:
-    cluster = FakeCluster(front, GRPC2, terms=ASSUME, manners=needs_hint)
+    cluster = FakeCluster(front, GRPC2, translation=ASSUME, prepare_node=needs_hint)
     cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     cluster.client.send_request(
         6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint=None
     )  # the policy is of another class
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.wait_for_events(6)[0][0] == "refused"
-    (order,) = (one for node in cluster.nodes for one in node.orders if one.uid == 5)
+    (order,) = (one for node in cluster.nodes for one in node.received_messages if one.uid == 5)
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
     assert [values["ms"] for values in log_lines(cluster, "hint-assumed")] == [15_000]
     message = cluster.client.messages[5][0]
@@ -75,7 +75,7 @@
 
 
 def test_a_hint_assumed_by_another_dispatcher_counts_as_missing() -> None:
-    cluster = FakeCluster(GRPC2, GRPC2, manners=needs_hint)
+    cluster = FakeCluster(GRPC2, GRPC2, prepare_node=needs_hint)
     cluster.run_for(50)
     ask = cluster.client.make_ask(5, NodeBehavior.RUN, "lookup")
     ask.hint.assumed = True
@@ -87,15 +87,15 @@
     cluster = FakeCluster(JSON, GRPC2)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint="8200.0")
     cluster.wait_for_events(5)
-    (order,) = (one for node in cluster.nodes for one in node.orders)
-    offer = order.more
+    (order,) = (one for node in cluster.nodes for one in node.received_messages)
+    offer = order.v2_offer
     assert (offer.hint.ms, offer.hint.assumed, offer.tenant, offer.key) == (8200.0, False, "hollis-county", 5)
     assert (offer.cores, offer.memory, offer.service, offer.priority) == (1.0, 2.0, 7, 1)
     assert offer.never_twice
 
 
 def test_fields_omitted_for_an_old_node_are_counted() -> None:
-    cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
+    cluster = FakeCluster(GRPC2, BINARY, translation=TranslationConfig())
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     assert counters(cluster)["left out to binary messages: hint"] == 1
@@ -109,9 +109,9 @@
 @pytest.mark.parametrize(
     ("behavior", "reason", "text"),
     [
-        (NodeBehavior.LICENCE, pb2.LICENCE, "licence: no licence for this program"),
+        (NodeBehavior.NEEDS_LICENCE, pb2.LICENCE, "licence: no licence for this program"),
         (NodeBehavior.QUARANTINED, pb2.QUARANTINED, "quarantined: under repair"),
-        (NodeBehavior.NEWER, pb2.UNTOLD, "untold: a word of tomorrow"),
+        (NodeBehavior.UNKNOWN_REASON, pb2.UNTOLD, "untold: a word of tomorrow"),
     ],
 )
 def test_a_reason_unknown_to_the_format_keeps_its_guarantee_and_text(
@@ -132,17 +132,17 @@
 
 
 def test_a_failure_of_the_task_itself_does_not_exclude_the_node() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
     for uid in range(5, 9):
-        cluster.client.send_request(uid, NodeBehavior.LICENCE)
+        cluster.client.send_request(uid, NodeBehavior.NEEDS_LICENCE)
         cluster.wait_for_events(uid)
     cluster.client.send_request(9, NodeBehavior.RUN)
     assert cluster.wait_for_events(9) == [PLACED]
 
 
 def test_a_new_client_gets_the_reason_of_an_old_node() -> None:
-    cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    cluster.client.send_request(5, NodeBehavior.FULL)
+    cluster = FakeCluster(GRPC2, BINARY, translation=TranslationConfig())
+    cluster.client.send_request(5, NodeBehavior.REFUSE)
     cluster.wait_for_events(5)
     assert cluster.client.messages[5][0].refusal.reason == pb2.NO_CORES
 
@@ -152,7 +152,7 @@
 
 def test_a_class_without_a_suitable_node_is_rejected_at_once() -> None:
     cluster = FakeCluster(
-        JSON, BINARY, terms=TranslationConfig(minimum_generations={NON_IDEMPOTENT_CLASS: 2})
+        JSON, BINARY, translation=TranslationConfig(minimum_generations={NON_IDEMPOTENT_CLASS: 2})
     )
     cluster.run_for(50)
     requested_us = cluster.loop.now
@@ -171,12 +171,12 @@
     terms = TranslationConfig(
         minimum_generations={NON_IDEMPOTENT_CLASS: 2}, default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY)
     )
-    cluster = FakeCluster(JSON, BINARY, nodes=3, terms=terms)
+    cluster = FakeCluster(JSON, BINARY, node_count=3, translation=terms)
     cluster.nodes[2].form = GRPC2
     for uid in range(5, 11):
         cluster.client.send_request(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(uid) == [PLACED]
-    assert [len(node.runs) for node in cluster.nodes] == [0, 0, 6]
+    assert [len(node.running_by_key) for node in cluster.nodes] == [0, 0, 6]
 
 
 @pytest.mark.parametrize(
@@ -184,13 +184,13 @@
 )
 def test_a_node_is_upgraded_or_downgraded_in_place(before: str, after: str) -> None:
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.GRPC_V1, WireFormat.BINARY))
-    cluster = FakeCluster(JSON, before, nodes=1, terms=terms)
+    cluster = FakeCluster(JSON, before, node_count=1, translation=terms)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [PLACED]
     node = cluster.nodes[0]
     node.form = after
     node.running.clear()
-    node.runs.clear()
+    node.running_by_key.clear()
     node.break_streams()
     uid = 6
     while True:  # until it is reached in its new format; no attempt may be lost or started twice meanwhile
@@ -202,18 +202,18 @@
         uid += 1
     profile = cluster.service.core.translator.profile(1)  # type: ignore[union-attr]
     assert profile.wire_format is WIRE_FORMATS[after]
-    assert [one.uid for one in node.orders if one.kind == "offer"] == [5, uid]
+    assert [one.uid for one in node.received_messages if one.kind == "offer"] == [5, uid]
 
 
 def test_a_node_upgraded_between_attempt_and_retry() -> None:
     """The first attempt is refused by an old node; the second finds a new one there that needs a hint."""
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY))
-    cluster = FakeCluster(JSON, BINARY, nodes=2, terms=terms)
+    cluster = FakeCluster(JSON, BINARY, node_count=2, translation=terms)
     cluster.client.send_request(4, NodeBehavior.RUN)
     cluster.wait_for_events(4)
     cluster.run_for(100)
     for node in cluster.nodes:
-        node.form, node.manners.requires = GRPC2, (pb2.HINT,)
+        node.form, node.profile.requires = GRPC2, (pb2.HINT,)
         node.break_streams()
     cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
@@ -223,22 +223,22 @@
 def test_the_other_node_is_upgraded_as_the_first_attempt_is_rejected() -> None:
     """Between the attempt and the retry; what the new process requires is known before the retry leaves."""
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY))
-    cluster = FakeCluster(JSON, BINARY, nodes=2, terms=terms)
+    cluster = FakeCluster(JSON, BINARY, node_count=2, translation=terms)
     cluster.client.send_request(4, NodeBehavior.RUN)
     cluster.wait_for_events(4)
     cluster.run_for(100)
-    usual = {node: node.order for node in cluster.nodes}
+    usual = {node: node.handle_message for node in cluster.nodes}
 
-    def order(node: FakeNode, order: ReceivedOrder, say: Any) -> None:
+    def order(node: FakeNode, order: ReceivedMessage, responder: Any) -> None:
         for other in cluster.nodes:
-            if other is not node and not other.manners.requires:
-                other.form, other.manners.requires = GRPC2, (pb2.HINT,)
+            if other is not node and not other.profile.requires:
+                other.form, other.profile.requires = GRPC2, (pb2.HINT,)
                 other.break_streams()
-        usual[node](order, say)
+        usual[node](order, responder)
 
     for node in cluster.nodes:
-        node.order = partial(order, node)  # type: ignore[method-assign]
-    cluster.client.send_request(5, NodeBehavior.FULL, NON_IDEMPOTENT_CLASS, hint=None)
+        node.handle_message = partial(order, node)  # type: ignore[method-assign]
+    cluster.client.send_request(5, NodeBehavior.REFUSE, NON_IDEMPOTENT_CLASS, hint=None)
     assert cluster.wait_for_events(5)[0][0] in ("refused", "failed")
     assert start_count(cluster, 5) == 0
     cluster.run_for(100)
@@ -256,7 +256,7 @@
     )
     assert report.WhichOneof("kind") == "hello"
     assert report.hello.generation == 3
-    cluster = FakeCluster(GRPC2, GRPC2, manners=lambda node: setattr(node.manners, "generation", 3))
+    cluster = FakeCluster(GRPC2, GRPC2, prepare_node=lambda node: setattr(node.profile, "generation", 3))
     ask = cluster.client.make_ask(5, NodeBehavior.RUN, "lookup").SerializeToString() + extra
     body = pb2.ClientMessage(ask=pb2.Ask.FromString(ask)).SerializeToString()
     assert extra in body  # it is preserved
@@ -266,9 +266,9 @@
 
 def test_a_node_with_another_name_than_the_listed_one_gets_no_attempts() -> None:
     def impostor(node: FakeNode) -> None:
-        node.manners.name = "s-0000ffff"
+        node.profile.name = "s-0000ffff"
 
-    cluster = FakeCluster(JSON, GRPC2, manners=impostor)
+    cluster = FakeCluster(JSON, GRPC2, prepare_node=impostor)
     cluster.run_for(50)
     cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5)[0][0] == "refused"
@@ -278,7 +278,7 @@
 
 
 def test_a_requirement_that_was_not_declared_is_learned() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
     cluster.client.send_request(5, NodeBehavior.NEEDS_HINT, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
@@ -290,9 +290,11 @@
 
 def test_a_node_without_a_hello_gets_no_attempts() -> None:
     def rude(node: FakeNode) -> None:
-        node.manners.greets = False
+        node.profile.sends_hello = False
 
-    cluster = FakeCluster(JSON, GRPC2, terms=TranslationConfig(hello_timeout_us=100_000), manners=rude)
+    cluster = FakeCluster(
+        JSON, GRPC2, translation=TranslationConfig(hello_timeout_us=100_000), prepare_node=rude
+    )
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
@@ -304,7 +306,7 @@
     cluster.client.send_request(5, NodeBehavior.END)
     assert cluster.wait_for_events(5, 2) == [PLACED, ("released", pb2.ENDED)]
     call = cluster.client.open_stream("Place")
-    ask = cluster.client.make_ask(6, NodeBehavior.FULL, "lookup")
+    ask = cluster.client.make_ask(6, NodeBehavior.REFUSE, "lookup")
     cluster.client.h2.send(call, _frame(ask))
     cluster.client.h2.finish(call, [])
     cluster.run_until(lambda: call in cluster.client.status)
@@ -324,21 +326,23 @@
 
 def test_retries_are_bounded_by_the_budget() -> None:
     none = RetryBudgetConfig(earned_per_attempt_milli=0, earned_per_s_milli=0, capacity_milli=0)
-    cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig(limits_retries=True, service_budget=none))
-    cluster.client.send_request(5, NodeBehavior.FULL)
+    cluster = FakeCluster(
+        GRPC2, BINARY, translation=TranslationConfig(limits_retries=True, service_budget=none)
+    )
+    cluster.client.send_request(5, NodeBehavior.REFUSE)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
     assert cluster.client.messages[5][0].refusal.reason == pb2.OVERLOADED
-    plain = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    plain.client.send_request(5, NodeBehavior.FULL)
+    plain = FakeCluster(GRPC2, BINARY, translation=TranslationConfig())
+    plain.client.send_request(5, NodeBehavior.REFUSE)
     assert plain.wait_for_events(5)[0][0] == "refused"
     assert plain.offer_count(5) == 2
 
 
 def test_the_waits_of_many_rejected_requests_are_spread() -> None:
-    cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(limits_retries=True))
+    cluster = FakeCluster(JSON, BINARY, translation=TranslationConfig(limits_retries=True))
     for uid in range(10, 60):
-        cluster.client.send_request(uid, NodeBehavior.FULL)
+        cluster.client.send_request(uid, NodeBehavior.REFUSE)
     waits = [int(cluster.wait_for_events(uid)[0][1]) for uid in range(10, 60)]
     assert len(set(waits)) > 25
     assert all(1000 <= one <= 3000 for one in waits)
@@ -348,13 +352,13 @@
     terms = TranslationConfig(
         limits_retries=True, queue=DeadlineQueueConfig(batch_size=1, min_remaining_us=100_000, max_waiting=10)
     )
-    cluster = FakeCluster(JSON, BINARY, nodes=1, terms=terms)
+    cluster = FakeCluster(JSON, BINARY, node_count=1, translation=terms)
     cluster.run_for(20)
     for uid in range(10, 30):
         cluster.client.send_request(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
     cluster.client.send_request(30, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
-    order = [one.uid for one in cluster.nodes[0].orders]
+    order = [one.uid for one in cluster.nodes[0].received_messages]
     assert events[20] == "refused"
     assert events[30] == "placed"
     assert order[0] == 30
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -36,9 +36,13 @@
 @pytest.mark.parametrize(
     ("behavior", "expected", "starts"),
     [
-        (NodeBehavior.CUT, [PLACED], 1),  # cut in the middle of the answer; a query finds the task running
-        (NodeBehavior.CUT_AFTER, [PLACED], 1),
-        (NodeBehavior.CUT_BEFORE, [REJECTED], 0),  # each node replies that the task never ran
+        (
+            NodeBehavior.TRUNCATE_BINDING,
+            [PLACED],
+            1,
+        ),  # cut in the middle of the answer; a query finds the task running
+        (NodeBehavior.DISCONNECT_AFTER_START, [PLACED], 1),
+        (NodeBehavior.DISCONNECT_BEFORE_START, [REJECTED], 0),  # each node replies that the task never ran
     ],
 )
 def test_an_uncertain_attempt_is_resolved_before_the_deadline(
@@ -55,13 +59,13 @@
 
 def test_without_status_queries_an_uncertain_attempt_fails() -> None:
     def disable_replies(node: FakeNode) -> None:
-        node.manners.answers = False
+        node.profile.claims_to_answer = False
 
     for cluster in (
-        FakeCluster(JSON, GRPC2, manners=disable_replies),
-        FakeCluster(JSON, BINARY, terms=TranslationConfig()),
+        FakeCluster(JSON, GRPC2, prepare_node=disable_replies),
+        FakeCluster(JSON, BINARY, translation=TranslationConfig()),
     ):
-        cluster.client.send_request(5, NodeBehavior.CUT, NON_IDEMPOTENT_CLASS)
+        cluster.client.send_request(5, NodeBehavior.TRUNCATE_BINDING, NON_IDEMPOTENT_CLASS)
         assert cluster.wait_for_events(5) == [FAILED]
         assert start_count(cluster, 5) == 1
         cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
@@ -75,12 +79,12 @@
     """The client disconnects as its answer is cut; a request under a new id finds the task running."""
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(second)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
-    running_node = next(node for node in cluster.nodes if node.orders)
-    order, say = running_node.waiting.pop(5)
-    running_node.begin(order, say, tell=False)
-    say.cut(5)
+    running_node = next(node for node in cluster.nodes if node.received_messages)
+    order, responder = running_node.delayed_tasks.pop(5)
+    running_node.start_task(order, responder, sends_binding=False)
+    responder.send_truncated_binding(5)
     cluster.client.stream.close()
     other.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     cluster.run_until(lambda: 6 in other.events)
@@ -94,14 +98,14 @@
 def test_requests_of_several_clients_with_one_key_share_a_task() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(GRPC2)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     other.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     cluster.run_for(50)
     assert cluster.client.events == {}
     assert other.events == {}
-    running_node = next(node for node in cluster.nodes if node.orders)
-    running_node.start(5)
+    running_node = next(node for node in cluster.nodes if node.received_messages)
+    running_node.start_delayed(5)
     cluster.run_until(lambda: 5 in cluster.client.events and 6 in other.events)
     assert (cluster.client.events[5], other.events[6]) == ([PLACED], [PLACED])
     assert start_count(cluster, 5) == 1
@@ -113,8 +117,8 @@
     cluster.client.cancel(5)  # one of three clients; the task continues for the others
     cluster.run_for(50)
     assert 5 in running_node.running
-    running_node.over(5, pb2.ENDED)
-    running_node.voices[-1].end(5, 16, pb2.ENDED)
+    running_node.record_end(5, pb2.ENDED)
+    running_node.responders[-1].end(5, 16, pb2.ENDED)
     cluster.run_until(lambda: len(other.events[6]) == 2 and len(third.events[7]) == 2)
     cluster.run_for(50)
     assert other.events[6] == third.events[7] == [PLACED, ("released", pb2.ENDED)]
@@ -125,13 +129,13 @@
 def test_one_of_two_clients_disconnects_while_the_task_is_open() -> None:
     cluster = FakeCluster(JSON, GRPC2)
     other = cluster.connect_client(GRPC2)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     other.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     cluster.run_for(50)
     cluster.client.stream.close()
     cluster.run_for(50)
-    next(node for node in cluster.nodes if node.orders).start(5)
+    next(node for node in cluster.nodes if node.received_messages).start_delayed(5)
     cluster.run_until(lambda: 6 in other.events)
     assert other.events[6] == [PLACED]
     assert start_count(cluster, 5) == 1
@@ -140,7 +144,7 @@
 
 def test_a_joined_request_is_answered_by_its_own_deadline() -> None:
     cluster = FakeCluster(JSON, GRPC2)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
     cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}", left="200")
     assert cluster.wait_for_events(6) == [FAILED]
@@ -148,15 +152,15 @@
 
 
 def test_a_late_start_of_a_cancelled_attempt_is_cancelled_and_counted() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     node = cluster.nodes[0]
-    cluster.run_until(lambda: 5 in node.waiting)
-    order, say = node.waiting[5]
+    cluster.run_until(lambda: 5 in node.delayed_tasks)
+    order, responder = node.delayed_tasks[5]
     cluster.client.cancel(5)
-    cluster.run_until(lambda: ("release", 5) in node.seen)
-    node.begin(order, say)  # the node starts the attempt despite the cancellation
-    cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
+    cluster.run_until(lambda: ("release", 5) in node.received_kinds)
+    node.start_task(order, responder)  # the node starts the attempt despite the cancellation
+    cluster.run_until(lambda: node.received_kinds.count(("release", 5)) == 2)
     cluster.run_for(50)
     assert 5 not in node.running
     assert counters(cluster)["late yes"] == 1
@@ -164,42 +168,44 @@
     # The key is uncertain, and the node replies that its task ran.
     cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
     assert [event[0] for event in cluster.wait_for_events(6, 2)] == ["placed", "released"]
-    assert len(node.ran) == 1
+    assert len(node.ended_by_key) == 1
 
 
 def test_a_late_start_after_a_retry_with_the_key_is_cancelled() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     node = cluster.nodes[0]
-    cluster.run_until(lambda: 5 in node.waiting)
-    order, say = node.waiting[5]
+    cluster.run_until(lambda: 5 in node.delayed_tasks)
+    order, responder = node.delayed_tasks[5]
     cluster.client.cancel(5)
     cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
-    cluster.run_until(lambda: ("question", 5) in node.seen)
+    cluster.run_until(lambda: ("question", 5) in node.received_kinds)
     assert cluster.wait_for_events(6) == [PLACED]
-    assert len(node.runs) == 1
-    node.begin(order, say)  # the node starts the attempt after replying that it never ran
-    cluster.run_until(lambda: node.seen.count(("release", 5)) == 2)
+    assert len(node.running_by_key) == 1
+    node.start_task(order, responder)  # the node starts the attempt after replying that it never ran
+    cluster.run_until(lambda: node.received_kinds.count(("release", 5)) == 2)
     assert counters(cluster)["late yes"] == 1
     assert 6 in node.running
 
 
 def test_late_starts_after_never_ran_replies_are_counted_against_the_node() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=2)
+    cluster = FakeCluster(JSON, GRPC2, node_count=2)
     for uid in (5, 6):
-        cluster.client.send_request(uid, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
-    cluster.run_until(lambda: sum(len(fake_node.waiting) for fake_node in cluster.nodes) == 2)
+        cluster.client.send_request(uid, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
+    cluster.run_until(lambda: sum(len(fake_node.delayed_tasks) for fake_node in cluster.nodes) == 2)
     cluster.run_for(20)
     for node in cluster.nodes:
-        node.manners.standings = {5: pb2.NEVER, 6: pb2.NEVER}
-    pending = {uid: (node, *node.waiting[uid]) for node in cluster.nodes for uid in list(node.waiting)}
+        node.profile.false_answers = {5: pb2.NEVER, 6: pb2.NEVER}
+    pending = {
+        uid: (node, *node.delayed_tasks[uid]) for node in cluster.nodes for uid in list(node.delayed_tasks)
+    }
     for node in {entry[0] for entry in pending.values()}:
         node.break_streams()
     cluster.run_until(lambda: counters(cluster).get("asked: never ran", 0) >= 2)
     for uid, (node, order, _) in pending.items():
-        cluster.run_until(lambda node=node: bool(node.voices))  # type: ignore[misc]
-        node.waiting.pop(uid, None)
-        node.begin(order, node.voices[-1])
+        cluster.run_until(lambda node=node: bool(node.responders))  # type: ignore[misc]
+        node.delayed_tasks.pop(uid, None)
+        node.start_task(order, node.responders[-1])
     cluster.run_until(lambda: counters(cluster).get("late yes", 0) >= 1)
     broken = [cluster.service.core.translator.profile(n).broken_promises for n in (1, 2)]  # type: ignore[union-attr]
     assert sum(broken) >= 1
@@ -207,43 +213,43 @@
 
 def test_a_timed_out_attempt_is_resolved_by_a_query() -> None:
     """A timed-out attempt is cancelled and queried, and the node replies that it never ran."""
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     node, core = cluster.nodes[0], cluster.service.core
-    cluster.run_until(lambda: 5 in node.waiting)
+    cluster.run_until(lambda: 5 in node.delayed_tasks)
     task = core.tasks_by_uid[5]
     attempt = task.attempt
     assert attempt is not None
-    pending_attempt = node.waiting[5]
+    pending_attempt = node.delayed_tasks[5]
     core.attempts.timed_out(task, attempt)
-    cluster.run_until(lambda: ("question", 5) in node.seen)
-    assert ("release", 5) in node.seen
+    cluster.run_until(lambda: ("question", 5) in node.received_kinds)
+    assert ("release", 5) in node.received_kinds
     events = cluster.wait_for_events(5)  # cancelled before the query, so it never ran
     assert events[0][0] == "refused"
     assert start_count(cluster, 5) == 0
-    node.begin(*pending_attempt)
+    node.start_task(*pending_attempt)
     cluster.run_until(lambda: 5 not in node.running)
     assert counters(cluster)["late yes"] == 1
     assert cluster.client.events[5] == events
 
 
 def test_a_node_with_a_pending_attempt_is_queried_again() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.send_request(5, NodeBehavior.LATE, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
+    cluster.client.send_request(5, NodeBehavior.DELAY, NON_IDEMPOTENT_CLASS)
     node = cluster.nodes[0]
-    cluster.run_until(lambda: 5 in node.waiting)
-    order, _ = node.waiting[5]
+    cluster.run_until(lambda: 5 in node.delayed_tasks)
+    order, _ = node.delayed_tasks[5]
     node.break_streams()
-    cluster.run_until(lambda: node.seen.count(("question", 5)) >= 2)
-    node.waiting.pop(5)
-    node.begin(order, None, tell=False)
+    cluster.run_until(lambda: node.received_kinds.count(("question", 5)) >= 2)
+    node.delayed_tasks.pop(5)
+    node.start_task(order, None, sends_binding=False)
     assert cluster.wait_for_events(5) == [PLACED]
     assert start_count(cluster, 5) == 1
 
 
 def test_an_uncertain_key_expires_and_may_be_used_again() -> None:
-    cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(uncertain_retention_us=300_000))
-    cluster.client.send_request(5, NodeBehavior.CUT, NON_IDEMPOTENT_CLASS)
+    cluster = FakeCluster(JSON, BINARY, translation=TranslationConfig(uncertain_retention_us=300_000))
+    cluster.client.send_request(5, NodeBehavior.TRUNCATE_BINDING, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5) == [FAILED]
     cluster.run_for(350)
     cluster.client.send_request(6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, key=f"{5:016x}")
@@ -270,42 +276,42 @@
 
 
 def test_a_task_end_lost_with_a_broken_connection_is_found_by_a_query() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     node = cluster.nodes[0]
-    node.over(5, pb2.ENDED)  # the report of this end is lost
+    node.record_end(5, pb2.ENDED)  # the report of this end is lost
     node.break_streams()
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.ENDED)
 
 
 def test_tasks_of_a_process_replaced_at_its_address_are_released() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     node = cluster.nodes[0]
     node.running.clear()
-    node.runs.clear()
+    node.running_by_key.clear()
     node.break_streams()
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.RESET)
 
 
 @pytest.mark.parametrize("front", [JSON, GRPC2])
 def test_an_unacknowledged_release_is_sent_again_on_another_connection(front: str) -> None:
-    cluster = FakeCluster(front, BINARY, terms=TranslationConfig())
+    cluster = FakeCluster(front, BINARY, translation=TranslationConfig())
     other = cluster.connect_client(front)
     for client, uid in ((cluster.client, 5), (cluster.client, 6), (other, 7)):
         client.acknowledges_releases = True
         client.send_request(uid, NodeBehavior.RUN)
         cluster.run_until(lambda client=client, uid=uid: uid in client.events)  # type: ignore[misc]
     running_node = {uid: next(node for node in cluster.nodes if uid in node.running) for uid in (5, 6)}
-    running_node[6].over(6, pb2.ENDED)
-    running_node[6].voices[-1].end(6, 16, pb2.ENDED)
+    running_node[6].record_end(6, pb2.ENDED)
+    running_node[6].responders[-1].end(6, 16, pb2.ENDED)
     assert cluster.wait_for_events(6, 2)[1][0] == "released"
     cluster.run_for(50)  # the acknowledgement has arrived
     cluster.client.receive = lambda _: None  # receives the release without acknowledging it
-    running_node[5].over(5, pb2.ENDED)
-    running_node[5].voices[-1].end(5, 16, pb2.ENDED)
+    running_node[5].record_end(5, pb2.ENDED)
+    running_node[5].responders[-1].end(5, 16, pb2.ENDED)
     cluster.run_for(50)
     other.placed.update((5, 6))
     cluster.client.stream.close()
--- a/tests/translation_helpers.py
+++ b/tests/translation_helpers.py
@@ -23,7 +23,7 @@
 
 def needs_hint(node: FakeNode) -> None:
     """Makes a node require a lifetime hint."""
-    node.manners.requires = (pb2.HINT,)
+    node.profile.requires = (pb2.HINT,)
 
 
 def counters(cluster: FakeCluster) -> dict[str, int]:
@@ -35,7 +35,7 @@
 
 def start_count(cluster: FakeCluster, key: int) -> int:
     """Number of nodes that run or ran a task with this key."""
-    return sum((key in node.runs) + (key in node.ran) for node in cluster.nodes)
+    return sum((key in node.running_by_key) + (key in node.ended_by_key) for node in cluster.nodes)
 
 
 def log_lines(cluster: FakeCluster, name: str) -> list[dict[str, object]]:
--- a/thornshelf/lab/fakes/cluster.py
+++ b/thornshelf/lab/fakes/cluster.py
@@ -29,7 +29,7 @@
 from thornshelf.lab.fakes.nodes import FakeNode as FakeNode
 from thornshelf.lab.fakes.nodes import GrpcResponder as GrpcResponder
 from thornshelf.lab.fakes.nodes import NodeProfile as NodeProfile
-from thornshelf.lab.fakes.nodes import ReceivedOrder as ReceivedOrder
+from thornshelf.lab.fakes.nodes import ReceivedMessage as ReceivedMessage
 from thornshelf.loop import Loop
 from thornshelf.service import Service
 from thornshelf.translation.failures import WireFormat
@@ -48,36 +48,43 @@
     def __init__(
         self,
         client_format: str = JSON,
-        node: str = BINARY,
-        nodes: int = 2,
-        terms: TranslationConfig | None = None,
-        manners: Callable[[FakeNode], None] = lambda _: None,
+        node_format: str = BINARY,
+        node_count: int = 2,
+        translation: TranslationConfig | None = None,
+        prepare_node: Callable[[FakeNode], None] = lambda _: None,
         **config_fields: Any,
     ) -> None:
         """Start the dispatcher and connect the client.
 
-        ``client_format``: the client's wire form; ``node``: the nodes' wire form; ``terms``: the configuration of the
-        translation layer, on by default for v2 nodes only; ``manners``: prepares each node; ``config_fields``: other
-        fields of ``Config``.
+        ``client_format``: the client's wire form; ``node_format``: the nodes' wire form; ``translation``: the
+        configuration of the translation layer, on by default for v2 nodes only; ``prepare_node``: prepares each node;
+        ``config_fields``: other fields of ``Config``.
         """
         open_clusters.append(self)
         self.loop = Loop()
         self.logged: list[tuple[int, str, dict[str, object], str]] = []
-        self.nodes = [FakeNode(self.loop, node) for _ in range(nodes)]
+        self.nodes = [FakeNode(self.loop, node_format) for _ in range(node_count)]
         for fake_node in self.nodes:
-            manners(fake_node)
-        if terms is None and node == GRPC2:
-            terms = TranslationConfig()
-        if terms is not None and not terms.node_formats and terms.default_formats == (WireFormat.BINARY,):
-            terms = replace(terms, default_formats=(WIRE_FORMATS[node],))
+            prepare_node(fake_node)
+        if translation is None and node_format == GRPC2:
+            translation = TranslationConfig()
+        if (
+            translation is not None
+            and not translation.node_formats
+            and translation.default_formats == (WireFormat.BINARY,)
+        ):
+            translation = replace(translation, default_formats=(WIRE_FORMATS[node_format],))
         config = read_config({"LB_CONFIG": str(EXAMPLE_CONFIG)})
-        events = {"seq": 1, "fleet": {"reset": True, "instances": [self.endpoint(i) for i in range(nodes)]}}
+        events = {
+            "seq": 1,
+            "fleet": {"reset": True, "instances": [self.endpoint(i) for i in range(node_count)]},
+        }
         config = replace(
             config,
             listen=(HOST, 0),
             initial_endpoints={"seq": 1, "results": [events]},
-            grpc=GrpcConfig(listen=(HOST, 0), all_nodes=node == GRPC),
-            translation=terms,
+            grpc=GrpcConfig(listen=(HOST, 0), all_nodes=node_format == GRPC),
+            translation=translation,
             **config_fields,
         )
         self.service = Service(config, self.loop, lambda *line: self.logged.append(line))
@@ -128,7 +135,7 @@
 
     def offer_count(self, uid: int) -> int:
         """Return the number of offers of a request that all nodes together received."""
-        return sum(node.offers(uid) for node in self.nodes)
+        return sum(node.offer_count(uid) for node in self.nodes)
 
     def wait_for_events(self, uid: int, count: int = 1) -> list[tuple[Any, ...]]:
         """Return the client's events for a request, once there are at least ``count``."""
--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -21,30 +21,36 @@
 
 # Behaviors that start the task and send its binding.
 _STARTING_BEHAVIORS = frozenset(
-    (NodeBehavior.RUN, NodeBehavior.END, NodeBehavior.EVICT, NodeBehavior.TWICE, NodeBehavior.STRAY)
+    (
+        NodeBehavior.RUN,
+        NodeBehavior.END,
+        NodeBehavior.EVICT,
+        NodeBehavior.BIND_TWICE,
+        NodeBehavior.BIND_UNKNOWN,
+    )
 )
 # Arguments of the responder's ``end``: cause (binary), outcome (gRPC), note (binary), reason and text (gRPC).
 _END_ARGUMENTS: dict[NodeBehavior, tuple[Any, ...]] = {
     NodeBehavior.END: (16, pb.ENDED),
     NodeBehavior.EVICT: (41, pb.RESET, "killed", pb.EVICTED),
-    NodeBehavior.FULL: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
-    NodeBehavior.FULL_TWICE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
-    NodeBehavior.FAULT: (47, pb.ERROR),
+    NodeBehavior.REFUSE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
+    NodeBehavior.REFUSE_TWICE: (34, pb.FULL, "lack_cpu", pb.NO_CORES),
+    NodeBehavior.ERROR: (47, pb.ERROR),
     NodeBehavior.MOOT: (102, pb.MOOT),
     NodeBehavior.RESET: (41, pb.RESET),
     NodeBehavior.NEEDS_HINT: (34, pb.FULL, "unfit", 8, "how long will it run?"),
-    NodeBehavior.LICENCE: (34, pb.FULL, "unfit", 12, "no licence for this program"),
+    NodeBehavior.NEEDS_LICENCE: (34, pb.FULL, "unfit", 12, "no licence for this program"),
     NodeBehavior.QUARANTINED: (34, pb.FULL, "unfit", 10, "under repair"),
-    NodeBehavior.NEWER: (34, pb.FULL, "", 99, "a word of tomorrow"),
+    NodeBehavior.UNKNOWN_REASON: (34, pb.FULL, "", 99, "a word of tomorrow"),
 }
 
 
 @dataclass(slots=True)
-class ReceivedOrder:
+class ReceivedMessage:
     """A message from the dispatcher to a node; fields that the node's wire form lacks keep their defaults.
 
     ``kind``: ``offer``, ``release`` or ``question`` (whether a task with ``key`` runs or ran here); ``assumed``: the
-    hint is the operator's, not the client's; ``never_twice``: the task must not be started twice; ``more``: the
+    hint is the operator's, not the client's; ``at_most_once``: the task must not be started twice; ``v2_offer``: the
     whole v2 offer.
     """
 
@@ -55,28 +61,30 @@
     task_class: str = ""
     hint_ms: float | None = None
     assumed: bool = False
-    never_twice: bool = False
-    more: Any = None
+    at_most_once: bool = False
+    v2_offer: Any = None
 
 
 @dataclass(slots=True)
 class NodeProfile:
     """How a v2 node describes itself to the dispatcher; a test may make it describe itself falsely.
 
-    ``requires``: fields that every offer must have; ``answers``: claims to answer queries about tasks; ``greets``:
-    sends a hello message; ``standings``: false states for its answers to queries, by idempotency key.
+    ``requires``: fields that every offer must have; ``claims_to_answer``: claims to answer queries about tasks;
+    ``sends_hello``: sends a hello message; ``false_answers``: false states for its answers to queries, by idempotency
+    key.
     """
 
     generation: int = 2
     name: str = ""
     requires: tuple[int, ...] = ()
-    answers: bool = True
-    greets: bool = True
-    standings: dict[int, int] = field(default_factory=dict)
+    claims_to_answer: bool = True
+    sends_hello: bool = True
+    false_answers: dict[int, int] = field(default_factory=dict)
 
 
 class FakeNode:
-    """A node that records what it receives: ``orders``, and in ``seen`` the kind and request id of each.
+    """A node that records what it receives: ``received_messages``, and in ``received_kinds`` the kind and request id
+    of each.
 
     ``form``: its wire form; ``address``: port 0 for any free port.
     """
@@ -84,18 +92,19 @@
     def __init__(self, loop: Loop, form: str = BINARY, address: tuple[str, int] = (HOST, 0)) -> None:
         self.loop, self.form = loop, form
         self.host, self.port = address
-        self.manners = NodeProfile()
-        self.orders: list[ReceivedOrder] = []
-        self.runs: dict[int, int] = {}  # request id of each running task, by idempotency key
-        self.ran: dict[int, tuple[int, int]] = {}  # request id and outcome of each ended task, by key
-        self.waiting: dict[int, tuple[ReceivedOrder, Any]] = {}  # delayed tasks, by request id
-        self.voices: list[Any] = []  # of the open connections, the newest last
-        self.deaf = False  # reads from its connections, and ignores what it reads
-        self.seen: list[tuple[str, int]] = []
+        self.profile = NodeProfile()
+        self.received_messages: list[ReceivedMessage] = []
+        self.running_by_key: dict[int, int] = {}  # request id of each running task, by idempotency key
+        # request id and outcome of each ended task, by key
+        self.ended_by_key: dict[int, tuple[int, int]] = {}
+        self.delayed_tasks: dict[int, tuple[ReceivedMessage, Any]] = {}  # delayed tasks, by request id
+        self.responders: list[Any] = []  # of the open connections, the newest last
+        self.ignores_input = False  # reads from its connections, and ignores what it reads
+        self.received_kinds: list[tuple[str, int]] = []
         self.running: set[int] = set()  # request ids
         self.streams: list[Stream] = []
         self.sock = self._bind()
-        self.rise()
+        self.listen()
 
     def _bind(self) -> socket.socket:
         """Return a socket that is bound to the node's address and does not listen."""
@@ -104,8 +113,8 @@
         sock.bind((self.host, self.port))
         return sock
 
-    def rise(self) -> None:
-        """Listen; after ``die``, at the same address as before."""
+    def listen(self) -> None:
+        """Listen; after ``crash``, at the same address as before."""
         self.sock.listen()
         self.sock.setblocking(False)
         self.port = self.sock.getsockname()[1]
@@ -113,18 +122,18 @@
 
     def add_responder(self, responder: Any) -> None:
         """Add a connection on which messages can be sent."""
-        self.voices.append(responder)
+        self.responders.append(responder)
 
     def remove_responder(self, responder: Any) -> None:
         """Remove a connection that has closed."""
-        if responder in self.voices:
-            self.voices.remove(responder)
+        if responder in self.responders:
+            self.responders.remove(responder)
 
-    def offers(self, uid: int) -> int:
+    def offer_count(self, uid: int) -> int:
         """Return the number of offers received for a request id."""
-        return self.seen.count(("offer", uid))
+        return self.received_kinds.count(("offer", uid))
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Reset all connections, and stop listening."""
         self.loop.cancel(self._accepting)
         self.loop.unregister(self.sock.fileno())
@@ -143,11 +152,11 @@
         while True:
             yield Wait(self.sock.fileno(), IN)
             sock, _ = self.sock.accept()
-            stream = self.connected(sock)
+            stream = self.make_stream(sock)
             self.streams.append(stream)
             self.loop.spawn(self.serve(stream))
 
-    def connected(self, sock: socket.socket) -> Stream:
+    def make_stream(self, sock: socket.socket) -> Stream:
         """Return the stream for an accepted connection; a subclass may return one that counts its traffic."""
         return Stream(self.loop, sock, "dispatcher")
 
@@ -155,96 +164,96 @@
         """Serve a connection in the node's current wire form."""
         return _serve_binary(self, stream) if self.form == BINARY else _serve_grpc(self, stream)
 
-    def begin(self, order: ReceivedOrder, responder: Any, tell: bool = True) -> None:
-        """Record a task as running; ``tell``: send its progress and its binding."""
+    def start_task(self, order: ReceivedMessage, responder: Any, sends_binding: bool = True) -> None:
+        """Record a task as running; ``sends_binding``: send its progress and its binding."""
         self.running.add(order.uid)
-        self.runs[order.key] = order.uid
-        if tell:
+        self.running_by_key[order.key] = order.uid
+        if sends_binding:
             responder.progress(order.uid)
             responder.bind(order.uid)
 
-    def over(self, uid: int, outcome: int) -> None:
+    def record_end(self, uid: int, outcome: int) -> None:
         """Record the outcome of a running task."""
         self.running.discard(uid)
-        for key, running in list(self.runs.items()):
+        for key, running in list(self.running_by_key.items()):
             if running == uid:
-                del self.runs[key]
-                self.ran[key] = uid, outcome
+                del self.running_by_key[key]
+                self.ended_by_key[key] = uid, outcome
 
-    def order(self, order: ReceivedOrder, say: Any) -> None:
-        """Handle a message from the dispatcher; ``say`` sends on the connection of that message."""
-        self.seen.append((order.kind, order.uid))
-        self.orders.append(order)
+    def handle_message(self, order: ReceivedMessage, responder: Any) -> None:
+        """Handle a message from the dispatcher; ``responder`` sends on the connection of that message."""
+        self.received_kinds.append((order.kind, order.uid))
+        self.received_messages.append(order)
         match order.kind:
             case "question":
-                self.answer(order, say)
+                self.answer(order, responder)
             case "release":
-                self._cancel_task(order.uid, say)
+                self._cancel_task(order.uid, responder)
             case _:
-                self._apply_behavior(order, say, NodeBehavior(order.description))
+                self._apply_behavior(order, responder, NodeBehavior(order.description))
 
     def _cancel_task(self, uid: int, responder: Any) -> None:
         """Cancel a running task, or discard a delayed one."""
-        self.waiting.pop(uid, None)
+        self.delayed_tasks.pop(uid, None)
         if uid in self.running:
-            self.over(uid, pb.CANCELLED)
+            self.record_end(uid, pb.CANCELLED)
             responder.end(uid, 31, pb.CANCELLED)
 
-    def _apply_behavior(self, order: ReceivedOrder, responder: Any, behavior: NodeBehavior) -> None:
+    def _apply_behavior(self, order: ReceivedMessage, responder: Any, behavior: NodeBehavior) -> None:
         """Handle an offer as its description requires."""
         uid = order.uid
-        if behavior is NodeBehavior.STRAY:
+        if behavior is NodeBehavior.BIND_UNKNOWN:
             responder.bind(uid ^ 0xFF00)
         if behavior in _STARTING_BEHAVIORS:
-            self.begin(order, responder)
-        if behavior is NodeBehavior.TWICE:
+            self.start_task(order, responder)
+        if behavior is NodeBehavior.BIND_TWICE:
             responder.bind(uid)
-        if behavior is NodeBehavior.FULL_TWICE:
+        if behavior is NodeBehavior.REFUSE_TWICE:
             responder.end(uid, *_END_ARGUMENTS[behavior])
-        if behavior is NodeBehavior.LATE:
-            self.waiting[uid] = order, responder
+        if behavior is NodeBehavior.DELAY:
+            self.delayed_tasks[uid] = order, responder
         if behavior in _END_ARGUMENTS:
             if uid in self.running:
-                self.over(uid, _END_ARGUMENTS[behavior][1])
+                self.record_end(uid, _END_ARGUMENTS[behavior][1])
             responder.end(uid, *_END_ARGUMENTS[behavior])
         self._break_connection(order, responder, behavior)
 
-    def _break_connection(self, order: ReceivedOrder, responder: Any, behavior: NodeBehavior) -> None:
+    def _break_connection(self, order: ReceivedMessage, responder: Any, behavior: NodeBehavior) -> None:
         """Break the connection for the behaviors that do: within a binding, after the start or before it."""
-        if behavior is NodeBehavior.CUT:
-            self.begin(order, responder, tell=False)
-            responder.cut(order.uid)
-        if behavior is NodeBehavior.CUT_AFTER:
-            self.begin(order, responder, tell=False)
+        if behavior is NodeBehavior.TRUNCATE_BINDING:
+            self.start_task(order, responder, sends_binding=False)
+            responder.send_truncated_binding(order.uid)
+        if behavior is NodeBehavior.DISCONNECT_AFTER_START:
+            self.start_task(order, responder, sends_binding=False)
             self.break_streams()
-        if behavior is NodeBehavior.CUT_BEFORE:
+        if behavior is NodeBehavior.DISCONNECT_BEFORE_START:
             self.break_streams()
 
-    def answer(self, order: ReceivedOrder, responder: Any) -> None:
+    def answer(self, order: ReceivedMessage, responder: Any) -> None:
         """Answer a query whether the task with an idempotency key runs or ran here."""
         key = order.key
-        if key in self.manners.standings:
-            responder.standing(order, self.manners.standings[key], 0, 0)
-        elif key in self.runs:
-            responder.standing(order, pb2.RUNS_NOW, self.runs[key], 0)
-        elif key in self.ran:
-            responder.standing(order, pb2.RAN, *self.ran[key])
-        elif any(delayed.key == key for delayed, _ in self.waiting.values()):
+        if key in self.profile.false_answers:
+            responder.standing(order, self.profile.false_answers[key], 0, 0)
+        elif key in self.running_by_key:
+            responder.standing(order, pb2.RUNS_NOW, self.running_by_key[key], 0)
+        elif key in self.ended_by_key:
+            responder.standing(order, pb2.RAN, *self.ended_by_key[key])
+        elif any(delayed.key == key for delayed, _ in self.delayed_tasks.values()):
             responder.standing(order, pb2.WAITING, 0, 0)
         else:
             responder.standing(order, pb2.NEVER, 0, 0)
 
-    def start(self, uid: int) -> None:
+    def start_delayed(self, uid: int) -> None:
         """Start a delayed task; the dispatcher may have withdrawn the attempt meanwhile."""
-        order, responder = self.waiting.pop(uid)
-        self.begin(order, responder)
+        order, responder = self.delayed_tasks.pop(uid)
+        self.start_task(order, responder)
 
 
 def _serve_binary(node: FakeNode, stream: Stream) -> Generator[Wait, int, None]:
     reader, responder = binary.MessageReader(), BinaryResponder(node.loop, stream)
     node.add_responder(responder)
     while data := (yield from stream.read()):
-        reader.feed(b"" if node.deaf else data)
+        reader.feed(b"" if node.ignores_input else data)
         try:
             while (message := reader.next()) is not None:
                 if message.type == binary.TEST:
@@ -252,8 +261,8 @@
                     stream.send(binary.encode(binary.TESTED, message.uid, values))
                 else:
                     kind = "offer" if message.type == binary.SET_UP else "release"
-                    node.order(
-                        ReceivedOrder(
+                    node.handle_message(
+                        ReceivedMessage(
                             kind,
                             message.uid,
                             message.values.get(binary.DESCRIPTION, b""),
@@ -290,7 +299,7 @@
             values[binary.NOTE_NAME] = note.encode()
         self.stream.send(binary.encode(binary.RELEASE, uid, values))
 
-    def cut(self, uid: int) -> None:
+    def send_truncated_binding(self, uid: int) -> None:
         """Send half of a binding, and end the connection."""
         encoded = binary.encode(binary.ANSWER, uid, {binary.DESCRIPTION: DESCRIPTION})
         self.stream.send(encoded[: len(encoded) // 2])
@@ -306,7 +315,7 @@
     headers = [(":status", "200"), ("content-type", "application/grpc")]
     while data := (yield from stream.read()):
         try:
-            events = h2.receive(b"" if node.deaf else data)
+            events = h2.receive(b"" if node.ignores_input else data)
         except WireError:
             break
         for event in events:
@@ -321,31 +330,31 @@
                     responder = responders[event.stream] = GrpcResponder(
                         h2, event.stream, pb2 if is_v2 else pb
                     )
-                    if is_v2 and node.manners.greets:
-                        responder.hello(node.manners)
+                    if is_v2 and node.profile.sends_hello:
+                        responder.hello(node.profile)
                     node.add_responder(responder)
             elif isinstance(event, http2.MessageReceived) and paths[event.stream] == "Probe":
                 h2.send(event.stream, grpc.encode_message(pb.Load(fields={"x0": 12.0, "x1": 40.0})))
                 h2.finish(event.stream, [("grpc-status", "0")])
             elif isinstance(event, http2.MessageReceived) and is_v2:
-                node.order(_parse_v2_order(event.data), responders[event.stream])
+                node.handle_message(_parse_v2_order(event.data), responders[event.stream])
             elif isinstance(event, http2.MessageReceived):
                 message = grpc.decode_message(pb.NodeOrder, event.data)
                 offer, kind = message.offer, message.WhichOneof("kind") or ""
-                order = ReceivedOrder(kind, message.uid, offer.description, offer.key, offer.task_class)
-                node.order(order, responders[event.stream])
+                order = ReceivedMessage(kind, message.uid, offer.description, offer.key, offer.task_class)
+                node.handle_message(order, responders[event.stream])
     for closed_responder in responders.values():
         node.remove_responder(closed_responder)
     stream.close()
 
 
-def _parse_v2_order(data: bytes) -> ReceivedOrder:
+def _parse_v2_order(data: bytes) -> ReceivedMessage:
     message = grpc.decode_message(pb2.NodeOrder, data)
     kind, offer = message.WhichOneof("kind") or "", message.offer
     if kind != "offer":
-        return ReceivedOrder(kind, message.uid, key=message.question.key)
+        return ReceivedMessage(kind, message.uid, key=message.question.key)
     hint = offer.hint.ms if offer.HasField("hint") else None
-    return ReceivedOrder(
+    return ReceivedMessage(
         kind,
         message.uid,
         offer.description,
@@ -375,7 +384,7 @@
                 generation=profile.generation,
                 name=profile.name,
                 requires=profile.requires,  # type: ignore[arg-type]
-                answers_questions=profile.answers,
+                answers_questions=profile.claims_to_answer,
             )
         )
 
@@ -396,7 +405,7 @@
         )
         self._send(uid=uid, end=end)
 
-    def standing(self, order: ReceivedOrder, standing: Any, uid: int, outcome: Any) -> None:
+    def standing(self, order: ReceivedMessage, standing: Any, uid: int, outcome: Any) -> None:
         """Answer a query about a task; ``uid``: the request id under which it runs or ran."""
         description = DESCRIPTION if standing in (pb2.RUNS_NOW, pb2.RAN) else b""
         answer = pb2.Answer(
@@ -404,7 +413,7 @@
         )
         self._send(uid=order.uid, answer=answer)
 
-    def cut(self, uid: int) -> None:
+    def send_truncated_binding(self, uid: int) -> None:
         """Send half of a binding, and reset the stream."""
         encoded = grpc.encode_message(
             self.protobuf.NodeReport(uid=uid, binding=self.protobuf.Binding(description=DESCRIPTION))
--- a/thornshelf/lab/fleet_testbed.py
+++ b/thornshelf/lab/fleet_testbed.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from thornshelf.lab.fakes.cluster import BINARY, HOST, JSON, ReceivedOrder
+from thornshelf.lab.fakes.cluster import BINARY, HOST, JSON, ReceivedMessage
 from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
 from thornshelf.lab.load import LEDGER, LOOKUP, ClientPopulation, LoadNode
 from thornshelf.lab.oracle import Oracle
@@ -46,7 +46,7 @@
         super().__init__(*args)
         self.recent_attempts: list[int] = []  # times of the loop
 
-    def _handle_offer(self, order: ReceivedOrder, responder: Any) -> None:
+    def _handle_offer(self, order: ReceivedMessage, responder: Any) -> None:
         now = self.loop.now
         if now < self.slow_start_until_us:
             self.recent_attempts = [then for then in self.recent_attempts if now - then < SLOW_START_US] + [
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -12,7 +12,7 @@
 
 from thornshelf.lab.fakes.behavior import GRPC2, HOST, JSON
 from thornshelf.lab.fakes.clients import CLIENT_TYPES, FakeClient
-from thornshelf.lab.fakes.nodes import BinaryResponder, FakeNode, ReceivedOrder
+from thornshelf.lab.fakes.nodes import BinaryResponder, FakeNode, ReceivedMessage
 from thornshelf.lab.oracle import ObservedRequest, Oracle
 from thornshelf.loop import Loop, Wait
 from thornshelf.wire import placement_pb2 as pb
@@ -40,31 +40,31 @@
         self.cut_binding_fraction = 0.0  # of the starts of ledger batches: the binding is truncated
         self.rejected_fraction = 0.02
         self.mean_lifetime_us = 3_000_000  # of the tasks
-        self.tasks: dict[int, tuple[ReceivedOrder, Any]] = {}  # running, by request id
-        self.starting: dict[int, tuple[ReceivedOrder, Any]] = {}  # accepted, by request id
+        self.tasks: dict[int, tuple[ReceivedMessage, Any]] = {}  # running, by request id
+        self.starting: dict[int, tuple[ReceivedMessage, Any]] = {}  # accepted, by request id
         self.used = [0.0, 0.0]  # cores and memory
         # Arguments of ``end`` for the tasks that ended since the last connection opened.
         self.unreported_ends: list[tuple[int, int, int]] = []
         self.epoch = 0  # incremented at a restart; timers of an earlier epoch do nothing
 
-    def order(self, order: ReceivedOrder, say: Any) -> None:
+    def handle_message(self, order: ReceivedMessage, responder: Any) -> None:
         """Handle an offer, a release or a question; deferred while the node is unresponsive."""
         if self.loop.now < self.unresponsive_until_us:
-            self.loop.call_at(self.unresponsive_until_us, lambda: self.order(order, say))
+            self.loop.call_at(self.unresponsive_until_us, lambda: self.handle_message(order, responder))
             return
         match order.kind:
             case "question":
-                self.answer(order, say)
+                self.answer(order, responder)
             case "release":
                 if order.uid in self.tasks:
                     self._finish_task(order.uid, pb.CANCELLED)
-                    say.end(order.uid, 31, pb.CANCELLED)
+                    responder.end(order.uid, 31, pb.CANCELLED)
                 else:
                     self.starting.pop(order.uid, None)
             case "offer":
-                self._handle_offer(order, say)
+                self._handle_offer(order, responder)
 
-    def _handle_offer(self, order: ReceivedOrder, responder: Any) -> None:
+    def _handle_offer(self, order: ReceivedMessage, responder: Any) -> None:
         cores, memory = TASK_SIZES[order.task_class]
         if (
             order.hint_ms is not None
@@ -73,7 +73,7 @@
         ):
             self.oracle.unmarked_hints += 1
         self._update_load_report(responder)
-        needs_hint = pb2.HINT in self.manners.requires and order.hint_ms is None
+        needs_hint = pb2.HINT in self.profile.requires and order.hint_ms is None
         if needs_hint and self.form == GRPC2:
             responder.end(order.uid, 34, pb.FULL, "unfit", pb2.HINT_NEEDED, "no hint")
         elif (
@@ -94,7 +94,7 @@
         responder.load = {"x0": free[0], "x1": free[1]}
         responder.report = b"x0:%.1f;x1:%.1f" % free
 
-    def _start_task(self, order: ReceivedOrder, epoch: int) -> None:
+    def _start_task(self, order: ReceivedMessage, epoch: int) -> None:
         if epoch != self.epoch:
             return
         if self.loop.now < self.unresponsive_until_us:
@@ -108,9 +108,9 @@
         if is_ledger:
             self.oracle.starts[order.key] += 1
         self.tasks[order.uid] = entry
-        self.runs[order.key] = order.uid
+        self.running_by_key[order.key] = order.uid
         if is_ledger and self.random.random() < self.cut_binding_fraction:
-            responder.cut(order.uid)
+            responder.send_truncated_binding(order.uid)
             self.remove_responder(responder)
             if isinstance(responder, BinaryResponder):
                 responder.stream.flush()
@@ -121,7 +121,7 @@
             lambda: self._end_task(order, epoch),
         )
 
-    def _end_task(self, order: ReceivedOrder, epoch: int) -> None:
+    def _end_task(self, order: ReceivedMessage, epoch: int) -> None:
         if epoch != self.epoch or order.uid not in self.tasks:
             return
         if self.loop.now < self.unresponsive_until_us:
@@ -132,17 +132,17 @@
         # The end of a task is sent on the connection of its offer, or else on the newest one; it is sent again on the
         # next connection that opens, because it may not have arrived.
         self.unreported_ends.append((order.uid, 16, pb.ENDED))
-        if responder not in self.voices:
-            if not self.voices:
+        if responder not in self.responders:
+            if not self.responders:
                 return
-            responder = self.voices[-1]
+            responder = self.responders[-1]
         self._update_load_report(responder)
         responder.end(order.uid, 16, pb.ENDED)
 
     def break_streams(self) -> None:
         """Reset all connections."""
         super().break_streams()
-        self.voices.clear()
+        self.responders.clear()
 
     def add_responder(self, responder: Any) -> None:
         """Add a connection, and send on it the ends of tasks since the previous one opened."""
@@ -154,20 +154,20 @@
     def _finish_task(self, uid: int, outcome: int) -> None:
         order = self.tasks.pop(uid)[0]
         self._release_resources(order)
-        self.over(uid, outcome)
-        self.ran[order.key] = uid, outcome
+        self.record_end(uid, outcome)
+        self.ended_by_key[order.key] = uid, outcome
         self.oracle.over[order.key] = self.loop.now
 
-    def _release_resources(self, order: ReceivedOrder) -> None:
+    def _release_resources(self, order: ReceivedMessage) -> None:
         cores, memory = TASK_SIZES[order.task_class]
         self.used = [max(0.0, self.used[0] - cores), max(0.0, self.used[1] - memory)]
 
     def restart(self, form: str) -> None:
         """Crash, and start again at the same address with an empty state, perhaps in another wire form."""
-        self.die()
+        self.crash()
         self.forget_tasks()
         self.form = form
-        self.loop.call_later(60_000, self.rise)
+        self.loop.call_later(60_000, self.listen)
 
     def forget_tasks(self) -> None:
         """Discard all tasks, as at a crash of the process."""
@@ -176,8 +176,8 @@
         self.epoch += 1
         self.starting.clear()
         self.unreported_ends.clear()
-        self.runs.clear()
-        self.ran.clear()
+        self.running_by_key.clear()
+        self.ended_by_key.clear()
         self.used = [0.0, 0.0]
 
 
--- a/thornshelf/lab/scale/hollow.py
+++ b/thornshelf/lab/scale/hollow.py
@@ -18,7 +18,7 @@
 from thornshelf.configuration import read_config
 from thornshelf.lab import fault_injection
 from thornshelf.lab.fakes.behavior import BINARY
-from thornshelf.lab.fakes.nodes import ReceivedOrder
+from thornshelf.lab.fakes.nodes import ReceivedMessage
 from thornshelf.lab.load import LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.scale.layout import Layout
@@ -132,7 +132,7 @@
         self.rejected_fraction, self.mean_lifetime_us = 0.0, 1_500_000
         self.draining_since_us = 0
 
-    def connected(self, sock: Any) -> Stream:
+    def make_stream(self, sock: Any) -> Stream:
         """Wrap an accepted socket in a stream that counts."""
         stream = CountingStream(self.loop, sock, "dispatcher")
         stream.tally = self.tally
@@ -140,18 +140,18 @@
         self.tally.accepted += 1
         return stream
 
-    def order(self, order: ReceivedOrder, say: Any) -> None:
+    def handle_message(self, order: ReceivedMessage, responder: Any) -> None:
         """Count and handle a message of the dispatcher."""
         self.tally.messages += 1
-        super().order(order, say)
+        super().handle_message(order, responder)
 
-    def _handle_offer(self, order: ReceivedOrder, say: Any) -> None:
+    def _handle_offer(self, order: ReceivedMessage, responder: Any) -> None:
         self.tally.offers += 1
         if self.draining_since_us:
             self.tally.late += self.loop.now - self.draining_since_us > DRAIN_GRACE_US
-            say.end(order.uid, 34, 0, "unfit")
+            responder.end(order.uid, 34, 0, "unfit")
             return
-        super()._handle_offer(order, say)
+        super()._handle_offer(order, responder)
 
 
 class NodeHost:
@@ -176,11 +176,11 @@
                     node.draining_since_us = self.loop.now if draining else 0
             case Kill(nodes):
                 for node in self._select(nodes):
-                    node.die()
+                    node.crash()
                     node.forget_tasks()
             case Rise(nodes):
                 for node in self._select(nodes):
-                    node.rise()
+                    node.listen()
         self.tally.starts, self.tally.over = dict(self.truth.starts), self.truth.over
         return self.tally
 
--- a/thornshelf/lab/show.py
+++ b/thornshelf/lab/show.py
@@ -26,15 +26,15 @@
     ),
     (
         JSON,
-        NodeBehavior.LICENCE,
+        NodeBehavior.NEEDS_LICENCE,
         "lookup",
         "1500",
         "a reason that old clients lack: their general answer, with the text",
     ),
-    (GRPC2, NodeBehavior.LICENCE, "lookup", "1500", "the same to a new client"),
+    (GRPC2, NodeBehavior.NEEDS_LICENCE, "lookup", "1500", "the same to a new client"),
     (
         JSON,
-        NodeBehavior.CUT,
+        NodeBehavior.TRUNCATE_BINDING,
         "ledger-batch",
         "9000",
         "its binding is truncated: the node is queried about the task",
@@ -50,9 +50,9 @@
     )
 
     def require_hint(node: object) -> None:
-        node.manners.requires = (pb2.HINT,)  # type: ignore[attr-defined]
+        node.profile.requires = (pb2.HINT,)  # type: ignore[attr-defined]
 
-    cluster = FakeCluster(JSON, GRPC2, nodes=2, terms=translation, manners=require_hint)
+    cluster = FakeCluster(JSON, GRPC2, node_count=2, translation=translation, prepare_node=require_hint)
     clients = {JSON: cluster.client, GRPC2: cluster.connect_client(GRPC2)}
     try:
         for number, (wire_format, behavior, task_class, hint, explanation) in enumerate(SCENARIOS, 1):
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -126,7 +126,7 @@
     nodes = [LoadNode(loop, form, oracle, rng) for _ in range(NODES)]
     if form == GRPC2:
         for node in nodes[: NODES // 2]:
-            node.manners.requires = (pb2.HINT,)
+            node.profile.requires = (pb2.HINT,)
     with tempfile.TemporaryDirectory() as folder:
         operator = OPERATOR_FILE.format(forms=json.dumps(["v2", "binary"] if form == GRPC2 else ["binary"]))
         dispatcher = DispatcherProcess(Path(folder), [node.port for node in nodes], operator, plan.plant)
