--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -134,7 +134,7 @@
         clients.ask(number + 1, LOOKUP, None, number % SERVICES)
         _run_until(loop, started_s + number / TASKS_PER_S)
     cpu_us = process.cpu_us - cpu_us
-    placed = sum(request.answers[:1] == ["placed"] for request in oracle.asked.values())
+    placed = sum(request.answers[:1] == ["placed"] for request in oracle.requests.values())
     return Cost(cpu_us / (SECONDS * TASKS_PER_S), process.rss_kb, placed)
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -20,11 +20,11 @@
     testbed.start(*testbed.members)
     wait_until(testbed, testbed.agreed)
     yield testbed
-    testbed.end()
+    testbed.shut_down()
 
 
 def wait_until(testbed: FleetTestbed, done: Callable[[], bool]) -> None:
-    assert testbed.until(done, TIMEOUT_S) is not None, {one.name: one.states for one in testbed.members}
+    assert testbed.run_until(done, TIMEOUT_S) is not None, {one.name: one.states for one in testbed.members}
 
 
 def read_logs(member: MemberProcess) -> str:
@@ -33,18 +33,18 @@
 
 def test_a_crash_is_detected_and_tasks_are_served_throughout(testbed: FleetTestbed) -> None:
     testbed.loading = True
-    testbed.load()
+    testbed.send_requests()
     testbed.kill(testbed.members[3])
     wait_until(testbed, testbed.agreed)
     testbed.start(testbed.members[3])
     wait_until(testbed, testbed.agreed)
     wait_until(
-        testbed, lambda: sum(one.answers[:1] == ["placed"] for one in testbed.truth.asked.values()) > 100
+        testbed, lambda: sum(one.answers[:1] == ["placed"] for one in testbed.oracle.requests.values()) > 100
     )
     testbed.loading = False
-    testbed.rest(2.5)
-    assert not testbed.truth.doubled()
-    assert not testbed.truth.lost(testbed.loop.now, 2_000_000)
+    testbed.run_for(2.5)
+    assert not testbed.oracle.duplicated()
+    assert not testbed.oracle.lost(testbed.loop.now, 2_000_000)
 
 
 def test_a_process_that_was_stopped_declares_nobody_dead(testbed: FleetTestbed) -> None:
@@ -53,7 +53,7 @@
     testbed.kill(stopped, number=signal.SIGSTOP)
     wait_until(testbed, testbed.agreed)  # the others declare it dead
     os.kill(stopped.process.process.pid, signal.SIGCONT)
-    testbed.absent.discard(stopped.name)
+    testbed.unavailable_members.discard(stopped.name)
     wait_until(testbed, testbed.agreed)
     assert 'after="dead"' not in read_logs(stopped)
     assert 'after="dead"' in read_logs(testbed.members[0])
@@ -62,7 +62,7 @@
 def test_a_partition_heals(testbed: FleetTestbed) -> None:
     testbed.relays.cut = lambda sender, receiver: (sender < 2) != (receiver < 2)
     halves = {"m00", "m01"}, {"m02", "m03"}
-    wait_until(testbed, lambda: all(one.live == halves[one.index >= 2] for one in testbed.members))
+    wait_until(testbed, lambda: all(one.live_names == halves[one.index >= 2] for one in testbed.members))
     testbed.relays.cut = lambda sender, receiver: False
     wait_until(testbed, testbed.agreed)
 
@@ -87,19 +87,19 @@
 
 
 def test_a_drain_reaches_a_member_whose_endpoint_watch_is_unresponsive(testbed: FleetTestbed) -> None:
-    testbed.keeper.silent.add(2)
+    testbed.endpoint_source.silent.add(2)
     wait_until(testbed, lambda: "silent" in read_logs(testbed.members[2]))
-    testbed.keeper.publish([testbed.entry(1, "terminating")])
+    testbed.endpoint_source.publish([testbed.endpoint(1, "terminating")])
     wait_until(testbed, lambda: "node-avoided" in read_logs(testbed.members[2]))
     assert 'node="s-00000002"' in read_logs(testbed.members[2])
     assert not any("node-avoided" in read_logs(testbed.members[index]) for index in (0, 1, 3))
 
 
 def test_forged_and_replayed_datagrams_only_cost_a_log_line_and_a_counter(testbed: FleetTestbed) -> None:
-    testbed.relays.keep = True
-    wait_until(testbed, lambda: len(testbed.relays.kept) > 20)
-    testbed.relays.keep = False
-    for receiver, data in testbed.relays.kept:
+    testbed.relays.is_recording = True
+    wait_until(testbed, lambda: len(testbed.relays.recorded) > 20)
+    testbed.relays.is_recording = False
+    for receiver, data in testbed.relays.recorded:
         testbed.relays.deliver(receiver, data)
         testbed.relays.deliver(receiver, data[:-1] + bytes((data[-1] ^ 1,)))
     for reason in ("replayed", "forged"):
@@ -130,7 +130,7 @@
 
     yield create
     for testbed in made:
-        testbed.end()
+        testbed.shut_down()
 
 
 def test_ten_members_join_at_once_through_one_seed_that_then_crashes(
@@ -141,20 +141,20 @@
     testbed.start(testbed.members[0])
     testbed.start(*testbed.members[1:])
     # A member that knows only the seed cannot find the others once it has crashed, so each has to know another one.
-    wait_until(testbed, lambda: all(one.live - {"m00", one.name} for one in testbed.members[1:]))
+    wait_until(testbed, lambda: all(one.live_names - {"m00", one.name} for one in testbed.members[1:]))
     testbed.kill(testbed.members[0])
     wait_until(testbed, testbed.agreed)
-    assert testbed.members[5].live == {f"m{index:02d}" for index in range(1, 11)}
+    assert testbed.members[5].live_names == {f"m{index:02d}" for index in range(1, 11)}
 
 
 def test_seeds_that_are_down_at_a_start_are_contacted_until_they_are_up(
     make_testbed: Callable[[int], FleetTestbed],
 ) -> None:
     testbed = make_testbed(4)
-    testbed.absent = {"m00", "m01"}
+    testbed.unavailable_members = {"m00", "m01"}
     testbed.start(*testbed.members[2:])
-    testbed.rest(1.0)
-    assert testbed.members[2].live == {"m02"}
+    testbed.run_for(1.0)
+    assert testbed.members[2].live_names == {"m02"}
     testbed.start(*testbed.members[:2])
     wait_until(testbed, testbed.agreed)
 
@@ -166,11 +166,15 @@
     testbed = make_testbed(6)
     testbed.start(*testbed.members)
     wait_until(testbed, testbed.agreed)
-    testbed.relays.loss, testbed.relays.doubles, testbed.relays.late_us = 0.3, 0.3, 40_000
+    testbed.relays.loss_fraction, testbed.relays.duplicate_fraction, testbed.relays.max_delay_us = (
+        0.3,
+        0.3,
+        40_000,
+    )
     testbed.relays.cut = lambda sender, receiver: (sender, receiver) == (1, 2)
     testbed.kill(testbed.members[5])
     wait_until(testbed, lambda: all(one.states.get("m05") == "dead" for one in testbed.members[:5]))
-    testbed.relays.loss = testbed.relays.doubles = 0.0
+    testbed.relays.loss_fraction = testbed.relays.duplicate_fraction = 0.0
     testbed.relays.cut = lambda sender, receiver: False
     wait_until(testbed, testbed.agreed)
 
@@ -185,7 +189,7 @@
         testbed.kill(member)
         testbed.start(member)  # within the suspicion timeout, so the others know it by its former instance id
     wait_until(testbed, testbed.agreed)
-    assert all(member.live == {f"m{index:02d}" for index in range(8)} for member in testbed.members)
+    assert all(member.live_names == {f"m{index:02d}" for index in range(8)} for member in testbed.members)
 
 
 def test_a_member_under_a_new_name_replaces_the_former_owner_of_its_address(
@@ -200,14 +204,14 @@
     new.name = "other"
     testbed.start(new)
     expected = {"m00", "m01", "other"}
-    wait_until(testbed, lambda: all(one.live == expected for one in testbed.members))
+    wait_until(testbed, lambda: all(one.live_names == expected for one in testbed.members))
 
 
 def test_a_partition_in_three_parts_longer_than_the_retention_heals(
     make_testbed: Callable[[int], FleetTestbed],
 ) -> None:
     testbed = make_testbed(6)
-    testbed.more = "remember_s = 10\n"
+    testbed.fleet_settings = "remember_s = 10\n"
     testbed.start(*testbed.members)
     wait_until(testbed, testbed.agreed)
     testbed.relays.cut = lambda sender, receiver: sender // 2 != receiver // 2
@@ -223,18 +227,18 @@
 ) -> None:
     testbed = make_testbed(3)
     testbed.start(*testbed.members[:2])
-    testbed.start(testbed.members[2], odd="newer")
+    testbed.start(testbed.members[2], injected_fault="newer")
     same_version = {"m00", "m01"}
-    wait_until(testbed, lambda: all(one.live == same_version for one in testbed.members[:2]))
+    wait_until(testbed, lambda: all(one.live_names == same_version for one in testbed.members[:2]))
     wait_until(
         testbed, lambda: 'code="TS4013"' in read_logs(testbed.members[0]) + read_logs(testbed.members[1])
     )
-    assert testbed.members[2].live == {"m02"}
+    assert testbed.members[2].live_names == {"m02"}
     testbed.loading = True
-    testbed.load()
+    testbed.send_requests()
 
     def served() -> set[int]:
-        return {uid >> 40 for uid, one in testbed.truth.asked.items() if one.answers[:1] == ["placed"]}
+        return {uid >> 40 for uid, one in testbed.oracle.requests.items() if one.answers[:1] == ["placed"]}
 
     wait_until(testbed, lambda: served() == {1, 2, 3})
     testbed.kill(testbed.members[2])
@@ -245,7 +249,7 @@
 def test_a_restart_within_the_suspicion_timeout_with_the_clock_stepped_back(testbed: FleetTestbed) -> None:
     restarted = testbed.members[2]
     testbed.kill(restarted)
-    testbed.start(restarted, odd="clock-back")  # before the others can declare it dead
+    testbed.start(restarted, injected_fault="clock-back")  # before the others can declare it dead
     wait_until(testbed, testbed.agreed)
     assert testbed.members[2].starts == 2
     assert "TS4002" not in read_logs(restarted)
@@ -262,17 +266,19 @@
     stopped = testbed.members[1]
     assert stopped.process is not None
     testbed.kill(stopped, number=signal.SIGSTOP)
-    testbed.rest(stopped_s)
+    testbed.run_for(stopped_s)
     os.kill(stopped.process.process.pid, signal.SIGCONT)
-    testbed.absent.discard(stopped.name)
+    testbed.unavailable_members.discard(stopped.name)
     wait_until(testbed, testbed.agreed)
     assert 'after="dead"' not in read_logs(stopped)
 
 
 def test_all_agree_after_a_link_that_worked_one_way_only(testbed: FleetTestbed) -> None:
     testbed.relays.cut = lambda sender, receiver: (sender, receiver) == (1, 2)
-    testbed.rest(6.0)
+    testbed.run_for(6.0)
     # Indirect probes keep both members alive.
-    wait_until(testbed, lambda: "m02" in testbed.members[1].live and "m01" in testbed.members[2].live)
+    wait_until(
+        testbed, lambda: "m02" in testbed.members[1].live_names and "m01" in testbed.members[2].live_names
+    )
     testbed.relays.cut = lambda sender, receiver: False
     wait_until(testbed, testbed.agreed)
--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -48,7 +48,7 @@
 
     def wait(self, future: Future[T]) -> T:
         """Its end, while the world turns."""
-        assert self.world.until(future.done, LIMIT_S) is not None
+        assert self.world.run_until(future.done, LIMIT_S) is not None
         return future.result()
 
     def query(self, sql: str, member: int = 0) -> QueryResult:
@@ -62,7 +62,7 @@
         while time.monotonic() - began < LIMIT_S:
             if (found := self.query(sql, member).rows) == (truth() if callable(truth) else truth):
                 return
-            self.world.rest(0.1)
+            self.world.run_for(0.1)
         raise AssertionError((sql, found))
 
     def command(self, *arguments: str, text: str | None = None) -> subprocess.CompletedProcess[str]:
@@ -77,9 +77,9 @@
 
 def make(folder: Path, members: int, more: str = CONTROL) -> FleetTestbed:
     world = FleetTestbed(7, True, None, members, 3, folder)
-    world.more = more
+    world.fleet_settings = more
     world.start(*world.members)
-    assert world.until(world.agreed, LIMIT_S) is not None
+    assert world.run_until(world.agreed, LIMIT_S) is not None
     return world
 
 
@@ -88,19 +88,19 @@
     found = Asking(make(tmp_path, 4))
     yield found
     found.pool.shutdown(cancel_futures=True)
-    found.world.end()
+    found.world.shut_down()
 
 
 def load(asking: Asking, count: int) -> None:
     """Tasks, until so many were placed."""
     world = asking.world
     world.pause_us, world.loading = 20_000, True
-    world.load()
+    world.send_requests()
 
     def placed() -> bool:
-        return sum(one.answers[:1] == ["placed"] for one in world.truth.asked.values()) >= count
+        return sum(one.answers[:1] == ["placed"] for one in world.oracle.requests.values()) >= count
 
-    assert world.until(placed, LIMIT_S) is not None
+    assert world.run_until(placed, LIMIT_S) is not None
     world.loading = False
 
 
@@ -153,7 +153,7 @@
 def test_a_dead_member_is_named_at_once_and_no_more_once_it_is_back(asking: Asking) -> None:
     world, dead = asking.world, asking.world.members[2]
     world.kill(dead)
-    assert world.until(world.agreed, LIMIT_S) is not None
+    assert world.run_until(world.agreed, LIMIT_S) is not None
     result = asking.query("SELECT DISTINCT member FROM counters ORDER BY member")
     assert result.rows == [("m00",), ("m01",), ("m03",)]
     assert result.summary.missing == [("m02", "it is held for dead")]
@@ -172,12 +172,12 @@
     ]
     for one in busy:
         assert all(result.complete for result in asking.wait(one))
-    world.rest(2.5)
-    assert world.until(lambda: not world.truth.lost(world.loop.now, 2_000_000), LIMIT_S) is not None
-    assert not world.truth.doubled()
+    world.run_for(2.5)
+    assert world.run_until(lambda: not world.oracle.lost(world.loop.now, 2_000_000), LIMIT_S) is not None
+    assert not world.oracle.duplicated()
 
     def count(word: str) -> list[tuple[int]]:
-        asked = [(uid >> 40, one) for uid, one in world.truth.asked.items()]
+        asked = [(uid >> 40, one) for uid, one in world.oracle.requests.items()]
         return [
             (sum(owner == i + 1 and (not word or word in one.answers) for owner, one in asked),)
             for i in range(4)
@@ -190,7 +190,7 @@
     asking.until(sql.format("taken"), lambda: count(""))
     asking.until(sql.format("answered"), lambda: count("placed"))
     asking.until("SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node", running)
-    given_up = next(uid for uid, one in world.truth.asked.items() if one.void)
+    given_up = next(uid for uid, one in world.oracle.requests.items() if one.void)
     story = asking.wait(asking.begin(lambda engine: explain_task(engine, f"{given_up:x}")))
     assert any("taken" in line for line in story)
     assert any("given-up" in line for line in story)
@@ -201,17 +201,17 @@
     world = FleetTestbed(7, True, None, 3, 2, tmp_path)
     asking = Asking(world)
     try:
-        world.more = CONTROL
+        world.fleet_settings = CONTROL
         world.start(*world.members[:2])
-        world.more = ""
+        world.fleet_settings = ""
         world.start(world.members[2])
-        assert world.until(world.agreed, LIMIT_S) is not None
+        assert world.run_until(world.agreed, LIMIT_S) is not None
         result = asking.query("SELECT DISTINCT member FROM counters")
         assert result.summary.missing == [("m02", "it has no control socket")]
         assert {row[0] for row in result.rows} == {"m00", "m01"}
     finally:
         asking.pool.shutdown()
-        world.end()
+        world.shut_down()
 
 
 def test_ten_shells_at_once_and_one_too_many(tmp_path: Path) -> None:
@@ -231,14 +231,14 @@
         with pytest.raises(TooManySessionsError, match="10 shells are connected"):
             late.fetch_catalog()
         said = f'code="{TooManySessionsError.code}"'
-        assert world.until(lambda: said in world.members[0].logs[0].read_text(), LIMIT_S) is not None
+        assert world.run_until(lambda: said in world.members[0].logs[0].read_text(), LIMIT_S) is not None
         clients.pop().close()
         asking.until("SELECT count(*) FROM nodes", [(6,)])
         for client in [*clients, late]:
             client.close()
     finally:
         asking.pool.shutdown()
-        world.end()
+        world.shut_down()
 
 
 def test_a_stalled_and_a_malformed_client_are_disconnected_alone(
@@ -258,7 +258,7 @@
     def dropped() -> bool:
         return log.read_text().count('code="TS5003"') >= 2
 
-    assert asking.world.until(dropped, LIMIT_S) is not None, log.read_text()[-2000:]
+    assert asking.world.run_until(dropped, LIMIT_S) is not None, log.read_text()[-2000:]
     odd.settimeout(5.0)
     assert odd.recv(10) == b""
     deaf.close()
@@ -270,8 +270,8 @@
 
 def test_a_name_of_quotes_brackets_and_control_characters(asking: Asking) -> None:
     odd = 's-"q" [bold]\'\x1b[2J'
-    entry = asking.world.entry(1) | {"instanceId": odd}
-    asking.world.keeper.publish([entry])
+    entry = asking.world.endpoint(1) | {"instanceId": odd}
+    asking.world.endpoint_source.publish([entry])
     asking.until("SELECT count(*) FROM nodes WHERE node LIKE 's-\"q\"%'", [(4,)])
     lines = asking.wait(asking.begin(lambda engine: explain_node(engine, odd)))
     assert sum(line.startswith("m0") for line in lines) == 4
@@ -315,9 +315,9 @@
     load(asking, 40)
     world = asking.world
     world.kill(world.members[3])
-    assert world.until(world.agreed, LIMIT_S) is not None
+    assert world.run_until(world.agreed, LIMIT_S) is not None
     uid = next(
-        uid for uid, one in world.truth.asked.items() if one.answers[:1] == ["placed"] and uid >> 40 == 2
+        uid for uid, one in world.oracle.requests.items() if one.answers[:1] == ["placed"] and uid >> 40 == 2
     )
     lines = [
         ".help", ".tables", ".columns nodes", ".queries", ".run down", ".diff members", ".why s-00000001",
@@ -350,7 +350,7 @@
     asking = Asking(world)
     at = tmp_path / "one.sock"
     try:
-        world.more = f'[control]\nsocket = "{at}"\n'
+        world.fleet_settings = f'[control]\nsocket = "{at}"\n'
         world.start(world.members[0])
         with pytest.raises(ThornshelfError, match="TS5002"):
             world.start(world.members[1])
@@ -363,12 +363,12 @@
         (tmp_path / "open").mkdir()
         (tmp_path / "open").chmod(0o777)
         world.members[0].process = None
-        world.more = f'[control]\nsocket = "{tmp_path}/open/s"\n'
+        world.fleet_settings = f'[control]\nsocket = "{tmp_path}/open/s"\n'
         with pytest.raises(ThornshelfError, match="another user may write there.*TS5001"):
             world.start(world.members[0])
     finally:
         asking.pool.shutdown()
-        world.end()
+        world.shut_down()
     assert not at.exists()  # one that ends in order leaves nothing behind
 
 
@@ -376,15 +376,15 @@
     world = FleetTestbed(7, True, None, 2, 3, tmp_path)
     asking = Asking(world)
     try:
-        world.more = CONTROL
-        world.start(world.members[0], odd="crowd")
+        world.fleet_settings = CONTROL
+        world.start(world.members[0], injected_fault="crowd")
         world.start(world.members[1])
-        assert world.until(world.agreed, LIMIT_S) is not None
+        assert world.run_until(world.agreed, LIMIT_S) is not None
         world.loading = True
-        world.load()
+        world.send_requests()
         for member in (0, 1):  # by itself, and as another's answer
             begun = asking.begin(lambda engine: engine.query("SELECT uid, age_ms FROM tasks", True), member)
-            before = len(world.truth.asked)
+            before = len(world.oracle.requests)
             result = asking.wait(begun)
             crowd = [row for row in result.rows if row[0] >= f"{1 << 60:016x}"]
             assert len({row[0] for row in crowd}) == len(crowd) > 9_000
@@ -392,13 +392,13 @@
             if result.summary.missing:  # what travels of one answer is bounded, and it says so
                 assert member == 1
                 assert "too long" in result.summary.missing[0][1]
-            assert len(world.truth.asked) > before
+            assert len(world.oracle.requests) > before
         count = "SELECT count(DISTINCT uid) FROM tasks WHERE uid >= '1000000000000000'"
         assert asking.query(count).rows == [(100_000,)]
         world.loading = False
-        world.rest(1.0)
-        assert not world.truth.doubled()
-        assert all(one.answers for one in world.truth.asked.values() if not one.void)
+        world.run_for(1.0)
+        assert not world.oracle.duplicated()
+        assert all(one.answers for one in world.oracle.requests.values() if not one.void)
     finally:
         asking.pool.shutdown()
-        world.end()
+        world.shut_down()
--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from thornshelf.lab.fakes.network import free_port, private
+from thornshelf.lab.fakes.network import free_port, member_host
 from thornshelf.lab.scale.bounds import Bounds
 from thornshelf.lab.scale.hollow import Count, Kill, Nodes, Rise
 from thornshelf.lab.scale.layout import Layout
@@ -23,7 +23,7 @@
 @pytest.fixture
 def testbed(tmp_path: Path) -> Iterator[ScaleTestbed]:
     """One dispatcher that holds all nodes and one of zone 1, with simulated nodes in a process of their own."""
-    layout = Layout(11, free_port([private(0)]))
+    layout = Layout(11, free_port([member_host(0)]))
     nodes = Nodes(layout, NODES, NODES)
     scale_testbed = ScaleTestbed(layout, nodes, NODES, 2, tmp_path, Bounds(100.0), 2)
     try:
@@ -45,16 +45,16 @@
 
 
 def placed_tasks(testbed: ScaleTestbed, dispatcher: Dispatcher) -> int:
-    assert dispatcher.county is not None
-    return sum(bool(task.get("placed")) for task in dispatcher.county.tasks.values())
+    assert dispatcher.network is not None
+    return sum(bool(task.get("placed")) for task in dispatcher.network.tasks.values())
 
 
 def violations(testbed: ScaleTestbed) -> tuple[int, int, int]:
     """Count the tasks that were lost, that ran twice, and that were sent to a draining node."""
     testbed.rest(3.0)
     tally = testbed.nodes.tell(Count())
-    testbed.truth.over = tally.over
-    lost, doubled = testbed.truth.lost(testbed.loop.now, 2_000_000), testbed.truth.doubled()
+    testbed.oracle.ended_us = tally.over
+    lost, doubled = testbed.oracle.lost(testbed.loop.now, 2_000_000), testbed.oracle.duplicated()
     return len(lost), len(doubled), tally.late
 
 
@@ -77,12 +77,12 @@
     assert testbed.until(lambda: last_logged(subset, "spare") >= 3, 10.0)
     testbed.load(1.0, 20.0)
     assert testbed.until(lambda: placed_tasks(testbed, subset) > before + 10, 5.0)
-    testbed.keeper.silent.add(1)
+    testbed.endpoint_source.silent.add(1)
     testbed.nodes.tell(Rise(ZONE))
     testbed.tell(*(testbed.layout.entry(node, started_ms=1) for node in ZONE))
     testbed.load(1.0, 20.0)
     assert last_logged(subset, "own") == 0  # it does not know of the return, and keeps serving
-    testbed.keeper.silent.clear()
+    testbed.endpoint_source.silent.clear()
     assert testbed.until(lambda: last_logged(subset, "own") == 3, 10.0)
     testbed.load(1.0, 20.0)
     assert violations(testbed) == (0, 0, 0)
--- a/tests/test_subset_service.py
+++ b/tests/test_subset_service.py
@@ -15,7 +15,7 @@
 from thornshelf.lab.fakes.behavior import HOST, NodeBehavior
 from thornshelf.lab.fakes.clients import FakeJsonLinesClient
 from thornshelf.lab.fakes.cluster import EXAMPLE_CONFIG, TIMEOUT_S
-from thornshelf.lab.fakes.network import FakeEndpointSource, private
+from thornshelf.lab.fakes.network import FakeEndpointSource, member_host
 from thornshelf.lab.fakes.nodes import FakeNode
 from thornshelf.loop import Loop
 from thornshelf.service import Service
@@ -42,7 +42,7 @@
             base_config,
             settings=replace(base_config.settings, placers=placers),
             listen=(HOST, 0),
-            endpoint_source=(private(0), self.endpoint_source.ports[0]),
+            endpoint_source=(member_host(0), self.endpoint_source.ports[0]),
             initial_endpoints={"seq": 1, "results": self.endpoint_source.events[:1]},
             subset=ZoneSubsetConfig(subset, 1),
         )
--- a/thornshelf/lab/fakes/network.py
+++ b/thornshelf/lab/fakes/network.py
@@ -14,12 +14,12 @@
 from thornshelf.loop.loop import IN
 
 
-def public(index: int) -> str:
+def relay_host(index: int) -> str:
     """Return the address at which other members reach a member; datagrams to it go through a relay."""
     return f"127.0.101.{index + 1}"
 
 
-def private(index: int) -> str:
+def member_host(index: int) -> str:
     """Return the address that a member itself binds, by which a relay identifies the sender."""
     return f"127.0.102.{index + 1}"
 
@@ -45,28 +45,29 @@
 class DatagramRelays:
     """Relays all datagrams between members, and can drop, duplicate, delay and record them.
 
-    ``cut(sender, receiver)``: whether that direction of a link is cut; ``loss`` and ``doubles``: fractions of the
-    datagrams that are dropped or duplicated; ``late_us``: exclusive upper limit of the random delay; ``kept``: the
-    receiver and the data of each datagram recorded while ``keep`` is set, at most 500, for a replay; ``bytes`` and
-    ``sent``: bytes with UDP and IP headers, of all members and by member; ``datagrams``: their number by member.
+    ``cut(sender, receiver)``: whether that direction of a link is cut; ``loss_fraction`` and ``duplicate_fraction``:
+    fractions of the datagrams that are dropped or duplicated; ``max_delay_us``: exclusive upper limit of the random
+    delay; ``recorded``: the receiver and the data of each datagram recorded while ``is_recording`` is set, at most
+    500, for a replay; ``bytes`` and ``sent``: bytes with UDP and IP headers, of all members and by member;
+    ``datagrams``: their number by member.
     """
 
     def __init__(self, loop: Loop, count: int, seed: int) -> None:
         self.loop, self.chance = loop, random.Random(seed)
-        self.port = free_port([public(i) for i in range(count)] + [private(i) for i in range(count)])
+        self.port = free_port([relay_host(i) for i in range(count)] + [member_host(i) for i in range(count)])
         self.cut: Callable[[int, int], bool] = lambda sender, receiver: False
-        self.loss = self.doubles = 0.0
-        self.late_us = 0
+        self.loss_fraction = self.duplicate_fraction = 0.0
+        self.max_delay_us = 0
         self.bytes = 0
         self.sent: Counter[int] = Counter()
         self.datagrams: Counter[int] = Counter()
-        self.kept: list[tuple[int, bytes]] = []
-        self.keep = False
+        self.recorded: list[tuple[int, bytes]] = []
+        self.is_recording = False
         self._socks: list[socket.socket] = []
         for index in range(count):
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.setblocking(False)
-            sock.bind((public(index), self.port))
+            sock.bind((relay_host(index), self.port))
             self._socks.append(sock)
             loop.spawn(self._run(index, sock))
 
@@ -86,11 +87,11 @@
         self.datagrams[sender] += 1
         if self.cut(sender, receiver):
             return
-        if self.keep and len(self.kept) < 500:
-            self.kept.append((receiver, data))
-        for _ in range(2 if self.chance.random() < self.doubles else 1):
-            if self.chance.random() >= self.loss:
-                delay_us = self.chance.randrange(self.late_us) if self.late_us else 0
+        if self.is_recording and len(self.recorded) < 500:
+            self.recorded.append((receiver, data))
+        for _ in range(2 if self.chance.random() < self.duplicate_fraction else 1):
+            if self.chance.random() >= self.loss_fraction:
+                delay_us = self.chance.randrange(self.max_delay_us) if self.max_delay_us else 0
                 if delay_us:
                     self.loop.call_later(delay_us, lambda: self.deliver(receiver, data))
                 else:
@@ -99,7 +100,7 @@
     def deliver(self, receiver: int, data: bytes) -> None:
         """Send a datagram to a member, without injected faults."""
         with suppress(OSError):  # its process may have ended
-            self._socks[receiver].sendto(data, (private(receiver), self.port))
+            self._socks[receiver].sendto(data, (member_host(receiver), self.port))
 
     def close(self) -> None:
         """Close all sockets."""
@@ -122,7 +123,7 @@
         self.ports: list[int] = []
         self._socks: list[socket.socket] = []
         for index in range(count):
-            sock = socket.create_server((private(index), 0))
+            sock = socket.create_server((member_host(index), 0))
             sock.setblocking(False)
             self._socks.append(sock)
             self.ports.append(int(sock.getsockname()[1]))
--- a/thornshelf/lab/fleet.py
+++ b/thornshelf/lab/fleet.py
@@ -27,13 +27,13 @@
     testbed.start(*members)
     phases["join"] = testbed.settle()
     testbed.loading = True
-    testbed.load()
+    testbed.send_requests()
     testbed.counts_false_detections = True
-    testbed.rest(1.0)
+    testbed.run_for(1.0)
     before, started_at = testbed.relays.bytes, time.monotonic()
-    testbed.rest(3.0)
+    testbed.run_for(3.0)
     bytes_per_s = (testbed.relays.bytes - before) / len(members) / (time.monotonic() - started_at)
-    testbed.relays.keep = True
+    testbed.relays.is_recording = True
     killed = testbed.rng.sample(members[2:-1], 3)
     testbed.kill(*killed)
     phases["crash"] = testbed.settle()
@@ -42,27 +42,27 @@
     phases["replay"] = _replay(testbed)
     stopped = next(one for one in members[2:-1] if one not in killed)
     testbed.kill(stopped, number=signal.SIGSTOP)
-    testbed.rest(4.0)
+    testbed.run_for(4.0)
     os.kill(stopped.process.process.pid, signal.SIGCONT)  # type: ignore[union-attr]
-    testbed.until(lambda: False, 0.3)  # time to learn that it was declared dead
-    testbed.absent.discard(stopped.name)
+    testbed.run_until(lambda: False, 0.3)  # time to learn that it was declared dead
+    testbed.unavailable_members.discard(stopped.name)
     phases["stall"] = testbed.settle()
     phases["one-way"] = _one_way(testbed)
     phases["liar"] = _liar(testbed)
     late_attempts = _unresponsive_endpoint_source(testbed)
     phases["partition"], phases["heal"] = _partition(testbed)
     testbed.loading = False
-    testbed.rest(3.0)
+    testbed.run_for(3.0)
     report = _counts(testbed)
     return report | {"phases": phases, "bytes_per_s": round(bytes_per_s), "late_sends": late_attempts}
 
 
 def _replay(testbed: FleetTestbed) -> int:
     """Replay the datagrams recorded since the kills, also to processes that were started later."""
-    testbed.relays.keep = False
-    for receiver, data in testbed.relays.kept:
+    testbed.relays.is_recording = False
+    for receiver, data in testbed.relays.recorded:
         testbed.relays.deliver(receiver, data)
-    testbed.rest(1.0)
+    testbed.run_for(1.0)
     return testbed.settle()
 
 
@@ -70,7 +70,7 @@
     """Cut one direction of a random link for a while."""
     pair = testbed.rng.sample(range(len(testbed.members)), 2)
     testbed.relays.cut = lambda sender, receiver: [sender, receiver] == pair
-    testbed.rest(4.0)
+    testbed.run_for(4.0)
     testbed.relays.cut = lambda sender, receiver: False
     return testbed.settle()
 
@@ -79,24 +79,24 @@
     """Have the last member make false reports for a while, which it does while the file ``lie`` exists."""
     lie_file = testbed.folder / "lie"
     lie_file.touch()
-    testbed.rest(4.0)
+    testbed.run_for(4.0)
     lie_file.unlink()
     return testbed.settle()
 
 
 def _unresponsive_endpoint_source(testbed: FleetTestbed) -> int:
     """Stop one member's endpoint source while a node drains; returns the number of attempts that came too late."""
-    testbed.keeper.silent.add(4)
-    testbed.rest(3.2)
+    testbed.endpoint_source.silent.add(4)
+    testbed.run_for(3.2)
     node = testbed.nodes[3]
-    testbed.keeper.publish([testbed.entry(3, "terminating")])
+    testbed.endpoint_source.publish([testbed.endpoint(3, "terminating")])
     node.draining_since_us = testbed.loop.now
-    testbed.rest(4.0)
+    testbed.run_for(4.0)
     late_attempts = node.late_attempts
-    testbed.keeper.silent.clear()
-    testbed.rest(0.5)
+    testbed.endpoint_source.silent.clear()
+    testbed.run_for(0.5)
     node.draining_since_us, node.slow_start_until_us = 0, testbed.loop.now + 14_000_000
-    testbed.keeper.publish([testbed.entry(3, "in_service", time.time_ns() // 1_000_000)])
+    testbed.endpoint_source.publish([testbed.endpoint(3, "in_service", time.time_ns() // 1_000_000)])
     return late_attempts
 
 
@@ -112,12 +112,12 @@
             for is_first_half in (True, False)
         ]
         return not testbed.has_membership or all(
-            one.live == sides[one.index not in half] for one in testbed.members
+            one.live_names == sides[one.index not in half] for one in testbed.members
         )
 
     testbed.resubmit()
-    elapsed_s = testbed.until(is_partitioned, 15.0)
-    testbed.rest(2.0)
+    elapsed_s = testbed.run_until(is_partitioned, 15.0)
+    testbed.run_for(2.0)
     testbed.relays.cut = lambda sender, receiver: False
     heal_ms = testbed.settle()
     testbed.counts_false_detections = True
@@ -126,8 +126,8 @@
 
 def _counts(testbed: FleetTestbed) -> dict[str, Any]:
     """Return the counts of the oracle, the nodes and the logs, with the keys of the report."""
-    oracle, now = testbed.truth, testbed.loop.now
-    lookups = [one for one in oracle.asked.values() if not one.at_most_once and not one.void]
+    oracle, now = testbed.oracle, testbed.loop.now
+    lookups = [one for one in oracle.requests.values() if not one.at_most_once and not one.void]
     in_time = sum(
         one.answers[:1] == ["placed"] and one.answered_us - one.sent_us <= LATENCY_OBJECTIVE_US
         for one in lookups
@@ -143,10 +143,10 @@
         "asked": len(lookups),
         "worth": round(in_time / max(1, len(lookups)), 4),
         "lost": len(oracle.lost(now, 2_000_000)),
-        "doubled": len(oracle.doubled()),
+        "doubled": len(oracle.duplicated()),
         "rules_broken": sum(node.excess_attempts for node in testbed.nodes),
-        "ledger_batch_max_starts": max(oracle.starts.values(), default=0),
-        "replays": len(testbed.relays.kept),
+        "ledger_batch_max_starts": max(oracle.starts_by_key.values(), default=0),
+        "replays": len(testbed.relays.recorded),
         "replays_refused": rejected_replays,
     }
 
@@ -161,7 +161,7 @@
         try:
             report = run_phases(testbed)
         finally:
-            exit_code = testbed.end()
+            exit_code = testbed.shut_down()
         return report | {"exit": exit_code}
 
 
--- a/thornshelf/lab/fleet_testbed.py
+++ b/thornshelf/lab/fleet_testbed.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from thornshelf.lab.fakes.cluster import BINARY, HOST, JSON, ReceivedMessage
-from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, member_host, relay_host
 from thornshelf.lab.load import LEDGER, LOOKUP, ClientPopulation, LoadNode
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess
@@ -72,7 +72,7 @@
         self.logs: list[Path] = []  # of all its processes so far
 
     @property
-    def live(self) -> set[str]:
+    def live_names(self) -> set[str]:
         """The names of the members that it considers live, including its own."""
         return {self.name} | {name for name, state in self.states.items() if state in LIVE_STATES}
 
@@ -98,9 +98,9 @@
 class FleetTestbed:
     """The members, nodes and links of one run.
 
-    ``absent``: names of members that were killed, stopped or cut off, which others rightly declare dead;
+    ``unavailable_members``: names of members that were killed, stopped or cut off, which others rightly declare dead;
     ``counts_false_detections``: whether ``false_detections`` counts other members that are declared dead;
-    ``has_liar``: the last member can make false reports; ``more``: lines to add to the operator's file;
+    ``has_liar``: the last member can make false reports; ``fleet_settings``: lines to add to the operator's file;
     ``pause_us``: between two requests at one member; ``seeds``: the first members, that many, are the seeds.
     """
 
@@ -114,69 +114,71 @@
         folder: Path,
     ) -> None:
         self.loop, self.rng, self.folder = Loop(), random.Random(seed), folder
-        self.has_membership, self.injected_fault, self.truth = has_membership, injected_fault, Oracle()
+        self.has_membership, self.injected_fault, self.oracle = has_membership, injected_fault, Oracle()
         self.members = [MemberProcess(index) for index in range(members)]
-        self.relays, self.keeper = (
+        self.relays, self.endpoint_source = (
             DatagramRelays(self.loop, members, seed),
             FakeEndpointSource(self.loop, members),
         )
         self.nodes = [
-            FleetNode(self.loop, BINARY, self.truth, random.Random(seed + 9 + i)) for i in range(nodes)
+            FleetNode(self.loop, BINARY, self.oracle, random.Random(seed + 9 + i)) for i in range(nodes)
         ]
-        self.keeper.publish([self.entry(node) for node in range(nodes)], True)
+        self.endpoint_source.publish([self.endpoint(node) for node in range(nodes)], True)
         self.key = folder / "fleet.key"
         self.key.write_text(KEY)
         self.key.chmod(0o600)
         self.request_count = self.false_detections = 0
         self.loading = False
-        self.absent: set[str] = set()
+        self.unavailable_members: set[str] = set()
         self.counts_false_detections = False
         self.has_liar = False
-        self.more = ""
+        self.fleet_settings = ""
         self.pause_us = 150_000
         self.seeds = 2
 
-    def entry(self, node: int, lifecycle: str = "in_service", started_ms: int = 0) -> dict[str, Any]:
+    def endpoint(self, node: int, lifecycle: str = "in_service", started_ms: int = 0) -> dict[str, Any]:
         """Return a node's entry for the endpoint list."""
         return {
             "instanceId": f"s-{node + 1:08x}", "hostPort": f"{HOST}:{self.nodes[node].port}", "zone": "jackson-dc",
             "machineType": "node-small", "cell": 1, "lifecycle": lifecycle, "weight": 1, "startedAtMs": started_ms,
         }  # fmt: skip
 
-    def start(self, *members: MemberProcess, odd: str = "") -> None:
-        """Start members' processes, with the injected fault ``odd`` if any, and wait until they serve."""
+    def start(self, *members: MemberProcess, injected_fault: str = "") -> None:
+        """Start members' processes, with ``injected_fault`` if any, and wait until they serve."""
         for member in members:
             member.starts += 1
             folder = self.folder / f"{member.name}-{member.starts}"
             folder.mkdir()
             operator = ""
             if self.has_membership:
-                seeds = ", ".join(f'"{public(i)}:{self.relays.port}"' for i in range(self.seeds))
+                seeds = ", ".join(f'"{relay_host(i)}:{self.relays.port}"' for i in range(self.seeds))
                 operator = (
-                    f'[fleet]\nname = "lab"\nlisten = "{private(member.index)}:{self.relays.port}"\n'
-                    f'advertise = "{public(member.index)}:{self.relays.port}"\n'
-                    f'seeds = [{seeds}]\nkey_file = "{self.key}"\n{self.more}'
+                    f'[fleet]\nname = "lab"\nlisten = "{member_host(member.index)}:{self.relays.port}"\n'
+                    f'advertise = "{relay_host(member.index)}:{self.relays.port}"\n'
+                    f'seeds = [{seeds}]\nkey_file = "{self.key}"\n{self.fleet_settings}'
                 )
             port = member.process.addresses[JSON][1] if member.process is not None else 0
 
             def changes(value: dict[str, Any], member: MemberProcess = member, port: int = port) -> None:
-                value["name"], value["listen"] = member.name, f"{private(member.index)}:{port}"
-                value["changelog"] = f"{private(member.index)}:{self.keeper.ports[member.index]}"
-                value["known"] = {"seq": 1, "results": self.keeper.events[:1]}
+                value["name"], value["listen"] = member.name, f"{member_host(member.index)}:{port}"
+                value["changelog"] = f"{member_host(member.index)}:{self.endpoint_source.ports[member.index]}"
+                value["known"] = {"seq": 1, "results": self.endpoint_source.events[:1]}
                 value["settings"] |= {"n-instances": len(self.members), "me": member.index}
                 value["settings"]["limits"]["peer-messages"] = True
 
             liar_fault = "liar" if self.has_liar and member is self.members[-1] else ""
-            fault_names = ",".join(one for one in (liar_fault, odd, self.injected_fault) if one) or None
+            fault_names = (
+                ",".join(one for one in (liar_fault, injected_fault, self.injected_fault) if one) or None
+            )
             member.process = DispatcherProcess(folder, [], operator, fault_names, changes=changes, wait=False)
             member.reset_states()
             member.logs.append(folder / "log")
-            self.absent.discard(member.name)
-        self.until(lambda: all(one.process is not None and one.process.ready() for one in members), 20.0)
+            self.unavailable_members.discard(member.name)
+        self.run_until(lambda: all(one.process is not None and one.process.ready() for one in members), 20.0)
         for member in members:
             assert member.process is not None
             member.clients = ClientPopulation(
-                self.loop, member.process.addresses, JSON, self.truth, random.Random(member.index)
+                self.loop, member.process.addresses, JSON, self.oracle, random.Random(member.index)
             )
             member.clients.next_uid = (member.index + 1 << 40) + (member.starts << 32)
 
@@ -185,18 +187,18 @@
         for member in members:
             assert member.process is not None
             assert member.clients is not None
-            self.absent.add(member.name)
+            self.unavailable_members.add(member.name)
             os.kill(member.process.process.pid, number)
             if number == signal.SIGKILL:
                 member.process.process.wait()
                 clients, member.clients = member.clients, None
                 for task in clients.tasks.values():
                     task["done"] = True
-                for uid, request in self.truth.asked.items():
+                for uid, request in self.oracle.requests.items():
                     if uid >> 40 == member.index + 1:
                         request.void = True
 
-    def until(self, done: Callable[[], bool], limit_s: float) -> float | None:
+    def run_until(self, done: Callable[[], bool], limit_s: float) -> float | None:
         """Run the loop until a condition holds; returns the seconds that it took, or None after ``limit_s``."""
         began = time.monotonic()
         last_check = 0.0
@@ -210,16 +212,18 @@
                     return time.monotonic() - began
         return None
 
-    def rest(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Run the loop for a while."""
-        self.until(lambda: False, seconds)
+        self.run_until(lambda: False, seconds)
 
     def read_logs(self) -> None:
         """Read all new log lines, and count running members that are declared dead."""
         for member in self.members:
             for name, _, after in member.read_log():
                 is_false_detection = (
-                    after not in LIVE_STATES and name not in self.absent and member.name not in self.absent
+                    after not in LIVE_STATES
+                    and name not in self.unavailable_members
+                    and member.name not in self.unavailable_members
                 )
                 self.false_detections += (
                     self.counts_false_detections
@@ -229,35 +233,41 @@
 
     def agreed(self) -> bool:
         """Whether all running members consider exactly each other live; true without membership."""
-        running_names = {member.name for member in self.members if member.name not in self.absent}
+        running_names = {
+            member.name for member in self.members if member.name not in self.unavailable_members
+        }
         return not self.has_membership or all(
-            member.live == running_names for member in self.members if member.name in running_names
+            member.live_names == running_names for member in self.members if member.name in running_names
         )
 
     def settle(self, limit_s: float = 15.0) -> int:
         """Run the loop until ``agreed``; returns the milliseconds that it took, at most those of ``limit_s``."""
-        elapsed_s = self.until(self.agreed, limit_s)
+        elapsed_s = self.run_until(self.agreed, limit_s)
         return int((limit_s if elapsed_s is None else elapsed_s) * 1000)
 
     def resubmit(self) -> None:
         """At each running member, cancel the lookups of half of its services and request them again within 1 s."""
         for member in self.members:
-            if member.clients is not None and member.name not in self.absent and member.clients.tasks:
+            if (
+                member.clients is not None
+                and member.name not in self.unavailable_members
+                and member.clients.tasks
+            ):
                 member.clients.resubmit(0.5, 1_000_000, include_ledger_batches=False)
 
-    def load(self) -> None:
+    def send_requests(self) -> None:
         """Send a request to every running member, every ``pause_us`` while ``loading`` is set."""
         if not self.loading:
             return
         for member in self.members:
-            if member.clients is not None and member.name not in self.absent:
+            if member.clients is not None and member.name not in self.unavailable_members:
                 self.request_count += 1
                 is_ledger = self.rng.random() < 0.04
                 hint, service = ("8200" if is_ledger else None), self.rng.randrange(30)
                 member.clients.ask(self.request_count, LEDGER if is_ledger else LOOKUP, hint, service)
-        self.loop.call_later(self.pause_us, self.load)
+        self.loop.call_later(self.pause_us, self.send_requests)
 
-    def end(self) -> int:
+    def shut_down(self) -> int:
         """Shut all processes down, gracefully if they end in time; returns the greatest absolute exit code."""
         self.counts_false_detections = False
         exit_codes = [0]
@@ -268,11 +278,11 @@
         ]
         for process in running:
             process.process.terminate()
-        self.until(lambda: all(process.process.poll() is not None for process in running), 15.0)
+        self.run_until(lambda: all(process.process.poll() is not None for process in running), 15.0)
         for process in running:
             if process.process.poll() is None:
                 process.process.kill()
             exit_codes.append(abs(process.process.wait()))
         self.relays.close()
-        self.keeper.close()
+        self.endpoint_source.close()
         return max(exit_codes)
--- a/thornshelf/lab/load.py
+++ b/thornshelf/lab/load.py
@@ -106,7 +106,7 @@
             return
         responder, is_ledger = entry[1], order.task_class == LEDGER
         if is_ledger:
-            self.oracle.starts[order.key] += 1
+            self.oracle.starts_by_key[order.key] += 1
         self.tasks[order.uid] = entry
         self.running_by_key[order.key] = order.uid
         if is_ledger and self.random.random() < self.cut_binding_fraction:
@@ -156,7 +156,7 @@
         self._release_resources(order)
         self.record_end(uid, outcome)
         self.ended_by_key[order.key] = uid, outcome
-        self.oracle.over[order.key] = self.loop.now
+        self.oracle.ended_us[order.key] = self.loop.now
 
     def _release_resources(self, order: ReceivedMessage) -> None:
         cores, memory = TASK_SIZES[order.task_class]
@@ -251,7 +251,7 @@
         self.next_uid += 1
         uid = task["uid"] = self.next_uid
         deadline_us = self.loop.now + time_left_ms * 1000
-        self.oracle.asked[uid] = ObservedRequest(
+        self.oracle.requests[uid] = ObservedRequest(
             uid, key, task["class"] == LEDGER, self.loop.now, deadline_us
         )
         client = self.client(task["wire_form"], task["service"])
@@ -268,13 +268,13 @@
 
     def _send(self, client: Any, key: int, uid: int) -> None:
         task = self.tasks[key]
-        if not self.oracle.asked[uid].void:
+        if not self.oracle.requests[uid].void:
             client.request_task(
                 uid, key, task["class"], task["hint"], task["service"], TASK_SIZES[task["class"]]
             )
 
     def _handle_answer(self, connection: int, uid: int, answer: str, *_: Any) -> None:
-        request = self.oracle.asked.get(uid)
+        request = self.oracle.requests.get(uid)
         if request is None:
             self.oracle.unknown_answers += 1
             return
@@ -320,7 +320,7 @@
             if is_ledger and (task.get("placed") or not include_ledger_batches):
                 continue
             uid = task["uid"]
-            request = self.oracle.asked[uid]
+            request = self.oracle.requests[uid]
             request.void = True
             client = self.clients.get((task["wire_form"], task["service"] % CONNECTIONS_PER_FORM))
             if client is not None and client.stream is not None and client.stream.open:
@@ -343,7 +343,7 @@
         if not connected:
             self.refused_connections += 1
         for key, task in list(self.tasks.items()):
-            request = self.oracle.asked.get(task["uid"])
+            request = self.oracle.requests.get(task["uid"])
             is_on_connection = (task["wire_form"], task["service"] % CONNECTIONS_PER_FORM) == connection_key
             if (
                 is_on_connection
@@ -362,7 +362,7 @@
         client.stream.close()
         client.closed = True
         for key, task in self.tasks.items():
-            request = self.oracle.asked.get(task["uid"])
+            request = self.oracle.requests.get(task["uid"])
             is_on_connection = (
                 task["wire_form"] == self.wire_format and task["service"] % CONNECTIONS_PER_FORM == connection
             )
--- a/thornshelf/lab/oracle.py
+++ b/thornshelf/lab/oracle.py
@@ -32,22 +32,22 @@
 class Oracle:
     """All requests, starts and ends of one run.
 
-    ``asked``: requests by id; ``starts``: starts of each task that must not be started twice, by idempotency key;
-    ``has_client_hint``: whether the client gave a lifetime hint, by key; ``unmarked_hints``: number of offers
-    with an assumed hint that was not marked as assumed; ``over``: when the node ended a task, by key;
+    ``requests``: requests by id; ``starts_by_key``: starts of each task that must not be started twice, by
+    idempotency key; ``has_client_hint``: whether the client gave a lifetime hint, by key; ``unmarked_hints``: number
+    of offers with an assumed hint that was not marked as assumed; ``ended_us``: when the node ended a task, by key;
     ``unknown_answers``: number of answers and releases whose id belongs to no request.
     """
 
-    asked: dict[int, ObservedRequest] = field(default_factory=dict)
-    starts: Counter[int] = field(default_factory=Counter)
+    requests: dict[int, ObservedRequest] = field(default_factory=dict)
+    starts_by_key: Counter[int] = field(default_factory=Counter)
     has_client_hint: dict[int, bool] = field(default_factory=dict)
     unmarked_hints: int = 0
-    over: dict[int, int] = field(default_factory=dict)
+    ended_us: dict[int, int] = field(default_factory=dict)
     unknown_answers: int = 0
 
     def record_answer(self, uid: int, answer: str, now_us: int) -> None:
         """Record a final answer, one of ``FINAL_ANSWERS``."""
-        request = self.asked.get(uid)
+        request = self.requests.get(uid)
         if request is None:
             self.unknown_answers += 1
             return
@@ -61,7 +61,7 @@
         The dispatcher may send a release again on another connection if it does not know whether the first one
         arrived. A second release on the same connection is a fault.
         """
-        request = self.asked.get(uid)
+        request = self.requests.get(uid)
         if request is None:
             self.unknown_answers += 1
         else:
@@ -74,24 +74,24 @@
         ``slack_us`` is allowed after either.
         """
         found = []
-        for request in self.asked.values():
+        for request in self.requests.values():
             if request.void:
                 continue
             if not request.answers and now_us > request.deadline_us + slack_us:
                 found.append(request.uid)
             elif request.answers[:1] == ["placed"] and not request.releases:
-                ended_us = self.over.get(request.key)
+                ended_us = self.ended_us.get(request.key)
                 if ended_us is None or ended_us < request.answered_us:
                     continue
                 if now_us > ended_us + slack_us:
                     found.append(request.uid)
         return found
 
-    def doubled(self) -> list[int]:
+    def duplicated(self) -> list[int]:
         """Return the ids of requests with several final answers, or with several releases on one connection."""
         return [
             request.uid
-            for request in self.asked.values()
+            for request in self.requests.values()
             if not request.void
             and (len(request.answers) > 1 or len(request.releases) > len(set(request.releases)))
         ]
--- a/thornshelf/lab/restart.py
+++ b/thornshelf/lab/restart.py
@@ -93,9 +93,9 @@
     def report(self, seed: int, handovers: int, log: str) -> dict[str, Any]:
         """Return the report, from what the fakes counted and the log."""
         lost = self.oracle.lost(self.loop.now, SLACK_US)
-        doubled = self.oracle.doubled()
+        doubled = self.oracle.duplicated()
         without_outcome = [
-            str(self.oracle.asked[task["uid"]])
+            str(self.oracle.requests[task["uid"]])
             for task in self.clients.tasks.values()
             if not (task.get("placed") or task["done"])
         ]
@@ -107,18 +107,18 @@
             "handovers": len(self.pids) - 1,
             "failed_handovers": self.failed_handovers,
             "tasks": len(self.clients.tasks),
-            "asked": len(self.oracle.asked),
+            "asked": len(self.oracle.requests),
             "outcomes": dict(self.clients.outcomes),
             "standing_handed_over": sum(map(int, _TAKEN_OVER.findall(log))),
             "refused_connections": self.clients.refused_connections,
             "lost": len(lost),
             "doubled": len(doubled),
-            "ledger_batch_max_starts": max(self.oracle.starts.values(), default=0),
+            "ledger_batch_max_starts": max(self.oracle.starts_by_key.values(), default=0),
             "peak_descriptors": self.peak_descriptors,
             "descriptor_limit": SOCKETS,
             "log": log_tail if quotes_log else [],
             "none": without_outcome[:5],
-            "details": [str(self.oracle.asked[uid]) for uid in (*lost, *doubled)][:10],
+            "details": [str(self.oracle.requests[uid]) for uid in (*lost, *doubled)][:10],
         }
 
 
--- a/thornshelf/lab/scale/faults.py
+++ b/thornshelf/lab/scale/faults.py
@@ -66,7 +66,7 @@
         try:
             testbed.start_real(0, False, self.injected_fault)
             testbed.start_real(1, True, self.injected_fault)
-            hollow_members = list(range(2, 2 + len(testbed.keeper.ports) - 2))
+            hollow_members = list(range(2, 2 + len(testbed.endpoint_source.ports) - 2))
             testbed.start_hollow(hollow_members[: len(hollow_members) // 2], False, self.injected_fault)
             testbed.start_hollow(hollow_members[len(hollow_members) // 2 :], True, self.injected_fault)
             testbed.ready()
@@ -163,26 +163,26 @@
         testbed = self.testbed
         silenced = [node for node in range(self.count) if testbed.layout.region_of(node) == 1]
         testbed.nodes.tell(Silence(silenced, 3_000_000))
-        testbed.keeper.silent.add(1)
+        testbed.endpoint_source.silent.add(1)
         testbed.rest(3.0)
-        testbed.keeper.silent.clear()
+        testbed.endpoint_source.silent.clear()
         testbed.rest(3.0)
 
     def _collect_counts(self) -> ScenarioCounts:
         """Collect the counts of the fakes and the state of the hollow dispatchers."""
         testbed, counts = self.testbed, self.counts
         tally = testbed.nodes.tell(Count())
-        testbed.truth.over = tally.over
+        testbed.oracle.ended_us = tally.over
         real_tasks = {
             task
             for dispatcher in testbed.real
-            if dispatcher.county is not None
-            for task in dispatcher.county.tasks
+            if dispatcher.network is not None
+            for task in dispatcher.network.tasks
         }
-        asked = [request for request in testbed.truth.asked.values() if not request.void]
+        asked = [request for request in testbed.oracle.requests.values() if not request.void]
         counts.asked, counts.served = len(asked), sum(request.answers[:1] == ["placed"] for request in asked)
-        counts.lost = len(testbed.truth.lost(testbed.loop.now, 2_000_000))
-        counts.doubled = len(testbed.truth.doubled())
+        counts.lost = len(testbed.oracle.lost(testbed.loop.now, 2_000_000))
+        counts.doubled = len(testbed.oracle.duplicated())
         counts.late_offers = tally.late - self._before.late
         counts.ledger_starts = max(
             (count for key, count in tally.starts.items() if key in real_tasks), default=0
--- a/thornshelf/lab/scale/hollow.py
+++ b/thornshelf/lab/scale/hollow.py
@@ -125,10 +125,10 @@
     """A fake node that accepts all offers unless it drains, and keeps counts."""
 
     def __init__(
-        self, loop: Loop, truth: Oracle, rng: random.Random, address: tuple[str, int], tally: NodeTally
+        self, loop: Loop, oracle: Oracle, rng: random.Random, address: tuple[str, int], tally: NodeTally
     ):
         self.tally = tally
-        super().__init__(loop, BINARY, truth, rng, address)
+        super().__init__(loop, BINARY, oracle, rng, address)
         self.rejected_fraction, self.mean_lifetime_us = 0.0, 1_500_000
         self.draining_since_us = 0
 
@@ -158,10 +158,10 @@
     """Hosts hollow nodes and executes commands for them."""
 
     def __init__(self, pipe: Connection, numbers: Sequence[int], layout: Layout) -> None:
-        self.loop, self.pipe, self.tally, self.truth = Loop(), pipe, NodeTally(), Oracle()
+        self.loop, self.pipe, self.tally, self.oracle = Loop(), pipe, NodeTally(), Oracle()
         rng = random.Random(layout.seed + numbers[0])
         self.nodes = {
-            number: HollowNode(self.loop, self.truth, rng, (layout.host(number), layout.port), self.tally)
+            number: HollowNode(self.loop, self.oracle, rng, (layout.host(number), layout.port), self.tally)
             for number in numbers
         }
 
@@ -181,7 +181,7 @@
             case Rise(nodes):
                 for node in self._select(nodes):
                     node.listen()
-        self.tally.starts, self.tally.over = dict(self.truth.starts), self.truth.over
+        self.tally.starts, self.tally.over = dict(self.oracle.starts_by_key), self.oracle.ended_us
         return self.tally
 
     def _select(self, nodes: Sequence[int]) -> list[HollowNode]:
--- a/thornshelf/lab/scale/sizes.py
+++ b/thornshelf/lab/scale/sizes.py
@@ -155,7 +155,7 @@
         [dispatcher.log_bytes for dispatcher in dispatchers],
         testbed.nodes.tell(Count()),
     )
-    clients = [dispatcher.county for dispatcher in dispatchers if dispatcher.county is not None]
+    clients = [dispatcher.network for dispatcher in dispatchers if dispatcher.network is not None]
     started_s = time.monotonic()
     starts = max(1, testbed.load(times.load_s, times.requests_per_s))
     tally: NodeTally = testbed.nodes.tell(Count())
@@ -223,8 +223,8 @@
 def _count_failures(testbed: ScaleTestbed, nodes: Nodes) -> tuple[int, int]:
     """Returns the numbers of tasks lost and duplicated, as the fake clients and nodes count them."""
     tally = nodes.tell(Count())
-    testbed.truth.over = tally.over
-    return len(testbed.truth.lost(testbed.loop.now, 2_000_000)), len(testbed.truth.doubled())
+    testbed.oracle.ended_us = tally.over
+    return len(testbed.oracle.lost(testbed.loop.now, 2_000_000)), len(testbed.oracle.duplicated())
 
 
 def _cpu_us(dispatchers: tuple[Dispatcher, ...]) -> list[float]:
@@ -232,4 +232,4 @@
 
 
 def _list_bytes_sent(testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...]) -> list[float]:
-    return [float(testbed.keeper.sent[dispatcher.index]) for dispatcher in dispatchers]
+    return [float(testbed.endpoint_source.sent[dispatcher.index]) for dispatcher in dispatchers]
--- a/thornshelf/lab/scale/testbed.py
+++ b/thornshelf/lab/scale/testbed.py
@@ -12,7 +12,7 @@
 import psutil
 
 from thornshelf.lab.fakes.behavior import JSON
-from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, private, public
+from thornshelf.lab.fakes.network import DatagramRelays, FakeEndpointSource, member_host, relay_host
 from thornshelf.lab.load import LOOKUP, ClientPopulation
 from thornshelf.lab.oracle import Oracle
 from thornshelf.lab.process import DispatcherProcess, example_config, write_config
@@ -44,7 +44,7 @@
         self.index, self.process = index, process
         self.started_s = time.monotonic()
         self.ready_s = 0.0
-        self.county: ClientPopulation | None = None
+        self.network: ClientPopulation | None = None
         self.process_info = psutil.Process(process.process.pid)
         self.peak_descriptors = 0
 
@@ -90,12 +90,12 @@
         """``placers`` is the number of dispatchers in the settings, ``members`` the number that can be started."""
         self.layout, self.nodes, self.count, self.folder, self.bounds = layout, nodes, count, folder, bounds
         self.placers, self.keepalive_s = placers, 30.0
-        self.loop, self.rng, self.truth = Loop(), random.Random(layout.seed), Oracle()
-        self.relays, self.keeper = (
+        self.loop, self.rng, self.oracle = Loop(), random.Random(layout.seed), Oracle()
+        self.relays, self.endpoint_source = (
             DatagramRelays(self.loop, members, layout.seed),
             FakeEndpointSource(self.loop, members),
         )
-        self.keeper.events += layout.full_list(count)["results"]
+        self.endpoint_source.events += layout.full_list(count)["results"]
         self.real: list[Dispatcher] = []
         self.hollow: list[Worker] = []
         self.key_path = folder / "fleet.key"
@@ -108,19 +108,19 @@
 
     def operator_file(self, index: int, subset: bool) -> str:
         """Returns the operator's file of a member as TOML."""
-        seeds = ", ".join(f'"{public(seed)}:{self.relays.port}"' for seed in (0, 1))
+        seeds = ", ".join(f'"{relay_host(seed)}:{self.relays.port}"' for seed in (0, 1))
         text = (
-            f'[fleet]\nname = "scale"\nlisten = "{private(index)}:{self.relays.port}"\n'
-            f'advertise = "{public(index)}:{self.relays.port}"\nseeds = [{seeds}]\nkey_file = "{self.key_path}"\n'
+            f'[fleet]\nname = "scale"\nlisten = "{member_host(index)}:{self.relays.port}"\n'
+            f'advertise = "{relay_host(index)}:{self.relays.port}"\nseeds = [{seeds}]\nkey_file = "{self.key_path}"\n'
             "[fleet.uses]\nallowances = false\n"
         )
         return text + (f'[subset]\nzone = "{zone_name(index % ZONES)}"\ndispatchers = 2\n' if subset else "")
 
     def configure(self, index: int, config: dict[str, Any]) -> None:
         """Change an example configuration, in place, into that of a member."""
-        config["name"], config["listen"] = f"m{index:02d}", f"{private(index)}:0"
-        config["changelog"] = f"{private(index)}:{self.keeper.ports[index]}"
-        config["known"] = {"seq": 1, "results": self.keeper.events[:1]}
+        config["name"], config["listen"] = f"m{index:02d}", f"{member_host(index)}:0"
+        config["changelog"] = f"{member_host(index)}:{self.endpoint_source.ports[index]}"
+        config["known"] = {"seq": 1, "results": self.endpoint_source.events[:1]}
         config["limits"] = {"sockets": MAX_SOCKETS}
         settings = config["settings"]
         settings |= {"n-instances": self.placers, "me": index, "az": zone_name(index % ZONES)}
@@ -146,7 +146,7 @@
         """Start hollow dispatchers in one process, and wait until it is ready."""
         folders = []
         for index in indices:
-            folder = self.folder / f"hollow-{len(self.keeper.ports)}-{index}"
+            folder = self.folder / f"hollow-{len(self.endpoint_source.ports)}-{index}"
             folder.mkdir()
             config = example_config()
             self.configure(index, config)
@@ -161,14 +161,14 @@
             for dispatcher in self.real:
                 if not dispatcher.ready_s and dispatcher.process.ready():
                     dispatcher.ready_s = time.monotonic() - dispatcher.started_s
-                    dispatcher.county = ClientPopulation(
+                    dispatcher.network = ClientPopulation(
                         self.loop,
                         dispatcher.process.addresses,
                         JSON,
-                        self.truth,
+                        self.oracle,
                         random.Random(dispatcher.index),
                     )
-                    dispatcher.county.next_uid = dispatcher.index + 1 << 40
+                    dispatcher.network.next_uid = dispatcher.index + 1 << 40
             return all(dispatcher.ready_s for dispatcher in self.real)
 
         self.until(all_ready, limit_s)
@@ -216,13 +216,13 @@
 
     def tell(self, *instances: dict[str, Any]) -> None:
         """Publish an event of the change log to all dispatchers."""
-        self.keeper.publish(list(instances))
+        self.endpoint_source.publish(list(instances))
 
     def submit_task(self, dispatcher: Dispatcher, task_class: str = LOOKUP) -> None:
         """Request a new task from a real dispatcher."""
-        assert dispatcher.county is not None
+        assert dispatcher.network is not None
         self.last_uid += 1
-        dispatcher.county.ask(self.last_uid, task_class, "1500", self.rng.randrange(SERVICES))
+        dispatcher.network.ask(self.last_uid, task_class, "1500", self.rng.randrange(SERVICES))
 
     def load(self, seconds: float, requests_per_s: float) -> int:
         """Send requests to each real dispatcher at a steady rate; returns how many each received."""
@@ -251,5 +251,5 @@
         for dispatcher in self.real:
             dispatcher.process.terminate()
         self.relays.close()
-        self.keeper.close()
+        self.endpoint_source.close()
         self.loop.close()
--- a/thornshelf/lab/shell.py
+++ b/thornshelf/lab/shell.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from thornshelf.errors import ThornshelfError
-from thornshelf.lab.fakes.network import private
+from thornshelf.lab.fakes.network import member_host
 from thornshelf.lab.fleet import LATENCY_OBJECTIVE_US
 from thornshelf.lab.fleet_testbed import FleetTestbed, MemberProcess
 from thornshelf.lab.load import LOOKUP
@@ -99,7 +99,7 @@
 
     def wait(self, future: Future[Any], limit_s: float = 15.0) -> Any:
         """Return a worker's result; the testbed's loop runs meanwhile."""
-        self.testbed.until(future.done, limit_s)
+        self.testbed.run_until(future.done, limit_s)
         return future.result(1.0)
 
     def query(self, member: MemberProcess, sql: str) -> QueryAnswer:
@@ -127,7 +127,7 @@
             found = extract(self.query(member, sql))
             if found == (expected() if callable(expected) else expected):
                 return
-            self.testbed.rest(0.25)
+            self.testbed.run_for(0.25)
         self.mismatches.append(
             f"{sql}: {found!r:.300} for {expected() if callable(expected) else expected!r:.300}"
         )
@@ -162,10 +162,10 @@
         assert clients is not None
         testbed.request_count += 1
         clients.ask(testbed.request_count, LOOKUP, None, number % 7)
-    testbed.rest(2.0)
+    testbed.run_for(2.0)
     chosen = members[1], members[4]
-    asked = Counter(uid >> 40 for uid in testbed.truth.asked)
-    placed = sum(one.answers[:1] == ["placed"] for one in testbed.truth.asked.values())
+    asked = Counter(uid >> 40 for uid in testbed.oracle.requests)
+    placed = sum(one.answers[:1] == ["placed"] for one in testbed.oracle.requests.values())
     for member in chosen:
         sql = "SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node"
         checker.expect(member, sql, lambda: running_by_node(testbed))
@@ -193,13 +193,13 @@
 def check_changes(checker: QueryChecker) -> None:
     """Check that answers show a draining node and rejected forged datagrams."""
     testbed, member = checker.testbed, checker.testbed.members[2]
-    testbed.keeper.publish([testbed.entry(2, "terminating")])
+    testbed.endpoint_source.publish([testbed.endpoint(2, "terminating")])
     drained_sql = "SELECT DISTINCT health FROM nodes WHERE node = 's-00000003'"
     checker.expect(member, drained_sql, [("draining",)])
     victim = testbed.members[3]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for number in range(FORGED_DATAGRAMS):
-            sock.sendto(b"TS\x01" + bytes(60 + number), (private(victim.index), testbed.relays.port))
+            sock.sendto(b"TS\x01" + bytes(60 + number), (member_host(victim.index), testbed.relays.port))
     forged_sql = "SELECT member, value FROM counters WHERE part = 'fleet' AND name = 'foreign' AND value > 0"
     checker.expect(member, forged_sql, [(victim.name, FORGED_DATAGRAMS)])
     error_sql = "SELECT member, code, count FROM errors"
@@ -214,11 +214,11 @@
     checker.expect_missing(querying_member, stopped)
     assert stopped.process is not None
     os.kill(stopped.process.process.pid, signal.SIGCONT)
-    testbed.absent.discard(stopped.name)
+    testbed.unavailable_members.discard(stopped.name)
     testbed.settle()
     testbed.relays.cut = lambda sender, receiver: isolated.index in (sender, receiver)
     checker.expect_missing(querying_member, isolated)
-    testbed.rest(6.0)
+    testbed.run_for(6.0)
     checker.expect_missing(querying_member, isolated)  # declared dead by now
     testbed.relays.cut = lambda sender, receiver: False
     testbed.settle()
@@ -235,8 +235,8 @@
     for node in testbed.nodes:
         node.mean_lifetime_us, node.rejected_fraction = 800_000, 0.0
     testbed.pause_us, testbed.loading = 40_000, True
-    testbed.load()
-    testbed.rest(1.5)
+    testbed.send_requests()
+    testbed.run_for(1.5)
     p99: dict[bool, list[int]] = {False: [], True: []}
     in_time: dict[bool, list[int]] = {False: [0, 0], True: [0, 0]}
     for pair in range(CALM_PAIRS + RESUBMISSION_PAIRS):
@@ -250,7 +250,7 @@
                 )
                 in_time[with_queries][1] += asked
     testbed.loading = False
-    testbed.rest(1.5)
+    testbed.run_for(1.5)
     return {
         "start_p99_ratio": round(min(p99[True]) / min(p99[False]), 3),
         "p99_ms_with": [one / 10 for one in p99[True]],
@@ -266,20 +266,22 @@
     if with_queries:
         socket_paths = [place(testbed, member) for member in testbed.members]
         future = checker.pool.submit(
-            send_saved_queries, socket_paths, SEGMENT_S + 0.4, QUERIES_PER_S, len(testbed.truth.asked)
+            send_saved_queries, socket_paths, SEGMENT_S + 0.4, QUERIES_PER_S, len(testbed.oracle.requests)
         )
-        testbed.rest(0.4)
+        testbed.run_for(0.4)
     began = testbed.loop.now
     if resubmitted:
         testbed.resubmit()
-    testbed.rest(SEGMENT_S)
+    testbed.run_for(SEGMENT_S)
     ended = testbed.loop.now
     if future is not None:
         count, mismatches = checker.wait(future)
         checker.queries += count
         checker.mismatches += mismatches
-    testbed.rest(0.2)
-    requests = [one for one in testbed.truth.asked.values() if not one.void and began <= one.sent_us < ended]
+    testbed.run_for(0.2)
+    requests = [
+        one for one in testbed.oracle.requests.values() if not one.void and began <= one.sent_us < ended
+    ]
     return sorted(one.answered_us - one.sent_us for one in requests if one.answers[:1] == ["placed"]), len(
         requests
     )
@@ -290,7 +292,7 @@
     began = time.monotonic()
     with tempfile.TemporaryDirectory() as folder, ProcessPoolExecutor(2, get_context("spawn")) as pool:
         testbed = FleetTestbed(seed, True, injected_fault, 6, 6, Path(folder))
-        testbed.more = CONTROL
+        testbed.fleet_settings = CONTROL
         checker = QueryChecker(testbed, pool)
         try:
             testbed.start(*testbed.members)
@@ -304,7 +306,7 @@
             }
             check_missing_members(checker)
         finally:
-            exit_code = testbed.end()
+            exit_code = testbed.shut_down()
         return {
             "seed": seed,
             "queries": checker.queries,
@@ -316,8 +318,8 @@
             "turns": control_counters["turns"][1],
             "turns_over_5ms": control_counters["turns_over_5ms"][1],
             **query_cost,
-            "lost": len(testbed.truth.lost(testbed.loop.now, 2_000_000)),
-            "doubled": len(testbed.truth.doubled()),
+            "lost": len(testbed.oracle.lost(testbed.loop.now, 2_000_000)),
+            "doubled": len(testbed.oracle.duplicated()),
             "exit": exit_code,
             "plant": injected_fault,
             "seconds": round(time.monotonic() - began, 1),
--- a/thornshelf/lab/translation.py
+++ b/thornshelf/lab/translation.py
@@ -143,15 +143,15 @@
         clients.finish()
         result.log = dispatcher.log_counts()
     lost = oracle.lost(loop.now, SLACK_US)
-    for uid in (*lost, *oracle.doubled()):
-        request = oracle.asked[uid]
-        result.details.append(f"{request}, task ended at {oracle.over.get(request.key)}, now {loop.now}")
-    result.tasks, result.asked = len(clients.tasks), len(oracle.asked)
+    for uid in (*lost, *oracle.duplicated()):
+        request = oracle.requests[uid]
+        result.details.append(f"{request}, task ended at {oracle.ended_us.get(request.key)}, now {loop.now}")
+    result.tasks, result.asked = len(clients.tasks), len(oracle.requests)
     result.outcomes = dict(clients.outcomes)
-    result.lost, result.doubled = len(lost), len(oracle.doubled())
+    result.lost, result.doubled = len(lost), len(oracle.duplicated())
     result.unknown, result.silent_hints = oracle.unknown_answers, oracle.unmarked_hints
     result.ledger_batch = sum(task["class"] == LEDGER for task in clients.tasks.values())
-    result.ledger_batch_max_starts = max(oracle.starts.values(), default=0)
+    result.ledger_batch_max_starts = max(oracle.starts_by_key.values(), default=0)
     result.cpu_us_a_task = cpu_us / max(1, result.asked)
     result.histogram = clients.starts.encode().decode()
     loop.close()
