--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -40,7 +40,7 @@
 from thornshelf.wire import jsonl
 from thornshelf.wire import placement_v2_pb2 as pb2
 
-FRONTS = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
+FRONTS = pytest.mark.parametrize("frontend", [JSON, GRPC, GRPC2])
 PLACED = ("placed", DESCRIPTION)
 KNOWN_CLIENTS = PrefixRule("known clients", parse_prefix("127.1.0.0/16"), known=True)
 
@@ -58,9 +58,9 @@
     return AdmissionFilterConfig(controller, {"nodes": 4, "spare": 1})
 
 
-def connect(cluster: FakeCluster, front: str = JSON, source: str = HOST) -> socket.socket:
+def connect(cluster: FakeCluster, frontend: str = JSON, source: str = HOST) -> socket.socket:
     """A connection from the address ``source`` that has sent nothing."""
-    address = cluster.service.frontends[0 if front == JSON else 1].listener.address
+    address = cluster.service.frontends[0 if frontend == JSON else 1].listener.address
     sock = socket.create_connection(address, timeout=TIMEOUT_S, source_address=(source, 0))
     sock.setblocking(False)
     cluster.run_for(10)
@@ -82,16 +82,16 @@
 
 
 @FRONTS
-def test_requests_beyond_a_sources_rate_are_rejected_at_once_with_a_retry_after(front: str) -> None:
-    cluster = FakeCluster(front, admission=filter_config(Limits(request_rate=Rate(2, 1_000_000, 3))))
+def test_requests_beyond_a_sources_rate_are_rejected_at_once_with_a_retry_after(frontend: str) -> None:
+    cluster = FakeCluster(frontend, admission=filter_config(Limits(request_rate=Rate(2, 1_000_000, 3))))
     for uid in range(5, 11):
         cluster.client.send_request(uid, NodeBehavior.RUN)
     events = [cluster.wait_for_events(uid)[0] for uid in range(5, 11)]
     assert [event[0] for event in events] == ["placed"] * 3 + ["refused"] * 3
     assert all(0 < int(event[1]) <= 2000 for event in events[3:])
-    if front == JSON:
+    if frontend == JSON:
         assert cluster.client.messages[10][0].meta["why"].startswith("overloaded: set-ups of its address")
-    if front == GRPC2:
+    if frontend == GRPC2:
         assert cluster.client.messages[10][0].refusal.reason == pb2.OVERLOADED
     cluster.run_for(600)
     cluster.client.send_request(20, NodeBehavior.RUN)
--- a/tests/test_bad_nodes.py
+++ b/tests/test_bad_nodes.py
@@ -15,7 +15,7 @@
 
 PLACED, FAILED = ("placed", DESCRIPTION), ("failed", None)
 NON_IDEMPOTENT_CLASS = "ledger-batch"
-WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
+WIRES = pytest.mark.parametrize(("frontend", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 
 
 def node_with_running_and_open_task(cluster: FakeCluster) -> Any:
@@ -30,11 +30,11 @@
 @WIRES
 @pytest.mark.parametrize("failure", ["partial", "deaf"])
 def test_an_unresponsive_connection_is_closed_and_running_tasks_are_kept(
-    front: str, node: str, failure: str, monkeypatch: pytest.MonkeyPatch
+    frontend: str, node: str, failure: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection stays open, so that only missing data reveals it; updates arrive on the next connection."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    cluster = FakeCluster(front, node, node_count=1)
+    cluster = FakeCluster(frontend, node, node_count=1)
     bad = node_with_running_and_open_task(cluster)
     if failure == "partial":
         bad.streams[0].send(b"\x00\x40half" if node == BINARY else b"\x00\x00\x40\x00half")
@@ -72,10 +72,10 @@
 
 @WIRES
 def test_an_idempotent_task_on_it_is_retried_elsewhere(
-    front: str, node: str, monkeypatch: pytest.MonkeyPatch
+    frontend: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 5_000)
-    cluster = FakeCluster(front, node)
+    cluster = FakeCluster(frontend, node)
     cluster.run_until(lambda: all(candidate.streams for candidate in cluster.nodes))
     cluster.run_for(20)
     for candidate in cluster.nodes:
@@ -92,11 +92,11 @@
 
 @WIRES
 def test_a_slow_node_that_answers_pings_keeps_its_connection(
-    front: str, node: str, monkeypatch: pytest.MonkeyPatch
+    frontend: str, node: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A node that answers pings may still answer the attempt."""
     monkeypatch.setattr(liveness, "CHECK_INTERVAL_US", 2_000)
-    cluster = FakeCluster(front, node, node_count=1)
+    cluster = FakeCluster(frontend, node, node_count=1)
     slow = node_with_running_and_open_task(cluster)
     cluster.run_for(5 * liveness.MAX_UNANSWERED_CHECKS * 2)
     assert len(slow.streams) == 1
@@ -168,13 +168,13 @@
 @WIRES
 @pytest.mark.parametrize("task_class", ["lookup", NON_IDEMPOTENT_CLASS])
 def test_no_attempt_is_sent_on_a_connection_that_its_node_has_closed(
-    front: str, node: str, task_class: str, monkeypatch: pytest.MonkeyPatch
+    frontend: str, node: str, task_class: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against failing a task that must not run twice because its attempt was sent on a closed connection.
 
     The request is read first, and the turn's budget ends before the node's close is read.
     """
-    cluster = FakeCluster(front, node, node_count=1)
+    cluster = FakeCluster(frontend, node, node_count=1)
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))
     cluster.run_for(30)
     (closing_node,) = cluster.nodes
--- a/tests/test_both_wires.py
+++ b/tests/test_both_wires.py
@@ -39,17 +39,17 @@
 ]
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
 @pytest.mark.parametrize(("behavior", "task_class", "expected", "offers"), CASES)
 def test_outcomes_are_the_same_for_all_wire_formats(
-    front: str,
+    frontend: str,
     node: str,
     behavior: NodeBehavior,
     task_class: str,
     expected: list[tuple[Any, ...]],
     offers: int,
 ) -> None:
-    cluster = FakeCluster(front, node)
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, behavior, task_class)
     first_events = cluster.wait_for_events(5, len(expected))
     cluster.run_for(5)
@@ -57,12 +57,12 @@
     assert first_events == expected
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
 @pytest.mark.parametrize("task_class", ["lookup", NON_IDEMPOTENT_CLASS])
 def test_a_request_is_answered_by_its_deadline_and_its_attempt_cancelled(
-    front: str, node: str, task_class: str
+    frontend: str, node: str, task_class: str
 ) -> None:
-    cluster = FakeCluster(front, node)
+    cluster = FakeCluster(frontend, node)
     requested_us = cluster.loop.now
     cluster.client.send_request(5, NodeBehavior.IGNORE, task_class, left="250")
     assert cluster.wait_for_events(5) == [FAILED]
@@ -71,9 +71,9 @@
     assert cluster.offer_count(5) == 1
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_a_client_cancels_running_and_open_tasks(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_a_client_cancels_running_and_open_tasks(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.client.send_request(6, NodeBehavior.IGNORE)
@@ -87,9 +87,9 @@
     assert cluster.client.events == {5: [PLACED]}  # a client that ends a task gets no release
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_closing_a_connection_cancels_open_tasks_and_keeps_running_ones(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_closing_a_connection_cancels_open_tasks_and_keeps_running_ones(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.wait_for_events(5)
     cluster.client.send_request(6, NodeBehavior.IGNORE)
@@ -97,7 +97,7 @@
     cluster.client.stream.close()
     cluster.run_until(lambda: any(("release", 6) in fake_node.received_kinds for fake_node in cluster.nodes))
     assert not any(("release", 5) in fake_node.received_kinds for fake_node in cluster.nodes)
-    other = cluster.client = cluster.connect_client(front)
+    other = cluster.client = cluster.connect_client(frontend)
     other.cancel(5)  # a running task can be cancelled on any connection
     cluster.run_until(lambda: any(("release", 5) in fake_node.received_kinds for fake_node in cluster.nodes))
 
@@ -130,9 +130,9 @@
     assert [cluster.offer_count(uid) for uid in (5, 6, 7)] == [1, 1, 1]
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_the_tasks_of_a_dead_node_are_released(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_the_tasks_of_a_dead_node_are_released(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     for fake_node in cluster.nodes:
@@ -140,9 +140,9 @@
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb.RESET)
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_a_broken_node_connection_releases_no_task(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_a_broken_node_connection_releases_no_task(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     cluster.wait_for_events(5)
     running_node = next(fake_node for fake_node in cluster.nodes if fake_node.received_kinds)
@@ -152,9 +152,9 @@
     assert cluster.client.events[5] == [PLACED]
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_no_attempt_is_sent_to_a_draining_node(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_no_attempt_is_sent_to_a_draining_node(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     for index in (0, 1):
         cluster.update_lifecycle(index, "terminating")
     cluster.client.send_request(5, NodeBehavior.RUN)
@@ -162,9 +162,9 @@
     assert cluster.offer_count(5) == 0
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_a_handed_over_task_is_released_but_not_answered(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_a_handed_over_task_is_released_but_not_answered(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN, at="s-00000001")
     cluster.run_until(lambda: bool(cluster.nodes[0].streams))  # connected, to receive the end of the task
     cluster.run_for()
@@ -175,9 +175,9 @@
     assert cluster.client.events[5][0][0] in ("released", "failed")
 
 
-@pytest.mark.parametrize(("front", "node"), WIRE_FORMATS)
-def test_an_invalid_request_fails_without_affecting_others(front: str, node: str) -> None:
-    cluster = FakeCluster(front, node)
+@pytest.mark.parametrize(("frontend", "node"), WIRE_FORMATS)
+def test_an_invalid_request_fails_without_affecting_others(frontend: str, node: str) -> None:
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN, "no-such-class")
     cluster.client.send_request(6, NodeBehavior.RUN, left="nan")
     cluster.client.send_request(7, NodeBehavior.RUN)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -19,7 +19,7 @@
 from thornshelf.wire import jsonl
 
 PLACED = ("placed", DESCRIPTION)
-WIRES = pytest.mark.parametrize(("front", "node"), [(JSON, BINARY), (GRPC, GRPC)])
+WIRES = pytest.mark.parametrize(("frontend", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 ABANDON_MODES = pytest.mark.parametrize("how", ["close", "reset", "cancel"])
 
 
@@ -49,10 +49,10 @@
     ("how", "count"), [("close", 1), ("close", 100), ("reset", 1), ("reset", 100), ("cancel", 1)]
 )
 def test_a_request_abandoned_before_it_is_read_is_not_forwarded(
-    front: str, node: str, how: str, count: int
+    frontend: str, node: str, how: str, count: int
 ) -> None:
     """Guards against an attempt in the turn whose poll reports the close, before the end of data is read."""
-    cluster = FakeCluster(front, node)
+    cluster = FakeCluster(frontend, node)
     cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
     cluster.run_for(20)
     for uid in range(5, 5 + count):
@@ -68,7 +68,7 @@
 @ABANDON_MODES
 @pytest.mark.parametrize("crowded", [False, True])
 def test_an_attempt_waiting_for_a_connection_is_not_sent_once_abandoned(
-    front: str, node: str, how: str, crowded: bool, monkeypatch: pytest.MonkeyPatch
+    frontend: str, node: str, how: str, crowded: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection to the node is established in the same turn in which the client disconnects."""
     can_connect = False
@@ -79,7 +79,7 @@
         return (yield from original_connect(*arguments))
 
     monkeypatch.setattr(reconnect, "connect", delayed_connect)
-    cluster = FakeCluster(front, node)
+    cluster = FakeCluster(frontend, node)
     cluster.client.send_request(5, NodeBehavior.RUN)
     cluster.run_until(lambda: unsent_count(cluster) == 1)
     can_connect = True
@@ -95,10 +95,10 @@
 @WIRES
 @ABANDON_MODES
 def test_a_rejected_attempt_is_not_retried_once_its_request_is_abandoned(
-    front: str, node: str, how: str
+    frontend: str, node: str, how: str
 ) -> None:
     """The rejection is processed first, while the disconnect of the client waits behind a full inbox."""
-    cluster = FakeCluster(front, node)
+    cluster = FakeCluster(frontend, node)
     cluster.run_until(lambda: all(fake_node.streams for fake_node in cluster.nodes))
     cluster.client.send_request(5, NodeBehavior.IGNORE)
     cluster.run_until(lambda: cluster.offer_count(5) == 1)
@@ -180,10 +180,12 @@
 
 
 @WIRES
-def test_a_release_goes_to_another_connection_if_its_client_is_disconnecting(front: str, node: str) -> None:
+def test_a_release_goes_to_another_connection_if_its_client_is_disconnecting(
+    frontend: str, node: str
+) -> None:
     """Guards against a lost release: its client disconnects after the end is processed and before it is sent."""
-    cluster = FakeCluster(front, node)
-    other = cluster.connect_client(front)
+    cluster = FakeCluster(frontend, node)
+    other = cluster.connect_client(frontend)
     for client, uid in ((cluster.client, 5), (other, 6)):
         client.send_request(uid, NodeBehavior.RUN)
         cluster.run_until(lambda client=client, uid=uid: uid in client.events)  # type: ignore[misc]
--- a/tests/test_picture.py
+++ b/tests/test_picture.py
@@ -12,12 +12,12 @@
 from thornshelf.placement.requests import AttemptState
 
 
-def check_placement_state(world: FakeCluster) -> Counter[str]:
+def check_placement_state(cluster: FakeCluster) -> Counter[str]:
     """Compare attempts in flight, running tasks and cores by machine; return their totals.
 
     The placer, the core and the connections must agree.
     """
-    core, totals = world.service.core, Counter[str]()
+    core, totals = cluster.service.core, Counter[str]()
     if core.inbox or core.placement.events or core.attempts.ended or core.queue:
         return totals  # the turn has left work for the next one
     placer_counts, attempts = Counter[tuple[int, AttemptState]](), list[tuple[int, float]]()
@@ -41,42 +41,42 @@
 
 @pytest.mark.parametrize(("frontend", "node"), [(JSON, BINARY), (GRPC, GRPC)])
 def test_the_placement_state_matches_what_the_sockets_carry(frontend: str, node: str) -> None:
-    world, rng = FakeCluster(frontend, node, node_count=3), random.Random(7)
-    clock = [world.loop.clock()]
-    world.loop.clock = lambda: clock[0]  # independent of the speed of the test machine
+    cluster, rng = FakeCluster(frontend, node, node_count=3), random.Random(7)
+    clock = [cluster.loop.clock()]
+    cluster.loop.clock = lambda: clock[0]  # independent of the speed of the test machine
 
     def turn() -> None:
         clock[0] += 1_000_000
         for _ in range(4):  # a message of several frames takes several turns
-            world.loop.turn(True)
+            cluster.loop.turn(True)
 
     totals, uid, drained = Counter[str](), 0, False
     for step in range(150):
         if step < 120:
             uid += 1
             task_class = rng.choice(("lookup", "lookup", "ledger-batch"))
-            world.client.send_request(
+            cluster.client.send_request(
                 uid, rng.choice(COMMON_BEHAVIORS), task_class, left=str(rng.choice((60, 4000)))
             )
         if rng.random() < 0.2 and uid > 5:
-            world.client.cancel(rng.randrange(1, uid))
+            cluster.client.cancel(rng.randrange(1, uid))
         if step % 40 == 20:
-            rng.choice(world.nodes).break_streams()
+            rng.choice(cluster.nodes).break_streams()
         if step == 100:
-            world.update_lifecycle(2, "terminating")
+            cluster.update_lifecycle(2, "terminating")
             drained = True
         for _ in range(4):
             turn()
-            totals += check_placement_state(world)
+            totals += check_placement_state(cluster)
     assert drained
     assert totals["in_flight"] > 20
     assert totals["bound"] > 20
-    world.update_lifecycle(2, "terminated")
+    cluster.update_lifecycle(2, "terminated")
     for number in range(1, uid + 1):
-        world.client.cancel(number)
+        cluster.client.cancel(number)
     for _ in range(20_000):
-        if world.service.core.tasks_by_uid:
+        if cluster.service.core.tasks_by_uid:
             turn()
-    assert not world.service.core.tasks_by_uid
-    check_placement_state(world)
-    assert not world.service.core.placer.requests
+    assert not cluster.service.core.tasks_by_uid
+    check_placement_state(cluster)
+    assert not cluster.service.core.placer.requests
--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -33,22 +33,22 @@
 class Asking:
     """A fleet, and shells beside it."""
 
-    def __init__(self, world: FleetTestbed) -> None:
-        self.world = world
+    def __init__(self, testbed: FleetTestbed) -> None:
+        self.testbed = testbed
         self.pool = ThreadPoolExecutor(12)
 
     def begin(self, call: Callable[[QueryEngine], T], member: int = 0, seconds: float = 15.0) -> Future[T]:
         """Something that a shell does at a member."""
 
         def do() -> T:
-            with ControlClient(place(self.world, self.world.members[member]), seconds) as client:
+            with ControlClient(place(self.testbed, self.testbed.members[member]), seconds) as client:
                 return call(QueryEngine(client, QueryLimits(seconds)))
 
         return self.pool.submit(do)
 
     def wait(self, future: Future[T]) -> T:
         """Its end, while the world turns."""
-        assert self.world.run_until(future.done, LIMIT_S) is not None
+        assert self.testbed.run_until(future.done, LIMIT_S) is not None
         return future.result()
 
     def query(self, sql: str, member: int = 0) -> QueryResult:
@@ -62,7 +62,7 @@
         while time.monotonic() - began < LIMIT_S:
             if (found := self.query(sql, member).rows) == (truth() if callable(truth) else truth):
                 return
-            self.world.run_for(0.1)
+            self.testbed.run_for(0.1)
         raise AssertionError((sql, found))
 
     def command(self, *arguments: str, text: str | None = None) -> subprocess.CompletedProcess[str]:
@@ -76,11 +76,11 @@
 
 
 def make(folder: Path, members: int, more: str = CONTROL) -> FleetTestbed:
-    world = FleetTestbed(7, True, None, members, 3, folder)
-    world.fleet_settings = more
-    world.start(*world.members)
-    assert world.run_until(world.agreed, LIMIT_S) is not None
-    return world
+    testbed = FleetTestbed(7, True, None, members, 3, folder)
+    testbed.fleet_settings = more
+    testbed.start(*testbed.members)
+    assert testbed.run_until(testbed.agreed, LIMIT_S) is not None
+    return testbed
 
 
 @pytest.fixture
@@ -88,31 +88,31 @@
     found = Asking(make(tmp_path, 4))
     yield found
     found.pool.shutdown(cancel_futures=True)
-    found.world.shut_down()
+    found.testbed.shut_down()
 
 
 def load(asking: Asking, count: int) -> None:
     """Tasks, until so many were placed."""
-    world = asking.world
-    world.pause_us, world.loading = 20_000, True
-    world.send_requests()
+    testbed = asking.testbed
+    testbed.pause_us, testbed.loading = 20_000, True
+    testbed.send_requests()
 
     def placed() -> bool:
-        return sum(one.answers[:1] == ["placed"] for one in world.oracle.requests.values()) >= count
+        return sum(one.answers[:1] == ["placed"] for one in testbed.oracle.requests.values()) >= count
 
-    assert world.run_until(placed, LIMIT_S) is not None
-    world.loading = False
+    assert testbed.run_until(placed, LIMIT_S) is not None
+    testbed.loading = False
 
 
 def query_during(asking: Asking, fault: Callable[[MemberProcess], None]) -> QueryResult:
     """The last member's answer is long, and after some pieces of it the fault happens; its relays pass no more."""
-    world, victim, seen = asking.world, asking.world.members[3], [0]
+    testbed, victim, seen = asking.testbed, asking.testbed.members[3], [0]
     load(asking, 300)
 
     def cut(sender: int, receiver: int) -> bool:
         return victim.index in (sender, receiver) and seen[0] >= 4
 
-    deliver = world.relays._relay
+    deliver = testbed.relays._relay
 
     def count(sender: int, receiver: int, data: bytes) -> None:
         seen[0] += sender == victim.index and len(data) > LARGE
@@ -121,8 +121,8 @@
             seen[0] += 1
         deliver(sender, receiver, data)
 
-    world.relays._relay = count  # type: ignore[method-assign]
-    world.relays.cut = cut
+    testbed.relays._relay = count  # type: ignore[method-assign]
+    testbed.relays.cut = cut
     return asking.query("SELECT member, when_ms, uid, key, event, node, detail FROM history")
 
 
@@ -132,9 +132,9 @@
 ) -> None:
     def fault(victim: MemberProcess) -> None:
         if how == "dies":
-            asking.world.kill(victim)
+            asking.testbed.kill(victim)
         elif how == "hangs":
-            asking.world.kill(victim, number=signal.SIGSTOP)
+            asking.testbed.kill(victim, number=signal.SIGSTOP)
 
     result = query_during(asking, fault)
     assert [name for name, _ in result.summary.missing] == ["m03"]
@@ -146,51 +146,53 @@
         told = [row for row in result.rows if row[0] == name]
         assert 300 < len(told) <= counts[name]
         assert told[0][4] == "taken"
-    if how == "hangs" and (process := asking.world.members[3].process) is not None:
+    if how == "hangs" and (process := asking.testbed.members[3].process) is not None:
         os.kill(process.process.pid, signal.SIGCONT)
 
 
 def test_a_dead_member_is_named_at_once_and_no_more_once_it_is_back(asking: Asking) -> None:
-    world, dead = asking.world, asking.world.members[2]
-    world.kill(dead)
-    assert world.run_until(world.agreed, LIMIT_S) is not None
+    testbed, dead = asking.testbed, asking.testbed.members[2]
+    testbed.kill(dead)
+    assert testbed.run_until(testbed.agreed, LIMIT_S) is not None
     result = asking.query("SELECT DISTINCT member FROM counters ORDER BY member")
     assert result.rows == [("m00",), ("m01",), ("m03",)]
     assert result.summary.missing == [("m02", "it is held for dead")]
-    world.start(dead)
+    testbed.start(dead)
     asking.until("SELECT DISTINCT member FROM counters ORDER BY member", [(f"m0{i}",) for i in range(4)])
     assert asking.query("SELECT 1 FROM counters").complete
 
 
 def test_tables_match_what_the_fakes_know_through_a_mass_resubmission(asking: Asking) -> None:
-    world = asking.world
+    testbed = asking.testbed
     load(asking, 100)
-    world.resubmit()
+    testbed.resubmit()
     busy = [
         asking.begin(lambda engine: [engine.query("SELECT * FROM tasks", True) for _ in range(10)], i)
         for i in range(4)
     ]
     for one in busy:
         assert all(result.complete for result in asking.wait(one))
-    world.run_for(2.5)
-    assert world.run_until(lambda: not world.oracle.lost(world.loop.now, 2_000_000), LIMIT_S) is not None
-    assert not world.oracle.duplicated()
+    testbed.run_for(2.5)
+    assert (
+        testbed.run_until(lambda: not testbed.oracle.lost(testbed.loop.now, 2_000_000), LIMIT_S) is not None
+    )
+    assert not testbed.oracle.duplicated()
 
     def count(word: str) -> list[tuple[int]]:
-        asked = [(uid >> 40, one) for uid, one in world.oracle.requests.items()]
+        asked = [(uid >> 40, one) for uid, one in testbed.oracle.requests.items()]
         return [
             (sum(owner == i + 1 and (not word or word in one.answers) for owner, one in asked),)
             for i in range(4)
         ]
 
     def running() -> list[tuple[str, int]]:
-        return [(f"s-{i + 1:08x}", len(node.tasks)) for i, node in enumerate(world.nodes)]
+        return [(f"s-{i + 1:08x}", len(node.tasks)) for i, node in enumerate(testbed.nodes)]
 
     sql = "SELECT value FROM counters WHERE part = 'core' AND name = '{}' ORDER BY member"
     asking.until(sql.format("taken"), lambda: count(""))
     asking.until(sql.format("answered"), lambda: count("placed"))
     asking.until("SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node", running)
-    given_up = next(uid for uid, one in world.oracle.requests.items() if one.void)
+    given_up = next(uid for uid, one in testbed.oracle.requests.items() if one.void)
     story = asking.wait(asking.begin(lambda engine: explain_task(engine, f"{given_up:x}")))
     assert any("taken" in line for line in story)
     assert any("given-up" in line for line in story)
@@ -198,27 +200,27 @@
 
 def test_members_without_a_control_socket_or_without_support_for_queries(tmp_path: Path) -> None:
     """A fleet is updated member by member: what can't answer says so, or is named."""
-    world = FleetTestbed(7, True, None, 3, 2, tmp_path)
-    asking = Asking(world)
+    testbed = FleetTestbed(7, True, None, 3, 2, tmp_path)
+    asking = Asking(testbed)
     try:
-        world.fleet_settings = CONTROL
-        world.start(*world.members[:2])
-        world.fleet_settings = ""
-        world.start(world.members[2])
-        assert world.run_until(world.agreed, LIMIT_S) is not None
+        testbed.fleet_settings = CONTROL
+        testbed.start(*testbed.members[:2])
+        testbed.fleet_settings = ""
+        testbed.start(testbed.members[2])
+        assert testbed.run_until(testbed.agreed, LIMIT_S) is not None
         result = asking.query("SELECT DISTINCT member FROM counters")
         assert result.summary.missing == [("m02", "it has no control socket")]
         assert {row[0] for row in result.rows} == {"m00", "m01"}
     finally:
         asking.pool.shutdown()
-        world.shut_down()
+        testbed.shut_down()
 
 
 def test_ten_shells_at_once_and_one_too_many(tmp_path: Path) -> None:
     asking = Asking(make(tmp_path, 2, CONTROL + "readers = 10\n"))
-    world = asking.world
+    testbed = asking.testbed
     try:
-        at = place(world, world.members[0])
+        at = place(testbed, testbed.members[0])
         clients = [ControlClient(at) for _ in range(10)]
         futures = [
             asking.pool.submit(QueryEngine(client).query, "SELECT * FROM nodes", True) for client in clients
@@ -231,21 +233,21 @@
         with pytest.raises(TooManySessionsError, match="10 shells are connected"):
             late.fetch_catalog()
         said = f'code="{TooManySessionsError.code}"'
-        assert world.run_until(lambda: said in world.members[0].logs[0].read_text(), LIMIT_S) is not None
+        assert testbed.run_until(lambda: said in testbed.members[0].logs[0].read_text(), LIMIT_S) is not None
         clients.pop().close()
         asking.until("SELECT count(*) FROM nodes", [(6,)])
         for client in [*clients, late]:
             client.close()
     finally:
         asking.pool.shutdown()
-        world.shut_down()
+        testbed.shut_down()
 
 
 def test_a_stalled_and_a_malformed_client_are_disconnected_alone(
     asking: Asking,
 ) -> None:
     load(asking, 200)
-    at = place(asking.world, asking.world.members[0])
+    at = place(asking.testbed, asking.testbed.members[0])
     deaf = socket.socket(socket.AF_UNIX)
     deaf.connect(at)
     asked = [encode_frame(QueryRequest(number, "history", ["uid", "key"] * 32)) for number in range(4)]
@@ -253,12 +255,12 @@
     odd = socket.socket(socket.AF_UNIX)
     odd.connect(at)
     odd.sendall(b"GET / HTTP/1.1\r\n\r\n")
-    log = asking.world.members[0].logs[0]
+    log = asking.testbed.members[0].logs[0]
 
     def dropped() -> bool:
         return log.read_text().count('code="TS5003"') >= 2
 
-    assert asking.world.run_until(dropped, LIMIT_S) is not None, log.read_text()[-2000:]
+    assert asking.testbed.run_until(dropped, LIMIT_S) is not None, log.read_text()[-2000:]
     odd.settimeout(5.0)
     assert odd.recv(10) == b""
     deaf.close()
@@ -270,12 +272,12 @@
 
 def test_a_name_of_quotes_brackets_and_control_characters(asking: Asking) -> None:
     odd = 's-"q" [bold]\'\x1b[2J'
-    entry = asking.world.endpoint(1) | {"instanceId": odd}
-    asking.world.endpoint_source.publish([entry])
+    entry = asking.testbed.endpoint(1) | {"instanceId": odd}
+    asking.testbed.endpoint_source.publish([entry])
     asking.until("SELECT count(*) FROM nodes WHERE node LIKE 's-\"q\"%'", [(4,)])
     lines = asking.wait(asking.begin(lambda engine: explain_node(engine, odd)))
     assert sum(line.startswith("m0") for line in lines) == 4
-    at = place(asking.world, asking.world.members[0])
+    at = place(asking.testbed, asking.testbed.members[0])
     for form in ([], ["--csv"], ["--json"]):
         done = asking.command(
             "query", "--at", at, *form, "SELECT node FROM nodes WHERE node LIKE 's-\"q\"%' LIMIT 1"
@@ -287,8 +289,8 @@
 
 
 def test_a_script_learns_the_outcome_from_the_exit_code(asking: Asking) -> None:
-    world = asking.world
-    at = place(world, world.members[0])
+    testbed = asking.testbed
+    at = place(testbed, testbed.members[0])
 
     def code(*arguments: str) -> int:
         done = asking.command("query", "--at", at, *arguments)
@@ -301,10 +303,10 @@
     assert code("--rows", "1", "SELECT node FROM nodes") == 4
     endless = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n) SELECT sum(i) FROM n"
     assert code("--seconds", "0.5", endless) == 4
-    world.kill(world.members[3])
+    testbed.kill(testbed.members[3])
     assert code("SELECT count(*) FROM nodes") == 3
     assert code("--here", "SELECT count(*) FROM nodes") == 0
-    world.kill(world.members[0])
+    testbed.kill(testbed.members[0])
     done = asking.command("query", "--at", at, "SELECT 1")
     assert done.returncode == 2
     assert "TS5006" in done.stderr
@@ -313,17 +315,19 @@
 
 def test_a_shell_that_reads_lines_from_a_pipe(asking: Asking) -> None:
     load(asking, 40)
-    world = asking.world
-    world.kill(world.members[3])
-    assert world.run_until(world.agreed, LIMIT_S) is not None
+    testbed = asking.testbed
+    testbed.kill(testbed.members[3])
+    assert testbed.run_until(testbed.agreed, LIMIT_S) is not None
     uid = next(
-        uid for uid, one in world.oracle.requests.items() if one.answers[:1] == ["placed"] and uid >> 40 == 2
+        uid
+        for uid, one in testbed.oracle.requests.items()
+        if one.answers[:1] == ["placed"] and uid >> 40 == 2
     )
     lines = [
         ".help", ".tables", ".columns nodes", ".queries", ".run down", ".diff members", ".why s-00000001",
         f".why {uid:x}", ".here", "SELECT count(*) AS how_many FROM members;", ".quit", "never read",
     ]  # fmt: skip
-    done = asking.command("shell", "--at", place(world, world.members[0]), text="\n".join(lines))
+    done = asking.command("shell", "--at", place(testbed, testbed.members[0]), text="\n".join(lines))
     assert done.returncode == 0, done.stdout + done.stderr
     out = done.stdout
     for word in (
@@ -339,52 +343,52 @@
     assert "NOT HEARD: m03" in out
     assert "m01 (up, connected" in out
     done = asking.command(
-        "shell", "--at", place(world, world.members[0]), text="SELECT nonsense\n.nonsense\n"
+        "shell", "--at", place(testbed, testbed.members[0]), text="SELECT nonsense\n.nonsense\n"
     )
     assert done.returncode == 1
     assert "TS5007" in done.stdout
 
 
 def test_a_stale_socket_is_replaced_and_a_live_one_is_not(tmp_path: Path) -> None:
-    world = FleetTestbed(7, True, None, 2, 2, tmp_path)
-    asking = Asking(world)
+    testbed = FleetTestbed(7, True, None, 2, 2, tmp_path)
+    asking = Asking(testbed)
     at = tmp_path / "one.sock"
     try:
-        world.fleet_settings = f'[control]\nsocket = "{at}"\n'
-        world.start(world.members[0])
+        testbed.fleet_settings = f'[control]\nsocket = "{at}"\n'
+        testbed.start(testbed.members[0])
         with pytest.raises(ThornshelfError, match="TS5002"):
-            world.start(world.members[1])
-        world.members[1].process = None
-        world.kill(world.members[0])
+            testbed.start(testbed.members[1])
+        testbed.members[1].process = None
+        testbed.kill(testbed.members[0])
         assert at.exists()
-        world.start(world.members[1])
+        testbed.start(testbed.members[1])
         with ControlClient(at) as client:
             assert client.fetch_catalog().member == "m01"
         (tmp_path / "open").mkdir()
         (tmp_path / "open").chmod(0o777)
-        world.members[0].process = None
-        world.fleet_settings = f'[control]\nsocket = "{tmp_path}/open/s"\n'
+        testbed.members[0].process = None
+        testbed.fleet_settings = f'[control]\nsocket = "{tmp_path}/open/s"\n'
         with pytest.raises(ThornshelfError, match="another user may write there.*TS5001"):
-            world.start(world.members[0])
+            testbed.start(testbed.members[0])
     finally:
         asking.pool.shutdown()
-        world.shut_down()
+        testbed.shut_down()
     assert not at.exists()  # one that ends in order leaves nothing behind
 
 
 def test_a_hundred_thousand_tasks_are_read_while_others_are_served(tmp_path: Path) -> None:
-    world = FleetTestbed(7, True, None, 2, 3, tmp_path)
-    asking = Asking(world)
+    testbed = FleetTestbed(7, True, None, 2, 3, tmp_path)
+    asking = Asking(testbed)
     try:
-        world.fleet_settings = CONTROL
-        world.start(world.members[0], injected_fault="crowd")
-        world.start(world.members[1])
-        assert world.run_until(world.agreed, LIMIT_S) is not None
-        world.loading = True
-        world.send_requests()
+        testbed.fleet_settings = CONTROL
+        testbed.start(testbed.members[0], injected_fault="crowd")
+        testbed.start(testbed.members[1])
+        assert testbed.run_until(testbed.agreed, LIMIT_S) is not None
+        testbed.loading = True
+        testbed.send_requests()
         for member in (0, 1):  # by itself, and as another's answer
             begun = asking.begin(lambda engine: engine.query("SELECT uid, age_ms FROM tasks", True), member)
-            before = len(world.oracle.requests)
+            before = len(testbed.oracle.requests)
             result = asking.wait(begun)
             crowd = [row for row in result.rows if row[0] >= f"{1 << 60:016x}"]
             assert len({row[0] for row in crowd}) == len(crowd) > 9_000
@@ -392,13 +396,13 @@
             if result.summary.missing:  # what travels of one answer is bounded, and it says so
                 assert member == 1
                 assert "too long" in result.summary.missing[0][1]
-            assert len(world.oracle.requests) > before
+            assert len(testbed.oracle.requests) > before
         count = "SELECT count(DISTINCT uid) FROM tasks WHERE uid >= '1000000000000000'"
         assert asking.query(count).rows == [(100_000,)]
-        world.loading = False
-        world.run_for(1.0)
-        assert not world.oracle.duplicated()
-        assert all(one.answers for one in world.oracle.requests.values() if not one.void)
+        testbed.loading = False
+        testbed.run_for(1.0)
+        assert not testbed.oracle.duplicated()
+        assert all(one.answers for one in testbed.oracle.requests.values() if not one.void)
     finally:
         asking.pool.shutdown()
-        world.shut_down()
+        testbed.shut_down()
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -39,25 +39,25 @@
 
 
 @CLIENTS
-def test_a_missing_hint_is_rejected_with_the_reason(front: str) -> None:
-    cluster = FakeCluster(front, GRPC2, prepare_node=needs_hint)
+def test_a_missing_hint_is_rejected_with_the_reason(frontend: str) -> None:
+    cluster = FakeCluster(frontend, GRPC2, prepare_node=needs_hint)
     cluster.run_for(50)  # their hellos have arrived
     cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
     message = cluster.client.messages[5][0]
-    if front == JSON:
+    if frontend == JSON:
         assert message.reason == 34
         assert message.meta["why"].startswith("hint needed: ")
-    if front == GRPC2:
+    if frontend == GRPC2:
         assert (message.refusal.reason, message.refusal.advice) == (pb2.HINT_NEEDED, pb2.CHANGED)
     cluster.client.send_request(6, NodeBehavior.RUN)
     assert cluster.wait_for_events(6) == [PLACED]
 
 
 @CLIENTS
-def test_a_missing_hint_is_assumed_by_policy_and_reported(front: str) -> None:
-    cluster = FakeCluster(front, GRPC2, translation=ASSUME, prepare_node=needs_hint)
+def test_a_missing_hint_is_assumed_by_policy_and_reported(frontend: str) -> None:
+    cluster = FakeCluster(frontend, GRPC2, translation=ASSUME, prepare_node=needs_hint)
     cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     cluster.client.send_request(
         6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint=None
@@ -68,9 +68,9 @@
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
     assert [values["ms"] for values in log_lines(cluster, "hint-assumed")] == [15_000]
     message = cluster.client.messages[5][0]
-    if front == JSON:
+    if frontend == JSON:
         assert message.meta == {"hint": "15000", "assumed": "hint"}
-    if front == GRPC2:
+    if frontend == GRPC2:
         assert message.binding.hint == pb2.Hint(ms=15_000.0, assumed=True)
 
 
@@ -115,17 +115,17 @@
     ],
 )
 def test_a_reason_unknown_to_the_format_keeps_its_guarantee_and_text(
-    front: str, behavior: NodeBehavior, reason: int, text: str
+    frontend: str, behavior: NodeBehavior, reason: int, text: str
 ) -> None:
-    cluster = FakeCluster(front, GRPC2)
+    cluster = FakeCluster(frontend, GRPC2)
     cluster.client.send_request(5, behavior, NON_IDEMPOTENT_CLASS)
     assert (
         cluster.wait_for_events(5)[0][0] == "refused"
     )  # it never ran: this holds for tasks that must not be started twice, too
     message = cluster.client.messages[5][0]
-    if front == JSON:
+    if frontend == JSON:
         assert (message.reason, message.meta["why"]) == (34, text)
-    if front == GRPC2:
+    if frontend == GRPC2:
         assert message.refusal.reason == reason
         assert message.refusal.text in text
     assert start_count(cluster, 5) == 0
@@ -300,9 +300,9 @@
     assert cluster.offer_count(5) == 0
 
 
-@pytest.mark.parametrize("front", [GRPC, GRPC2])
-def test_both_generations_are_served_to_clients(front: str) -> None:
-    cluster = FakeCluster(front, BINARY)
+@pytest.mark.parametrize("frontend", [GRPC, GRPC2])
+def test_both_generations_are_served_to_clients(frontend: str) -> None:
+    cluster = FakeCluster(frontend, BINARY)
     cluster.client.send_request(5, NodeBehavior.END)
     assert cluster.wait_for_events(5, 2) == [PLACED, ("released", pb2.ENDED)]
     call = cluster.client.open_stream("Place")
@@ -311,8 +311,8 @@
     cluster.client.h2.finish(call, [])
     cluster.run_until(lambda: call in cluster.client.status)
     # v2 answers by a message, v1 by the status
-    assert cluster.client.status[call]["grpc-status"] == ("0" if front == GRPC2 else "8")
-    assert (6 in cluster.client.events) == (front == GRPC2)
+    assert cluster.client.status[call]["grpc-status"] == ("0" if frontend == GRPC2 else "8")
+    assert (6 in cluster.client.events) == (frontend == GRPC2)
 
 
 def _frame(message: Any) -> bytes:
--- a/tests/test_uncertain_attempts.py
+++ b/tests/test_uncertain_attempts.py
@@ -46,9 +46,9 @@
     ],
 )
 def test_an_uncertain_attempt_is_resolved_before_the_deadline(
-    front: str, behavior: NodeBehavior, expected: list[tuple[Any, ...]], starts: int
+    frontend: str, behavior: NodeBehavior, expected: list[tuple[Any, ...]], starts: int
 ) -> None:
-    cluster = FakeCluster(front, GRPC2)
+    cluster = FakeCluster(frontend, GRPC2)
     cluster.client.send_request(5, behavior, NON_IDEMPOTENT_CLASS)
     events = cluster.wait_for_events(5)
     cluster.run_for(100)
@@ -296,10 +296,10 @@
     assert cluster.wait_for_events(5, 2)[1] == ("released", pb2.RESET)
 
 
-@pytest.mark.parametrize("front", [JSON, GRPC2])
-def test_an_unacknowledged_release_is_sent_again_on_another_connection(front: str) -> None:
-    cluster = FakeCluster(front, BINARY, translation=TranslationConfig())
-    other = cluster.connect_client(front)
+@pytest.mark.parametrize("frontend", [JSON, GRPC2])
+def test_an_unacknowledged_release_is_sent_again_on_another_connection(frontend: str) -> None:
+    cluster = FakeCluster(frontend, BINARY, translation=TranslationConfig())
+    other = cluster.connect_client(frontend)
     for client, uid in ((cluster.client, 5), (cluster.client, 6), (other, 7)):
         client.acknowledges_releases = True
         client.send_request(uid, NodeBehavior.RUN)
--- a/tests/translation_helpers.py
+++ b/tests/translation_helpers.py
@@ -15,7 +15,7 @@
 PLACED = ("placed", DESCRIPTION)
 REJECTED = ("refused", "1000")
 FAILED = ("failed", None)
-CLIENTS = pytest.mark.parametrize("front", [JSON, GRPC, GRPC2])
+CLIENTS = pytest.mark.parametrize("frontend", [JSON, GRPC, GRPC2])
 ASSUME = TranslationConfig(
     missing_field_policies={"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000_000)}
 )
