--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -80,7 +80,7 @@
         return events
 
     def batch(self, number: int) -> dict[int, api.PlacementRequest]:
-        """Draw the requests of one batch, all of one service; now and then the last is a large task."""
+        """Draw the requests of one batch, all of one service; every 20th batch ends with a large task."""
         service = self.random.randrange(len(self.demands))
         requests: dict[int, api.PlacementRequest] = {}
         for _ in range(BATCH_SIZE):
