--- a/thornshelf/configuration/schema.py
+++ b/thornshelf/configuration/schema.py
@@ -58,7 +58,7 @@
     fleet_floor_per_s: Annotated[float, Meta(ge=0.0, le=100_000.0)] = 10.0
     fleet_most: Positive = 200
     returns_per_s: Positive = 200  # rejected clients that are told to return per second
-    asks_a_turn: Positive = 16  # requests that are passed to the placement module in one turn
+    asks_a_turn: Positive = 16  # requests that are passed to the decision module in one turn
     most_waiting: Positive = 10_000  # capacity of the queue of these requests
 
 
@@ -100,7 +100,7 @@
     # Overload: the wait in the queue exceeds ``target_ms`` for at least ``interval_ms``.
     target_ms: Milliseconds = 20
     interval_ms: Milliseconds = 200
-    asks_a_turn: Positive = 16  # requests that are passed to the placement module in one turn
+    asks_a_turn: Positive = 16  # requests that are passed to the decision module in one turn
     most_waiting: Positive = 10_000  # capacity of the queue
     returns_per_s: Positive = 200  # rejected clients that are told to return per second
 
@@ -182,7 +182,7 @@
 
     zone: Annotated[str, Meta(min_length=1, max_length=64)] | None = None  # default: the zone of the settings
     dispatchers: Annotated[int, Meta(ge=1, le=65_536)] = 1  # in this zone
-    spare_step: Positive = 64  # spare nodes that are added at a time
+    spare_step: Positive = 64  # spare nodes that are requested at a time
     most_spare: Positive = 512
     short_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.9  # of the recent peak; below it spares are added
     refused_share: Annotated[float, Meta(gt=0.0, le=1.0)] = 0.05  # of requests; above it spares are added
--- a/thornshelf/control/node_table.py
+++ b/thornshelf/control/node_table.py
@@ -1,4 +1,4 @@
-"""The table of nodes: their endpoints, connections, and state in the placement module."""
+"""The table of nodes: their endpoints, connections, and state in the decision module."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     ("started_ms", INTEGER, "Unix ms of its start if that is recent, 0 otherwise"),
 )
 _CONNECTION_COLUMNS = (
-    ("reach", TEXT, "connected, idle (no connection is needed), calling or unreachable"),
+    ("reach", TEXT, "connected, idle (no connection is needed), calling, unreachable or unknown"),
     ("out", INTEGER, "attempts of this dispatcher that wait for an answer"),
     ("standing", INTEGER, "tasks of this dispatcher that run there"),
 )
 _PLACEMENT_COLUMNS = (
     ("cores", REAL, "cores up to which it accepts tasks"),
     ("memory", REAL, "memory up to which it accepts tasks"),
-    ("taken_cores", REAL, "cores in use, as the placement module counts them"),
-    ("taken_memory", REAL, "memory in use, as the placement module counts it"),
+    ("taken_cores", REAL, "cores in use, as the decision module counts them"),
+    ("taken_memory", REAL, "memory in use, as the decision module counts it"),
     ("report_age_ms", INTEGER, "age of its last load report; null before the first"),
     ("strikes", INTEGER, "consecutive failures"),
     ("suspect_ms", INTEGER, "remaining time of its ejection as an outlier"),
@@ -129,7 +129,7 @@
     return max(0, int(remaining_s * 1000))
 
 
-def _oldest_wait_ms(started_s: Any, now_s: float) -> int | None:
-    """Returns the milliseconds since the first of some times, which are in order, or None if there is none."""
-    first_s = next(iter(started_s), None)
-    return None if first_s is None else int((now_s - first_s) * 1000)
+def _oldest_wait_ms(waiting_since_s: Any, now_s: float) -> int | None:
+    """Returns the milliseconds since the first of some ascending times, or None if there is none."""
+    oldest_s = next(iter(waiting_since_s), None)
+    return None if oldest_s is None else int((now_s - oldest_s) * 1000)
