--- a/thornshelf/control/query_sessions.py
+++ b/thornshelf/control/query_sessions.py
@@ -137,7 +137,7 @@
         """Returns a new query. Raises ``TooManySessionsError`` or ``UnknownTableError``."""
         client_queries = sum(query.client is client for query in self._queries)
         if client_queries >= MAX_QUERIES_PER_CLIENT or len(self._queries) >= self._max_queries:
-            raise TooManySessionsError(f"{len(self._queries)} queries are open")
+            raise TooManySessionsError(f"{len(self._queries)} questions are open")
         table = self._catalog.table(request.table)
         reader = TableReader(table, request.columns, request.filters)
         return OpenQuery(client, request, reader, now_us)
@@ -237,7 +237,7 @@
             missing |= query.gatherer.incomplete
             complete += query.gatherer.complete_members
         if query.table_reader.truncated:
-            missing[self._name] = "it sent only its first rows"
+            missing[self._name] = "it told only its first rows"
         else:
             complete.append(self._name)
         query.client.send(QueryEnd(query.request.number, sorted(complete), sorted(missing.items())))
