--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -269,7 +269,13 @@
     """The limit of the process is far below the configured one."""
     cluster, dispatcher = separate_process
     at = dispatcher.addresses[JSON]
-    flood = [socket.create_connection(at, timeout=TIMEOUT_S) for _ in range(100)]
+    # All wait in the backlog before the first is accepted: later turns evict idle ones for those that arrive then.
+    os.kill(dispatcher.process.pid, signal.SIGSTOP)
+    try:
+        os.waitid(os.P_PID, dispatcher.process.pid, os.WSTOPPED | os.WEXITED | os.WNOWAIT)
+        flood = [socket.create_connection(at, timeout=TIMEOUT_S) for _ in range(100)]
+    finally:
+        os.kill(dispatcher.process.pid, signal.SIGCONT)
     for connection in flood:
         connection.setblocking(False)
     replies: dict[socket.socket, bytes] = {}
