--- a/thornshelf/translation/__init__.py
+++ b/thornshelf/translation/__init__.py
@@ -1,1 +1,1 @@
-"""Translation between wire formats and protocol generations, and the idempotency keys in use. No I/O."""
+"""Translates between wire formats and protocol generations, and tracks idempotency keys. No I/O."""
--- a/thornshelf/translation/capabilities.py
+++ b/thornshelf/translation/capabilities.py
@@ -1,7 +1,7 @@
-"""What is known of each node's wire format and capabilities: by configuration, by its hello and by observation.
+"""The wire format and the capabilities of each node, from the configuration, its hello and its behaviour.
 
-Nodes are upgraded and downgraded in place, some don't behave as they declare, and a hello may come from another node
-than the one listed at that address. No I/O here.
+Nodes are upgraded and downgraded in place, some behave differently from what they declare, and a hello may come from
+another node than the one listed at that address. No I/O here.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from thornshelf.errors import InvalidParameterError
 from thornshelf.translation.failures import GENERATION, FailureReason, WireFormat
 
-# Connections in a row that close before any message came, until the next wire format is tried.
+# After so many consecutive connections that close before the node sends a message, the next wire format is tried;
+# after the first one if the current format is not the one that the node confirmed last.
 CLOSES_BEFORE_FALLBACK = 2
-# Denials that proved wrong, from which on a node's answers to status queries are not trusted any more.
+# After so many denials that proved wrong, a node's answers to status queries are no longer trusted.
 MAX_BROKEN_PROMISES = 2
-MAX_REQUIRED_FIELDS = 16  # in a hello; more are reported as inconsistent
+MAX_REQUIRED_FIELDS = 16  # of a hello; a longer list is reported as inconsistent
 
 
 class RequiredField(enum.IntEnum):
-    """A field that a node requires in each attempt; numbered as ``Requirement`` in ``thornshelf.v2``."""
+    """A field that a node requires in each attempt. The numbers are those of ``Requirement`` in ``thornshelf.v2``."""
 
     NONE = 0
     HINT = 1
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeCapabilities:
-    """What a node declares in its hello. ``name`` is empty and ``generation`` 0 where it declared none."""
+    """What a node declares in its hello; ``name`` is empty and ``generation`` 0 if it did not declare one."""
 
     generation: int
     name: str = ""
@@ -44,9 +45,9 @@
 class WireFormatNegotiation:
     """Finds the wire format that a node understands, among those that the operator allows.
 
-    The newest is tried first. A node that does not know it says so (UNIMPLEMENTED in gRPC) or closes connections
-    without a message; then the next one is tried, and after the last the first again. So a node that was upgraded
-    in place is detected, as its restart closes the connection.
+    The newest is tried first. If the node rejects it (UNIMPLEMENTED in gRPC) or closes connections without sending
+    a message, the next older one is tried, and after the oldest the newest again. An upgrade in place closes the
+    connection, after which the newest format is tried again.
     """
 
     def __init__(self, allowed: Sequence[WireFormat]) -> None:
@@ -55,12 +56,12 @@
         self.allowed = tuple(sorted(set(allowed), key=lambda candidate: -GENERATION[candidate]))
         self.current = self.allowed[0]
         self._closes_without_message = 0
-        self._formats_tried = 0  # since the last message from the node
+        self._formats_tried = 0  # without success, since the node's last message
         self._confirmed_format: WireFormat | None = None
 
     @property
     def has_untried_format(self) -> bool:
-        """Whether some format was not tried since the node's last message, so that attempts may wait for it."""
+        """Whether a format is left to try since the node's last message, so that attempts may wait for its result."""
         return self._formats_tried < len(self.allowed)
 
     @property
@@ -69,19 +70,19 @@
         return len(self.allowed) == 1
 
     def confirm(self) -> None:
-        """A message in the current format was received."""
+        """Record that the node sent a message in the current format."""
         self._closes_without_message = 0
         self._formats_tried = 0
         self._confirmed_format = self.current
 
     def reject_current(self) -> None:
-        """The node replied that it does not know the current format."""
+        """Record that the node does not support the current format, and try the next one."""
         self._try_next()
 
     def connection_closed(self, received_message: bool) -> None:
-        """A connection was closed; ``received_message``: after a message of the node."""
+        """Record that a connection was closed; ``received_message``: whether the node had sent a message on it."""
         if received_message:
-            # The node may have been restarted as a newer version.
+            # The node may have been upgraded by a restart.
             self._closes_without_message = 0
             self.current = self.allowed[0]
             return
@@ -101,20 +102,22 @@
 
 @dataclass(slots=True)
 class NodeProfile:
-    """What is known of one node."""
+    """What is known of one node.
+
+    ``required_fields`` holds the numbers of all fields that it requires; ``learned_requirements`` those among them
+    that its hello did not declare, but its rejections revealed.
+    """
 
     name: str  # in the endpoint list
     wire_format: WireFormat | None = None  # of its last connection; None before the first
-    capabilities: NodeCapabilities | None = None
+    capabilities: NodeCapabilities | None = None  # from its last hello on this connection
     required_fields: set[int] = field(default_factory=set)
-    learned_requirements: set[int] = field(
-        default_factory=set
-    )  # by its rejections, not declared in its hello
+    learned_requirements: set[int] = field(default_factory=set)
     mismatched_name: str = ""  # the name in its hello, if it differs from the listed one
-    broken_promises: int = 0
+    broken_promises: int = 0  # denials of tasks that then ran there
 
     def reset_for_connection(self, wire_format: WireFormat) -> None:
-        """A connection was opened; discards what an earlier process of the node declared."""
+        """Discard what was declared on an earlier connection, because a new one in this format was opened."""
         if wire_format is not self.wire_format:
             self.learned_requirements.clear()
         self.wire_format = wire_format
@@ -123,7 +126,7 @@
         self.required_fields = set(self.learned_requirements)
 
     def update_capabilities(self, capabilities: NodeCapabilities) -> list[str]:
-        """Takes over a hello; returns descriptions of all that is inconsistent with what is known."""
+        """Store the capabilities of a hello; returns a description of each inconsistency with what is known."""
         inconsistencies = self._inconsistencies(capabilities)
         is_mismatched = bool(capabilities.name) and capabilities.name != self.name
         self.mismatched_name = capabilities.name if is_mismatched else ""
@@ -134,20 +137,24 @@
 
     def _inconsistencies(self, capabilities: NodeCapabilities) -> list[str]:
         found = []
-        known = {one.value for one in RequiredField}
+        known = {required.value for required in RequiredField}
         if capabilities.name and capabilities.name != self.name:
-            found.append(f"the list calls it {self.name!r}, it calls itself {capabilities.name!r:.60}")
+            found.append(
+                f"the endpoint list names it {self.name!r}, its hello names it {capabilities.name!r:.60}"
+            )
         uses_v2 = self.wire_format is WireFormat.GRPC_V2
         if uses_v2 and capabilities.generation < GENERATION[WireFormat.GRPC_V2]:
-            found.append(f"it declares generation {capabilities.generation} in the format of generation 2")
+            found.append(
+                f"it declares generation {capabilities.generation}, but its wire format is of generation 2"
+            )
         if unknown := sorted(capabilities.required_fields - known):
             found.append(f"it requires fields that this version does not know: {unknown}")
         if len(capabilities.required_fields) > MAX_REQUIRED_FIELDS:
-            found.append("it requires more fields than there are")
+            found.append("it requires more fields than exist")
         return found
 
     def record_rejection(self, reason: FailureReason) -> bool:
-        """The node rejected a task; true if for a missing field that it had not declared as required."""
+        """Record a rejection; returns whether it shows a required field that the node had not declared."""
         if reason is not FailureReason.HINT_NEEDED:
             return False
         if not self.required_fields.isdisjoint((RequiredField.HINT, RequiredField.CLIENT_HINT)):
@@ -157,12 +164,12 @@
         return True
 
     def record_broken_promise(self) -> None:
-        """The node denied having run a task that then ran there."""
+        """Count a denial that proved wrong: the task ran there although the node had said that it never did."""
         self.broken_promises += 1
 
     @property
     def answers_queries(self) -> bool:
-        """Whether it answers status queries about idempotency keys, and its answers are trusted."""
+        """Whether the node answers status queries about idempotency keys, and its answers are trusted."""
         capabilities = self.capabilities
         return (
             self.wire_format is WireFormat.GRPC_V2
--- a/thornshelf/translation/element_bindings.py
+++ b/thornshelf/translation/element_bindings.py
@@ -1,7 +1,7 @@
-"""Which subject of the field mapping each element (field, enum value, cause) of a wire format belongs to.
+"""Binds each element of a wire format (a field, enum value or cause) to its subject in the field mapping.
 
-A subject that begins with ``=`` names no mapping: ``=frame`` is the structure of a message, ``=derived`` a field that
-only carries derived texts, ``=unused`` a type that is not used.
+Subjects that begin with ``=`` have no mapping: ``=frame`` marks the structure of a message, ``=derived`` a field that
+only carries derived texts, ``=unused`` a message type that is not used.
 """
 
 from __future__ import annotations
@@ -177,16 +177,16 @@
     "Offer.never_twice": "at most once",
     "Question.key": "status query",
     "NodeOrder.question": "status query",
-    **{f"Reason.{one.name}": f"reason {one.name}" for one in FailureReason},
+    **{f"Reason.{reason.name}": f"reason {reason.name}" for reason in FailureReason},
     "Advice.ANY": "advice",
     "Advice.LATER": "advice",
     "Advice.CHANGED": "advice",
     "End.text": "text",
     "End.advice": "advice",
-    **{f"Requirement.{one}": "hello" for one in ("NONE", "HINT", "OWN_HINT", "TENANT", "KEY", "SERVICE")},
-    **{f"Hello.{one}": "hello" for one in ("generation", "name", "requires", "answers_questions")},
-    **{f"Standing.{one}": "status reply" for one in ("UNKNOWN", "NEVER", "WAITING", "RUNS_NOW", "RAN")},
-    **{f"Answer.{one}": "status reply" for one in ("key", "standing", "uid", "description")},
+    **{f"Requirement.{name}": "hello" for name in ("NONE", "HINT", "OWN_HINT", "TENANT", "KEY", "SERVICE")},
+    **{f"Hello.{name}": "hello" for name in ("generation", "name", "requires", "answers_questions")},
+    **{f"Standing.{name}": "status reply" for name in ("UNKNOWN", "NEVER", "WAITING", "RUNS_NOW", "RAN")},
+    **{f"Answer.{name}": "status reply" for name in ("key", "standing", "uid", "description")},
     "Answer.outcome": "status reply",
     "Answer.reason": "status reply",
     "NodeReport.hello": "hello",
--- a/thornshelf/translation/failures.py
+++ b/thornshelf/translation/failures.py
@@ -1,8 +1,8 @@
 """Wire formats, and the failure causes that are translated between them.
 
-A reason says why a task was rejected, failed or ended; its number is that of ``Reason`` in ``thornshelf.v2``. A
-format without a field for a reason carries its general answer with the same execution guarantee, and the reason as
-text where there is room for it. A translated answer never guarantees more than the original did.
+A reason says why a task was rejected, failed or ended; its number is that of ``Reason`` in ``thornshelf.v2``. In a
+format without a field for the reason, the general answer with the same execution guarantee is sent, with the reason
+in its text if it has one. A translated answer never guarantees more than the original.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 from thornshelf.placement import Outcome, Reason
 
-MAX_TEXT_CHARS = 200  # of a peer's text; the rest is cut off
+MAX_TEXT_CHARS = 200  # longer texts of peers are truncated
 
 
 class WireFormat(enum.Enum):
-    """The encoding on a connection. Clients use JSON_LINES or gRPC, nodes BINARY or gRPC.
+    """The encoding used on a connection. Clients use JSON_LINES or gRPC, nodes BINARY or gRPC.
 
-    The values are shown to operators and name log parameters.
+    The values are shown to operators and appear in the names of counters.
     """
 
     JSON_LINES = "json lines"
@@ -35,8 +35,8 @@
 class FailureReason(enum.IntEnum):
     """Why a task was rejected, failed or ended.
 
-    Names and numbers are those of ``Reason`` in ``thornshelf.v2``: the names appear in texts to clients and in the
-    log. Up to ``LAST_V1_REASON`` the numbers are those of the placement module's ``Reason``, too.
+    Names and numbers are those of ``Reason`` in ``thornshelf.v2``; the names also appear in the log and in texts that
+    clients receive. Up to ``LAST_V1_REASON`` the numbers equal those of the placement module's ``Reason``.
     """
 
     UNTOLD = 0
@@ -56,7 +56,7 @@
     OVERLOADED = 14
 
 
-LAST_V1_REASON = FailureReason.SENT_AWAY  # the last one that formats of generations 0 and 1 can express
+LAST_V1_REASON = FailureReason.SENT_AWAY  # the last reason that formats of generations 0 and 1 can express
 
 
 class ExecutionGuarantee(enum.IntEnum):
@@ -67,7 +67,7 @@
 
 
 class RetryAdvice(enum.IntEnum):
-    """When a rejected request may be sent again; numbered as ``Advice`` in ``thornshelf.v2``."""
+    """When a rejected request may be sent again. The numbers are those of ``Advice`` in ``thornshelf.v2``."""
 
     ANY = 0
     LATER = 1
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailureCause:
-    """The cause of a rejection, a failure or an end, as far as it is known."""
+    """Why a task was rejected, failed or ended, as far as it is known."""
 
     reason: FailureReason = FailureReason.UNTOLD
     text: str = ""
@@ -84,13 +84,13 @@
 
     @property
     def message(self) -> str:
-        """The reason and its text, for formats without a field for the reason."""
+        """The reason and the text as one string, for formats without a field for the reason."""
         name = self.reason.name.lower().replace("_", " ")
         return f"{name}: {self.text}" if self.text else name
 
 
 def decode_reason(number: int) -> FailureReason:
-    """The reason with a number; UNTOLD where only a newer generation knows the number."""
+    """Returns the reason with this number, or UNTOLD if only a newer generation defines it."""
     try:
         return FailureReason(number)
     except ValueError:
@@ -98,7 +98,7 @@
 
 
 def decode_advice(number: int) -> RetryAdvice:
-    """The advice with a number; the weakest one where only a newer generation knows the number."""
+    """Returns the advice with this number, or ANY if only a newer generation defines it."""
     try:
         return RetryAdvice(number)
     except ValueError:
@@ -106,7 +106,7 @@
 
 
 def sanitize_text(text: str) -> str:
-    """A peer's text, cut to ``MAX_TEXT_CHARS``, with a space in place of each unprintable character."""
+    """Truncate a peer's text to ``MAX_TEXT_CHARS``, and replace each unprintable character by a space."""
     return "".join(char if char.isprintable() else " " for char in text[:MAX_TEXT_CHARS])
 
 
@@ -124,13 +124,13 @@
 def failure_cause(
     reason: FailureReason, text: str = "", advice: RetryAdvice = RetryAdvice.ANY
 ) -> FailureCause:
-    """A cause with a sanitized text; without advice it gets the default advice of its reason."""
+    """Returns a cause with a sanitized text; ``advice`` ANY is replaced by the default advice of the reason."""
     default_advice = _DEFAULT_ADVICE.get(reason, RetryAdvice.ANY)
     return FailureCause(reason, sanitize_text(text), advice or default_advice)
 
 
-# What the placement module is notified of where it has no such reason. A reason that lies in the task itself says
-# nothing about the node's capacity and must not exclude the node for other tasks: the attempt counts as never sent.
+# How a rejection is reported to the placement module if it has no equivalent reason. A rejection that concerns only
+# the task must not exclude the node for other tasks, so its attempt is reported as never sent.
 _PLACEMENT_REJECTION = {
     FailureReason.HINT_NEEDED: (Outcome.NOT_SENT, Reason.UNSPECIFIED),
     FailureReason.QUOTA: (Outcome.NOT_SENT, Reason.UNSPECIFIED),
@@ -143,7 +143,7 @@
 
 
 def to_placement_outcome(outcome: Outcome, reason: FailureReason) -> tuple[Outcome, Reason]:
-    """The outcome and reason to report to the placement module, with the same execution guarantee."""
+    """Returns the outcome and reason to report to the placement module; the execution guarantee stays the same."""
     if reason <= LAST_V1_REASON:
         return outcome, Reason(int(reason))
     if outcome is Outcome.REFUSED:
@@ -152,6 +152,6 @@
 
 
 def execution_guarantee(outcome: Outcome) -> ExecutionGuarantee:
-    """What the outcome of an attempt that did not start its task guarantees about its execution."""
+    """Returns what the outcome of an attempt that reported no start guarantees about the task's execution."""
     never_ran = outcome in (Outcome.REFUSED, Outcome.NOT_CONNECTED, Outcome.NOT_SENT)
     return ExecutionGuarantee.NEVER_RAN if never_ran else ExecutionGuarantee.MAY_HAVE_RUN
--- a/thornshelf/translation/field_mapping.py
+++ b/thornshelf/translation/field_mapping.py
@@ -1,8 +1,10 @@
-"""The field mapping: what becomes of each subject of a message in each wire format of the other side.
+"""The field mapping: how each subject of a message is translated to each wire format of the receiving side.
 
-Subjects of client messages are mapped to the nodes' formats, subjects of node messages to the clients' formats;
-what the dispatcher itself reports is listed with the node messages. The mapping is complete: ``field_mapping_audit``
-compares it with the elements of the formats (``element_bindings``) and with what each format can express.
+A subject is one piece of information, such as the tenant or the lifetime hint. Subjects of client messages are mapped
+to the nodes' formats, subjects of node messages and of the dispatcher's own reports to the clients' formats.
+``field_mapping_audit`` checks that the mapping is complete, by the elements of each format (``element_bindings``).
+
+The explanations are printed on ``docs/field-mapping.md``, which a test compares.
 """
 
 from __future__ import annotations
@@ -15,7 +17,7 @@
 
 
 class MappingKind(enum.Enum):
-    """What can become of a subject. The values are shown to operators."""
+    """The kinds of translation. The values are shown to operators."""
 
     CARRIED = "carried"
     DERIVED = "derived"
@@ -25,49 +27,49 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldMapping:
-    """What becomes of one subject in one wire format.
+    """How one subject is translated to one wire format.
 
-    ``explanation``: from what it is derived, with what it is rejected, or why it is omitted.
+    ``explanation``: what it is derived from, the error it is rejected with, or why it is omitted; empty if carried.
     """
 
     kind: MappingKind
     explanation: str = ""
 
 
-Row = dict[WireFormat, FieldMapping]
+MappingRow = dict[WireFormat, FieldMapping]
 
 CARRIED = FieldMapping(MappingKind.CARRIED)
 
 
 def derived(explanation: str) -> FieldMapping:
-    """Expressed by another field or by other means."""
+    """A mapping to another field, or to other means of expressing the subject."""
     return FieldMapping(MappingKind.DERIVED, explanation)
 
 
 def rejected(explanation: str) -> FieldMapping:
-    """The request is answered with an error that says why."""
+    """A mapping that rejects the request with an error that names the reason."""
     return FieldMapping(MappingKind.REJECTED, explanation)
 
 
 def omitted(explanation: str) -> FieldMapping:
-    """Not passed on; the translator counts it."""
+    """A mapping that drops the subject; the translator counts such drops."""
     return FieldMapping(MappingKind.OMITTED, explanation)
 
 
-def to_nodes(binary: FieldMapping, v1: FieldMapping, v2: FieldMapping) -> Row:
-    """The mappings to the three formats of nodes."""
+def to_nodes(binary: FieldMapping, v1: FieldMapping, v2: FieldMapping) -> MappingRow:
+    """Returns the row of a subject that clients send, with its mapping to each format of nodes."""
     return {WireFormat.BINARY: binary, WireFormat.GRPC_V1: v1, WireFormat.GRPC_V2: v2}
 
 
-def to_clients(json_lines: FieldMapping, v1: FieldMapping, v2: FieldMapping) -> Row:
-    """The mappings to the three formats of clients."""
+def to_clients(json_lines: FieldMapping, v1: FieldMapping, v2: FieldMapping) -> MappingRow:
+    """Returns the row of a subject that clients receive, with its mapping to each format of clients."""
     return {WireFormat.JSON_LINES: json_lines, WireFormat.GRPC_V1: v1, WireFormat.GRPC_V2: v2}
 
 
 _USED_BY_PLACEMENT = omitted("the placement module has used it; the format has no field")
 
 # Subjects of client messages.
-REQUEST_MAPPINGS: dict[str, Row] = {
+REQUEST_MAPPINGS: dict[str, MappingRow] = {
     "id": to_nodes(CARRIED, CARRIED, CARRIED),
     "class": to_nodes(CARRIED, CARRIED, CARRIED),
     "remaining time": to_nodes(
@@ -121,14 +123,14 @@
 _NO_FIELD = omitted("the format has no field for it")
 
 
-def _reason_row(is_v1_reason: bool) -> Row:
+def _reason_row(is_v1_reason: bool) -> MappingRow:
     in_releases = "a field of releases" if is_v1_reason else "UNTOLD in releases"
     elsewhere = "in rejections and failures the general answer, with a text in failures"
     return to_clients(_GENERAL_CAUSE, derived(f"{in_releases}; {elsewhere}"), CARRIED)
 
 
-# Subjects of node messages, and of what the dispatcher itself reports.
-RESPONSE_MAPPINGS: dict[str, Row] = {
+# Subjects of node messages, and of the dispatcher's own reports.
+RESPONSE_MAPPINGS: dict[str, MappingRow] = {
     "id": to_clients(CARRIED, CARRIED, CARRIED),
     "binding": to_clients(CARRIED, CARRIED, CARRIED),
     "description": to_clients(CARRIED, CARRIED, CARRIED),
@@ -161,19 +163,19 @@
     "hello": to_clients(*[omitted("for routing: which nodes can run a task")] * 3),
     "status reply": to_clients(*[derived("the binding, the end, or another attempt")] * 3),
     "passed": to_clients(CARRIED, CARRIED, CARRIED),
-    **{f"reason {one.name}": _reason_row(one <= LAST_V1_REASON) for one in FailureReason},
+    **{f"reason {reason.name}": _reason_row(reason <= LAST_V1_REASON) for reason in FailureReason},
 }
 
 
 def mapping_for(subject: str, target: WireFormat) -> FieldMapping:
-    """What becomes of a subject in a format; raises ``KeyError`` if the mapping is not declared."""
+    """Returns how a subject is translated to a format; raises ``KeyError`` if no mapping is declared."""
     row = REQUEST_MAPPINGS.get(subject, {}) if target in NODE_FORMATS else {}
     return row.get(target) or RESPONSE_MAPPINGS[subject][target]
 
 
 @functools.cache
 def omitted_subjects(target: WireFormat) -> frozenset[str]:
-    """The subjects of client messages that are omitted in a format of nodes."""
+    """Returns the subjects of client messages that a format of nodes omits."""
     return frozenset(
         subject for subject, row in REQUEST_MAPPINGS.items() if row[target].kind is MappingKind.OMITTED
     )
--- a/thornshelf/translation/field_mapping_audit.py
+++ b/thornshelf/translation/field_mapping_audit.py
@@ -1,4 +1,4 @@
-"""Checks the field mapping against the wire formats by reflection, and renders it as a page for operators."""
+"""Checks that the field mapping covers every element of the wire formats, and renders it as a page for operators."""
 
 from __future__ import annotations
 
@@ -28,33 +28,33 @@
     "TEST",
     "TESTED",
 )
-_UNMAPPED = "="  # begins the subjects of elements that need no mapping: see ``element_bindings``
+_UNMAPPED_PREFIX = "="  # of subjects that need no mapping: see ``element_bindings``
 
 
-def proto_elements(file: Any) -> Iterator[str]:
-    """All fields and enum values of a generated proto module."""
-    for message in file.DESCRIPTOR.message_types_by_name.values():
-        for inner in (message, *message.nested_types):
-            name = inner.name if inner is message else f"{message.name}.{inner.name}"
-            for field in inner.fields:
+def proto_elements(module: Any) -> Iterator[str]:
+    """Yields all fields and enum values of a module that protoc generated."""
+    for message in module.DESCRIPTOR.message_types_by_name.values():
+        for message_type in (message, *message.nested_types):
+            name = message_type.name if message_type is message else f"{message.name}.{message_type.name}"
+            for field in message_type.fields:
                 yield f"{name}.{field.name}"
-    for enum in file.DESCRIPTOR.enum_types_by_name.values():
+    for enum in module.DESCRIPTOR.enum_types_by_name.values():
         for value in enum.values:
             yield f"{enum.name}.{value.name}"
 
 
 def json_lines_elements() -> Iterator[str]:
-    """All fields, kinds and causes of JSON lines."""
-    for name, kind in (("Line", jsonl.Line), ("Launch", jsonl.LaunchFields)):
-        for field in dataclasses.fields(kind):
+    """Yields all fields, kinds and causes of JSON lines."""
+    for name, record_type in (("Line", jsonl.Line), ("Launch", jsonl.LaunchFields)):
+        for field in dataclasses.fields(record_type):
             yield f"{name}.{field.name}"
-    yield from (f"kind.{one}" for one in jsonl.KINDS)
-    yield from (f"out.{one}" for one in jsonl.OUT_FIELDS)
-    yield from (f"cause.{one}" for one in jsonl.CAUSES)
+    yield from (f"kind.{kind}" for kind in jsonl.KINDS)
+    yield from (f"out.{name}" for name in jsonl.OUT_FIELDS)
+    yield from (f"cause.{cause}" for cause in jsonl.CAUSES)
 
 
 def binary_elements() -> Iterator[str]:
-    """All fields, types, parameters, causes, reasons and facts of binary messages."""
+    """Yields all fields, types, parameters, causes, reasons and facts of binary messages."""
     for field in dataclasses.fields(binary.Message):
         yield f"Message.{field.name}"
     for name, value in vars(binary).items():
@@ -62,13 +62,13 @@
             group = "type" if name in _MESSAGE_TYPES else "parameter"
             yield f"{group}.{name}"
     causes = {*node_binary.OUTCOMES_BEFORE_START, *node_binary.OUTCOMES_AFTER_START, "other"}
-    yield from (f"cause.{one}" for one in causes)
-    yield from (f"reason.{one}" for one in node_binary.REASONS_BY_NAME)
-    yield from (f"fact.{one}" for one in node_binary.FACTS_BY_NAME)
+    yield from (f"cause.{cause}" for cause in causes)
+    yield from (f"reason.{name}" for name in node_binary.REASONS_BY_NAME)
+    yield from (f"fact.{name}" for name in node_binary.FACTS_BY_NAME)
 
 
 def elements(wire_format: WireFormat) -> set[str]:
-    """All fields, causes and enum values of a wire format."""
+    """Returns all fields, causes and enum values of a wire format."""
     match wire_format:
         case WireFormat.JSON_LINES:
             return set(json_lines_elements())
@@ -81,7 +81,7 @@
 
 
 def find_problems() -> list[str]:
-    """All gaps and contradictions of the field mapping; empty if it is complete."""
+    """Returns a description of each gap or contradiction in the field mapping; empty if there are none."""
     problems: list[str] = []
     for wire_format in WireFormat:
         problems += _binding_problems(wire_format)
@@ -93,7 +93,7 @@
 
 
 def _binding_problems(wire_format: WireFormat) -> Iterator[str]:
-    """Elements without a binding, bindings without an element, and bindings to unknown subjects."""
+    """Yields elements without a binding, bindings of unknown elements, and bindings to unmapped subjects."""
     name = wire_format.value
     bindings = ELEMENT_BINDINGS[wire_format]
     existing = elements(wire_format)
@@ -103,12 +103,12 @@
     )
     for element, subject in bindings.items():
         is_mapped = subject in REQUEST_MAPPINGS or subject in RESPONSE_MAPPINGS
-        if not is_mapped and not subject.startswith(_UNMAPPED):
+        if not is_mapped and not subject.startswith(_UNMAPPED_PREFIX):
             yield f"{name}: {element} is bound to {subject!r}, which has no mapping"
 
 
 def _mapping_problems(subject: str, wire_format: WireFormat, mapping: FieldMapping | None) -> Iterator[str]:
-    """A missing mapping, a missing explanation, and a subject that the format can't carry."""
+    """Yields a missing mapping, a missing explanation, and a carried subject that the format has no element for."""
     name = wire_format.value
     if mapping is None:
         yield f"{subject} has no mapping to {name}"
@@ -116,7 +116,9 @@
     if mapping.kind is not MappingKind.CARRIED and not mapping.explanation:
         yield f"{subject} to {name} is {mapping.kind.value} without an explanation"
     expressible = {
-        bound for bound in ELEMENT_BINDINGS[wire_format].values() if not bound.startswith(_UNMAPPED)
+        bound_subject
+        for bound_subject in ELEMENT_BINDINGS[wire_format].values()
+        if not bound_subject.startswith(_UNMAPPED_PREFIX)
     }
     if mapping.kind is MappingKind.CARRIED and subject not in expressible and subject != "release":
         yield f"{subject} is declared as carried to {name}, which has no element for it"
@@ -127,7 +129,7 @@
 
 
 def render_page() -> str:
-    """The field mapping as a Markdown page."""
+    """Returns the field mapping as a Markdown page."""
     lines = [
         "# Field mapping between the wire formats",
         "",
--- a/thornshelf/translation/missing_fields.py
+++ b/thornshelf/translation/missing_fields.py
@@ -1,7 +1,7 @@
-"""Policies for fields that a newer node requires and a client did not declare, or its wire format can't express.
+"""Policies for fields that a newer node requires, but the client did not declare or its wire format can't express.
 
 The operator sets a policy for each task class. By default the task goes to nodes that don't require the field, and is
-rejected with the reason where there are none: no value is assumed unless the operator configured one.
+rejected with the reason if there are none. A value is assumed only if the operator configured one.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 class MissingFieldPolicy:
     """The policy of one task class.
 
-    ``assumed_hint_us`` is the hint to assume, in microseconds; it is set for ASSUME and only for ASSUME. Raises
-    ``InvalidParameterError`` otherwise.
+    ``assumed_hint_us`` is the hint to assume, in microseconds. Raises ``InvalidParameterError`` if it is missing with
+    ASSUME, or set with REJECT.
     """
 
     on_missing_hint: MissingFieldAction = MissingFieldAction.REJECT
@@ -34,12 +34,14 @@
 
     def __post_init__(self) -> None:
         if (self.on_missing_hint is MissingFieldAction.ASSUME) != (self.assumed_hint_us is not None):
-            raise InvalidParameterError("an assumed hint goes with 'assume', and with nothing else")
+            raise InvalidParameterError(
+                "an assumed hint is required with 'assume', and not allowed otherwise"
+            )
 
 
 @dataclass(frozen=True, slots=True)
 class DeclaredFields:
-    """The values that a client declared for the fields that nodes may require; 0 or None if not declared."""
+    """The values that a client declared for the fields that nodes may require; 0 or None if it declared none."""
 
     hint_us: int | None
     tenant: str | None
@@ -49,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LifetimeHint:
-    """The expected lifetime of a task as sent to a node; ``assumed`` if the operator's policy set it."""
+    """The expected lifetime of a task as sent to a node; ``assumed`` if it is from the operator's policy."""
 
     duration_us: int
     assumed: bool
@@ -65,13 +67,13 @@
         self._policies = dict(policies)
 
     def policy_for(self, task_class: str) -> MissingFieldPolicy:
-        """The policy of a class; without one, missing fields are rejected."""
+        """Returns the policy of a class; by default, missing fields are rejected."""
         return self._policies.get(task_class, DEFAULT_POLICY)
 
     def missing_fields(
         self, task_class: str, declared: DeclaredFields, required: set[int]
     ) -> list[RequiredField]:
-        """The fields that a node requires and that neither the client nor the policy provides."""
+        """Returns the fields that a node requires and neither the client nor the policy provides."""
         missing = []
         for number in sorted(required):
             match number:
@@ -87,7 +89,7 @@
                 case RequiredField.SERVICE:
                     is_missing = not declared.service
                 case _:
-                    continue  # of a newer generation: the node itself will reject the task and say why
+                    continue  # defined by a newer generation: the node itself rejects the task if it is missing
             if is_missing:
                 missing.append(RequiredField(number))
         return missing
@@ -95,7 +97,7 @@
     def effective_hint(
         self, task_class: str, declared: DeclaredFields, required: set[int]
     ) -> LifetimeHint | None:
-        """The hint to send with an attempt: the client's, or an assumed one if the node requires any hint."""
+        """Returns the hint to send with an attempt: the client's, or the assumed one if the node requires a hint."""
         if declared.hint_us is not None:
             return LifetimeHint(declared.hint_us, assumed=False)
         assumed_us = self.policy_for(task_class).assumed_hint_us
--- a/thornshelf/translation/routing.py
+++ b/thornshelf/translation/routing.py
@@ -1,7 +1,8 @@
-"""Which nodes can run a task at all, before the placement module ranks them.
+"""Decides which nodes can run a task at all, before the placement module ranks them.
 
-A node can't if its wire format or the fields it requires leave out what must not be left out. A node of which nothing
-is known yet (no connection so far) counts as able: its hello comes before the attempt is sent.
+A node can't if its protocol generation is too old for the task's class, if it requires a field that the task lacks,
+or if its hello names another node than the endpoint list. A node that was never connected counts as able, because its
+hello arrives before the attempt is sent.
 """
 
 from __future__ import annotations
@@ -22,9 +23,9 @@
 
 
 class Router:
-    """Decides for a task and a node whether the node can run it.
+    """Decides whether a node can run a task.
 
-    ``minimum_generations``: by task class, the protocol generation that its nodes need.
+    ``minimum_generations``: by task class, the protocol generation that its nodes need at least.
     """
 
     def __init__(
@@ -36,14 +37,14 @@
     def rejection_by(
         self, task_class: str, declared: DeclaredFields, profile: NodeProfile
     ) -> FailureCause | None:
-        """Why a node can't run a task; None if it can."""
+        """Returns why a node can't run a task, or None if it can."""
         if profile.mismatched_name:
             text = f"{profile.name} is not the node that the list names"
             return failure_cause(FailureReason.WRONG_GENERATION, text)
         if not self._has_minimum_generation(task_class, profile) and profile.wire_format is not None:
             minimum = self._minimum_generations[task_class]
-            wanted = f"{task_class} wants nodes of generation {minimum}"
-            text = f"{wanted}; {profile.name} speaks {profile.wire_format.value}"
+            requirement = f"{task_class} wants nodes of generation {minimum}"
+            text = f"{requirement}; {profile.name} speaks {profile.wire_format.value}"
             return failure_cause(FailureReason.WRONG_GENERATION, text)
         if not profile.required_fields:
             return None
@@ -52,15 +53,15 @@
             return None
         lacks_hint = missing[0] in (RequiredField.HINT, RequiredField.CLIENT_HINT)
         reason = FailureReason.HINT_NEEDED if lacks_hint else FailureReason.WRONG_GENERATION
-        descriptions = ", ".join(_FIELD_DESCRIPTIONS[one] for one in missing)
+        descriptions = ", ".join(_FIELD_DESCRIPTIONS[required] for required in missing)
         return failure_cause(reason, f"{profile.name} requires {descriptions}")
 
     def rejection_by_all(
         self, task_class: str, declared: DeclaredFields, profiles: Iterable[NodeProfile]
     ) -> FailureCause | None:
-        """Why none of the nodes can run a task; None if one can, or if there are no nodes.
+        """Returns why none of the nodes can run a task, or None if one can or there are no nodes.
 
-        Of several causes, a missing hint is preferred: the client can do something about it.
+        Of several causes, a missing hint is preferred, because the client can correct it.
         """
         preferred: FailureCause | None = None
         for profile in profiles:
@@ -75,7 +76,7 @@
         return preferred
 
     def accepts_every_task(self, task_class: str, profile: NodeProfile) -> bool:
-        """Whether a node can run every task of a class, whatever fields it declares."""
+        """Whether a node can run every task of a class, whichever fields the task declares."""
         if profile.mismatched_name or profile.required_fields:
             return False
         return self._has_minimum_generation(task_class, profile)
--- a/thornshelf/translation/translator.py
+++ b/thornshelf/translation/translator.py
@@ -1,6 +1,6 @@
 """The translation layer's interface to the core: node profiles, routes, idempotency keys, retries and counters.
 
-Nothing here does I/O, waits or writes to the log; times are passed in, in microseconds.
+Nothing here does I/O, waits or writes to the log. Callers pass the time, in microseconds.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     resolve_status,
 )
 
-# The names of the mapping kinds in log parameters.
+# The mapping kinds in the names of counters.
 _COUNTER_LABELS = {
     MappingKind.DERIVED: "derived",
     MappingKind.REJECTED: "refused",
@@ -42,9 +42,10 @@
 class TranslationConfig:
     """All settings of the translation layer.
 
-    ``node_formats``: by node name, the wire formats it may use; ``default_formats`` for all other nodes.
-    ``minimum_generations``: by task class, the protocol generation that its nodes need.
-    ``query_timeout_us``: how long a node's answer to a status query is awaited.
+    ``node_formats``: by node name, the wire formats it may use; all other nodes may use ``default_formats``.
+    ``minimum_generations``: by task class, the protocol generation that its nodes need at least.
+    ``uncertain_retention_us`` and ``max_uncertain``: see ``IdempotencyKeys``.
+    ``query_timeout_us``: how long to wait for a node's answer to a status query.
     """
 
     missing_field_policies: Mapping[str, MissingFieldPolicy] = field(default_factory=dict)
@@ -71,7 +72,7 @@
             MissingFieldPolicies(config.missing_field_policies), dict(config.minimum_generations)
         )
         self.idempotency_keys = IdempotencyKeys(config.uncertain_retention_us, config.max_uncertain)
-        self.counters: Counter[str] = Counter()  # logged at the end; the keys name log parameters
+        self.counters: Counter[str] = Counter()  # logged at shutdown, each key as a log parameter
         self.retry_budget: RetryBudget | None = None
         self.jitter: RetryAfterJitter | None = None
         if config.limits_retries:
@@ -80,33 +81,35 @@
         self._profiles: dict[int, NodeProfile] = {}
         self._negotiations: dict[str, WireFormatNegotiation] = {}
         self._ineligible: dict[tuple[str, bool, bool, bool, bool], frozenset[int]] = {}
-        self._restricted_nodes: set[int] = set()  # that require fields, or are not the listed node
+        self._restricted_nodes: set[int] = (
+            set()
+        )  # that require fields, or have another name than the listed one
 
     @property
     def has_restrictions(self) -> bool:
-        """Whether some node may be unable to run some task, so that eligibility has to be checked."""
+        """Whether there may be a task that some node can't run, so that eligibility has to be checked."""
         return bool(self._restricted_nodes or self.config.minimum_generations)
 
     # nodes
 
     def allowed_formats(self, name: str) -> tuple[WireFormat, ...]:
-        """The wire formats that a node may use."""
+        """Returns the wire formats that a node may use."""
         return self.config.node_formats.get(name, self.config.default_formats)
 
     def negotiation(self, name: str) -> WireFormatNegotiation:
-        """The wire format negotiation with a node; kept while the node is listed, also at another address."""
+        """Returns the wire format negotiation of a node, created on first use; it outlives a change of address."""
         if (found := self._negotiations.get(name)) is None:
             found = self._negotiations[name] = WireFormatNegotiation(self.allowed_formats(name))
         return found
 
     def profile(self, machine: int, name: str = "") -> NodeProfile:
-        """What is known of a node; created on first use."""
+        """Returns what is known of a node; created on first use."""
         if (found := self._profiles.get(machine)) is None:
             found = self._profiles[machine] = NodeProfile(name)
         return found
 
     def remove_node(self, machine: int, name: str) -> None:
-        """The node is not listed any more."""
+        """Discard what is known of a node that is no longer in the endpoint list."""
         self._profiles.pop(machine, None)
         self._restricted_nodes.discard(machine)
         self._ineligible.clear()
@@ -123,7 +126,10 @@
     def record_capabilities(
         self, machine: int, name: str, wire_format: WireFormat, capabilities: NodeCapabilities | None
     ) -> list[str]:
-        """A handshake or a later hello; returns descriptions of all that is inconsistent in it."""
+        """Record a handshake, or a later hello; returns a description of each inconsistency.
+
+        ``capabilities`` is None if the wire format has no hello.
+        """
         profile = self.profile(machine, name)
         if capabilities is None or profile.wire_format is not wire_format:
             profile.reset_for_connection(wire_format)
@@ -135,22 +141,22 @@
     # routes
 
     def ineligible_nodes(self, task_class: str, declared: DeclaredFields) -> frozenset[int]:
-        """The nodes that can't run a task, by what is known of them.
+        """Returns the nodes that are known to be unable to run a task.
 
-        Only the presence of the declared fields matters, so that few kinds of tasks share the cached results; these
-        are discarded when something is learned of a node.
+        Results are cached by class and by which fields are declared, not by their values. The cache is cleared
+        whenever a node's profile changes.
         """
-        kind = (
+        cache_key = (
             task_class,
             declared.hint_us is None,
             bool(declared.tenant),
             bool(declared.idempotency_key),
             bool(declared.service),
         )
-        ineligible = self._ineligible.get(kind)
+        ineligible = self._ineligible.get(cache_key)
         if ineligible is None:
             rejection_by = self.router.rejection_by
-            ineligible = self._ineligible[kind] = frozenset(
+            ineligible = self._ineligible[cache_key] = frozenset(
                 machine
                 for machine, profile in self._profiles.items()
                 if rejection_by(task_class, declared, profile) is not None
@@ -158,7 +164,7 @@
         return ineligible
 
     def eligibility_filter(self, task_class: str, declared: DeclaredFields) -> Callable[[int], bool] | None:
-        """Tells for a node whether it can run a task; None if all can."""
+        """Returns a predicate that tells whether a node can run a task, or None if all nodes can."""
         if not self.ineligible_nodes(task_class, declared):
             return None
         return lambda machine: machine not in self.ineligible_nodes(task_class, declared)
@@ -166,7 +172,7 @@
     def rejection_by_all(
         self, task_class: str, declared: DeclaredFields, machines: Sequence[int]
     ) -> FailureCause | None:
-        """Why none of the nodes can run a task; None if one may."""
+        """Returns why none of the nodes can run a task, or None if one may be able to."""
         ineligible = self.ineligible_nodes(task_class, declared)
         if not ineligible or not ineligible.issuperset(machines):
             return None
@@ -177,12 +183,12 @@
         return cause
 
     def rejection_by(self, task_class: str, declared: DeclaredFields, machine: int) -> FailureCause | None:
-        """Why a node can't run a task, by what is known of it; None if it may."""
+        """Returns why a node can't run a task, or None if nothing known of it speaks against it."""
         profile = self._profiles.get(machine)
         return None if profile is None else self.router.rejection_by(task_class, declared, profile)
 
     def effective_hint(self, task_class: str, declared: DeclaredFields, machine: int) -> LifetimeHint | None:
-        """The lifetime hint to send with an attempt to a node; None without one."""
+        """Returns the lifetime hint to send with an attempt to a node, or None if there is none."""
         required = self.profile(machine).required_fields
         hint = self.router.policies.effective_hint(task_class, declared, required)
         if hint is not None and hint.assumed:
@@ -190,32 +196,32 @@
         return hint
 
     def record_rejection(self, machine: int, cause: FailureCause) -> bool:
-        """A node rejected a task; true if that contradicts the capabilities it declared."""
+        """Record a rejection by a node; returns whether it contradicts the capabilities that the node declared."""
         self.counters[f"refused: {cause.reason.name}"] += 1
         is_unexpected = self.profile(machine).record_rejection(cause.reason)
         self._update_restrictions(machine)
         return is_unexpected
 
-    # counters of what a wire format could not carry
+    # counters of what a wire format can't express
 
     def count_omitted_fields(
         self, wire_format: WireFormat, declared: DeclaredFields, cores: float, memory: float
     ) -> None:
-        """An attempt was sent: counts the fields that its client declared and the format can't express."""
+        """Count the fields of a sent attempt that its client declared and the format omits."""
         omitted = omitted_subjects(wire_format)
-        is_declared = {
+        declared_by_subject = {
             "hint": declared.hint_us is not None,
             "tenant": bool(declared.tenant),
             "service": bool(declared.service),
             "cores": cores > 0.0,
             "memory": memory > 0.0,
         }
-        for subject, declares in is_declared.items():
-            if declares and subject in omitted:
+        for subject, is_declared in declared_by_subject.items():
+            if is_declared and subject in omitted:
                 self.counters[f"left out to {wire_format.value}: {subject}"] += 1
 
     def count_untranslated_cause(self, wire_format: WireFormat, cause: FailureCause) -> None:
-        """A cause was sent to a client: counts what the format carried as text only, or not at all."""
+        """Count the parts of a cause sent to a client that the format carried only as text, or not at all."""
         for subject in (f"reason {cause.reason.name}", "advice"):
             kind = mapping_for(subject, wire_format).kind
             if kind is not MappingKind.CARRIED and (subject != "advice" or cause.advice):
@@ -224,23 +230,23 @@
     # idempotency keys
 
     def can_query(self, machine: int) -> bool:
-        """Whether a node answers status queries about idempotency keys."""
+        """Whether a node answers status queries about idempotency keys, and is trusted to."""
         profile = self._profiles.get(machine)
         return profile is not None and profile.answers_queries
 
     def tracks_keys(self, machine: int) -> bool:
-        """Whether a node knows tasks by idempotency key, and cancels an attempt that it starts late."""
+        """Whether a node tracks tasks by idempotency key, so that an attempt that it starts late can be cancelled."""
         profile = self._profiles.get(machine)
         return profile is not None and profile.wire_format is WireFormat.GRPC_V2
 
     def resolve_status(self, machine: int, status: int) -> Resolution:
-        """What a node's answer to a status query means."""
+        """Interpret and count a node's answer to a status query, given as the number of its status."""
         resolution = resolve_status(status, self.can_query(machine))
         self.counters[f"asked: {resolution.value}"] += 1
         return resolution
 
     def record_late_start(self, machine: int, after_denial: bool) -> None:
-        """A node started a cancelled attempt; ``after_denial``: although it had denied having it."""
+        """Record that a node started an attempt already given up; ``after_denial``: it had denied having it."""
         self.counters["late yes"] += 1
         if after_denial:
             self.profile(machine).record_broken_promise()
@@ -248,12 +254,12 @@
     # retries
 
     def record_first_attempt(self, service: int, now_us: int) -> None:
-        """The first attempt of a task is sent."""
+        """Record the first attempt of a task, which earns retry budget."""
         if self.retry_budget is not None:
             self.retry_budget.record_first_attempt(service, now_us)
 
     def allow_retry(self, service: int, now_us: int, priority: int) -> bool:
-        """Whether the retry budget allows another attempt."""
+        """Whether the retry budget allows another attempt; if so, it is spent."""
         if self.retry_budget is None or self.retry_budget.try_spend(service, now_us, priority):
             return True
         self.counters["over the retry budget"] += 1
--- a/thornshelf/translation/uncertain_attempts.py
+++ b/thornshelf/translation/uncertain_attempts.py
@@ -1,8 +1,9 @@
-"""The state of idempotency keys: tasks that must not be started twice.
+"""The states of the idempotency keys of tasks that must not be started twice.
 
 A key is either active (its task is open or running here) or uncertain (an attempt may have run, and its end is not
-known). A request with a key that is known under another id never starts the task: it joins the active one, or has
-the node queried. Uncertain keys are bounded in number and expire: the same key much later is another task.
+known). A request with such a key under another id never starts the task at once: it joins the active task, or the
+node of the uncertain attempt is queried first. Uncertain keys are bounded in number and expire; after that, the same
+key counts as a new task.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class ExecutionStatus(enum.IntEnum):
-    """A node's answer about a key; numbered as ``Standing`` in ``thornshelf.v2``."""
+    """A node's answer about a key. The numbers are those of ``Standing`` in ``thornshelf.v2``."""
 
     UNKNOWN = 0
     NEVER_RAN = 1
@@ -27,14 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveKey:
-    """The task is open or running under this id."""
+    """The task is open, or running, under the id ``uid``."""
 
     uid: int
 
 
 @dataclass(frozen=True, slots=True)
 class UncertainKey:
-    """An attempt under this id may be running, or have run, on this node; uncertain since ``since_us``."""
+    """The attempt with the id ``uid`` may run, or have run, on node ``machine``; uncertain since ``since_us``."""
 
     machine: int
     uid: int
@@ -45,18 +46,18 @@
 
 
 class KeyAction(enum.Enum):
-    """What to do with a request that has an idempotency key."""
+    """What to do with a new request that has an idempotency key."""
 
     START = "start"  # the key is not known
     JOIN = "join"  # the task is active under another id
-    QUERY_NODE = "query node"  # the task may have run, and its node can answer a query
-    FAIL = "fail"  # the task may have run, and its node can't be queried
+    QUERY_NODE = "query node"  # an attempt is uncertain, and its node can be queried
+    FAIL = "fail"  # an attempt is uncertain, and its node can't be queried
 
 
 class IdempotencyKeys:
     """All active and uncertain keys of one dispatcher.
 
-    ``retention_us`` and ``max_uncertain`` bound the uncertain keys, of which the oldest are evicted first.
+    An uncertain key expires after ``retention_us``; beyond ``max_uncertain`` of them, the oldest are evicted.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
     ) -> None:
         self.retention_us = retention_us
         self.max_uncertain = max_uncertain
-        self.evicted_count = 0  # uncertain keys that were evicted before their retention was over
+        self.evicted_count = 0  # uncertain keys evicted before they expired
         self._states: OrderedDict[int, KeyState] = OrderedDict()
         self._uncertain_keys: OrderedDict[int, None] = OrderedDict()  # oldest first
 
@@ -73,11 +74,11 @@
 
     @property
     def uncertain_count(self) -> int:
-        """Number of uncertain keys."""
+        """The number of uncertain keys."""
         return len(self._uncertain_keys)
 
     def expire(self, now_us: int) -> None:
-        """Discard the uncertain keys that are older than the retention."""
+        """Discard the uncertain keys whose retention is over."""
         while self._uncertain_keys:
             key = next(iter(self._uncertain_keys))
             state = self._states[key]
@@ -87,12 +88,12 @@
             self.discard(key)
 
     def lookup(self, key: int, now_us: int) -> KeyState | None:
-        """The state of a key; None if it is not known or has expired."""
+        """Returns the state of a key, or None if it is unknown or has expired."""
         self.expire(now_us)
         return self._states.get(key)
 
     def action_for(self, key: int, now_us: int, can_query: bool) -> KeyAction:
-        """What to do with a request; ``can_query``: the node of an uncertain attempt can answer a query."""
+        """Returns what to do with a new request; ``can_query``: the node of the uncertain attempt can be queried."""
         match self.lookup(key, now_us):
             case None:
                 return KeyAction.START
@@ -102,12 +103,12 @@
                 return KeyAction.QUERY_NODE if can_query else KeyAction.FAIL
 
     def mark_active(self, key: int, uid: int) -> None:
-        """The task of a key is open or running under an id."""
+        """Record that the task of a key is open, or running, under an id."""
         self._uncertain_keys.pop(key, None)
         self._states[key] = ActiveKey(uid)
 
     def mark_uncertain(self, key: int, machine: int, uid: int, now_us: int) -> None:
-        """An attempt may have run and is not tracked any more; evicts the oldest keys beyond the bound."""
+        """Record that an attempt may have run and is no longer tracked; evicts the oldest keys beyond the bound."""
         self.discard(key)
         self._states[key] = UncertainKey(machine, uid, now_us)
         self._uncertain_keys[key] = None
@@ -116,19 +117,19 @@
             self.evicted_count += 1
 
     def discard(self, key: int) -> None:
-        """The task of a key has ended, and its client was notified."""
+        """Forget a key, for example because its task has ended and the client was notified."""
         self._states.pop(key, None)
         self._uncertain_keys.pop(key, None)
 
     def discard_if_active_as(self, key: int, uid: int) -> None:
-        """Discard a key unless its task is known under another id by now."""
+        """Forget a key unless its task is now known under another id."""
         state = self._states.get(key)
         if state is not None and state.uid == uid:
             self.discard(key)
 
 
 class Resolution(enum.Enum):
-    """What a node's answer means for an uncertain attempt. The values name log parameters."""
+    """What a node's answer means for an uncertain attempt. The values appear in the names of counters."""
 
     NEVER_RAN = "never ran"
     RUNNING = "runs"
@@ -138,7 +139,7 @@
 
 
 def resolve_status(status: int, trusted: bool) -> Resolution:
-    """The meaning of a status number; NEVER_RAN only from a trusted node, whose answers proved right so far."""
+    """Returns the meaning of a status number; NEVER_RAN is accepted only from a trusted node."""
     match status:
         case ExecutionStatus.NEVER_RAN if trusted:
             return Resolution.NEVER_RAN
@@ -149,4 +150,4 @@
         case ExecutionStatus.PENDING:
             return Resolution.PENDING
         case _:
-            return Resolution.UNRESOLVED  # the node evicted the key, or the status is of a newer generation
+            return Resolution.UNRESOLVED  # the node does not know, or a newer generation defines the status
