--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""The write-ahead log: frames that are cut or damaged at each byte, and recovery where sources contradict."""
+"""The write-ahead log: truncated and damaged frames, and recovery from contradictory sources."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from thornshelf.wal.recovery_plan import (
     AdoptTask,
     BlockKey,
-    FleetSnapshot,
+    EndpointSnapshot,
     QueryNode,
     SendRelease,
     plan_recovery,
@@ -47,72 +47,72 @@
     wal.ReleaseDone(50),
     wal.CleanShutdown(),
 ]
-FLEET = FleetSnapshot(listed=frozenset({NODE, "s-2"}), queryable=frozenset({NODE}))
+ENDPOINTS = EndpointSnapshot(listed=frozenset({NODE, "s-2"}), queryable=frozenset({NODE}))
 FIXED = settings(derandomize=True, max_examples=80, deadline=None)
 
 
 def read_all(data: bytes) -> tuple[list[wal.AnyEntry], wal.TornTail | None]:
-    """All entries, and the torn tail if there is one."""
-    found = []
-    torn = None
-    for one in wal.read_frames(data):
-        if isinstance(one, wal.TornTail):
-            torn = one
+    """Returns all entries, and the torn tail if there is one."""
+    entries = []
+    torn_tail = None
+    for item in wal.read_frames(data):
+        if isinstance(item, wal.TornTail):
+            torn_tail = item
         else:
-            found.append(one.entry)
-    return found, torn
+            entries.append(item.entry)
+    return entries, torn_tail
 
 
 def newer_frame() -> bytes:
-    """A frame of a version that this program does not know."""
+    """Returns a frame of a version that this program does not know."""
     payload = b"\x91\x63"
     return wal._HEADER.pack(wal.MAGIC, 9, len(payload), wal._checksum(9, payload)) + payload
 
 
 @pytest.fixture
 def log_file(tmp_path: Path) -> Path:
-    """A file with the first three entries."""
+    """A log file with the first three entries of ``LIFECYCLE``."""
     file = tmp_path / "record"
     file.write_bytes(b"".join(map(wal.encode_frame, LIFECYCLE[:3])))
     return file
 
 
-def test_what_was_written_is_read() -> None:
+def test_entries_are_unchanged_after_encoding_and_decoding() -> None:
     assert read_all(b"".join(map(wal.encode_frame, LIFECYCLE))) == (LIFECYCLE, None)
     with pytest.raises(ValueError):
         wal.encode_frame(wal.ReleasePending(50, "x" * 70_000, 1, 0, 0))
 
 
-def test_a_log_cut_at_any_byte_loses_its_tail_and_nothing_else() -> None:
+def test_a_log_truncated_at_any_byte_loses_only_its_incomplete_entry() -> None:
     frames = list(map(wal.encode_frame, LIFECYCLE))
     data = b"".join(frames)
     ends = [sum(map(len, frames[:count])) for count in range(len(frames) + 1)]
     for cut in range(len(data) + 1):
-        found, torn = read_all(data[:cut])
+        entries, torn_tail = read_all(data[:cut])
         count = max(number for number, end in enumerate(ends) if end <= cut)
-        assert found == LIFECYCLE[:count]
-        assert (torn is None) == (cut in ends)
-        assert torn is None or torn.offset == ends[count]
+        assert entries == LIFECYCLE[:count]
+        assert (torn_tail is None) == (cut in ends)
+        assert torn_tail is None or torn_tail.offset == ends[count]
 
 
 @FIXED
 @given(st.data())
-def test_a_damaged_byte_never_makes_another_entry(data: st.DataObject) -> None:
+def test_a_damaged_byte_never_yields_another_entry(data: st.DataObject) -> None:
     frames = list(map(wal.encode_frame, LIFECYCLE))
     log = bytearray(b"".join(frames))
     offset = data.draw(st.integers(0, len(log) - 1))
     log[offset] ^= data.draw(st.integers(1, 255))
-    found, torn = read_all(bytes(log))
+    entries, torn_tail = read_all(bytes(log))
     damaged = next(n for n in range(len(frames)) if offset < sum(map(len, frames[: n + 1])))
-    assert found == LIFECYCLE[:damaged]
-    assert torn is not None
+    assert entries == LIFECYCLE[:damaged]
+    assert torn_tail is not None
 
 
 @FIXED
 @given(st.binary(max_size=300))
-def test_random_bytes_are_no_log(data: bytes) -> None:
-    for one in wal.read_frames(data):
-        assert isinstance(one, wal.TornTail)
+def test_random_bytes_yield_no_entry(data: bytes) -> None:
+    for item in wal.read_frames(data):
+        assert isinstance(item, wal.TornTail)
 
 
 def test_a_newer_version_is_rejected_and_named() -> None:
@@ -123,21 +123,23 @@
 @pytest.mark.parametrize(
     ("count", "steps"),
     [
-        (1, []),  # killed before the intent: nothing may run
-        (2, [QueryNode(5, 50, NODE)]),  # between intent and attempt, or attempt and start: the node knows
+        (1, []),  # killed before the intent was stored: nothing can run
+        (2, [QueryNode(5, 50, NODE)]),  # between intent and start: only the node knows whether it runs
         (3, [AdoptTask(RUNNING)]),  # between start and end
         (4, [SendRelease(RELEASE)]),  # between end and release
         (5, []),
         (6, []),
     ],
 )
-def test_a_kill_after_each_entry(count: int, steps: list[object]) -> None:
+def test_the_recovery_plan_of_a_kill_after_each_entry(count: int, steps: list[object]) -> None:
     state = replay(LIFECYCLE[:count])
-    assert plan_recovery(state, FLEET, 3_000, RETENTION_US) == steps
+    assert plan_recovery(state, ENDPOINTS, 3_000, RETENTION_US) == steps
     assert state.clean_shutdown == (count == 6)
     assert state.epoch == 3
     compacted = replay(state.snapshot())
-    assert plan_recovery(compacted, FLEET, 3_000, RETENTION_US) == steps  # a compaction changes nothing
+    assert (
+        plan_recovery(compacted, ENDPOINTS, 3_000, RETENTION_US) == steps
+    )  # a compaction does not change the plan
     assert compacted.clean_shutdown == state.clean_shutdown
 
 
@@ -146,24 +148,24 @@
     assert replay([intent, wal.AttemptEnded(5, 50, never_ran=True)]).by_uid == {}
     state = replay([intent, wal.AttemptEnded(5, 50, never_ran=False)])
     blocked = BlockKey(5, 50, 30_900)
-    assert plan_recovery(state, FLEET, 1_000, RETENTION_US) == [blocked]  # s-2 can't be queried
-    assert plan_recovery(state, FLEET, 31_000, RETENTION_US) == []  # long after, it is another task
+    assert plan_recovery(state, ENDPOINTS, 1_000, RETENTION_US) == [blocked]  # s-2 can't be queried
+    assert plan_recovery(state, ENDPOINTS, 31_000, RETENTION_US) == []  # the retention is over
 
 
-def test_nodes_that_are_gone_or_were_restarted() -> None:
-    gone = FleetSnapshot(frozenset({"s-2"}))
+def test_tasks_of_a_removed_or_restarted_node_are_released_or_blocked() -> None:
+    removed = EndpointSnapshot(frozenset({"s-2"}))
     lost = SendRelease(wal.ReleasePending(50, "10.1.0.1", 5, 0, 3_000))
-    assert plan_recovery(replay([RUNNING]), gone, 3_000, RETENTION_US) == [lost]
-    restarted = FleetSnapshot(frozenset({NODE}), frozenset({NODE}), {NODE: 2_500})
+    assert plan_recovery(replay([RUNNING]), removed, 3_000, RETENTION_US) == [lost]
+    restarted = EndpointSnapshot(frozenset({NODE}), frozenset({NODE}), {NODE: 2_500})
     assert isinstance(plan_recovery(replay([RUNNING]), restarted, 3_000, RETENTION_US)[0], SendRelease)
     blocked = BlockKey(5, 50, 30_900)
     assert plan_recovery(replay(LIFECYCLE[:2]), restarted, 3_000, RETENTION_US) == [blocked]
 
 
-def test_a_clock_that_stepped_back() -> None:
+def test_a_key_is_blocked_no_longer_than_the_retention_after_a_clock_stepped_back() -> None:
     intent = wal.AttemptIntent(5, 50, "ledger-batch", "s-2", 900_000)
-    blocked = BlockKey(5, 50, 31_000)  # no longer than the retention from now
-    assert plan_recovery(replay([intent]), FLEET, 1_000, RETENTION_US) == [blocked]
+    blocked = BlockKey(5, 50, 31_000)
+    assert plan_recovery(replay([intent]), ENDPOINTS, 1_000, RETENTION_US) == [blocked]
 
 
 def test_a_second_id_of_one_key_and_releases_of_unknown_tasks() -> None:
@@ -189,11 +191,11 @@
     elif answer is NodeAnswer.ENDED:
         assert resolution is Resolution.ENDED
     elif answer is NodeAnswer.NEVER_RAN and not restarted:
-        assert resolution is Resolution.START  # by the node's own answer, whatever the log says
+        assert resolution is Resolution.START  # a trusted answer, whatever the log says
     elif named_node:
         assert resolution is Resolution.ADOPT
     elif status is TaskStatus.UNCERTAIN:
-        assert resolution is Resolution.UNCERTAIN  # never started on the evidence of the log
+        assert resolution is Resolution.UNCERTAIN  # the log alone never allows a start
     elif status is TaskStatus.RUNNING:
         assert resolution is (Resolution.ENDED if restarted else Resolution.ADOPT)
     else:
@@ -219,14 +221,14 @@
         max_size=30,
     )
 )
-def test_a_snapshot_replays_to_the_same_plan(found: list[wal.AnyEntry]) -> None:
-    state = replay(found)
+def test_a_snapshot_replays_to_the_same_plan(entries: list[wal.AnyEntry]) -> None:
+    state = replay(entries)
     compacted = replay(state.snapshot())
-    assert plan_recovery(compacted, FLEET, 100, 1_000) == plan_recovery(state, FLEET, 100, 1_000)
+    assert plan_recovery(compacted, ENDPOINTS, 100, 1_000) == plan_recovery(state, ENDPOINTS, 100, 1_000)
     assert all(state.by_uid[uid].key == key for key, uid in state.by_key.items())
 
 
-def test_the_shell_commands_read_a_log(log_file: Path) -> None:
+def test_the_record_commands_read_a_log(log_file: Path) -> None:
     run = CliRunner().invoke
     inspected = run(cli, ["record", "inspect", str(log_file)])
     assert inspected.exit_code == 0
@@ -241,6 +243,6 @@
     assert run(cli, ["record", "verify", str(log_file)]).exit_code == 2
 
 
-def test_an_empty_log() -> None:
+def test_an_empty_log_recovers_nothing() -> None:
     assert replay([]).snapshot() == [wal.ProcessStarted(0, 0), wal.CleanShutdown()]
-    assert plan_recovery(RecoveredState(), FLEET, 0, 1) == []
+    assert plan_recovery(RecoveredState(), ENDPOINTS, 0, 1) == []
--- a/thornshelf/cli/record.py
+++ b/thornshelf/cli/record.py
@@ -1,4 +1,4 @@
-"""The commands that read a dispatcher's write-ahead log. They change nothing."""
+"""The commands that read a dispatcher's write-ahead log. They never write to it."""
 
 from __future__ import annotations
 
@@ -16,24 +16,28 @@
 
 @click.group()
 def record() -> None:
-    """Look at a dispatcher's write-ahead log; nothing is changed."""
+    """Inspect or verify a dispatcher's write-ahead log, without changing it."""
 
 
 @record.command()
 @_file_argument
 def inspect(file: Path) -> None:
-    """Print the entries, and what a start would recover from them."""
+    """Print the entries, and a summary of the state that they describe."""
     _read_log(file, click.echo)
 
 
 @record.command()
 @_file_argument
 def verify(file: Path) -> None:
-    """Check that all of it can be read; exit 1 where its tail is torn, 2 where it is of a newer version."""
+    """Check that the whole log can be read.
+
+    Exit code: 0 it can, 1 its tail is torn, 2 a newer version of the program wrote it.
+    """
     _read_log(file, lambda _: None)
 
 
 def _read_log(file: Path, print_entry: Callable[[str], object]) -> None:
+    """Read a log, print its entries and a summary, and exit with the code of a fault."""
     from thornshelf.wal import entries
     from thornshelf.wal.recovered_state import RecoveredState
 
@@ -48,12 +52,12 @@
             print_entry(f"{frame[0]:>10} {frame[1]}")
             state.apply(frame[1])
             count += 1
-    except entries.UnsupportedVersionError as fault:
-        click.echo(f"{file}: {fault}", err=True)
+    except entries.UnsupportedVersionError as error:
+        click.echo(f"{file}: {error}", err=True)
         sys.exit(EXIT_ERROR)
     statuses = Counter(task.status.value for task in state.by_uid.values())
-    ended = "clean" if state.clean_shutdown else "not ended in order"
-    click.echo(f"{count} entries, epoch {state.epoch}, {dict(statuses)}, {ended}")
+    shutdown = "clean" if state.clean_shutdown else "no clean shutdown"
+    click.echo(f"{count} entries, epoch {state.epoch}, {dict(statuses)}, {shutdown}")
     if torn_tail is not None:
         click.echo(f"torn at byte {torn_tail.offset}: {torn_tail.reason}", err=True)
         sys.exit(EXIT_FAILED)
--- a/thornshelf/wal/__init__.py
+++ b/thornshelf/wal/__init__.py
@@ -1,1 +1,1 @@
-"""The write-ahead log of a dispatcher: its entries, their framing, and the recovery from them at start-up. No I/O."""
+"""The write-ahead log of a dispatcher: its entries, their framing, and the recovery at start-up. No I/O."""
--- a/thornshelf/wal/entries.py
+++ b/thornshelf/wal/entries.py
@@ -1,11 +1,11 @@
 """The entries of the write-ahead log, and the frames in which they are stored.
 
-A frame is a magic number, the format's version, the payload's length, a checksum (XXH3, 64 bits, over version, length
-and payload) and the payload (MessagePack). Frames are only ever appended, and their order is the order of events. The
-times inside entries order nothing, because a clock may step back across a restart.
+A frame consists of a magic number, the format's version, the payload's length, a checksum (64-bit XXH3 over version,
+length and payload) and the payload (MessagePack). Frames are only appended, and their order is the order of events.
+The times inside entries do not order them, because a clock may step back across a restart.
 
-Entries are stored as arrays with a number in front that states their kind, so that names of classes and fields here
-are not part of the format. The order of the fields is.
+An entry is stored as an array that begins with its tag. The order of the fields is part of the format, the names of
+classes and fields are not.
 """
 
 from __future__ import annotations
@@ -29,18 +29,18 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """One event."""
+    """An event in the life of a process or a task."""
 
 
 class ProcessStarted(Entry, frozen=True, array_like=True, tag=1):
-    """A process began to write, under an epoch that no earlier process had; ``at_us`` is wall-clock time."""
+    """A process began to write, under an epoch that no earlier process used; ``at_us`` is wall-clock time."""
 
     epoch: int
     at_us: int
 
 
 class AttemptIntent(Entry, frozen=True, array_like=True, tag=2):
-    """An attempt of a non-idempotent task is about to be sent: stored before its first byte leaves."""
+    """An attempt of a non-idempotent task is about to be sent; stored before its first byte is."""
 
     key: int
     uid: int
@@ -50,7 +50,7 @@
 
 
 class AttemptEnded(Entry, frozen=True, array_like=True, tag=3):
-    """An attempt has ended; ``never_ran`` means that this is proved, otherwise the task may have run."""
+    """An attempt has ended; ``never_ran``: it is proved that the task did not run, otherwise it may have."""
 
     key: int
     uid: int
@@ -58,7 +58,7 @@
 
 
 class TaskRunning(Entry, frozen=True, array_like=True, tag=4):
-    """A task runs on a node; ``peer`` is the host of the client that must be notified of its end."""
+    """A task runs on a node; ``peer`` is the host of the client to notify of its end."""
 
     key: int
     uid: int
@@ -75,7 +75,7 @@
 
 
 class ReleasePending(Entry, frozen=True, array_like=True, tag=5):
-    """A running task has ended and its client has not been notified; numbers as in thornshelf.v2."""
+    """A task has ended, and its client is yet to be notified; ``outcome`` and ``reason`` as in thornshelf.v2."""
 
     uid: int
     peer: str
@@ -85,13 +85,13 @@
 
 
 class ReleaseDone(Entry, frozen=True, array_like=True, tag=6):
-    """A client has been notified of the end of its task, or has ended the task itself and needs no notice."""
+    """A client was notified of the end of its task, or ended the task itself and needs no notification."""
 
     uid: int
 
 
 class CleanShutdown(Entry, frozen=True, array_like=True, tag=7):
-    """The process ended in order: the log holds all that it knew."""
+    """The process shut down in order, so that the log is complete."""
 
 
 AnyEntry = (
@@ -110,16 +110,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TornTail:
-    """The offset at which the log stops being readable, and the reason; everything before it is intact."""
+    """Where the log stops being readable, and why; everything before ``offset`` is intact."""
 
     offset: int
     reason: str
 
 
 def encode_frame(entry: AnyEntry) -> bytes:
-    """An entry as it is stored.
+    """Encode an entry as a frame.
 
-    Raises EntryTooLargeError for a payload of more than ``MAX_PAYLOAD_SIZE`` bytes.
+    Raises ``EntryTooLargeError`` if the payload exceeds ``MAX_PAYLOAD_SIZE`` bytes.
     """
     payload = _encoder.encode(entry)
     if len(payload) > MAX_PAYLOAD_SIZE:
@@ -129,12 +129,12 @@
 
 
 def read_frames(data: bytes) -> Iterator[StoredEntry | TornTail]:
-    """The entries of a log; the last item is a ``TornTail`` unless the log ends with a complete frame.
+    """Yields the entries of a log; the last item is a ``TornTail`` unless the log ends with a complete frame.
 
-    A crash leaves a tail that breaks off or was only partly written; such an entry was never acknowledged. The same
-    in the middle of the log is damage, and what follows it is not read, because it is unknown what is missing.
+    A crash may leave an incomplete frame at the end, whose entry was never acknowledged. A damaged frame before the
+    end is reported the same way, and what follows it is not read, because it is unknown which entries are missing.
 
-    Raises UnsupportedVersionError at a frame that a newer version of the program has written.
+    Raises ``UnsupportedVersionError`` at a frame that a newer version of the program wrote.
     """
     offset = 0
     while offset < len(data):
@@ -143,9 +143,9 @@
             return
         magic, version, length, checksum = _HEADER.unpack_from(data, offset)
         payload = data[offset + HEADER_SIZE : offset + HEADER_SIZE + length]
-        fault = _frame_fault(magic, version, length, checksum, payload)
-        if fault is not None:
-            yield TornTail(offset, fault)
+        defect = _find_defect(magic, version, length, checksum, payload)
+        if defect is not None:
+            yield TornTail(offset, defect)
             return
         if version > FORMAT_VERSION:
             raise UnsupportedVersionError(version, offset, FORMAT_VERSION)
@@ -158,8 +158,8 @@
         offset += HEADER_SIZE + length
 
 
-def _frame_fault(magic: bytes, version: int, length: int, checksum: int, payload: bytes) -> str | None:
-    """Why a frame is not intact, or None; of any version, because all versions share the header."""
+def _find_defect(magic: bytes, version: int, length: int, checksum: int, payload: bytes) -> str | None:
+    """Returns why a frame is not intact, or None; works for all versions, because they share the header."""
     if magic != MAGIC:
         return "the magic number is missing"
     if length > MAX_PAYLOAD_SIZE or len(payload) < length:
@@ -170,5 +170,5 @@
 
 
 def _checksum(version: int, payload: bytes) -> int:
-    """The checksum of a frame; it covers the length, so that a damaged length can't swallow the next frame."""
+    """Returns the checksum of a frame; it covers the length, so that a damaged length is detected too."""
     return xxhash.xxh3_64_intdigest(payload, seed=version << 32 | len(payload))
--- a/thornshelf/wal/recovered_state.py
+++ b/thornshelf/wal/recovered_state.py
@@ -1,4 +1,4 @@
-"""The state that the write-ahead log describes: a status for each task, replayed from the entries in order."""
+"""The state that the write-ahead log describes: the status of each task, from replaying the entries in order."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 class TaskStatus(enum.Enum):
-    """What the log says of a task."""
+    """The status of a task according to the log."""
 
-    FREE = "free"  # nothing of it may run: its idempotency key may be started
+    FREE = "free"  # no attempt runs, so its idempotency key may be started
     UNCERTAIN = "uncertain"  # an attempt may have run
     RUNNING = "running"
     RELEASE_PENDING = "release pending"  # it has ended, and its client has not been notified
@@ -30,10 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveredTask:
-    """What the log says of one task.
+    """One task according to the log.
 
-    ``key`` is the idempotency key, 0 where only the task's id is known; ``since_us`` is the wall-clock time of the
-    entry that gave it this status.
+    ``key`` is the idempotency key, 0 if only the task's id is known; ``since_us`` is the wall-clock time of the entry
+    that set the status.
     """
 
     key: int
@@ -47,10 +47,10 @@
 
 @dataclass(slots=True)
 class RecoveredState:
-    """All that the entries so far say.
+    """The state after the entries applied so far.
 
-    ``epoch`` is the highest one in use, ``clean_shutdown`` whether the last process ended in order, and ``by_key``
-    the task id under which an idempotency key was last attempted or ran.
+    ``epoch`` is the highest one in use; ``clean_shutdown``: whether the last process shut down in order; ``by_uid``
+    maps each task id to its task, and ``by_key`` each idempotency key to the task id that last used it.
     """
 
     epoch: int = 0
@@ -59,7 +59,7 @@
     by_key: dict[int, int] = field(default_factory=dict)
 
     def apply(self, entry: AnyEntry) -> None:
-        """Apply the next entry. Where it contradicts earlier ones, it is believed, because it is the later one."""
+        """Apply the next entry, which takes precedence over earlier ones that it contradicts."""
         match entry:
             case ProcessStarted():
                 self.epoch = max(self.epoch, entry.epoch)
@@ -79,7 +79,7 @@
                 self._remove(entry.uid)
 
     def snapshot(self) -> list[AnyEntry]:
-        """Entries that replay to the same state: a compaction writes them in place of all earlier ones."""
+        """Returns entries that replay to the same state, with which a compaction replaces all earlier ones."""
         entries: list[AnyEntry] = [ProcessStarted(self.epoch, 0)]
         for task in self.by_uid.values():
             if task.pending_release is not None:
@@ -93,7 +93,7 @@
         return entries
 
     def _attempt_ended(self, entry: AttemptEnded) -> None:
-        """Free the task if it is proved never to have run; a running or ended task is not undone by a late entry."""
+        """Free an uncertain task that is proved never to have run; a running or ended task is left unchanged."""
         known = self.by_uid.get(entry.uid)
         if entry.never_ran and known is not None and known.status is TaskStatus.UNCERTAIN:
             self._remove(entry.uid)
@@ -112,7 +112,7 @@
     def _put(self, task: RecoveredTask) -> None:
         known = self.by_uid.get(task.uid)
         if known is not None and known.key != task.key:
-            self._free_key(known)  # the id has been used again for another task
+            self._free_key(known)  # the id was reused for another task
         self.by_uid[task.uid] = task
         if task.key:
             self.by_key[task.key] = task.uid
@@ -127,7 +127,7 @@
 
 
 def replay(entries: Iterable[AnyEntry]) -> RecoveredState:
-    """The state after all entries of a log."""
+    """Returns the state after all entries of a log."""
     state = RecoveredState()
     for entry in entries:
         state.apply(entry)
--- a/thornshelf/wal/recovery_plan.py
+++ b/thornshelf/wal/recovery_plan.py
@@ -1,6 +1,6 @@
-"""The recovery plan: what a start does about each task that the write-ahead log describes.
+"""The recovery plan: what a starting dispatcher does about each task in the write-ahead log.
 
-A start adopts what runs, queries nodes about uncertain tasks, sends pending releases, and ignores the rest.
+It adopts running tasks, queries nodes about uncertain ones, sends pending releases, and ignores the rest.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryNode:
-    """Query a node about an idempotency key; until it replies, no request with that key is started."""
+    """Query a node about an idempotency key; no request with that key is started before it replies."""
 
     key: int
     uid: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BlockKey:
-    """No node can be queried: requests with that key are rejected until ``until_us`` (wall-clock time)."""
+    """Reject requests with a key until ``until_us`` (wall-clock time), because no node can be queried about it."""
 
     key: int
     uid: int
@@ -50,9 +50,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FleetSnapshot:
-    """The nodes of the endpoint list: all that are listed, those that can be queried, and by node when its process
-    started (wall-clock microseconds; 0 if that is long ago)."""
+class EndpointSnapshot:
+    """The endpoint list at start-up, by node name.
+
+    ``listed``: all nodes; ``queryable``: those that answer status queries; ``started_us``: when the process of a node
+    started (wall-clock microseconds; 0 or absent if that is long ago).
+    """
 
     listed: frozenset[str]
     queryable: frozenset[str] = frozenset()
@@ -61,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskEnd:
-    """How a task ended, by the numbers of thornshelf.v2."""
+    """How a task ended, in the numbers of thornshelf.v2."""
 
     outcome: int
     reason: int
@@ -72,20 +75,20 @@
 
 def plan_recovery(
     state: RecoveredState,
-    fleet: FleetSnapshot,
+    endpoints: EndpointSnapshot,
     now_us: int,
     retention_us: int,
     lost_end: TaskEnd = NODE_LOST,
 ) -> list[RecoveryStep]:
-    """The steps of a start; releases come first, because they are due within a second.
+    """Returns the steps of the recovery; releases come first, because they are due within a second.
 
     ``now_us`` is wall-clock time, ``retention_us`` how long an uncertain task blocks its key, and ``lost_end`` the
-    end that is reported of a running task whose node has gone.
+    end that is reported of a running task whose node was removed or restarted.
     """
     releases: list[RecoveryStep] = []
     others: list[RecoveryStep] = []
     for task in state.by_uid.values():
-        step = _plan_task(task, fleet, now_us, retention_us, lost_end)
+        step = _plan_task(task, endpoints, now_us, retention_us, lost_end)
         if isinstance(step, SendRelease):
             releases.append(step)
         elif step is not None:
@@ -94,20 +97,20 @@
 
 
 def _plan_task(
-    task: RecoveredTask, fleet: FleetSnapshot, now_us: int, retention_us: int, lost_end: TaskEnd
+    task: RecoveredTask, endpoints: EndpointSnapshot, now_us: int, retention_us: int, lost_end: TaskEnd
 ) -> RecoveryStep | None:
-    since_us = min(task.since_us, now_us)  # after a clock has stepped back, no entry is from the future
-    lost = task.node not in fleet.listed or fleet.started_us.get(task.node, 0) > since_us
+    since_us = min(task.since_us, now_us)  # an entry appears to be from the future if a clock stepped back
+    is_lost = task.node not in endpoints.listed or endpoints.started_us.get(task.node, 0) > since_us
     match task.status:
         case TaskStatus.RELEASE_PENDING if task.pending_release is not None:
             return SendRelease(task.pending_release)
         case TaskStatus.RUNNING if task.running is not None:
-            if not lost:
+            if not is_lost:
                 return AdoptTask(task.running)
             peer = task.running.peer
             return SendRelease(ReleasePending(task.uid, peer, lost_end.outcome, lost_end.reason, now_us))
         case TaskStatus.UNCERTAIN:
-            if not lost and task.node in fleet.queryable:
+            if not is_lost and task.node in endpoints.queryable:
                 return QueryNode(task.key, task.uid, task.node)
             if now_us - since_us < retention_us:
                 return BlockKey(task.key, task.uid, since_us + retention_us)
--- a/thornshelf/wal/resolution.py
+++ b/thornshelf/wal/resolution.py
@@ -1,14 +1,14 @@
-"""The resolution of a task by everything that is known of it, where the sources contradict each other.
+"""Resolves whether a task runs, ended or may be started, from sources that may contradict each other.
 
-The order of trust is
+In decreasing order of trust, the sources are
 
-1. a node's own answer about an idempotency key, unless its process started after the attempt: a new process knows
-   nothing of earlier runs, so its "never ran" proves nothing, and what the old process ran ended with it;
-2. a client that asks to adopt a task and names its node, because it has received the node's description;
+1. a node's own answer about an idempotency key. "Never ran" counts only if the node's process is older than the
+   attempt, because a new process knows nothing of earlier runs;
+2. a client that requests the adoption of a task and names its node, because it has received the node's description;
 3. the write-ahead log;
-4. the endpoint list: what ran on a node that is no longer listed is over.
+4. the endpoint list: a task ended with the process that ran it, and on a node that is no longer listed.
 
-A task that may have run is never started again on the evidence of 3 or 4 alone.
+A task that may have run is never started again because of sources 3 and 4 alone.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
 
 
 class Resolution(enum.Enum):
-    """What becomes of an uncertain task, or of a request with its key."""
+    """What to do about an uncertain task, or a request with its key."""
 
-    START = "start"  # it never ran, and may be started
+    START = "start"  # it did not run, and may be started
     ADOPT = "adopt"  # it runs on the node
     ENDED = "ended"  # it ran, and its end is to be reported
     UNCERTAIN = "uncertain"  # it may have run, and must not be started
@@ -42,11 +42,11 @@
     node_started_us: int,
     named_node: str | None = None,
 ) -> Resolution:
-    """Resolve a task in the order of trust.
+    """Resolve a task in the order of trust above.
 
-    ``task`` is what the log says and ``answer`` the node's answer, None where it was not queried.
-    ``node_started_us`` is when the node's present process started (wall-clock time; 0 if long ago), and
-    ``named_node`` the node on which a client says that the task runs.
+    ``task`` is the task in the log, and ``answer`` the node's answer; None if there is none. ``node_started_us`` is
+    when the node's current process started (wall-clock time; 0 if long ago), and ``named_node`` the node on which the
+    task runs according to a client.
     """
     since_us = task.since_us if task is not None else 0
     process_replaced = node_started_us > since_us > 0
@@ -66,5 +66,5 @@
         return Resolution.START
     if task.status is TaskStatus.UNCERTAIN:
         return Resolution.UNCERTAIN
-    # The task was running: it ended with the process that ran it, if that process has been replaced.
+    # The task was running, and ended with its process if the node has a new one.
     return Resolution.ENDED if process_replaced else Resolution.ADOPT
