--- a/thornshelf/cli/__init__.py
+++ b/thornshelf/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line. ``python -m thornshelf [OPERATOR_FILE]`` serves without loading any of this."""
+"""The command line. ``python -m thornshelf [OPERATOR_FILE]`` serves without loading this package."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def cli() -> None:
     """A dispatcher of long-lived tasks that lets old clients reach new servers.
 
-    Without a command, `python -m thornshelf [OPERATOR_FILE]` serves. LB_CONFIG names the configuration.
+    Without a command, `python -m thornshelf [OPERATOR_FILE]` serves. The variable LB_CONFIG names the configuration.
     """
 
 
--- a/thornshelf/cli/dispatcher.py
+++ b/thornshelf/cli/dispatcher.py
@@ -1,4 +1,4 @@
-"""The commands that start a dispatcher, or print what it is configured with and what it can report."""
+"""The commands that start a dispatcher, check its configuration, or print reference material."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 @_operator_file_argument
 @click.pass_obj
 def serve(run: Callable[[str | None], int], operator_file: str | None) -> None:
-    """Serve until told to end."""
+    """Serve until a signal ends the process."""
     sys.exit(run(operator_file))
 
 
 @click.command("check-config")
 @_operator_file_argument
 def check_config(operator_file: str | None) -> None:
-    """Read the configuration as a start would, and print what is in force."""
+    """Read the configuration as a dispatcher would at its start, and print the settings in force."""
     try:
         config = read_config(os.environ, operator_file)
-    except ConfigError as fault:
-        click.echo(f"thornshelf: {fault} [{fault.code}]", err=True)
+    except ConfigError as error:
+        click.echo(f"thornshelf: {error} [{error.code}]", err=True)
         sys.exit(EXIT_ERROR)
     for line in _describe(config):
         click.echo(line)
 
 
 def _describe(config: Config) -> Iterator[str]:
-    """The lines of the output, whose wording scripts may rely on."""
+    """Yields the lines of the output, whose wording scripts may rely on."""
     host, port = config.listen
     yield f"name {config.name}, listen {host}:{port}, sockets {config.max_descriptors}"
     if config.fleet is not None:
@@ -75,7 +75,7 @@
 
 
 def _format_limits(limits: Limits) -> str:
-    """The limits under the names that the output of the command has for them."""
+    """Format limits under the names that scripts know from earlier versions."""
     connections = f"connections={limits.max_connections}"
     connection_rate = f"connection_rate={limits.connection_rate}"
     request_rate = f"set_up_rate={limits.request_rate}"
@@ -103,9 +103,12 @@
 
 
 @click.command("field-mapping")
-@click.option("--check", is_flag=True, help="Only look for fields without a declared mapping.")
+@click.option("--check", is_flag=True, help="Only check that every field has a mapping.")
 def field_mapping(check: bool) -> None:
-    """Print how each field and message is translated between the wire formats."""
+    """Print how each field and message is translated between the wire formats.
+
+    Exit code 1 if the mapping has a gap or a contradiction.
+    """
     from thornshelf.translation import field_mapping_audit
 
     if problems := field_mapping_audit.find_problems():
@@ -117,9 +120,9 @@
 
 @click.command()
 @click.argument("code", required=False)
-@click.option("--page", is_flag=True, help="All of them, as docs/errors.md.")
+@click.option("--page", is_flag=True, help="Print the page docs/errors.md.")
 def explain(code: str | None, page: bool) -> None:
-    """Print what the code of an error means, and what can be done about it."""
+    """Print what an error code means and what to do about it; without a code, list all."""
     from thornshelf import errors
 
     if page:
@@ -128,6 +131,6 @@
     for known_code in [code] if code else sorted(errors.ERRORS_BY_CODE):
         text = errors.explain(known_code)
         if text is None:
-            click.echo(f"no error has the code {known_code}; `thornshelf explain` lists all", err=True)
+            click.echo(f"unknown error code {known_code}; `thornshelf explain` lists all codes", err=True)
             sys.exit(EXIT_ERROR)
         click.echo(text if code else text.splitlines()[0])
--- a/thornshelf/cli/laboratory.py
+++ b/thornshelf/cli/laboratory.py
@@ -1,4 +1,4 @@
-"""The experiments: dispatchers under load and faults, with fake nodes and clients on loopback."""
+"""The commands of the lab: dispatchers under load and faults, with fake nodes and clients on loopback."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments with fake nodes and clients on loopback (needs the extra 'lab')."""
+    """Run experiments with fake nodes and clients on loopback (needs the extra 'lab')."""
 
 
 @lab.command()
 def show() -> None:
-    """The main job: old and new clients, new nodes, and what each of them receives."""
+    """Show old and new clients with new nodes, and what each of them receives."""
     from thornshelf.lab.show import show as play
 
     sys.exit(0 if play(click.echo) else EXIT_FAILED)
@@ -35,16 +35,29 @@
 
 @lab.command()
 @seed_option
-@click.option("--tasks", type=click.IntRange(4), default=5200, show_default=True, help="Over all pairings.")
-@click.option("--seconds", type=click.FloatRange(4, 600), default=22.0, show_default=True, help="Of load.")
+@click.option(
+    "--tasks",
+    type=click.IntRange(4),
+    default=5200,
+    show_default=True,
+    help="Number of tasks, over all pairings.",
+)
+@click.option(
+    "--seconds", type=click.FloatRange(4, 600), default=22.0, show_default=True, help="Duration of the load."
+)
 @fault_option("double-start", "drop-answer", "silent-hint")
-@click.option("--calm", is_flag=True, help="Without faults.")
+@click.option("--calm", is_flag=True, help="Run without faults.")
 @json_option
-@click.option("--report", type=click.Path(path_type=Path, dir_okay=False), help="Write an HTML report there.")
+@click.option(
+    "--report", type=click.Path(path_type=Path, dir_okay=False), help="Write an HTML report to this file."
+)
 def translation(
     seed: int, tasks: int, seconds: float, fault: str | None, calm: bool, as_json: bool, report: Path | None
 ) -> None:
-    """Old clients against new nodes and the other pairings, across a mass resubmission with faults."""
+    """Load old and new clients and nodes in all pairings.
+
+    The load includes a mass resubmission of tasks, with faults.
+    """
     from thornshelf.lab import translation as experiment
 
     results = experiment.experiment(seed, tasks, seconds, fault, not calm)
@@ -75,7 +88,7 @@
 @fault_option("no-reserve")
 @json_option
 def admission(seed: int, admission_control: str, fault: str | None, as_json: bool) -> None:
-    """A flood of connections, while two known clients are served as before."""
+    """Flood a dispatcher with connections, and check that two known clients are served as before."""
     from thornshelf.lab import admission as experiment
 
     result = experiment.run(seed, admission_control == "on", fault)
@@ -90,7 +103,7 @@
 @click.option("--handovers", type=click.IntRange(1, 100), default=10, show_default=True)
 @json_option
 def restart(seed: int, handovers: int, as_json: bool) -> None:
-    """Hand-overs of the listening sockets under load."""
+    """Hand over the listening sockets to successors under load."""
     from thornshelf.lab import restart as experiment
 
     result = experiment.run(seed, handovers)
@@ -99,16 +112,16 @@
 
 @lab.command()
 @seed_option
-@click.option("--short", is_flag=True, help="Small sizes, within a minute.")
+@click.option("--short", is_flag=True, help="Only small sizes; takes less than a minute.")
 @fault_option("all-to-all", "leak", "hold-all")
 @json_option
 @click.option(
     "--page",
     type=click.Path(path_type=Path, file_okay=False, exists=True),
-    help="Write capacity.json, its chart, and the tables of CAPACITY.md in this folder.",
+    help="Write capacity.json, its chart, and the tables of CAPACITY.md to this folder.",
 )
 def scale(seed: int, short: bool, fault: str | None, as_json: bool, page: Path | None) -> None:
-    """Hollow nodes and dispatchers beside real ones: what each role costs by size, and at the target."""
+    """Measure what each role costs by fleet size, and at the target, with hollow nodes and dispatchers."""
     from thornshelf.capacity import report as results
     from thornshelf.lab.scale.output import Progress, write
     from thornshelf.lab.scale.run import FULL, SHORT, run
@@ -125,10 +138,13 @@
 @seed_option
 @json_option
 @click.option(
-    "--plot", type=click.Path(path_type=Path, dir_okay=False), help="Write a picture against size there."
+    "--plot", type=click.Path(path_type=Path, dir_okay=False), help="Write a chart by size to this file."
 )
 def members_at_size(members: int, seed: int, as_json: bool, plot: Path | None) -> None:
-    """The membership protocol alone in virtual time: joins, crashes, a partition and its end; beside 16 members."""
+    """Run the membership protocol alone, in virtual time.
+
+    It goes through joins, crashes, a partition and its end, and is compared with a run of 16 members.
+    """
     from thornshelf.lab import membership as experiment
 
     result = experiment.run(members, seed, plot)
@@ -140,7 +156,11 @@
 @fault_option("silent-gap")
 @json_option
 def shell_queries(seed: int, fault: str | None, as_json: bool) -> None:
-    """Six processes under faults: their answers against what the fakes know; and what 20 queries a second cost."""
+    """Query six processes under faults.
+
+    Their answers are compared with what the fake nodes and clients counted, and the cost of 20 queries a second is
+    measured.
+    """
     from thornshelf.lab import shell as experiment
 
     result = experiment.run(seed, fault)
@@ -152,7 +172,11 @@
 @fault_option("no-refute", "no-heal", "trust-liar", "replay")
 @json_option
 def fleet_view(seed: int, fault: str | None, as_json: bool) -> None:
-    """Twelve processes through joins, kills, stalls, one-way links, a liar, a silent list and a partition."""
+    """Run a fleet of twelve processes through faults.
+
+    The faults are joins, kills, stalls, one-way links, false reports, an endpoint list that does not respond, and a
+    partition.
+    """
     from thornshelf.lab import fleet as experiment
 
     result = experiment.run(seed, fault)
--- a/thornshelf/cli/options.py
+++ b/thornshelf/cli/options.py
@@ -1,6 +1,6 @@
-"""What the commands share: aliases of names that have changed, and how errors are printed.
+"""Options, aliases of renamed commands and options, and exits that the commands share.
 
-An alias keeps an old name working for one version. Help shows the new name alone.
+An alias keeps an old name working for one version; the help shows only the new name.
 """
 
 from __future__ import annotations
@@ -18,15 +18,15 @@
 EXIT_FAILED = 1
 EXIT_ERROR = 2
 
-json_option = click.option("--json", "as_json", is_flag=True, help="Only the JSON object.")
+json_option = click.option("--json", "as_json", is_flag=True, help="Print only the JSON object.")
 seed_option = click.option("--seed", type=click.IntRange(0), default=1, show_default=True)
 
 
 class AliasedOption(click.Option):
-    """An option whose first name is shown in help, and whose other names are aliases for one version."""
+    """An option whose first name is shown in the help, and whose other names are aliases for one version."""
 
     def get_help_record(self, ctx: click.Context) -> tuple[str, str] | None:
-        """The line of the help, with the first name alone."""
+        """Returns the name and the text of the option for the help, with only the first name."""
         names = self.opts
         self.opts = names[:1]
         try:
@@ -36,19 +36,19 @@
 
 
 def fault_option(*faults: str) -> Callable[[Any], Any]:
-    """The option that injects one of the faults which an experiment must detect."""
+    """Returns the option that injects one of the faults that an experiment must detect."""
     return click.option(
         "--inject-fault",
         "--plant",
         "fault",
         cls=AliasedOption,
         type=click.Choice(faults),
-        help="A fault that the experiment must detect.",
+        help="Inject a fault that the experiment must detect.",
     )
 
 
 def hidden_alias(command: click.Command, name: str) -> click.Command:
-    """The same command under an old name, which help does not list."""
+    """Returns the same command under an old name, which the help does not list."""
     alias = copy.copy(command)
     alias.name = name
     alias.hidden = True
--- a/thornshelf/cli/queries.py
+++ b/thornshelf/cli/queries.py
@@ -1,4 +1,4 @@
-"""The commands that query a dispatcher, or its whole fleet, with SQL over its control socket."""
+"""The commands that query a dispatcher, or its whole fleet, with SQL through its control socket."""
 
 from __future__ import annotations
 
@@ -19,20 +19,30 @@
 _EXIT_LIMIT = 4
 
 
-def _query_options(function: Any) -> Any:
-    """The options of both commands: the socket, the scope and the limits of a query."""
+def _query_options(command: Any) -> Any:
+    """Add the options of both commands: the socket, the scope and the limits of a query."""
     for option in (
         click.option(
             "--at", "place", required=True, type=click.Path(), help="The dispatcher's control socket."
         ),
         click.option(
-            "--fleet/--here", default=None, help="Ask all members, or this one; all where it has a fleet."
+            "--fleet/--here",
+            default=None,
+            help="Query all members, or this one alone; by default all if it is in a fleet.",
+        ),
+        click.option(
+            "--seconds", type=click.FloatRange(0.1, 600), default=10.0, show_default=True, help="Time limit."
+        ),
+        click.option(
+            "--rows",
+            type=click.IntRange(1, 1_000_000),
+            default=10_000,
+            show_default=True,
+            help="Limit of rows.",
         ),
-        click.option("--seconds", type=click.FloatRange(0.1, 600), default=10.0, show_default=True),
-        click.option("--rows", type=click.IntRange(1, 1_000_000), default=10_000, show_default=True),
     ):
-        function = option(function)
-    return function
+        command = option(command)
+    return command
 
 
 @click.command()
@@ -45,22 +55,24 @@
 
     try:
         sys.exit(run(place, QueryLimits(seconds, rows), fleet))
-    except ThornshelfError as fault:
-        exit_with_error(fault, _EXIT_NO_ANSWER)
+    except ThornshelfError as error:
+        exit_with_error(error, _EXIT_NO_ANSWER)
 
 
 @click.command()
 @_query_options
-@click.option("--json", "output_format", flag_value="json", help="One JSON object.")
-@click.option("--csv", "output_format", flag_value="csv", help="CSV; what is missing goes to standard error.")
+@click.option("--json", "output_format", flag_value="json", help="Print one JSON object.")
+@click.option(
+    "--csv", "output_format", flag_value="csv", help="Print CSV; the summary goes to standard error."
+)
 @click.argument("sql")
 def query(
     place: str, fleet: bool | None, seconds: float, rows: int, output_format: str | None, sql: str
 ) -> None:
     """Run one SELECT, or a saved query by its name.
 
-    Exit code: 0 complete, 1 the SQL is at fault, 2 no dispatcher answered, 3 some member answered nothing or not all,
-    4 a limit of time or rows was exceeded.
+    Exit code: 0 complete, 1 invalid SQL, 2 no dispatcher answered, 3 rows of some members are missing, 4 a limit of
+    time or rows was exceeded.
     """
     from thornshelf.shell.engine import QueryLimits
 
@@ -86,12 +98,12 @@
                 else sql.strip().rstrip(";")
             )
             return engine.query(text, engine.catalog.in_fleet if fleet is None else fleet)
-    except QueryError as fault:
-        exit_with_error(fault, _EXIT_BAD_QUERY)
-    except QueryLimitError as fault:
-        exit_with_error(fault, _EXIT_LIMIT)
-    except ThornshelfError as fault:
-        exit_with_error(fault, _EXIT_NO_ANSWER)
+    except QueryError as error:
+        exit_with_error(error, _EXIT_BAD_QUERY)
+    except QueryLimitError as error:
+        exit_with_error(error, _EXIT_LIMIT)
+    except ThornshelfError as error:
+        exit_with_error(error, _EXIT_NO_ANSWER)
 
 
 def _print_result(result: QueryResult, output_format: str | None) -> None:
--- a/thornshelf/cli/record.py
+++ b/thornshelf/cli/record.py
@@ -31,7 +31,7 @@
 def verify(file: Path) -> None:
     """Check that the whole log can be read.
 
-    Exit code: 0 it can, 1 its tail is torn, 2 a newer version of the program wrote it.
+    Exit code: 0 readable, 1 torn tail, 2 written by a newer version of the program.
     """
     _read_log(file, lambda _: None)
 
