--- a/thornshelf/shell/__init__.py
+++ b/thornshelf/shell/__init__.py
@@ -1,1 +1,1 @@
-"""The shell: SQL over the tables of dispatchers, in the operator's own process."""
+"""The shell: SQL over the tables of dispatchers, executed in the operator's own process."""
--- a/thornshelf/shell/client.py
+++ b/thornshelf/shell/client.py
@@ -1,4 +1,4 @@
-"""A connection to a dispatcher's control socket, with a timeout on every wait."""
+"""The client of a dispatcher's control socket, with a timeout on every wait."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 
 def error_from_reply(reply: ErrorReply) -> ThornshelfError:
-    """The error that a dispatcher has sent, as an exception of this process."""
+    """Returns the exception for an error that a dispatcher has sent."""
     error_type = errors.ERRORS_BY_CODE.get(reply.code, ThornshelfError)
     if error_type in (errors.SchemaError, errors.UnsupportedVersionError):
-        error_type = ThornshelfError  # the constructors of these need more than a text
+        error_type = ThornshelfError  # their constructors take more than a text
     return error_type(reply.text)
 
 
 @dataclass(slots=True)
 class ResponseSummary:
-    """Which members have answered a query, when, and which have not.
+    """Which members have answered a query, and when.
 
-    ``missing``: (member, cause) of those whose rows are incomplete; the times are Unix milliseconds of the earliest
-    and the latest page.
+    ``missing``: the (member, cause) pairs of members whose rows are incomplete; ``first_ms`` and ``last_ms``: the
+    times of the earliest and the latest page in Unix milliseconds, 0 before the first; ``rows``: number of rows.
     """
 
     missing: list[tuple[str, str]] = field(default_factory=list)
@@ -56,7 +56,7 @@
     rows: int = 0
 
     def add_page(self, page: RowPage) -> None:
-        """Count a page."""
+        """Add a page of rows."""
         self.members.add(page.member)
         self.rows += len(page.rows)
         self.first_ms = min(self.first_ms or page.at_ms, page.at_ms)
@@ -72,16 +72,16 @@
 
 
 class ControlClient:
-    """A connection, on which one query is made after another."""
+    """A connection to a dispatcher, for one query at a time."""
 
     def __init__(self, socket_path: str | Path, timeout_s: float = 10.0) -> None:
-        """Connect; raises ``DispatcherUnavailableError``."""
+        """Connect to a socket; raises ``DispatcherUnavailableError``. The timeout applies to each query."""
         self.socket_path = Path(socket_path)
         self.timeout_s = timeout_s
         self._frame_decoder = FrameDecoder(MAX_REPLY_BYTES)
         self._frames: list[bytes] = []
         self._sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self._number = 0
+        self._query_number = 0
         self._deadline = time.monotonic() + timeout_s
         try:
             self._sock.settimeout(timeout_s)
@@ -91,7 +91,7 @@
             raise DispatcherUnavailableError(f"{self.socket_path}: {error.strerror or error}") from None
 
     def _connect(self) -> None:
-        """Connect by way of the directory's descriptor, as the path of a Unix socket is limited to 107 bytes."""
+        """Connect through a descriptor of the directory, as the path of a Unix socket is limited to 107 bytes."""
         directory = os.open(self.socket_path.parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             self._sock.connect(f"/proc/self/fd/{directory}/{self.socket_path.name}")
@@ -109,11 +109,11 @@
         self.close()
 
     def _receive(self) -> Reply:
-        """The next reply; raises ``QueryLimitError`` after the timeout and ``DispatcherUnavailableError``."""
+        """Returns the next reply; raises ``QueryLimitError`` after the timeout, or ``DispatcherUnavailableError``."""
         while not self._frames:
             remaining_s = self._deadline - time.monotonic()
             if remaining_s <= 0.0:
-                raise QueryLimitError(f"no whole answer within {self.timeout_s:g} s")
+                raise QueryLimitError(f"no complete reply within {self.timeout_s:g} s")
             self._sock.settimeout(remaining_s)
             try:
                 data = self._sock.recv(READ_SIZE)
@@ -127,25 +127,27 @@
         return decode_reply(self._frames.pop(0))
 
     def _send(self, request: QueryRequest) -> None:
-        """Send a query, and start its timeout; raises ``DispatcherUnavailableError``."""
+        """Send a query and start its timeout; raises ``DispatcherUnavailableError``."""
         self._deadline = time.monotonic() + self.timeout_s
         self._sock.settimeout(self.timeout_s)
         try:
             self._sock.sendall(encode_frame(request))
         except (BrokenPipeError, ConnectionResetError):
-            pass  # the dispatcher's error may still be readable
+            pass  # the dispatcher's error message may still be readable
         except OSError as error:
             raise DispatcherUnavailableError(f"{self.socket_path}: {error.strerror or error}") from None
 
     def fetch_catalog(self) -> CatalogReply:
-        """The dispatcher's tables; raises the error that it sends, or ``ControlProtocolError``."""
-        self._number += 1
-        self._send(QueryRequest(self._number))
+        """Returns the dispatcher's tables; raises the error that it sends, or ``ControlProtocolError``."""
+        self._query_number += 1
+        self._send(QueryRequest(self._query_number))
         reply = self._receive()
         if isinstance(reply, ErrorReply):
             raise error_from_reply(reply)
         if not isinstance(reply, CatalogReply):
-            raise ControlProtocolError(f"{type(reply).__name__} where the tables were asked for")
+            raise ControlProtocolError(
+                f"received {type(reply).__name__} in reply to a request for the tables"
+            )
         return reply
 
     def fetch_rows(
@@ -156,15 +158,16 @@
         filters: Mapping[str, Cell],
         summary: ResponseSummary,
     ) -> Iterator[RowPage]:
-        """The pages of a table as they come; ``summary`` is filled meanwhile.
+        """Yields the pages of a table as they arrive, and adds them to ``summary``.
 
-        Raises the error that the dispatcher sends, or ``ControlProtocolError`` for malformed rows.
+        ``fleet``: of all members; ``filters``: only rows with exactly these values. Raises the error that the
+        dispatcher sends, or ``ControlProtocolError`` for malformed rows.
         """
-        self._number += 1
-        self._send(QueryRequest(self._number, table, columns, dict(filters), fleet))
+        self._query_number += 1
+        self._send(QueryRequest(self._query_number, table, columns, dict(filters), fleet))
         while True:
             reply = self._receive()
-            if isinstance(reply, CatalogReply) or reply.number != self._number:
+            if isinstance(reply, CatalogReply) or reply.number != self._query_number:
                 continue
             if isinstance(reply, ErrorReply):
                 raise error_from_reply(reply)
@@ -173,6 +176,6 @@
                 summary.members.update(reply.answered)
                 return
             if any(len(row) != len(columns) for row in reply.rows):
-                raise ControlProtocolError("a row has other columns than were asked for")
+                raise ControlProtocolError("a row does not have the requested number of columns")
             summary.add_page(reply)
             yield reply
--- a/thornshelf/shell/engine.py
+++ b/thornshelf/shell/engine.py
@@ -1,7 +1,8 @@
-"""SQL over the dispatchers' tables, by SQLite in this process.
+"""Runs SQL over the dispatchers' tables, with SQLite in this process.
 
-A query is first prepared against empty tables: SQLite reports which columns it reads, and rejects what would write.
-Only these columns are fetched into tables in memory, and the query runs on them, within limits of time and rows.
+A query is first prepared against empty tables: SQLite reports which columns it reads, and writing statements are
+rejected. Only these columns are then fetched into in-memory tables, on which the query runs within limits of time and
+rows.
 """
 
 from __future__ import annotations
@@ -17,14 +18,12 @@
 from thornshelf.errors import QueryError, QueryLimitError
 from thornshelf.shell.client import ControlClient, ResponseSummary
 
-ORIGIN_COLUMNS = (
-    ("member", "TEXT"),
-    ("at_ms", "INTEGER"),
-)  # which member sent a row, and its time in Unix ms
-UNANSWERED_TABLE = "unanswered"  # a table of this process: members whose rows are incomplete, and why
+# In every table: the member that sent the row, and when, in Unix ms.
+ORIGIN_COLUMNS = (("member", "TEXT"), ("at_ms", "INTEGER"))
+UNANSWERED_TABLE = "unanswered"  # made here: the members whose rows are incomplete, and why
 MAX_TEXT_BYTES = 1_000_000  # of one value, and of the query
 INSTRUCTIONS_PER_CLOCK_CHECK = 10_000  # of SQLite's virtual machine
-MIN_EXECUTION_S = 0.5  # left for the execution where fetching the rows has taken most of the time
+MIN_EXECUTION_S = 0.5  # for the execution, even if fetching the rows has used up the timeout
 READ_ACTIONS = frozenset(
     (sqlite3.SQLITE_SELECT, sqlite3.SQLITE_READ, sqlite3.SQLITE_FUNCTION, sqlite3.SQLITE_RECURSIVE)
 )
@@ -33,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryLimits:
-    """The limits of one query; ``max_rows`` it may return, ``max_rows_read`` it may fetch of each table."""
+    """The limits of one query: its time, the rows it may return, and the rows it may fetch of each table."""
 
     timeout_s: float = 10.0
     max_rows: int = 10_000
@@ -42,9 +41,9 @@
 
 @dataclass(slots=True)
 class QueryResult:
-    """A query's rows, and how complete they are.
+    """The rows of a query, and whether they are complete.
 
-    ``truncation``: why rows are missing, empty where none are; ``tables``: that the query read.
+    ``truncation``: why rows were left out, empty if none were; ``tables``: the tables that the query read.
     """
 
     columns: list[str]
@@ -56,20 +55,20 @@
 
     @property
     def complete(self) -> bool:
-        """Whether all members have sent all rows, and all of them are here."""
+        """Whether all members have sent all rows, and none were left out."""
         return not self.summary.missing and not self.truncation
 
 
 def quote_identifier(name: str) -> str:
-    """The name of a table or column as SQL has it."""
+    """Returns the name of a table or column, quoted for SQL."""
     return '"' + name.replace('"', '""') + '"'
 
 
 class QueryEngine:
-    """Runs queries over one connection."""
+    """Runs queries over one connection to a dispatcher."""
 
     def __init__(self, client: ControlClient, limits: QueryLimits = QueryLimits()) -> None:  # noqa: B008
-        """Fetches the catalog; raises the errors of the client."""
+        """Fetch the catalog of tables; raises the errors of the client."""
         self.client = client
         self.limits = limits
         self.catalog: CatalogReply = client.fetch_catalog()
@@ -78,9 +77,10 @@
     def query(
         self, sql: str, fleet: bool = False, filters: Mapping[str, Mapping[str, Cell]] | None = None
     ) -> QueryResult:
-        """Run one SELECT; ``filters``: by table, only rows with exactly these values are fetched.
+        """Run one SELECT and return its rows.
 
-        Raises ``QueryError`` where it is no query that only reads, ``QueryLimitError``, and the errors of the client.
+        ``fleet``: over the rows of all members; ``filters``: by table, fetch only rows with exactly these values.
+        Raises ``QueryError`` for invalid or writing SQL, ``QueryLimitError``, and the errors of the client.
         """
         started = time.monotonic()
         columns_by_table = self.referenced_columns(sql)
@@ -91,20 +91,20 @@
                 self._load_table(database, table, columns, fleet, table_filters, summary)
             database.executemany(f"INSERT INTO {UNANSWERED_TABLE} VALUES (?, ?)", summary.missing)
             selection = self._execute(database, sql, started + self.limits.timeout_s)
-        truncation = f"only the first {len(selection.rows)} rows are here" if selection.has_more else ""
+        truncation = f"only the first {len(selection.rows)} rows are returned" if selection.has_more else ""
         elapsed_s = time.monotonic() - started
         tables = sorted(columns_by_table)
         return QueryResult(selection.columns, selection.rows, summary, truncation, tables, elapsed_s)
 
     def referenced_columns(self, sql: str) -> dict[str, list[str]]:
-        """The columns that a query reads, by table; raises ``QueryError`` where it is no query, or would write."""
-        found: dict[str, dict[str, None]] = {}
+        """Returns the columns that a query reads, by table; raises ``QueryError`` for invalid or writing SQL."""
+        columns_by_table: dict[str, dict[str, None]] = {}
 
         def authorize(action: int, table: str | None, column: str | None, *_: str | None) -> int:
             if action == sqlite3.SQLITE_READ and table in self.schemas:
-                found.setdefault(table, {})
+                columns_by_table.setdefault(table, {})
                 if column:
-                    found[table][column] = None
+                    columns_by_table[table][column] = None
             return _authorize(action, column)
 
         with closing(self._create_database()) as database:
@@ -114,19 +114,19 @@
             except (sqlite3.Error, sqlite3.Warning, ValueError, UnicodeError) as error:
                 text = _error_text(error)
                 if "no such table" in text and not self.catalog.in_fleet:
-                    text += " (this dispatcher is in no fleet, and has no tables of one)"
+                    text += " (this dispatcher is not in a fleet, and lacks the tables of one)"
                 raise QueryError(text) from None
-        return {table: list(columns) for table, columns in found.items()}
+        return {table: list(columns) for table, columns in columns_by_table.items()}
 
     def _create_database(self) -> sqlite3.Connection:
-        """A database in memory with all tables, empty."""
+        """Returns an in-memory database with all tables, empty."""
         database = sqlite3.connect(":memory:", isolation_level=None)
         database.setlimit(sqlite3.SQLITE_LIMIT_LENGTH, MAX_TEXT_BYTES)
         database.setlimit(sqlite3.SQLITE_LIMIT_ATTACHED, 0)
-        origin = [f"{quote_identifier(name)} {sql_type}" for name, sql_type in ORIGIN_COLUMNS]
+        origin_columns = [f"{quote_identifier(name)} {sql_type}" for name, sql_type in ORIGIN_COLUMNS]
         for schema in self.schemas.values():
-            own = [f"{quote_identifier(name)} {sql_type}" for name, sql_type, _ in schema.columns]
-            columns = ", ".join([*origin, *own])
+            table_columns = [f"{quote_identifier(name)} {sql_type}" for name, sql_type, _ in schema.columns]
+            columns = ", ".join([*origin_columns, *table_columns])
             database.execute(f"CREATE TABLE {quote_identifier(schema.name)} ({columns})")
         database.execute(f"CREATE TABLE {UNANSWERED_TABLE} (member TEXT, why TEXT)")
         return database
@@ -140,7 +140,7 @@
         filters: Mapping[str, Cell],
         summary: ResponseSummary,
     ) -> None:
-        """Fetch the referenced columns of a table; raises ``QueryLimitError`` where it has too many rows."""
+        """Fetch the referenced columns of a table; raises ``QueryLimitError`` if it has too many rows."""
         origin_names = [name for name, _ in ORIGIN_COLUMNS]
         columns = [name for name in referenced_columns if name not in origin_names]
         names = ", ".join(map(quote_identifier, [*origin_names, *columns]))
@@ -176,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Selection:
-    """What SQLite has returned; ``has_more``: there are rows beyond the limit."""
+    """The rows that SQLite returned; ``has_more``: there are more rows than the limit allows."""
 
     columns: list[str]
     rows: list[tuple[Any, ...]]
@@ -184,15 +184,15 @@
 
 
 def _authorize(action: int, name: str | None) -> int:
-    """SQLite's authorizer: allows what only reads."""
+    """Authorizes an action of SQLite if it only reads."""
     if action not in READ_ACTIONS or (action == sqlite3.SQLITE_FUNCTION and name in FORBIDDEN_FUNCTIONS):
         return sqlite3.SQLITE_DENY
     return sqlite3.SQLITE_OK
 
 
 def _error_text(error: BaseException) -> str:
-    """The text of SQLite's error; says so where the query was denied because it does not only read."""
+    """Returns the text of SQLite's error, with an explanation if a query was denied because it does not only read."""
     text = str(error)
     if "not authorized" in text or "prohibited" in text:
-        return f"a query only reads: {text}"
+        return f"a query may only read tables: {text}"
     return text
--- a/thornshelf/shell/explanations.py
+++ b/thornshelf/shell/explanations.py
@@ -1,4 +1,4 @@
-"""Explains why a node is not chosen and what became of a task, from rows of all members. No I/O of its own."""
+"""Explains why a node is not chosen, and what became of a task, from the rows of all members."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 from thornshelf.shell.output import format_time, sanitize
 
 Row = Mapping[str, Any]
-SLOW_START_MS = 1_000  # a start that takes longer is mentioned
-MANY_WAITING = 3  # more tasks that wait for their start are mentioned
-NEARLY_FULL = 0.95  # a node with a larger share of its capacity in use is mentioned
+# What exceeds these limits is named as a reason.
+MAX_START_DELAY_MS = 1_000
+MAX_WAITING_TASKS = 3
+MAX_USED_SHARE = 0.95  # of a node's capacity
 
 
 def placement_reasons(row: Row, evidence: Sequence[Row], drained_by_gossip: bool) -> list[str]:
-    """Why one member does not choose a node, or chooses it late; empty where nothing speaks against it.
+    """Returns why one member does not choose a node, or prefers others; empty if nothing speaks against it.
 
-    ``row``: the member's row of the node; ``evidence``: the observations that it knows of that node;
-    ``drained_by_gossip``: only other members' lists say that the node drains.
+    ``row``: the member's row of the table ``nodes``; ``evidence``: its rows of the table ``evidence`` for that node;
+    ``drained_by_gossip``: the node is draining only according to other members.
     """
     return [
         *_availability_reasons(row, drained_by_gossip),
@@ -32,73 +33,77 @@
 def _availability_reasons(row: Row, drained_by_gossip: bool) -> Iterator[str]:
     if row["health"] == "draining":
         yield (
-            "kept away by others' word that it drains: its own change log is silent"
+            "excluded by others' word that it drains, as this member's own endpoint list does not respond"
             if drained_by_gossip
-            else "its list says that the node drains: nothing new goes there"
+            else "its list says that the node drains: it gets no new tasks"
         )
     if row["reach"] == "unreachable":
-        yield "it can't be reached: the last call was refused or not answered"
+        yield "it can't be reached: the last connection attempt failed"
 
 
 def _failure_reasons(row: Row) -> Iterator[str]:
     if row["suspect_ms"]:
         yield (
-            f"suspected after {row['strikes']} signs of trouble in a row: kept away for {row['suspect_ms']} ms more"
+            f"ejected after {row['strikes']} consecutive failures: kept away for {row['suspect_ms']} ms more"
         )
     elif row["strikes"]:
-        yield f"{row['strikes']} sign(s) of trouble: chosen later, each as dear as one power of the price"
+        yield f"{row['strikes']} sign(s) of failure in a row: each raises the price, so that others are preferred"
     if row["shut_ms"]:
-        yield f"its line of offers was full: left alone for {row['shut_ms']} ms more"
+        yield f"its queue was full: left alone for {row['shut_ms']} ms more"
 
 
 def _slow_start_reasons(row: Row) -> Iterator[str]:
     if not row["cold"]:
         return
     if row["cold_left"]:
-        yield f"it is cold: {row['cold_left']} more offers within this member's share, and half as dear again"
+        yield f"slow start: {row['cold_left']} more offers within this member's share, and a higher price"
     else:
-        yield "it is cold, and this member's share of offers to it is used up"
+        yield "slow start: this member's share of offers to it is used up"
 
 
 def _gossip_reasons(row: Row, evidence: Sequence[Row]) -> Iterator[str]:
     if row["second_choice"]:
         reporters = sorted(
-            {one["by"] for one in evidence if one["by"] != row["member"] and one["sight"] != "well"}
+            {
+                observation["by"]
+                for observation in evidence
+                if observation["by"] != row["member"] and observation["sight"] != "well"
+            }
         )
         names = ", ".join(map(sanitize, reporters)) or "others"
-        yield f"second choice by the word of {names}: chosen last, not barred"
+        yield f"second choice by the word of {names}: chosen last, but not excluded"
 
 
 def _load_reasons(row: Row) -> Iterator[str]:
     for resource in ("cores", "memory"):
         capacity = row[resource]
         used = row[f"taken_{resource}"]
-        if capacity and used is not None and used >= NEARLY_FULL * capacity:
-            yield f"taken of its {resource}: {used:g} of the {capacity:g} up to which it accepts asks"
-    if row["late_ms"] and row["late_ms"] > SLOW_START_MS:
-        yield f"starts take {row['late_ms']} ms there of late: dearer for that"
-    if row["waits"] and (row["waits"] > MANY_WAITING or row["waits_ms"] > SLOW_START_MS):
-        yield f"{row['waits']} task(s) of this member wait there for their start, for {row['waits_ms']} ms"
+        if capacity and used is not None and used >= MAX_USED_SHARE * capacity:
+            yield f"taken of its {resource}: {used:g} of the {capacity:g} up to which it accepts tasks"
+    if row["late_ms"] and row["late_ms"] > MAX_START_DELAY_MS:
+        yield f"starts take {row['late_ms']} ms there recently, which raises its price"
+    if row["waits"] and (row["waits"] > MAX_WAITING_TASKS or row["waits_ms"] > MAX_START_DELAY_MS):
+        yield f"{row['waits']} task(s) of this member wait there for their start, the oldest for {row['waits_ms']} ms"
     if row["cores"] is None:
-        yield "the decision module does not know it yet"
+        yield "the placement module does not know it yet"
 
 
 def query_rows(
     engine: QueryEngine, sql: str, filters: Mapping[str, Mapping[str, Any]], missing: dict[str, str]
 ) -> list[Row]:
-    """The rows of a query by column; members whose rows are incomplete are added to ``missing``."""
+    """Returns the rows of a query as mappings; adds the members with incomplete rows, and why, to ``missing``."""
     result = engine.query(sql, engine.catalog.in_fleet, filters)
     missing.update(result.summary.missing)
     return [dict(zip(result.columns, row, strict=True)) for row in result.rows]
 
 
 def missing_lines(missing: Mapping[str, str]) -> list[str]:
-    """Lines on the members whose rows an explanation lacks."""
+    """Returns a line for each member whose rows are missing from an explanation."""
     return [f"NOT HEARD: {sanitize(name)}: {sanitize(cause)}" for name, cause in sorted(missing.items())]
 
 
 def explain_node(engine: QueryEngine, node: str) -> list[str]:
-    """What each member makes of a node, in lines for an operator."""
+    """Returns lines that explain how each member treats a node."""
     missing: dict[str, str] = {}
     filters = {"nodes": {"node": node}, "evidence": {"node": node}, "news": {"node": node}}
     nodes = query_rows(engine, "SELECT * FROM nodes", filters, missing)
@@ -111,8 +116,8 @@
         )
         drained_by_gossip = {row["member"] for row in gossip}
     if not nodes:
-        unknown = f"no member's list names {sanitize(node)}: see SELECT node FROM nodes"
-        return [unknown, *missing_lines(missing)]
+        not_found = f"no member lists a node {sanitize(node)}: see SELECT node FROM nodes"
+        return [not_found, *missing_lines(missing)]
     lines: list[str] = []
     for row in sorted(nodes, key=lambda row: str(row["member"])):
         lines += _member_lines(row, evidence, row["member"] in drained_by_gossip)
@@ -120,38 +125,41 @@
 
 
 def _member_lines(row: Row, evidence: Sequence[Row], drained_by_gossip: bool) -> list[str]:
-    """What one member makes of a node."""
-    known_evidence = [one for one in evidence if one["member"] == row["member"]]
+    """Returns a member's view of a node, and its reasons against it."""
+    known_evidence = [observation for observation in evidence if observation["member"] == row["member"]]
     reasons = placement_reasons(row, known_evidence, drained_by_gossip)
     state = f"{row['health']}, {row['reach']}, {row['standing']} of its tasks there"
     return [
         f"{sanitize(row['member'])} ({state}):",
         *(
             f"  - {reason}"
-            for reason in reasons or ["nothing speaks against it: what is cheaper comes first"]
+            for reason in reasons or ["nothing speaks against it: cheaper nodes are preferred"]
         ),
     ]
 
 
 def _evidence_lines(evidence: Sequence[Row]) -> list[str]:
-    """The observations of a node, each with its greatest weight at any member."""
+    """Returns a line for each observation of a node, with its greatest weight at any member."""
     weights: dict[tuple[str, str], float] = {}
-    for one in evidence:
-        observation = str(one["by"]), str(one["sight"])
-        weights[observation] = max(weights.get(observation, 0.0), float(one["weight"]))
+    for row in evidence:
+        observation = str(row["by"]), str(row["sight"])
+        weights[observation] = max(weights.get(observation, 0.0), float(row["weight"]))
     return [
-        f"seen by {sanitize(by)}: {observation}, weight {weight:g} now"
-        for (by, observation), weight in sorted(weights.items())
+        f"observed by {sanitize(by)}: {sight}, current weight {weight:g}"
+        for (by, sight), weight in sorted(weights.items())
     ]
 
 
 def is_task_id(text: str) -> bool:
-    """Whether the text has the form of a request's id or an idempotency key: up to 16 hex digits."""
+    """Whether a text has the form of a request's id or an idempotency key: 1 to 16 hexadecimal digits."""
     return 1 <= len(text) <= 16 and all(digit in "0123456789abcdefABCDEF" for digit in text)
 
 
 def explain_task(engine: QueryEngine, text: str) -> list[str]:
-    """What became of a task, by its id or its idempotency key, at all members in the order of their clocks."""
+    """Returns the events of a task at all members by time, and its current state.
+
+    ``text``: its id or its idempotency key, in hexadecimal digits.
+    """
     uid = f"{int(text, 16):016x}"
     missing: dict[str, str] = {}
     events: dict[tuple[Any, ...], Row] = {}
@@ -164,11 +172,11 @@
         current += [row for row in tasks if row not in current]
     if not events and not current:
         return [
-            f"no member knows or remembers {uid}: it never came, or so long ago that its steps are not kept"
+            f"no member knows {uid}: it was never requested, or its events are no longer kept"
             " (`control.history`)",
             *missing_lines(missing),
         ]
-    # Events of the same millisecond keep the order in which they came.
+    # The sort is stable: events of the same millisecond keep the order of their arrival.
     in_order = sorted(events.values(), key=lambda row: row["when_ms"])
     return [*map(_event_line, in_order), *_current_lines(current), *missing_lines(missing)]
 
@@ -184,26 +192,26 @@
 
 
 def _current_lines(rows: Sequence[Row]) -> list[str]:
-    """Where a task is now, once for each member and request."""
+    """Returns a line on the current state of a task for each member and request."""
     by_request: dict[tuple[Any, ...], Row] = {}
     for row in rows:
         by_request.setdefault((row["member"], row["uid"]), row)
-    return [_current_line(row) for row in by_request.values()] or ["now: no member holds it any more"]
+    return [_current_line(row) for row in by_request.values()] or ["now: no member has it any more"]
 
 
 def _current_line(row: Row) -> str:
-    """Where a task is now, at one member."""
+    """Returns a line on the current state of a task at one member."""
     text = str(row["state"])
     if row["state"] == "open":
         text += f", {row['left_ms']} ms left, {row['attempts']} attempt(s) so far"
         if row["waiting"]:
-            text += ", waits for its turn"
+            text += ", waiting to be placed"
         elif row["node"]:
-            text += f", out to {sanitize(row['node'])}"
+            text += f", sent to {sanitize(row['node'])}"
     elif row["node"]:
         text += f" at {sanitize(row['node'])}"
     if row["in_doubt"]:
-        text += ", in doubt: its node is being asked"
+        text += ", uncertain: its node is being queried"
     if row["why"]:
         text += f"; last cause: {sanitize(row['why'])}"
-    return f"now: {sanitize(row['member'])} holds it: {text}"
+    return f"now: {sanitize(row['member'])} has it: {text}"
--- a/thornshelf/shell/output.py
+++ b/thornshelf/shell/output.py
@@ -1,4 +1,4 @@
-"""Results as text: tables for people, JSON and CSV for scripts.
+"""Formats the results of queries: tables for people, JSON and CSV for scripts.
 
 Values come from dispatchers and their nodes, and are sanitized so that none can control the terminal.
 """
@@ -15,9 +15,9 @@
 
 
 def sanitize(value: object) -> str:
-    """A value on one line, with control characters and others that do not print as escape sequences.
+    """Returns a value as one line, in which unprintable characters are replaced by escape sequences.
 
-    Names may have been chosen to move the cursor or to hide the text beside them.
+    A name may have been chosen to move the cursor, or to hide the text next to it.
     """
     if value is None:
         return ""
@@ -30,12 +30,12 @@
 
 
 def format_time(at_ms: int) -> str:
-    """Unix milliseconds as a time of the day, UTC."""
+    """Format Unix milliseconds as the time of day in UTC."""
     return datetime.fromtimestamp(at_ms / 1000, UTC).strftime("%H:%M:%S.%f")[:-3]
 
 
 def summary_lines(result: QueryResult) -> list[str]:
-    """Lines below the rows: how many there are, from which members and when, and what is missing."""
+    """Returns the lines below the rows: their number, the members that sent them and when, and what is missing."""
     summary = result.summary
     members = summary.members
     source = f"{len(members)} members" if len(members) > 1 else "".join(map(sanitize, members))
@@ -44,9 +44,9 @@
         span = format_time(summary.first_ms)
         if summary.last_ms != summary.first_ms:
             span += f" to {format_time(summary.last_ms)}"
-        lines.append(f"{len(result.rows)} rows, told by {source} at {span} UTC")
+        lines.append(f"{len(result.rows)} rows, from {source} at {span} UTC")
     else:
-        lines.append(f"{len(result.rows)} rows" + (f", told by {source}" if source else ""))
+        lines.append(f"{len(result.rows)} rows" + (f", from {source}" if source else ""))
     if result.truncation:
         lines.append(f"NOT ALL ROWS: {result.truncation}")
     lines += [f"NOT ALL MEMBERS: {sanitize(name)}: {sanitize(cause)}" for name, cause in summary.missing]
@@ -54,7 +54,7 @@
 
 
 def as_json(result: QueryResult) -> str:
-    """One object on one line."""
+    """Returns a result as one JSON object on one line."""
     value: dict[str, Any] = {
         "columns": result.columns,
         "rows": [list(row) for row in result.rows],
@@ -69,7 +69,7 @@
 
 
 def as_csv(result: QueryResult) -> str:
-    """A header and rows after RFC 4180; numbers as they are, other values sanitized."""
+    """Returns a result as CSV by RFC 4180, with a header; values other than numbers are sanitized."""
     out = io.StringIO()
     writer = csv.writer(out)
     writer.writerow(map(sanitize, result.columns))
@@ -80,7 +80,7 @@
 
 
 def render_table(result: QueryResult) -> Any:
-    """A table for a terminal, which Rich prints."""
+    """Returns a result as a table that Rich can print on a terminal."""
     from rich import box
     from rich.table import Table
     from rich.text import Text
@@ -91,7 +91,6 @@
         justify: Literal["left", "right"] = "right" if is_numeric and result.rows else "left"
         table.add_column(Text(sanitize(name)), justify=justify, overflow="fold")
     for row in result.rows:
-        table.add_row(
-            *(Text(sanitize(value)) for value in row)
-        )  # Text, as a plain str would be read as markup
+        # A plain str would be read as markup.
+        table.add_row(*(Text(sanitize(value)) for value in row))
     return table
--- a/thornshelf/shell/prompt.py
+++ b/thornshelf/shell/prompt.py
@@ -1,4 +1,4 @@
-"""The interactive shell: SQL, and commands that begin with a dot."""
+"""The interactive shell, which takes SQL and commands that begin with a dot."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from thornshelf.shell.explanations import explain_node, explain_task, is_task_id
 
 HISTORY_FILE = Path("~/.thornshelf_history")
-OUTPUT_WIDTH = 200  # columns, where the output is no terminal
+OUTPUT_WIDTH = 200  # columns, if the output is not a terminal
 MIN_WATCH_INTERVAL_S = 0.1
 MAX_WATCH_INTERVAL_S = 3600.0
 SQL_KEYWORDS = (
@@ -29,22 +29,22 @@
 )  # fmt: skip
 HELP_TEXT = """\
 SQL: one SELECT over the tables, e.g.  SELECT node, health, standing FROM nodes ORDER BY standing DESC
-Every row has `member` (who tells it) and `at_ms` (of which moment). `unanswered` names who told nothing, and why.
+Each row has `member` (its sender) and `at_ms` (its time). `unanswered` lists members with missing rows, and why.
 
-.tables             the tables                    .columns TABLE     its columns and what they mean
-.queries            ready queries                 .run NAME          run one of them
-.fleet / .here      ask all members / only this dispatcher
-.why NODE|TASK      why a node is not chosen; what became of a task (by its id or its name)
-.diff [TABLE]       what members hold differently (nodes, members, settings, allowances)
-.watch SECONDS SQL  again and again, until Ctrl-C; also .watch 2 .run down
-.help               this                          .quit              leave (or Ctrl-D)"""
+.tables             list the tables               .columns TABLE     list the columns of a table
+.queries            list the saved queries        .run NAME          run a saved query
+.fleet / .here      query all members / only this dispatcher
+.why NODE|TASK      why a node is not chosen; what became of a task (by its id or its idempotency key)
+.diff [TABLE]       rows in which members differ (nodes, members, settings, allowances)
+.watch SECONDS SQL  repeat a query or command until Ctrl-C, e.g. .watch 2 .run down
+.help               print this help               .quit              leave (or Ctrl-D)"""
 
 
 class Shell:
-    """Carries out lines of input, and writes to a console."""
+    """Executes lines of input, and prints the results to a console."""
 
     def __init__(self, socket_path: str, limits: QueryLimits, fleet: bool | None, console: Console) -> None:
-        """``fleet``: query all members or this dispatcher alone; None: the fleet where the dispatcher is in one.
+        """``fleet``: query all members, or this dispatcher alone; None: all members if it is in a fleet.
 
         Raises the errors of ``ControlClient``.
         """
@@ -61,26 +61,26 @@
         }  # fmt: skip
 
     def print_lines(self, *lines: str, style: str = "") -> None:
-        """Print lines as they are, without markup."""
+        """Print lines without interpreting markup in them."""
         for line in lines:
             self.console.print(Text(line, style=style), soft_wrap=True)
 
     @property
     def scope(self) -> str:
-        """The fleet, or the name of the dispatcher that is queried."""
+        """What is queried, as the prompt shows it: ``fleet``, or the name of the dispatcher."""
         return "fleet" if self.fleet else output.sanitize(self.engine.catalog.member)
 
     def print_banner(self) -> None:
-        """Print the first lines."""
+        """Print the greeting of an interactive shell."""
         version = output.sanitize(self.engine.catalog.version)
         name = output.sanitize(self.engine.catalog.member)
         scope = "all members of its fleet" if self.fleet else "this dispatcher alone"
         self.print_lines(
-            f"thornshelf {version}, dispatcher {name}; asking {scope}. `.help` helps, `.queries` gives a start."
+            f"thornshelf {version}, dispatcher {name}; querying {scope}. `.help` lists all commands."
         )
 
     def run_query(self, sql: str, fleet: bool | None = None) -> None:
-        """Run a query, and print its result."""
+        """Run a query and print its result; ``fleet``: as of the shell if None. Raises the errors of the engine."""
         result = self.engine.query(sql, self.fleet if fleet is None else fleet)
         if result.rows:
             self.console.print(output.render_table(result))
@@ -88,7 +88,7 @@
             self.print_lines(line, style="bold red" if line.startswith("NOT ALL") else "dim")
 
     def handle_line(self, line: str) -> bool:
-        """Carry out one line; false where it ends the shell. After an error the shell connects anew."""
+        """Execute one line; returns whether the shell goes on. After an error it reconnects."""
         line = line.strip()
         if line in (".quit", ".exit"):
             return False
@@ -112,12 +112,14 @@
         command = self.commands.get(name)
         if command is None:
             self.failed = True
-            self.print_lines(f"no command is called {output.sanitize(name)}; `.help` lists them", style="red")
+            self.print_lines(
+                f"unknown command {output.sanitize(name)}; `.help` lists the commands", style="red"
+            )
             return
         command(argument.strip())
 
     def reconnect(self) -> None:
-        """Replace the connection: replies to the failed query may still arrive on the old one."""
+        """Open a new connection, because replies to a failed query may still arrive on the old one."""
         self.engine.client.close()
         with suppress(ThornshelfError):  # the next query fails with the same error
             self.engine = QueryEngine(ControlClient(self.socket_path, self.limits.timeout_s), self.limits)
@@ -125,28 +127,28 @@
     def _set_scope(self, fleet: bool) -> None:
         if fleet and not self.engine.catalog.in_fleet:
             self.print_lines(
-                "this dispatcher is in no fleet (no table `fleet` in its operator's file)", style="red"
+                "this dispatcher is not in a fleet (its operator's file has no table `fleet`)", style="red"
             )
             return
         self.fleet = fleet
-        self.print_lines("asking all members" if fleet else "asking this dispatcher alone")
+        self.print_lines("querying all members" if fleet else "querying this dispatcher alone")
 
     def _tables(self, _: str) -> None:
         for schema in self.engine.schemas.values():
             self.print_lines(f"{output.sanitize(schema.name):<12} {output.sanitize(schema.meaning)}")
         self.print_lines(
-            f"{UNANSWERED_TABLE:<12} Who told nothing, or not all, and why; filled by the other tables of a query."
+            f"{UNANSWERED_TABLE:<12} Members whose rows are missing from the other tables of the query, and why."
         )
 
     def _columns(self, name: str) -> None:
         schema = self.engine.schemas.get(name)
         if schema is None:
             self.print_lines(
-                "`.columns TABLE`; the tables are: " + ", ".join(self.engine.schemas), style="red"
+                "usage: `.columns TABLE`; the tables are: " + ", ".join(self.engine.schemas), style="red"
             )
             return
-        origin = [(column, sql_type, "beside every row") for column, sql_type in ORIGIN_COLUMNS]
-        for column, sql_type, meaning in [*origin, *schema.columns]:
+        origin_columns = [(column, sql_type, "in every table") for column, sql_type in ORIGIN_COLUMNS]
+        for column, sql_type, meaning in [*origin_columns, *schema.columns]:
             self.print_lines(f"{output.sanitize(column):<14} {sql_type:<8} {output.sanitize(meaning)}")
 
     def _queries(self, _: str) -> None:
@@ -157,17 +159,22 @@
         query = saved_queries.QUERIES_BY_NAME.get(name)
         if query is None:
             self.print_lines(
-                "`.run NAME`; the names are: " + ", ".join(saved_queries.QUERIES_BY_NAME), style="red"
+                "usage: `.run NAME`; the names are: " + ", ".join(saved_queries.QUERIES_BY_NAME), style="red"
             )
         elif any(table not in self.engine.schemas for table in _fleet_tables(query.sql)):
-            self.print_lines("this dispatcher is in no fleet, and has no such table", style="red")
+            self.print_lines(
+                "this dispatcher is not in a fleet, and lacks the table of this query", style="red"
+            )
         else:
             self.print_lines(query.question, style="bold")
             self.run_query(query.sql)
 
     def _why(self, subject: str) -> None:
         if not subject:
-            self.print_lines("`.why NODE` or `.why TASK` (its id or its name, in hex digits)", style="red")
+            self.print_lines(
+                "usage: `.why NODE` or `.why TASK` (its id or its idempotency key, in hexadecimal digits)",
+                style="red",
+            )
             return
         if is_task_id(subject):
             lines = explain_task(self.engine, subject)
@@ -178,17 +185,18 @@
 
     def _diff(self, table: str) -> None:
         if not self.engine.catalog.in_fleet:
-            self.print_lines("this dispatcher is in no fleet: there is nothing to compare", style="red")
+            self.print_lines("this dispatcher is not in a fleet: there is nothing to compare", style="red")
             return
         for name in [table] if table else ["members", "nodes"]:
             sql = saved_queries.difference_query(name)
             if sql is None:
                 self.print_lines(
-                    "`.diff TABLE`; what can be compared: " + ", ".join(saved_queries.COMPARED_COLUMNS),
+                    "usage: `.diff TABLE`; tables that can be compared: "
+                    + ", ".join(saved_queries.COMPARED_COLUMNS),
                     style="red",
                 )
                 return
-            self.print_lines(f"{name}: what members hold differently", style="bold")
+            self.print_lines(f"{name}: rows in which members differ", style="bold")
             self.run_query(sql, True)
 
     def _watch(self, argument: str) -> None:
@@ -200,13 +208,13 @@
             interval_s = 0.0
         is_valid_interval = MIN_WATCH_INTERVAL_S <= interval_s <= MAX_WATCH_INTERVAL_S
         if not is_valid_interval or not line or line.startswith(".watch"):
-            self.print_lines("`.watch SECONDS SQL`, at least 0.1", style="red")
+            self.print_lines("usage: `.watch SECONDS SQL`, with 0.1 to 3600 seconds", style="red")
             return
         try:
             while True:
                 if self.console.is_terminal:
                     self.console.clear()
-                self.print_lines(f"every {interval_s:g} s, Ctrl-C ends: {output.sanitize(line)}", style="dim")
+                self.print_lines(f"every {interval_s:g} s until Ctrl-C: {output.sanitize(line)}", style="dim")
                 self._execute(line)
                 time.sleep(interval_s)
         except KeyboardInterrupt:
@@ -214,12 +222,12 @@
 
 
 def _fleet_tables(sql: str) -> Sequence[str]:
-    """Those tables of a saved query that only a dispatcher in a fleet has."""
+    """Returns the first table of a saved query that only a dispatcher in a fleet has, as a list."""
     return [table for table in ("members", "allowances") if f"FROM {table}" in sql][:1]
 
 
 def unquote(text: str) -> str:
-    """A name without its quotes; an escape such as ``\\x1b`` stands for a character that cannot be typed."""
+    """Remove the quotes of a name; in an unquoted one, decode escapes such as ``\\x1b``, as results show them."""
     if text[:1] not in ("'", '"'):
         return text.encode().decode("unicode_escape") if "\\x" in text else text
     try:
@@ -229,7 +237,7 @@
 
 
 def completions(engine: QueryEngine, line: str = "") -> list[str]:
-    """What may come next: the names that some commands take, otherwise all keywords, names and commands."""
+    """Returns completions of a line: the arguments of its command, otherwise all keywords, names and commands."""
     command, space, _ = line.lstrip().partition(" ")
     arguments: dict[str, Iterable[str]] = {
         ".run": saved_queries.QUERIES_BY_NAME,
@@ -249,7 +257,7 @@
 
 
 def _read_lines(shell: Shell) -> Iterator[str]:
-    """Lines from a terminal with history and completion, or from other input as they come."""
+    """Yields lines from a terminal, with history and completion, or from another input."""
     if not sys.stdin.isatty():
         yield from sys.stdin
         return
@@ -259,8 +267,8 @@
     from prompt_toolkit.history import FileHistory, InMemoryHistory
     from prompt_toolkit.shortcuts import CompleteStyle
 
-    file = HISTORY_FILE.expanduser()
-    history = FileHistory(str(file)) if os.access(file.parent, os.W_OK) else InMemoryHistory()
+    history_file = HISTORY_FILE.expanduser()
+    history = FileHistory(str(history_file)) if os.access(history_file.parent, os.W_OK) else InMemoryHistory()
 
     def completer() -> WordCompleter:
         candidates = completions(shell.engine, session.default_buffer.document.text_before_cursor)
@@ -285,10 +293,10 @@
 def run(socket_path: str, limits: QueryLimits, fleet: bool | None) -> int:
     """Run the shell until its input ends; returns the exit code.
 
-    It is 1 where the input is no terminal and a line failed, otherwise 0.
+    The code is 1 if a line failed and the input is not a terminal, otherwise 0.
     """
     is_interactive = sys.stdin.isatty()
-    # Output to a file or another program is not wrapped to the width of a terminal.
+    # Output to a file or a pipe is not wrapped to the width of a terminal.
     console = Console(highlight=False, width=None if sys.stdout.isatty() else OUTPUT_WIDTH)
     shell = Shell(socket_path, limits, fleet, console)
     if is_interactive:
--- a/thornshelf/shell/saved_queries.py
+++ b/thornshelf/shell/saved_queries.py
@@ -1,4 +1,4 @@
-"""Saved queries for operators' common questions; ``.queries`` lists them, ``.run NAME`` runs one."""
+"""Saved queries for common questions of operators; ``.queries`` lists them, ``.run NAME`` runs one."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SavedQuery:
-    """A query and the question that it answers; ``fleet``: it makes sense for the tables of all members only."""
+    """A query and the question that it answers; ``fleet``: it is only useful over the rows of all members."""
 
     name: str
     question: str
@@ -18,7 +18,7 @@
 SAVED_QUERIES = (
     SavedQuery(
         "down",
-        "Who is down, by whose word?",
+        "Who is down, and which members report it?",
         "SELECT name, state, group_concat(DISTINCT member) AS seen_by, count(*) AS seers,"
         " group_concat(DISTINCT nullif(by, '')) AS by_word_of, min(heard_ms) AS heard_ms FROM members"
         " WHERE state <> 'alive' GROUP BY name, state ORDER BY name, seers DESC",
@@ -31,7 +31,7 @@
     ),
     SavedQuery(
         "differ",
-        "Of which nodes do members hold different things?",
+        "On which nodes do members disagree?",
         "SELECT node, health, started_ms, count(*) AS members, group_concat(member) AS held_by FROM nodes"
         " WHERE node IN (SELECT node FROM nodes GROUP BY node"
         " HAVING count(DISTINCT health) > 1 OR count(DISTINCT started_ms) > 1"
@@ -40,7 +40,7 @@
     ),
     SavedQuery(
         "shunned",
-        "Which nodes get nothing new, or are chosen last, and why?",
+        "Which nodes get no new tasks, or are chosen last, and why?",
         "SELECT node, member, health, reach, strikes, suspect_ms, shut_ms, cold, cold_left, second_choice, waits_ms"
         " FROM nodes"
         " WHERE health <> 'up' OR reach = 'unreachable' OR strikes > 0 OR suspect_ms > 0 OR shut_ms > 0"
@@ -48,12 +48,12 @@
     ),
     SavedQuery(
         "owed",
-        "Which releases are owed, and for how long?",
+        "Which clients have not been notified of the end of a task yet, and for how long?",
         "SELECT member, uid, client, outcome, owed_ms FROM releases ORDER BY owed_ms DESC",
     ),
     SavedQuery(
         "allowances",
-        "Which allowances are in force?",
+        "Which quotas of the fleet are in force?",
         "SELECT name, value, count(*) AS members, group_concat(member) AS held_by FROM allowances"
         " GROUP BY name, value ORDER BY name, value",
     ),
@@ -66,31 +66,31 @@
     ),
     SavedQuery(
         "doubt",
-        "Which tasks are in doubt: may run, and are asked about?",
+        "Which tasks are uncertain, so that their nodes are being queried?",
         "SELECT member, uid, key, class, node, age_ms FROM tasks WHERE in_doubt = 1 ORDER BY age_ms DESC",
     ),
     SavedQuery(
         "errors",
-        "Which errors came, and what can be done?",
+        "Which errors occurred, and what can be done about them?",
         "SELECT code, error, sum(count) AS count, max(last_ms) AS last_ms, group_concat(DISTINCT member) AS members,"
         " remedy FROM errors GROUP BY code, error, remedy ORDER BY count DESC",
     ),
     SavedQuery(
         "outcomes",
-        "What became of the tasks, member by member?",
+        "What are the outcomes of tasks, by member?",
         "SELECT member, name, value FROM counters WHERE part = 'core' ORDER BY member, name",
     ),
 )
-QUERIES_BY_NAME = {one.name: one for one in SAVED_QUERIES}
+QUERIES_BY_NAME = {query.name: query for query in SAVED_QUERIES}
 
-# What ``.diff`` compares, by table: the columns that identify a row, and those that members should agree on.
+# What ``.diff`` compares, by table: the columns that identify a row, and the columns in which members should agree.
 COMPARED_COLUMNS = {
     "nodes": (("node",), ("address", "health", "started_ms", "zone", "kind")),
     "members": (("name",), ("state", "address", "incarnation")),
     "settings": (("key",), ("value",)),
     "allowances": (("name",), ("value",)),
 }
-# Rows that differ between members by their nature, by table.
+# By table, the keys of rows that each member has a value of its own for.
 MEMBER_SPECIFIC_KEYS = {
     "settings": (
         "name", "listen", "seed", "settings.me", "changelog", "control.socket",
@@ -100,15 +100,15 @@
 
 
 def difference_query(table: str) -> str | None:
-    """SQL for the rows in which members differ; None for a table that members do not have in common."""
+    """Returns SQL for the rows of a table in which members differ, or None if the table can't be compared."""
     if table not in COMPARED_COLUMNS:
         return None
     key_columns, value_columns = COMPARED_COLUMNS[table]
     key = ", ".join(key_columns)
     values = ", ".join(value_columns)
     differs = " OR ".join(f"count(DISTINCT coalesce({column}, '')) > 1" for column in value_columns)
-    own_keys = ", ".join(map(repr, MEMBER_SPECIFIC_KEYS.get(table, ())))
-    where = f" WHERE key NOT IN ({own_keys})" if own_keys else ""
+    excluded_keys = ", ".join(map(repr, MEMBER_SPECIFIC_KEYS.get(table, ())))
+    where = f" WHERE key NOT IN ({excluded_keys})" if excluded_keys else ""
     is_incomplete = f"count(DISTINCT member) < (SELECT count(DISTINCT member) FROM {table})"
     return (
         f"SELECT {key}, {values}, count(*) AS members, group_concat(member) AS held_by FROM {table}"
