--- a/thornshelf/cli/queries.py
+++ b/thornshelf/cli/queries.py
@@ -30,16 +30,8 @@
             default=None,
             help="Query all members, or this one alone; by default all if it is in a fleet.",
         ),
-        click.option(
-            "--seconds", type=click.FloatRange(0.1, 600), default=10.0, show_default=True, help="Time limit."
-        ),
-        click.option(
-            "--rows",
-            type=click.IntRange(1, 1_000_000),
-            default=10_000,
-            show_default=True,
-            help="Limit of rows.",
-        ),
+        click.option("--seconds", type=click.FloatRange(0.1, 600), default=10.0, show_default=True),
+        click.option("--rows", type=click.IntRange(1, 1_000_000), default=10_000, show_default=True),
     ):
         command = option(command)
     return command
--- a/thornshelf/translation/field_mapping_audit.py
+++ b/thornshelf/translation/field_mapping_audit.py
@@ -49,7 +49,7 @@
         for field in dataclasses.fields(record_type):
             yield f"{name}.{field.name}"
     yield from (f"kind.{kind}" for kind in jsonl.KINDS)
-    yield from (f"out.{name}" for name in jsonl.OUT_FIELDS)
+    yield from (f"out.{out_field}" for out_field in jsonl.OUT_FIELDS)
     yield from (f"cause.{cause}" for cause in jsonl.CAUSES)
 
 
@@ -63,8 +63,8 @@
             yield f"{group}.{name}"
     causes = {*node_binary.OUTCOMES_BEFORE_START, *node_binary.OUTCOMES_AFTER_START, "other"}
     yield from (f"cause.{cause}" for cause in causes)
-    yield from (f"reason.{name}" for name in node_binary.REASONS_BY_NAME)
-    yield from (f"fact.{name}" for name in node_binary.FACTS_BY_NAME)
+    yield from (f"reason.{reason}" for reason in node_binary.REASONS_BY_NAME)
+    yield from (f"fact.{fact}" for fact in node_binary.FACTS_BY_NAME)
 
 
 def elements(wire_format: WireFormat) -> set[str]:
