--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -1,4 +1,4 @@
-"""Translation between generations: missing fields, reasons, routes and retries, with injected faults."""
+"""Translation between protocol generations on sockets: missing fields, reasons, routes and retries."""
 
 from __future__ import annotations
 
@@ -39,9 +39,9 @@
 
 
 @CLIENTS
-def test_a_missing_hint_is_rejected_with_the_reason(front: str) -> None:
+def test_a_request_without_a_required_hint_is_rejected_with_the_reason(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, manners=needs_hint)
-    cluster.run_for(50)  # their hellos have arrived
+    cluster.run_for(50)  # until the hellos have arrived
     cluster.client.ask(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
@@ -56,13 +56,13 @@
 
 
 @CLIENTS
-def test_a_missing_hint_is_assumed_by_policy_and_reported(front: str) -> None:
+def test_a_missing_hint_is_assumed_by_the_class_policy_and_reported(front: str) -> None:
     cluster = FakeCluster(front, GRPC2, terms=ASSUME, manners=needs_hint)
     cluster.client.ask(5, NodeBehavior.RUN, hint=None)
-    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # the policy is of another class
+    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # a class without that policy
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.wait_for_events(6)[0][0] == "refused"
-    (order,) = (one for node in cluster.nodes for one in node.orders if one.uid == 5)
+    (order,) = (order for node in cluster.nodes for order in node.orders if order.uid == 5)
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
     assert [values["ms"] for values in log_lines(cluster, "hint-assumed")] == [15_000]
     message = cluster.client.said[5][0]
@@ -85,7 +85,7 @@
     cluster = FakeCluster(JSON, GRPC2)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY, hint="8200.0")
     cluster.wait_for_events(5)
-    (order,) = (one for node in cluster.nodes for one in node.orders)
+    (order,) = (order for node in cluster.nodes for order in node.orders)
     offer = order.more
     assert (offer.hint.ms, offer.hint.assumed, offer.tenant, offer.key) == (8200.0, False, "hollis-county", 5)
     assert (offer.cores, offer.memory, offer.service, offer.priority) == (1.0, 2.0, 7, 1)
@@ -117,9 +117,8 @@
 ) -> None:
     cluster = FakeCluster(front, GRPC2)
     cluster.client.ask(5, behavior, ONCE_ONLY)
-    assert (
-        cluster.wait_for_events(5)[0][0] == "refused"
-    )  # it never ran: this holds for tasks that must not be started twice, too
+    # Rejected rather than failed, although the task must not be started twice: it is known not to have run.
+    assert cluster.wait_for_events(5)[0][0] == "refused"
     message = cluster.client.said[5][0]
     if front == JSON:
         assert (message.reason, message.meta["why"]) == (34, text)
@@ -129,7 +128,7 @@
     assert start_count(cluster, 5) == 0
 
 
-def test_a_failure_of_the_task_itself_does_not_exclude_the_node() -> None:
+def test_a_rejection_that_concerns_only_the_task_does_not_exclude_the_node() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
     for uid in range(5, 9):
         cluster.client.ask(uid, NodeBehavior.LICENCE)
@@ -138,7 +137,7 @@
     assert cluster.wait_for_events(9) == [PLACED]
 
 
-def test_a_new_client_gets_the_reason_of_an_old_node() -> None:
+def test_a_new_client_receives_the_reason_of_an_old_node() -> None:
     cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
     cluster.client.ask(5, NodeBehavior.FULL)
     cluster.wait_for_events(5)
@@ -189,20 +188,20 @@
     node.runs.clear()
     node.break_streams()
     uid = 6
-    while True:  # until it is reached in its new format; no attempt may be lost or started twice meanwhile
+    while True:  # until an attempt succeeds in the new format; none may be lost or started twice meanwhile
         cluster.client.ask(uid, NodeBehavior.RUN, ONCE_ONLY)
-        events = cluster.wait_for_events(uid)[0]
-        assert events[0] in ("placed", "refused")
-        if events == PLACED:
+        event = cluster.wait_for_events(uid)[0]
+        assert event[0] in ("placed", "refused")
+        if event == PLACED:
             break
         uid += 1
     profile = cluster.service.core.translator.profile(1)  # type: ignore[union-attr]
     assert profile.wire_format is WIRE_FORMATS[after]
-    assert [one.uid for one in node.orders if one.kind == "offer"] == [5, uid]
+    assert [order.uid for order in node.orders if order.kind == "offer"] == [5, uid]
 
 
-def test_a_node_upgraded_between_attempt_and_retry() -> None:
-    """The first attempt is refused by an old node; the second finds a new one there that needs a hint."""
+def test_nodes_upgraded_between_two_requests_require_a_hint_at_once() -> None:
+    """Guards against sending an attempt without a hint to nodes whose new processes require one."""
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY))
     cluster = FakeCluster(JSON, BINARY, nodes=2, terms=terms)
     cluster.client.ask(4, NodeBehavior.RUN)
@@ -216,24 +215,24 @@
     assert cluster.offer_count(5) == 0
 
 
-def test_the_other_node_is_upgraded_as_the_first_attempt_is_rejected() -> None:
-    """Between the attempt and the retry; what the new process requires is known before the retry leaves."""
+def test_a_node_upgraded_between_attempt_and_retry_is_sent_no_task_without_a_hint() -> None:
+    """Guards against a retry that is sent before the new process has declared what it requires."""
     terms = TranslationConfig(default_formats=(WireFormat.GRPC_V2, WireFormat.BINARY))
     cluster = FakeCluster(JSON, BINARY, nodes=2, terms=terms)
     cluster.client.ask(4, NodeBehavior.RUN)
     cluster.wait_for_events(4)
     cluster.run_for(100)
-    usual = {node: node.order for node in cluster.nodes}
+    original_handlers = {node: node.order for node in cluster.nodes}
 
-    def order(node: FakeNode, order: ReceivedOrder, say: Any) -> None:
+    def upgrade_other_node(node: FakeNode, order: ReceivedOrder, say: Any) -> None:
         for other in cluster.nodes:
             if other is not node and not other.manners.requires:
                 other.form, other.manners.requires = GRPC2, (pb2.HINT,)
                 other.break_streams()
-        usual[node](order, say)
+        original_handlers[node](order, say)
 
     for node in cluster.nodes:
-        node.order = partial(order, node)  # type: ignore[method-assign]
+        node.order = partial(upgrade_other_node, node)  # type: ignore[method-assign]
     cluster.client.ask(5, NodeBehavior.FULL, ONCE_ONLY, hint=None)
     assert cluster.wait_for_events(5)[0][0] in ("refused", "failed")
     assert start_count(cluster, 5) == 0
@@ -245,26 +244,26 @@
 
 
 def test_unknown_fields_of_a_newer_peer_are_ignored() -> None:
-    """A field that this generation does not know, in a report, a hello and an ask."""
-    extra = b"\xfa\x3e\x03new"  # field 1007, length-delimited
+    """Guards against rejecting a report, a hello or a request with a field that this generation does not know."""
+    unknown_field = b"\xfa\x3e\x03new"  # number 1007, length-delimited
     report = pb2.NodeReport.FromString(
-        pb2.NodeReport(uid=5, hello=pb2.Hello(generation=3)).SerializeToString() + extra
+        pb2.NodeReport(uid=5, hello=pb2.Hello(generation=3)).SerializeToString() + unknown_field
     )
     assert report.WhichOneof("kind") == "hello"
     assert report.hello.generation == 3
     cluster = FakeCluster(GRPC2, GRPC2, manners=lambda node: setattr(node.manners, "generation", 3))
-    ask = cluster.client.message(5, NodeBehavior.RUN, "lookup").SerializeToString() + extra
+    ask = cluster.client.message(5, NodeBehavior.RUN, "lookup").SerializeToString() + unknown_field
     body = pb2.ClientMessage(ask=pb2.Ask.FromString(ask)).SerializeToString()
-    assert extra in body  # it is preserved
+    assert unknown_field in body  # protobuf preserves it
     cluster.client.h2.send(cluster.client.call, b"\0" + len(body).to_bytes(4, "big") + body)
     assert cluster.wait_for_events(5) == [PLACED]
 
 
-def test_a_node_with_another_name_than_the_listed_one_gets_no_attempts() -> None:
-    def impostor(node: FakeNode) -> None:
+def test_a_node_with_another_name_than_the_listed_one_receives_no_attempts() -> None:
+    def declare_other_name(node: FakeNode) -> None:
         node.manners.name = "s-0000ffff"
 
-    cluster = FakeCluster(JSON, GRPC2, manners=impostor)
+    cluster = FakeCluster(JSON, GRPC2, manners=declare_other_name)
     cluster.run_for(50)
     cluster.client.ask(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5)[0][0] == "refused"
@@ -273,7 +272,7 @@
     assert len(log_lines(cluster, "handshake-inconsistent")) == 2
 
 
-def test_a_requirement_that_was_not_declared_is_learned() -> None:
+def test_an_undeclared_requirement_is_learned_from_a_rejection() -> None:
     cluster = FakeCluster(JSON, GRPC2, nodes=1)
     cluster.client.ask(5, NodeBehavior.NEEDS_HINT, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
@@ -284,18 +283,18 @@
     assert cluster.offer_count(6) == 0
 
 
-def test_a_node_without_a_hello_gets_no_attempts() -> None:
-    def rude(node: FakeNode) -> None:
+def test_a_node_without_a_hello_receives_no_attempts() -> None:
+    def omit_hello(node: FakeNode) -> None:
         node.manners.greets = False
 
-    cluster = FakeCluster(JSON, GRPC2, terms=TranslationConfig(hello_timeout_us=100_000), manners=rude)
+    cluster = FakeCluster(JSON, GRPC2, terms=TranslationConfig(hello_timeout_us=100_000), manners=omit_hello)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
 
 
 @pytest.mark.parametrize("front", [GRPC, GRPC2])
-def test_both_generations_are_served_to_clients(front: str) -> None:
+def test_clients_of_both_generations_are_served(front: str) -> None:
     cluster = FakeCluster(front, BINARY)
     cluster.client.ask(5, NodeBehavior.END)
     assert cluster.wait_for_events(5, 2) == [PLACED, ("released", pb2.ENDED)]
@@ -304,7 +303,7 @@
     cluster.client.h2.send(call, _frame(ask))
     cluster.client.h2.finish(call, [])
     cluster.run_until(lambda: call in cluster.client.status)
-    # v2 answers by a message, v1 by the status
+    # v2 rejects by a message, v1 by the status of the call
     assert cluster.client.status[call]["grpc-status"] == ("0" if front == GRPC2 else "8")
     assert (6 in cluster.client.heard) == (front == GRPC2)
 
@@ -318,29 +317,31 @@
 # retries
 
 
-def test_retries_are_bounded_by_the_budget() -> None:
-    none = RetryBudgetConfig(earned_per_attempt_milli=0, earned_per_s_milli=0, capacity_milli=0)
-    cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig(limits_retries=True, service_budget=none))
+def test_retries_are_limited_by_the_budget() -> None:
+    no_retries = RetryBudgetConfig(earned_per_attempt_milli=0, earned_per_s_milli=0, capacity_milli=0)
+    cluster = FakeCluster(
+        GRPC2, BINARY, terms=TranslationConfig(limits_retries=True, service_budget=no_retries)
+    )
     cluster.client.ask(5, NodeBehavior.FULL)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
     assert cluster.client.said[5][0].refusal.reason == pb2.OVERLOADED
-    plain = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    plain.client.ask(5, NodeBehavior.FULL)
-    assert plain.wait_for_events(5)[0][0] == "refused"
-    assert plain.offer_count(5) == 2
+    unlimited = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
+    unlimited.client.ask(5, NodeBehavior.FULL)
+    assert unlimited.wait_for_events(5)[0][0] == "refused"
+    assert unlimited.offer_count(5) == 2
 
 
-def test_the_waits_of_many_rejected_requests_are_spread() -> None:
+def test_the_retry_delays_of_many_rejected_requests_are_spread() -> None:
     cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(limits_retries=True))
     for uid in range(10, 60):
         cluster.client.ask(uid, NodeBehavior.FULL)
-    waits = [int(cluster.wait_for_events(uid)[0][1]) for uid in range(10, 60)]
-    assert len(set(waits)) > 25
-    assert all(1000 <= one <= 3000 for one in waits)
+    delays_ms = [int(cluster.wait_for_events(uid)[0][1]) for uid in range(10, 60)]
+    assert len(set(delays_ms)) > 25
+    assert all(1000 <= delay <= 3000 for delay in delays_ms)
 
 
-def test_waiting_requests_are_taken_by_priority_and_expired_ones_rejected_at_once() -> None:
+def test_waiting_requests_are_placed_by_priority_and_rejected_when_too_little_time_is_left() -> None:
     terms = TranslationConfig(
         limits_retries=True, queue=DeadlineQueueConfig(batch_size=1, min_remaining_us=100_000, max_waiting=10)
     )
@@ -350,26 +351,26 @@
         cluster.client.ask(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
     cluster.client.ask(30, NodeBehavior.RUN, ONCE_ONLY)
     events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
-    order = [one.uid for one in cluster.nodes[0].orders]
+    placed_order = [order.uid for order in cluster.nodes[0].orders]
     assert events[20] == "refused"
     assert events[30] == "placed"
-    assert order[0] == 30
+    assert placed_order[0] == 30
     assert cluster.service.core.open_count == 0
     assert not cluster.service.core.queue
-    refused = [uid for uid, kind in events.items() if kind == "refused"]
-    assert len(refused) >= 10
+    rejected = [uid for uid, kind in events.items() if kind == "refused"]
+    assert len(rejected) >= 10
     assert reason_text(cluster.client.said[20][0]).startswith("overloaded")
 
 
-def test_descriptions_of_any_bytes_are_unchanged_between_the_formats() -> None:
-    """Through JSON lines too, where a lone byte travels as a lone surrogate."""
+def test_descriptions_of_any_bytes_survive_json_lines() -> None:
+    """Guards against changed bytes: those that are not valid UTF-8 are sent as lone surrogates."""
     from thornshelf.wire import jsonl
 
     for data in (bytes(range(256)), b"\xff\xfe\x00", "é\r\n".encode(), b"\xed\xa0\x80"):
         line = jsonl.parse_line(jsonl.encode_line("running", 5, body=data))
-        text = line.body
-        assert text is not None
-        back = (
-            text.decode("utf-8", "surrogatepass").encode("utf-8", "surrogateescape") if text != data else text
+        body = line.body
+        assert body is not None
+        decoded = (
+            body.decode("utf-8", "surrogatepass").encode("utf-8", "surrogateescape") if body != data else body
         )
-        assert back == data
+        assert decoded == data
--- a/tests/test_translation_rules.py
+++ b/tests/test_translation_rules.py
@@ -1,4 +1,4 @@
-"""The rules of translation: guarantees, node profiles, missing fields, routes, keys and the field mapping."""
+"""Translation without I/O: guarantees, node profiles, missing fields, routes, keys and the field mapping."""
 
 from __future__ import annotations
 
@@ -65,10 +65,10 @@
     assert f"{wire_format.value}: {removed} has no binding" in field_mapping_audit.find_problems()
 
 
-def test_a_mapping_that_the_format_can_not_express_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_carried_subject_without_an_element_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     row = dict(field_mapping.RESPONSE_MAPPINGS["advice"]) | {WireFormat.GRPC_V1: field_mapping.CARRIED}
     monkeypatch.setitem(field_mapping.RESPONSE_MAPPINGS, "advice", row)
-    assert any("advice is declared as carried" in one for one in field_mapping_audit.find_problems())
+    assert any("advice is declared as carried" in problem for problem in field_mapping_audit.find_problems())
 
 
 @pytest.mark.parametrize("reason", list(FailureReason))
@@ -80,7 +80,7 @@
         assert (reported, reported_reason) == (outcome, Reason(int(reason)))
 
 
-def test_failures_of_the_task_itself_do_not_exclude_the_node() -> None:
+def test_rejections_that_concern_only_the_task_do_not_exclude_the_node() -> None:
     assert to_placement_outcome(Outcome.REFUSED, FailureReason.HINT_NEEDED)[0] is Outcome.NOT_SENT
     assert to_placement_outcome(Outcome.REFUSED, FailureReason.QUARANTINED) == (
         Outcome.REFUSED,
@@ -90,14 +90,14 @@
     assert execution_guarantee(Outcome.NOT_SENT) is ExecutionGuarantee.NEVER_RAN
 
 
-def test_values_of_a_newer_generation_are_decoded_to_the_weakest_ones() -> None:
+def test_unknown_reasons_default_advice_and_the_sanitizing_of_texts() -> None:
     assert decode_reason(99) is FailureReason.UNTOLD
     assert failure_cause(FailureReason.LICENCE).advice is RetryAdvice.CHANGED
     assert failure_cause(FailureReason.LICENCE, advice=RetryAdvice.LATER).advice is RetryAdvice.LATER
     assert sanitize_text("a\nb\x00" + "c" * 500) == "a b " + "c" * 196
 
 
-def test_missing_field_policies() -> None:
+def test_a_missing_field_is_assumed_only_by_policy() -> None:
     policies = MissingFieldPolicies({"lookup": MissingFieldPolicy(MissingFieldAction.ASSUME, 15_000)})
     hint = {RequiredField.HINT.value}
     assert policies.missing_fields("lookup", NOTHING, hint) == []
@@ -107,7 +107,7 @@
     ]
     assert policies.missing_fields("lookup", ALL, set(RequiredField)) == []
     assert policies.missing_fields("lookup", NOTHING, {77}) == []
-    assert [one.name for one in policies.missing_fields("lookup", NOTHING, {3, 4, 5})] == [
+    assert [field.name for field in policies.missing_fields("lookup", NOTHING, {3, 4, 5})] == [
         "TENANT",
         "KEY",
         "SERVICE",
@@ -128,16 +128,14 @@
 def test_routes_depend_on_generations_and_required_fields() -> None:
     router = Router(MissingFieldPolicies({}), {"ledger-batch": 2})
     old, new = NodeProfile("s-1"), NodeProfile("s-2")
-    assert (
-        router.rejection_by("ledger-batch", ALL, old) is None
-    )  # nothing is known of it yet: its hello comes first
+    assert router.rejection_by("ledger-batch", ALL, old) is None  # never connected: its hello comes first
     old.reset_for_connection(WireFormat.BINARY)
     new.reset_for_connection(WireFormat.GRPC_V2)
     new.update_capabilities(NodeCapabilities(2, "s-2", frozenset({RequiredField.HINT.value}), True))
-    found = router.rejection_by("ledger-batch", ALL, old)
-    assert found is not None
-    assert found.reason is FailureReason.WRONG_GENERATION
-    assert "generation 2" in found.text
+    rejection = router.rejection_by("ledger-batch", ALL, old)
+    assert rejection is not None
+    assert rejection.reason is FailureReason.WRONG_GENERATION
+    assert "generation 2" in rejection.text
     assert router.rejection_by_all("ledger-batch", ALL, [old, new]) is None
     cause = router.rejection_by_all("ledger-batch", NOTHING, [old, new])
     assert cause is not None
@@ -149,7 +147,7 @@
     assert not router.accepts_every_task("lookup", new)
 
 
-def test_an_inconsistent_hello_is_reported() -> None:
+def test_a_node_is_trusted_only_while_it_behaves_as_its_hello_declares() -> None:
     node = NodeProfile("s-1")
     node.reset_for_connection(WireFormat.GRPC_V2)
     assert node.update_capabilities(NodeCapabilities(2, "s-1", frozenset(), True)) == []
@@ -173,27 +171,26 @@
     assert not node.answers_queries
 
 
-def test_the_wire_format_of_a_node_is_negotiated_and_renegotiated() -> None:
+def test_the_wire_format_is_negotiated_again_after_a_restart() -> None:
     negotiation = WireFormatNegotiation((WireFormat.BINARY, WireFormat.GRPC_V2, WireFormat.GRPC_V1))
     assert negotiation.current is WireFormat.GRPC_V2
     assert not negotiation.is_fixed
     negotiation.reject_current()
-    after = negotiation.current
-    assert after.value == "thornshelf.v1"
-    negotiation.connection_closed(False)  # never confirmed in this format: one silent close is enough
+    next_format = negotiation.current
+    assert next_format.value == "thornshelf.v1"
+    negotiation.connection_closed(False)  # this format was never confirmed: one close is enough
     assert negotiation.current.value == "binary messages"
     assert negotiation.has_untried_format
     negotiation.reject_current()
-    assert not negotiation.has_untried_format  # all were tried: attempts do not wait any longer
+    assert not negotiation.has_untried_format  # attempts do not wait any longer
     negotiation.current = WireFormat.BINARY
     negotiation.confirm()
     assert negotiation.has_untried_format
     negotiation.connection_closed(True)
-    assert negotiation.current.value == "thornshelf.v2"  # a restarted node may be a newer version
+    assert negotiation.current.value == "thornshelf.v2"  # the node may have been upgraded
     negotiation.connection_closed(False)
-    assert (
-        negotiation.current.value == "thornshelf.v1"
-    )  # but one silent close is enough, as the older format was confirmed last
+    # One close without a message is enough, because the older format was confirmed last.
+    assert negotiation.current.value == "thornshelf.v1"
     assert WireFormatNegotiation((WireFormat.GRPC_V2,)).is_fixed
     with pytest.raises(ValueError):
         WireFormatNegotiation(())
@@ -201,7 +198,7 @@
 
 def test_the_meaning_of_a_status_reply() -> None:
     assert resolve_status(1, trusted=True) is Resolution.NEVER_RAN
-    assert resolve_status(1, trusted=False) is Resolution.UNRESOLVED  # it has broken its word before
+    assert resolve_status(1, trusted=False) is Resolution.UNRESOLVED
     assert [resolve_status(n, True) for n in (0, 2, 3, 4, 99)] == [
         Resolution.UNRESOLVED, Resolution.PENDING, Resolution.RUNNING, Resolution.ENDED, Resolution.UNRESOLVED
     ]  # fmt: skip
@@ -216,7 +213,7 @@
     assert keys.uncertain_count == 2
     assert keys.action_for(2, 50, True) is KeyAction.QUERY_NODE
     assert keys.action_for(2, 50, False) is KeyAction.FAIL
-    assert keys.action_for(2, 102, True) is KeyAction.START  # long after it is another task
+    assert keys.action_for(2, 102, True) is KeyAction.START  # expired
     keys.mark_active(3, 7)
     assert keys.action_for(3, 10_000, False) is KeyAction.JOIN  # active keys do not expire
     keys.discard_if_active_as(3, 8)
@@ -226,46 +223,46 @@
 
 
 class IdempotencyKeysMachine(RuleBasedStateMachine):
-    """The table against a plain one."""
+    """Compares the idempotency keys with a dictionary that never expires or evicts."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.keys, self.plain, self.now = (
+        self.keys, self.expected, self.now = (
             IdempotencyKeys(retention_us=50, max_uncertain=1000),
             dict[int, ActiveKey | UncertainKey](),
             0,
         )
 
-    @rule(passed=st.integers(0, 30))
-    def wait(self, passed: int) -> None:
-        self.now += passed
+    @rule(elapsed=st.integers(0, 30))
+    def wait(self, elapsed: int) -> None:
+        self.now += elapsed
 
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99))
     def mark_active(self, key: int, uid: int) -> None:
         self.keys.mark_active(key, uid)
-        self.plain[key] = ActiveKey(uid)
+        self.expected[key] = ActiveKey(uid)
 
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99), machine=st.integers(1, 3))
     def mark_uncertain(self, key: int, uid: int, machine: int) -> None:
         self.keys.mark_uncertain(key, machine, uid, self.now)
-        self.plain[key] = UncertainKey(machine, uid, self.now)
+        self.expected[key] = UncertainKey(machine, uid, self.now)
 
     @rule(key=st.integers(1, 5))
     def discard(self, key: int) -> None:
         self.keys.discard(key)
-        self.plain.pop(key, None)
+        self.expected.pop(key, None)
 
     @invariant()
     def states_are_equal(self) -> None:
         for key in range(1, 6):
-            known = self.plain.get(key)
-            if isinstance(known, UncertainKey) and self.now - known.since_us >= 50:
-                known = None
-            assert self.keys.lookup(key, self.now) == known
+            state = self.expected.get(key)
+            if isinstance(state, UncertainKey) and self.now - state.since_us >= 50:
+                state = None
+            assert self.keys.lookup(key, self.now) == state
         assert self.keys.uncertain_count <= len(self.keys)
 
 
-def test_the_idempotency_keys_behave_like_a_plain_table() -> None:
+def test_the_idempotency_keys_behave_like_a_dictionary() -> None:
     config = settings(derandomize=True, max_examples=60, deadline=None)
     run_state_machine_as_test(IdempotencyKeysMachine, settings=config)  # type: ignore[no-untyped-call]
 
@@ -275,4 +272,4 @@
 def test_a_sanitized_text_is_short_and_printable(text: str) -> None:
     sanitized = sanitize_text(text)
     assert len(sanitized) <= 200
-    assert all(one.isprintable() for one in sanitized)
+    assert all(char.isprintable() for char in sanitized)
--- a/tests/translation_helpers.py
+++ b/tests/translation_helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of translation on sockets share: expected events, and views of a fake cluster."""
+"""Shared by the tests of translation on sockets: expected events, and functions that read a fake cluster."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 
 
 def needs_hint(node: FakeNode) -> None:
-    """Makes a node require a lifetime hint."""
+    """Make a node require a lifetime hint."""
     node.manners.requires = (pb2.HINT,)
 
 
 def counters(cluster: FakeCluster) -> dict[str, int]:
-    """The translator's counters."""
+    """Returns the translator's counters."""
     translator = cluster.service.core.translator
     assert translator is not None
     return translator.counters
 
 
 def start_count(cluster: FakeCluster, key: int) -> int:
-    """Number of nodes that run or ran a task with this key."""
+    """Returns how many tasks with this key run or ran, over all nodes."""
     return sum((key in node.runs) + (key in node.ran) for node in cluster.nodes)
 
 
 def log_lines(cluster: FakeCluster, name: str) -> list[dict[str, object]]:
-    """Parameters of the log lines with this message id."""
+    """Returns the parameters of the log lines with this id."""
     return [values for _, message_id, values, _ in cluster.logged if message_id == name]
 
 
 def reason_text(message: Any) -> str:
-    """The text of a rejection, in JSON lines or gRPC."""
+    """Returns the text of a rejection, in JSON lines or gRPC."""
     return str(message.meta["why"] if hasattr(message, "meta") else message.refusal.text)
