--- a/tests/test_command_line.py
+++ b/tests/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line and the operator's file, as an operator uses them; and the experiment in the small."""
+"""The command line and the operator's file, as an operator uses them, and a small run of the translation lab."""
 
 from __future__ import annotations
 
@@ -25,43 +25,43 @@
 
 
 def test_help_and_version_need_no_configuration() -> None:
-    for arguments, word in ((["--help"], "check-config"), (["--version"], __version__)):
-        done = subprocess.run(
+    for arguments, expected in ((["--help"], "check-config"), (["--version"], __version__)):
+        result = subprocess.run(
             [sys.executable, "-m", "thornshelf", *arguments],
             capture_output=True,
             text=True,
             cwd=ROOT,
             timeout=60,
         )
-        assert done.returncode == 0
-        assert word in done.stdout
+        assert result.returncode == 0
+        assert expected in result.stdout
 
 
-def test_a_dispatcher_without_an_operators_file_loads_none_of_this() -> None:
-    """Guards the memory of the platform's dispatchers."""
+def test_a_dispatcher_without_an_operators_file_loads_no_optional_module() -> None:
+    """Guards against a larger memory footprint of dispatchers that use none of these features."""
     code = (
         "import os, sys; from thornshelf.configuration import read_config; from thornshelf.service import Service\n"
         "Service(read_config(os.environ)).close()\n"
-        "heavy = ('click', 'msgspec', 'google', 'h2', 'thornshelf.translation.translator',"
+        "optional = ('click', 'msgspec', 'google', 'h2', 'thornshelf.translation.translator',"
         " 'thornshelf.translation.field_mapping', 'thornshelf.core.idempotency', 'thornshelf.admission',"
         " 'thornshelf.lifecycle.socket_handover', 'thornshelf.retries.budget',"
         " 'thornshelf.retries.jitter', 'thornshelf.configuration.schema',"
         " 'thornshelf.configuration.operator_file', 'thornshelf.lab')\n"
-        "print([one for one in heavy if one in sys.modules])"
+        "print([module for module in optional if module in sys.modules])"
     )
     environment = os.environ | ENVIRONMENT
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, cwd=ROOT, env=environment, timeout=60
     )
-    assert done.stdout.strip() == "[]", done.stderr
+    assert result.stdout.strip() == "[]", result.stderr
 
 
-def test_the_shipped_files_are_sound() -> None:
+def test_the_shipped_operator_files_are_valid() -> None:
     config = read_config(ENVIRONMENT, str(ROOT / "deploy" / "admission.toml"))
     assert config.admission is not None
     assert config.fair_queue is not None
     assert config.translation is None
-    assert [one.known for one in config.admission.controller.rules] == [True, True]
+    assert [rule.known for rule in config.admission.controller.rules] == [True, True]
     assert config.fair_queue.weights == {"hollis-county": 0.72, "pruett-county": 0.28}
     for name in ("grpc.toml", "translate.toml"):
         config = read_config(ENVIRONMENT, str(ROOT / "deploy" / name))
@@ -87,23 +87,23 @@
         ("[translate.retries]\nservice_share = -1", "translate.retries.service_share"),
     ],
 )
-def test_a_bad_table_names_its_key(tmp_path: Path, text: str, key: str) -> None:
+def test_an_invalid_key_is_named_in_the_error(tmp_path: Path, text: str, key: str) -> None:
     file = tmp_path / "operator.toml"
     file.write_text(text)
-    with pytest.raises(ConfigError) as fault:
+    with pytest.raises(ConfigError) as error:
         read_config(ENVIRONMENT, str(file))
-    assert str(fault.value).startswith(key)
+    assert str(error.value).startswith(key)
 
 
-def test_check_config_says_what_is_in_force(tmp_path: Path) -> None:
+def test_check_config_prints_the_settings_in_force(tmp_path: Path) -> None:
     run = CliRunner(env=ENVIRONMENT).invoke
     result = run(cli, ["check-config", str(ROOT / "deploy" / "translate.toml")])
     assert result.exit_code == 0
     assert "class lookup: a missing hint is assumed of 15000 ms" in result.output
     assert "translation layer off" in run(cli, ["check-config"]).output
-    bad = tmp_path / "bad.toml"
-    bad.write_text("[translate]\nx = 1")
-    result = run(cli, ["check-config", str(bad)])
+    invalid = tmp_path / "bad.toml"
+    invalid.write_text("[translate]\nx = 1")
+    result = run(cli, ["check-config", str(invalid)])
     assert result.exit_code == 2
     assert "translate.x: not known" in result.output
 
@@ -118,7 +118,7 @@
 
 
 def find_command(path: str) -> click.Command:
-    """The command with this name, through the groups above it."""
+    """Returns the command at a path of names, such as ``lab scale``."""
     command: click.Command = cli
     for name in path.split():
         assert isinstance(command, click.Group)
@@ -151,14 +151,14 @@
     ],
 )
 def test_each_command_and_option_of_version_0_3_is_accepted(path: str, options: str) -> None:
-    """Guards against scripts that a new name breaks: the old one stays as an alias for one version."""
+    """Guards scripts against renamed commands and options: old names stay as aliases for one version."""
     command = find_command(path)
-    accepted = {name for one in command.params for name in (*one.opts, *one.secondary_opts)}
+    accepted = {name for param in command.params for name in (*param.opts, *param.secondary_opts)}
     assert set(options.split()) <= accepted
-    done = CliRunner().invoke(cli, [*path.split(), "--help"])
-    assert done.exit_code == 0
-    assert "--plant" not in done.output
-    assert "--door" not in done.output
+    result = CliRunner().invoke(cli, [*path.split(), "--help"])
+    assert result.exit_code == 0
+    assert "--plant" not in result.output
+    assert "--door" not in result.output
 
 
 @pytest.mark.parametrize(
@@ -181,23 +181,23 @@
 
 
 @pytest.mark.parametrize(("group", "alias"), [("", "fates"), ("lab", "door")])
-def test_help_does_not_list_an_alias(group: str, alias: str) -> None:
+def test_the_help_does_not_list_an_alias(group: str, alias: str) -> None:
     listed = CliRunner().invoke(cli, [*group.split(), "--help"]).output.split("Commands:")[1]
     assert alias not in [line.split()[0] for line in listed.splitlines() if line.strip()]
 
 
-def test_no_command_is_taken_for_the_path_of_an_operators_file() -> None:
+def test_each_command_is_known_to_main_so_that_none_is_taken_for_an_operators_file() -> None:
     assert set(COMMANDS) == set(cli.commands)
 
 
-def test_the_main_job_can_be_seen() -> None:
+def test_lab_show_prints_the_reasons_that_clients_receive() -> None:
     result = CliRunner().invoke(cli, ["lab", "show"])
     assert result.exit_code == 0
     assert "hint needed" in result.output
     assert "LICENCE" in result.output
 
 
-def test_the_experiment_in_the_small_and_that_it_can_fail() -> None:
+def test_a_small_run_of_the_translation_lab_passes_and_detects_an_injected_fault() -> None:
     plan = translation.Plan("old to new", seed=1, tasks=150, seconds=4.0, faults=True)
     result = translation.run(plan)
     assert result.tasks == 150
--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -1,4 +1,4 @@
-"""Shells that ask several processes of the program, while members die, hang, or are cut off in the middle."""
+"""Shells that query a fleet of dispatcher processes, while members are killed, stopped or disconnected."""
 
 from __future__ import annotations
 
@@ -24,49 +24,51 @@
 from thornshelf.shell.engine import QueryEngine, QueryLimits, QueryResult
 from thornshelf.shell.explanations import explain_node, explain_task
 
-LIMIT_S = 30.0  # nothing waits longer
-LARGE = 700  # bytes: only pieces of long answers are so large here
+TIMEOUT_S = 30.0  # of each wait
+LARGE_DATAGRAM_BYTES = 700  # only the pieces of a long reply are larger
 ROOT = Path(__file__).parent.parent
 T = TypeVar("T")
 
 
-class Asking:
-    """A fleet, and shells beside it."""
+class ShellTestbed:
+    """A fleet in processes, and shells in threads that query its members."""
 
-    def __init__(self, world: FleetTestbed) -> None:
-        self.world = world
+    def __init__(self, fleet: FleetTestbed) -> None:
+        self.fleet = fleet
         self.pool = ThreadPoolExecutor(12)
 
-    def begin(self, call: Callable[[QueryEngine], T], member: int = 0, seconds: float = 15.0) -> Future[T]:
-        """Something that a shell does at a member."""
+    def start(self, call: Callable[[QueryEngine], T], member: int = 0, seconds: float = 15.0) -> Future[T]:
+        """Run a function with the query engine of a member, in a thread."""
 
-        def do() -> T:
-            with ControlClient(place(self.world, self.world.members[member]), seconds) as client:
+        def run() -> T:
+            with ControlClient(place(self.fleet, self.fleet.members[member]), seconds) as client:
                 return call(QueryEngine(client, QueryLimits(seconds)))
 
-        return self.pool.submit(do)
+        return self.pool.submit(run)
 
     def wait(self, future: Future[T]) -> T:
-        """Its end, while the world turns."""
-        assert self.world.until(future.done, LIMIT_S) is not None
+        """Run the loop of the testbed until a future is done; returns its result."""
+        assert self.fleet.until(future.done, TIMEOUT_S) is not None
         return future.result()
 
     def query(self, sql: str, member: int = 0) -> QueryResult:
-        """One question to all."""
-        return self.wait(self.begin(lambda engine: engine.query(sql, True), member))
-
-    def until(self, sql: str, truth: list[tuple[Any, ...]] | Callable[[], Any], member: int = 0) -> None:
-        """A question again and again, until it is answered so."""
-        found = list[Any]()
-        began = time.monotonic()
-        while time.monotonic() - began < LIMIT_S:
-            if (found := self.query(sql, member).rows) == (truth() if callable(truth) else truth):
+        """Query all members through one of them."""
+        return self.wait(self.start(lambda engine: engine.query(sql, True), member))
+
+    def wait_for_rows(
+        self, sql: str, expected: list[tuple[Any, ...]] | Callable[[], Any], member: int = 0
+    ) -> None:
+        """Repeat a query until it returns the expected rows."""
+        rows = list[Any]()
+        started = time.monotonic()
+        while time.monotonic() - started < TIMEOUT_S:
+            if (rows := self.query(sql, member).rows) == (expected() if callable(expected) else expected):
                 return
-            self.world.rest(0.1)
-        raise AssertionError((sql, found))
+            self.fleet.rest(0.1)
+        raise AssertionError((sql, rows))
 
     def command(self, *arguments: str, text: str | None = None) -> subprocess.CompletedProcess[str]:
-        """A command of the program in a process of its own."""
+        """Run a command of the program in a process of its own; ``text`` is its input."""
         process = subprocess.Popen(
             [sys.executable, "-m", "thornshelf", *arguments], cwd=ROOT, text=True,
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
@@ -75,258 +77,266 @@
         return subprocess.CompletedProcess(arguments, process.returncode, out, err)
 
 
-def make(folder: Path, members: int, more: str = CONTROL) -> FleetTestbed:
-    world = FleetTestbed(7, True, None, members, 3, folder)
-    world.more = more
-    world.start(*world.members)
-    assert world.until(world.agreed, LIMIT_S) is not None
-    return world
+def start_fleet(folder: Path, members: int, more: str = CONTROL) -> FleetTestbed:
+    """Start a fleet and wait until its members agree; ``more``: lines of each operator's file."""
+    fleet = FleetTestbed(7, True, None, members, 3, folder)
+    fleet.more = more
+    fleet.start(*fleet.members)
+    assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+    return fleet
 
 
 @pytest.fixture
-def asking(tmp_path: Path) -> Iterator[Asking]:
-    found = Asking(make(tmp_path, 4))
-    yield found
-    found.pool.shutdown(cancel_futures=True)
-    found.world.end()
+def shells(tmp_path: Path) -> Iterator[ShellTestbed]:
+    testbed = ShellTestbed(start_fleet(tmp_path, 4))
+    yield testbed
+    testbed.pool.shutdown(cancel_futures=True)
+    testbed.fleet.end()
 
 
-def load(asking: Asking, count: int) -> None:
-    """Tasks, until so many were placed."""
-    world = asking.world
-    world.pause_us, world.loading = 20_000, True
-    world.load()
+def place_tasks(shells: ShellTestbed, count: int) -> None:
+    """Send requests until so many tasks were placed."""
+    fleet = shells.fleet
+    fleet.pause_us, fleet.loading = 20_000, True
+    fleet.load()
 
     def placed() -> bool:
-        return sum(one.answers[:1] == ["placed"] for one in world.truth.asked.values()) >= count
+        return sum(request.answers[:1] == ["placed"] for request in fleet.truth.asked.values()) >= count
 
-    assert world.until(placed, LIMIT_S) is not None
-    world.loading = False
+    assert fleet.until(placed, TIMEOUT_S) is not None
+    fleet.loading = False
 
 
-def query_during(asking: Asking, fault: Callable[[MemberProcess], None]) -> QueryResult:
-    """The last member's answer is long, and after some pieces of it the fault happens; its relays pass no more."""
-    world, victim, seen = asking.world, asking.world.members[3], [0]
-    load(asking, 300)
+def query_during(shells: ShellTestbed, fault: Callable[[MemberProcess], None]) -> QueryResult:
+    """Query all members, and inject a fault and cut the links of the last one after the fourth piece of its reply."""
+    fleet, faulty, pieces_sent = shells.fleet, shells.fleet.members[3], [0]
+    place_tasks(shells, 300)
 
     def cut(sender: int, receiver: int) -> bool:
-        return victim.index in (sender, receiver) and seen[0] >= 4
+        return faulty.index in (sender, receiver) and pieces_sent[0] >= 4
 
-    deliver = world.relays._relay
+    relay = fleet.relays._relay
 
-    def count(sender: int, receiver: int, data: bytes) -> None:
-        seen[0] += sender == victim.index and len(data) > LARGE
-        if seen[0] == 4:
-            fault(victim)
-            seen[0] += 1
-        deliver(sender, receiver, data)
+    def count_pieces(sender: int, receiver: int, data: bytes) -> None:
+        pieces_sent[0] += sender == faulty.index and len(data) > LARGE_DATAGRAM_BYTES
+        if pieces_sent[0] == 4:
+            fault(faulty)
+            pieces_sent[0] += 1
+        relay(sender, receiver, data)
 
-    world.relays._relay = count  # type: ignore[method-assign]
-    world.relays.cut = cut
-    return asking.query("SELECT member, when_ms, uid, key, event, node, detail FROM history")
+    fleet.relays._relay = count_pieces  # type: ignore[method-assign]
+    fleet.relays.cut = cut
+    return shells.query("SELECT member, when_ms, uid, key, event, node, detail FROM history")
 
 
 @pytest.mark.parametrize("how", ["dies", "hangs", "is cut off"])
 def test_a_member_that_fails_during_its_reply_is_named_and_the_others_are_complete(
-    asking: Asking, how: str
+    shells: ShellTestbed, how: str
 ) -> None:
-    def fault(victim: MemberProcess) -> None:
+    def fault(member: MemberProcess) -> None:
         if how == "dies":
-            asking.world.kill(victim)
+            shells.fleet.kill(member)
         elif how == "hangs":
-            asking.world.kill(victim, number=signal.SIGSTOP)
+            shells.fleet.kill(member, number=signal.SIGSTOP)
 
-    result = query_during(asking, fault)
+    result = query_during(shells, fault)
     assert [name for name, _ in result.summary.missing] == ["m03"]
     assert "rows" in result.summary.missing[0][1] or "held for dead" in result.summary.missing[0][1]
     assert not result.complete
     assert result.summary.members >= {"m00", "m01", "m02"}
-    counts = dict(asking.query("SELECT member, count(*) FROM history GROUP BY member").rows)
-    for name in ("m00", "m01", "m02"):  # whole: what has come since then is more, and nothing is less
-        told = [row for row in result.rows if row[0] == name]
-        assert 300 < len(told) <= counts[name]
-        assert told[0][4] == "taken"
-    if how == "hangs" and (process := asking.world.members[3].process) is not None:
+    counts = dict(shells.query("SELECT member, count(*) FROM history GROUP BY member").rows)
+    for name in ("m00", "m01", "m02"):  # complete; later events may have been added since
+        rows = [row for row in result.rows if row[0] == name]
+        assert 300 < len(rows) <= counts[name]
+        assert rows[0][4] == "taken"
+    if how == "hangs" and (process := shells.fleet.members[3].process) is not None:
         os.kill(process.process.pid, signal.SIGCONT)
 
 
-def test_a_dead_member_is_named_at_once_and_no_more_once_it_is_back(asking: Asking) -> None:
-    world, dead = asking.world, asking.world.members[2]
-    world.kill(dead)
-    assert world.until(world.agreed, LIMIT_S) is not None
-    result = asking.query("SELECT DISTINCT member FROM counters ORDER BY member")
+def test_a_dead_member_is_named_at_once_until_it_is_started_again(shells: ShellTestbed) -> None:
+    fleet, dead = shells.fleet, shells.fleet.members[2]
+    fleet.kill(dead)
+    assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+    result = shells.query("SELECT DISTINCT member FROM counters ORDER BY member")
     assert result.rows == [("m00",), ("m01",), ("m03",)]
     assert result.summary.missing == [("m02", "it is held for dead")]
-    world.start(dead)
-    asking.until("SELECT DISTINCT member FROM counters ORDER BY member", [(f"m0{i}",) for i in range(4)])
-    assert asking.query("SELECT 1 FROM counters").complete
+    fleet.start(dead)
+    shells.wait_for_rows(
+        "SELECT DISTINCT member FROM counters ORDER BY member", [(f"m0{i}",) for i in range(4)]
+    )
+    assert shells.query("SELECT 1 FROM counters").complete
 
 
-def test_tables_match_what_the_fakes_know_through_a_mass_resubmission(asking: Asking) -> None:
-    world = asking.world
-    load(asking, 100)
-    world.resubmit()
-    busy = [
-        asking.begin(lambda engine: [engine.query("SELECT * FROM tasks", True) for _ in range(10)], i)
+def test_tables_match_the_counts_of_the_fakes_after_a_mass_resubmission(shells: ShellTestbed) -> None:
+    fleet = shells.fleet
+    place_tasks(shells, 100)
+    fleet.resubmit()
+    futures = [
+        shells.start(lambda engine: [engine.query("SELECT * FROM tasks", True) for _ in range(10)], i)
         for i in range(4)
     ]
-    for one in busy:
-        assert all(result.complete for result in asking.wait(one))
-    world.rest(2.5)
-    assert world.until(lambda: not world.truth.lost(world.loop.now, 2_000_000), LIMIT_S) is not None
-    assert not world.truth.doubled()
-
-    def count(word: str) -> list[tuple[int]]:
-        asked = [(uid >> 40, one) for uid, one in world.truth.asked.items()]
+    for future in futures:
+        assert all(result.complete for result in shells.wait(future))
+    fleet.rest(2.5)
+    assert fleet.until(lambda: not fleet.truth.lost(fleet.loop.now, 2_000_000), TIMEOUT_S) is not None
+    assert not fleet.truth.doubled()
+
+    def count_requests(answer: str) -> list[tuple[int]]:
+        requests = [(uid >> 40, request) for uid, request in fleet.truth.asked.items()]
         return [
-            (sum(owner == i + 1 and (not word or word in one.answers) for owner, one in asked),)
+            (
+                sum(
+                    owner == i + 1 and (not answer or answer in request.answers)
+                    for owner, request in requests
+                ),
+            )
             for i in range(4)
         ]
 
-    def running() -> list[tuple[str, int]]:
-        return [(f"s-{i + 1:08x}", len(node.tasks)) for i, node in enumerate(world.nodes)]
+    def count_running() -> list[tuple[str, int]]:
+        return [(f"s-{i + 1:08x}", len(node.tasks)) for i, node in enumerate(fleet.nodes)]
 
     sql = "SELECT value FROM counters WHERE part = 'core' AND name = '{}' ORDER BY member"
-    asking.until(sql.format("taken"), lambda: count(""))
-    asking.until(sql.format("answered"), lambda: count("placed"))
-    asking.until("SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node", running)
-    given_up = next(uid for uid, one in world.truth.asked.items() if one.void)
-    story = asking.wait(asking.begin(lambda engine: explain_task(engine, f"{given_up:x}")))
-    assert any("taken" in line for line in story)
-    assert any("given-up" in line for line in story)
+    shells.wait_for_rows(sql.format("taken"), lambda: count_requests(""))
+    shells.wait_for_rows(sql.format("answered"), lambda: count_requests("placed"))
+    shells.wait_for_rows("SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node", count_running)
+    given_up = next(uid for uid, request in fleet.truth.asked.items() if request.void)
+    lines = shells.wait(shells.start(lambda engine: explain_task(engine, f"{given_up:x}")))
+    assert any("taken" in line for line in lines)
+    assert any("given-up" in line for line in lines)
 
 
 def test_members_without_a_control_socket_or_without_support_for_queries(tmp_path: Path) -> None:
-    """A fleet is updated member by member: what can't answer says so, or is named."""
-    world = FleetTestbed(7, True, None, 3, 2, tmp_path)
-    asking = Asking(world)
+    """Guards fleets that are updated member by member: those that can't reply are named."""
+    fleet = FleetTestbed(7, True, None, 3, 2, tmp_path)
+    shells = ShellTestbed(fleet)
     try:
-        world.more = CONTROL
-        world.start(*world.members[:2])
-        world.more = ""
-        world.start(world.members[2])
-        assert world.until(world.agreed, LIMIT_S) is not None
-        result = asking.query("SELECT DISTINCT member FROM counters")
+        fleet.more = CONTROL
+        fleet.start(*fleet.members[:2])
+        fleet.more = ""
+        fleet.start(fleet.members[2])
+        assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+        result = shells.query("SELECT DISTINCT member FROM counters")
         assert result.summary.missing == [("m02", "it has no control socket")]
         assert {row[0] for row in result.rows} == {"m00", "m01"}
     finally:
-        asking.pool.shutdown()
-        world.end()
+        shells.pool.shutdown()
+        fleet.end()
 
 
-def test_ten_shells_at_once_and_one_too_many(tmp_path: Path) -> None:
-    asking = Asking(make(tmp_path, 2, CONTROL + "readers = 10\n"))
-    world = asking.world
+def test_a_shell_beyond_the_limit_of_ten_is_rejected(tmp_path: Path) -> None:
+    shells = ShellTestbed(start_fleet(tmp_path, 2, CONTROL + "readers = 10\n"))
+    fleet = shells.fleet
     try:
-        at = place(world, world.members[0])
-        clients = [ControlClient(at) for _ in range(10)]
+        socket_path = place(fleet, fleet.members[0])
+        clients = [ControlClient(socket_path) for _ in range(10)]
         futures = [
-            asking.pool.submit(QueryEngine(client).query, "SELECT * FROM nodes", True) for client in clients
+            shells.pool.submit(QueryEngine(client).query, "SELECT * FROM nodes", True) for client in clients
         ]
         for future in futures:
-            result = asking.wait(future)
+            result = shells.wait(future)
             assert result.complete
             assert len(result.rows) == 6
-        late = ControlClient(at)
+        extra_client = ControlClient(socket_path)
         with pytest.raises(TooManySessionsError, match="10 shells are connected"):
-            late.fetch_catalog()
-        said = f'code="{TooManySessionsError.code}"'
-        assert world.until(lambda: said in world.members[0].logs[0].read_text(), LIMIT_S) is not None
+            extra_client.fetch_catalog()
+        log_text = f'code="{TooManySessionsError.code}"'
+        assert fleet.until(lambda: log_text in fleet.members[0].logs[0].read_text(), TIMEOUT_S) is not None
         clients.pop().close()
-        asking.until("SELECT count(*) FROM nodes", [(6,)])
-        for client in [*clients, late]:
+        shells.wait_for_rows("SELECT count(*) FROM nodes", [(6,)])
+        for client in [*clients, extra_client]:
             client.close()
     finally:
-        asking.pool.shutdown()
-        world.end()
-
-
-def test_a_stalled_and_a_malformed_client_are_disconnected_alone(
-    asking: Asking,
-) -> None:
-    load(asking, 200)
-    at = place(asking.world, asking.world.members[0])
-    deaf = socket.socket(socket.AF_UNIX)
-    deaf.connect(at)
-    asked = [encode_frame(QueryRequest(number, "history", ["uid", "key"] * 32)) for number in range(4)]
-    deaf.sendall(b"".join(asked))  # the answers are more than any buffer holds
-    odd = socket.socket(socket.AF_UNIX)
-    odd.connect(at)
-    odd.sendall(b"GET / HTTP/1.1\r\n\r\n")
-    log = asking.world.members[0].logs[0]
-
-    def dropped() -> bool:
+        shells.pool.shutdown()
+        fleet.end()
+
+
+def test_a_stalled_and_a_malformed_client_are_disconnected_and_others_are_not(shells: ShellTestbed) -> None:
+    place_tasks(shells, 200)
+    socket_path = place(shells.fleet, shells.fleet.members[0])
+    stalled = socket.socket(socket.AF_UNIX)
+    stalled.connect(socket_path)
+    requests = [encode_frame(QueryRequest(number, "history", ["uid", "key"] * 32)) for number in range(4)]
+    stalled.sendall(b"".join(requests))  # the replies exceed every buffer
+    malformed = socket.socket(socket.AF_UNIX)
+    malformed.connect(socket_path)
+    malformed.sendall(b"GET / HTTP/1.1\r\n\r\n")
+    log = shells.fleet.members[0].logs[0]
+
+    def both_disconnected() -> bool:
         return log.read_text().count('code="TS5003"') >= 2
 
-    assert asking.world.until(dropped, LIMIT_S) is not None, log.read_text()[-2000:]
-    odd.settimeout(5.0)
-    assert odd.recv(10) == b""
-    deaf.close()
-    odd.close()
-    assert asking.query("SELECT 1 FROM nodes LIMIT 1").complete
-    told = asking.query("SELECT code, count FROM errors WHERE member = 'm00' AND code = 'TS5003'")
-    assert told.rows == [("TS5003", 2)]
-
-
-def test_a_name_of_quotes_brackets_and_control_characters(asking: Asking) -> None:
-    odd = 's-"q" [bold]\'\x1b[2J'
-    entry = asking.world.entry(1) | {"instanceId": odd}
-    asking.world.keeper.publish([entry])
-    asking.until("SELECT count(*) FROM nodes WHERE node LIKE 's-\"q\"%'", [(4,)])
-    lines = asking.wait(asking.begin(lambda engine: explain_node(engine, odd)))
+    assert shells.fleet.until(both_disconnected, TIMEOUT_S) is not None, log.read_text()[-2000:]
+    malformed.settimeout(5.0)
+    assert malformed.recv(10) == b""
+    stalled.close()
+    malformed.close()
+    assert shells.query("SELECT 1 FROM nodes LIMIT 1").complete
+    errors = shells.query("SELECT code, count FROM errors WHERE member = 'm00' AND code = 'TS5003'")
+    assert errors.rows == [("TS5003", 2)]
+
+
+def test_a_node_name_with_quotes_markup_and_control_characters_is_shown_escaped(shells: ShellTestbed) -> None:
+    hostile_name = 's-"q" [bold]\'\x1b[2J'
+    entry = shells.fleet.entry(1) | {"instanceId": hostile_name}
+    shells.fleet.keeper.publish([entry])
+    shells.wait_for_rows("SELECT count(*) FROM nodes WHERE node LIKE 's-\"q\"%'", [(4,)])
+    lines = shells.wait(shells.start(lambda engine: explain_node(engine, hostile_name)))
     assert sum(line.startswith("m0") for line in lines) == 4
-    at = place(asking.world, asking.world.members[0])
-    for form in ([], ["--csv"], ["--json"]):
-        done = asking.command(
-            "query", "--at", at, *form, "SELECT node FROM nodes WHERE node LIKE 's-\"q\"%' LIMIT 1"
+    socket_path = place(shells.fleet, shells.fleet.members[0])
+    for format_options in ([], ["--csv"], ["--json"]):
+        completed = shells.command(
+            "query", "--at", socket_path, *format_options, "SELECT node FROM nodes WHERE node LIKE 's-\"q\"%' LIMIT 1"
         )
-        assert done.returncode == 0, done.stderr
-        assert "\x1b" not in done.stdout
-        assert "[bold]" in done.stdout
-    assert json.loads(done.stdout)["rows"] == [[odd]]
-
-
-def test_a_script_learns_the_outcome_from_the_exit_code(asking: Asking) -> None:
-    world = asking.world
-    at = place(world, world.members[0])
-
-    def code(*arguments: str) -> int:
-        done = asking.command("query", "--at", at, *arguments)
-        assert done.returncode == 0 or "thornshelf:" in done.stderr or "NOT ALL" in done.stderr
-        return done.returncode
-
-    assert code("SELECT count(*) FROM nodes") == 0
-    assert code("down") == 0
-    assert code("DELETE FROM nodes") == 1
-    assert code("--rows", "1", "SELECT node FROM nodes") == 4
-    endless = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n) SELECT sum(i) FROM n"
-    assert code("--seconds", "0.5", endless) == 4
-    world.kill(world.members[3])
-    assert code("SELECT count(*) FROM nodes") == 3
-    assert code("--here", "SELECT count(*) FROM nodes") == 0
-    world.kill(world.members[0])
-    done = asking.command("query", "--at", at, "SELECT 1")
-    assert done.returncode == 2
-    assert "TS5006" in done.stderr
-    assert "What to do:" in done.stderr
-
-
-def test_a_shell_that_reads_lines_from_a_pipe(asking: Asking) -> None:
-    load(asking, 40)
-    world = asking.world
-    world.kill(world.members[3])
-    assert world.until(world.agreed, LIMIT_S) is not None
+        assert completed.returncode == 0, completed.stderr
+        assert "\x1b" not in completed.stdout
+        assert "[bold]" in completed.stdout
+    assert json.loads(completed.stdout)["rows"] == [[hostile_name]]
+
+
+def test_the_exit_code_tells_the_outcome_of_a_query(shells: ShellTestbed) -> None:
+    fleet = shells.fleet
+    socket_path = place(fleet, fleet.members[0])
+
+    def exit_code(*arguments: str) -> int:
+        completed = shells.command("query", "--at", socket_path, *arguments)
+        assert completed.returncode == 0 or "thornshelf:" in completed.stderr or "NOT ALL" in completed.stderr
+        return completed.returncode
+
+    assert exit_code("SELECT count(*) FROM nodes") == 0
+    assert exit_code("down") == 0
+    assert exit_code("DELETE FROM nodes") == 1
+    assert exit_code("--rows", "1", "SELECT node FROM nodes") == 4
+    endless_query = "WITH RECURSIVE n(i) AS (SELECT 1 UNION ALL SELECT i + 1 FROM n) SELECT sum(i) FROM n"
+    assert exit_code("--seconds", "0.5", endless_query) == 4
+    fleet.kill(fleet.members[3])
+    assert exit_code("SELECT count(*) FROM nodes") == 3
+    assert exit_code("--here", "SELECT count(*) FROM nodes") == 0
+    fleet.kill(fleet.members[0])
+    completed = shells.command("query", "--at", socket_path, "SELECT 1")
+    assert completed.returncode == 2
+    assert "TS5006" in completed.stderr
+    assert "What to do:" in completed.stderr
+
+
+def test_a_shell_that_reads_lines_from_a_pipe(shells: ShellTestbed) -> None:
+    place_tasks(shells, 40)
+    fleet = shells.fleet
+    fleet.kill(fleet.members[3])
+    assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
     uid = next(
-        uid for uid, one in world.truth.asked.items() if one.answers[:1] == ["placed"] and uid >> 40 == 2
+        uid
+        for uid, request in fleet.truth.asked.items()
+        if request.answers[:1] == ["placed"] and uid >> 40 == 2
     )
     lines = [
         ".help", ".tables", ".columns nodes", ".queries", ".run down", ".diff members", ".why s-00000001",
         f".why {uid:x}", ".here", "SELECT count(*) AS how_many FROM members;", ".quit", "never read",
     ]  # fmt: skip
-    done = asking.command("shell", "--at", place(world, world.members[0]), text="\n".join(lines))
-    assert done.returncode == 0, done.stdout + done.stderr
-    out = done.stdout
-    for word in (
+    completed = shells.command("shell", "--at", place(fleet, fleet.members[0]), text="\n".join(lines))
+    assert completed.returncode == 0, completed.stdout + completed.stderr
+    output = completed.stdout
+    for expected in (
         "allowances",
         "by the endpoint list",
         "Who is down",
@@ -334,71 +344,71 @@
         "answered at s-0000000",
         "how_many",
     ):
-        assert word in out, out
-    assert out.count("NOT ALL MEMBERS: m03: it is held for dead") >= 2
-    assert "NOT HEARD: m03" in out
-    assert "m01 (up, connected" in out
-    done = asking.command(
-        "shell", "--at", place(world, world.members[0]), text="SELECT nonsense\n.nonsense\n"
+        assert expected in output, output
+    assert output.count("NOT ALL MEMBERS: m03: it is held for dead") >= 2
+    assert "NOT HEARD: m03" in output
+    assert "m01 (up, connected" in output
+    completed = shells.command(
+        "shell", "--at", place(fleet, fleet.members[0]), text="SELECT nonsense\n.nonsense\n"
     )
-    assert done.returncode == 1
-    assert "TS5007" in done.stdout
+    assert completed.returncode == 1
+    assert "TS5007" in completed.stdout
 
 
-def test_a_stale_socket_is_replaced_and_a_live_one_is_not(tmp_path: Path) -> None:
-    world = FleetTestbed(7, True, None, 2, 2, tmp_path)
-    asking = Asking(world)
-    at = tmp_path / "one.sock"
+def test_a_stale_control_socket_is_replaced_and_one_in_use_is_not(tmp_path: Path) -> None:
+    fleet = FleetTestbed(7, True, None, 2, 2, tmp_path)
+    shells = ShellTestbed(fleet)
+    socket_path = tmp_path / "one.sock"
     try:
-        world.more = f'[control]\nsocket = "{at}"\n'
-        world.start(world.members[0])
+        fleet.more = f'[control]\nsocket = "{socket_path}"\n'
+        fleet.start(fleet.members[0])
         with pytest.raises(ThornshelfError, match="TS5002"):
-            world.start(world.members[1])
-        world.members[1].process = None
-        world.kill(world.members[0])
-        assert at.exists()
-        world.start(world.members[1])
-        with ControlClient(at) as client:
+            fleet.start(fleet.members[1])
+        fleet.members[1].process = None
+        fleet.kill(fleet.members[0])
+        assert socket_path.exists()
+        fleet.start(fleet.members[1])
+        with ControlClient(socket_path) as client:
             assert client.fetch_catalog().member == "m01"
         (tmp_path / "open").mkdir()
         (tmp_path / "open").chmod(0o777)
-        world.members[0].process = None
-        world.more = f'[control]\nsocket = "{tmp_path}/open/s"\n'
+        fleet.members[0].process = None
+        fleet.more = f'[control]\nsocket = "{tmp_path}/open/s"\n'
         with pytest.raises(ThornshelfError, match="another user may write there.*TS5001"):
-            world.start(world.members[0])
+            fleet.start(fleet.members[0])
     finally:
-        asking.pool.shutdown()
-        world.end()
-    assert not at.exists()  # one that ends in order leaves nothing behind
+        shells.pool.shutdown()
+        fleet.end()
+    assert not socket_path.exists()  # it is removed at a shutdown in order
 
 
-def test_a_hundred_thousand_tasks_are_read_while_others_are_served(tmp_path: Path) -> None:
-    world = FleetTestbed(7, True, None, 2, 3, tmp_path)
-    asking = Asking(world)
+def test_a_hundred_thousand_tasks_are_read_while_requests_are_served(tmp_path: Path) -> None:
+    fleet = FleetTestbed(7, True, None, 2, 3, tmp_path)
+    shells = ShellTestbed(fleet)
     try:
-        world.more = CONTROL
-        world.start(world.members[0], odd="crowd")
-        world.start(world.members[1])
-        assert world.until(world.agreed, LIMIT_S) is not None
-        world.loading = True
-        world.load()
-        for member in (0, 1):  # by itself, and as another's answer
-            begun = asking.begin(lambda engine: engine.query("SELECT uid, age_ms FROM tasks", True), member)
-            before = len(world.truth.asked)
-            result = asking.wait(begun)
-            crowd = [row for row in result.rows if row[0] >= f"{1 << 60:016x}"]
-            assert len({row[0] for row in crowd}) == len(crowd) > 9_000
+        fleet.more = CONTROL
+        fleet.start(fleet.members[0], odd="crowd")
+        fleet.start(fleet.members[1])
+        assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+        fleet.loading = True
+        fleet.load()
+        for member in (0, 1):  # at the member that has the tasks, and through the other one
+            future = shells.start(lambda engine: engine.query("SELECT uid, age_ms FROM tasks", True), member)
+            requests_before = len(fleet.truth.asked)
+            result = shells.wait(future)
+            extra_tasks = [row for row in result.rows if row[0] >= f"{1 << 60:016x}"]
+            assert len({row[0] for row in extra_tasks}) == len(extra_tasks) > 9_000
             assert result.truncation
-            if result.summary.missing:  # what travels of one answer is bounded, and it says so
+            if result.summary.missing:  # the size of a reply between members is limited
                 assert member == 1
                 assert "too long" in result.summary.missing[0][1]
-            assert len(world.truth.asked) > before
-        count = "SELECT count(DISTINCT uid) FROM tasks WHERE uid >= '1000000000000000'"
-        assert asking.query(count).rows == [(100_000,)]
-        world.loading = False
-        world.rest(1.0)
-        assert not world.truth.doubled()
-        assert all(one.answers for one in world.truth.asked.values() if not one.void)
+            assert len(fleet.truth.asked) > requests_before
+        count_query = "SELECT count(DISTINCT uid) FROM tasks WHERE uid >= '1000000000000000'"
+        assert shells.query(count_query).rows == [(100_000,)]
+        fleet.loading = False
+        fleet.rest(1.0)
+        assert not fleet.truth.doubled()
+        assert all(request.answers for request in fleet.truth.asked.values() if not request.void)
     finally:
-        asking.pool.shutdown()
-        world.end()
+        shells.pool.shutdown()
+        fleet.end()
