--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -286,7 +286,11 @@
     socket_path = place(shells.fleet, shells.fleet.members[0])
     for format_options in ([], ["--csv"], ["--json"]):
         completed = shells.command(
-            "query", "--at", socket_path, *format_options, "SELECT node FROM nodes WHERE node LIKE 's-\"q\"%' LIMIT 1"
+            "query",
+            "--at",
+            socket_path,
+            *format_options,
+            "SELECT node FROM nodes WHERE node LIKE 's-\"q\"%' LIMIT 1",
         )
         assert completed.returncode == 0, completed.stderr
         assert "\x1b" not in completed.stdout
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -62,7 +62,7 @@
     cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # a class without that policy
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.wait_for_events(6)[0][0] == "refused"
-    (order,) = (order for node in cluster.nodes for order in node.orders if order.uid == 5)
+    (order,) = (received for node in cluster.nodes for received in node.orders if received.uid == 5)
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
     assert [values["ms"] for values in log_lines(cluster, "hint-assumed")] == [15_000]
     message = cluster.client.said[5][0]
@@ -85,7 +85,7 @@
     cluster = FakeCluster(JSON, GRPC2)
     cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY, hint="8200.0")
     cluster.wait_for_events(5)
-    (order,) = (order for node in cluster.nodes for order in node.orders)
+    (order,) = (received for node in cluster.nodes for received in node.orders)
     offer = order.more
     assert (offer.hint.ms, offer.hint.assumed, offer.tenant, offer.key) == (8200.0, False, "hollis-county", 5)
     assert (offer.cores, offer.memory, offer.service, offer.priority) == (1.0, 2.0, 7, 1)
--- a/thornshelf/cli/dispatcher.py
+++ b/thornshelf/cli/dispatcher.py
@@ -107,7 +107,7 @@
 def field_mapping(check: bool) -> None:
     """Print how each field and message is translated between the wire formats.
 
-    Exit code 1 if the mapping has a gap or a contradiction.
+    The exit code is 1 if the mapping has a gap or a contradiction.
     """
     from thornshelf.translation import field_mapping_audit
 
--- a/thornshelf/cli/laboratory.py
+++ b/thornshelf/cli/laboratory.py
@@ -122,15 +122,15 @@
 )
 def scale(seed: int, short: bool, fault: str | None, as_json: bool, page: Path | None) -> None:
     """Measure what each role costs by fleet size, and at the target, with hollow nodes and dispatchers."""
-    from thornshelf.capacity import report as results
+    from thornshelf.capacity import report as capacity_report
     from thornshelf.lab.scale.output import Progress, write
     from thornshelf.lab.scale.run import FULL, SHORT, run
 
     with Progress(not as_json) as progress:
-        found = run(seed, SHORT if short else FULL, fault, progress.say)
+        result = run(seed, SHORT if short else FULL, fault, progress.say)
     if page is not None:
-        write(found, page)
-    exit_with_result(results.last_line(found), not found.errors, as_json)
+        write(result, page)
+    exit_with_result(capacity_report.last_line(result), not result.errors, as_json)
 
 
 @lab.command("members-at-size")
--- a/thornshelf/cli/record.py
+++ b/thornshelf/cli/record.py
@@ -37,7 +37,7 @@
 
 
 def _read_log(file: Path, print_entry: Callable[[str], object]) -> None:
-    """Read a log, print its entries and a summary, and exit with the code of a fault."""
+    """Print the entries and a summary of a log; exits with an error code if it can't be read to its end."""
     from thornshelf.wal import entries
     from thornshelf.wal.recovered_state import RecoveredState
 
@@ -45,12 +45,12 @@
     count = 0
     torn_tail: entries.TornTail | None = None
     try:
-        for frame in entries.read_frames(file.read_bytes()):
-            if isinstance(frame, entries.TornTail):
-                torn_tail = frame
+        for item in entries.read_frames(file.read_bytes()):
+            if isinstance(item, entries.TornTail):
+                torn_tail = item
                 continue
-            print_entry(f"{frame[0]:>10} {frame[1]}")
-            state.apply(frame[1])
+            print_entry(f"{item[0]:>10} {item[1]}")
+            state.apply(item[1])
             count += 1
     except entries.UnsupportedVersionError as error:
         click.echo(f"{file}: {error}", err=True)
--- a/thornshelf/shell/explanations.py
+++ b/thornshelf/shell/explanations.py
@@ -155,30 +155,30 @@
     return 1 <= len(text) <= 16 and all(digit in "0123456789abcdefABCDEF" for digit in text)
 
 
-def explain_task(engine: QueryEngine, text: str) -> list[str]:
+def explain_task(engine: QueryEngine, task_id: str) -> list[str]:
     """Returns the events of a task at all members by time, and its current state.
 
-    ``text``: its id or its idempotency key, in hexadecimal digits.
+    ``task_id``: its id or its idempotency key, in hexadecimal digits.
     """
-    uid = f"{int(text, 16):016x}"
+    uid = f"{int(task_id, 16):016x}"
     missing: dict[str, str] = {}
     events: dict[tuple[Any, ...], Row] = {}
-    current: list[Row] = []
+    current_rows: list[Row] = []
     for column in ("uid", "key"):
         filters = {"history": {column: uid}, "tasks": {column: uid}}
         for row in query_rows(engine, "SELECT * FROM history", filters, missing):
             events[tuple(row[name] for name in _EVENT_IDENTITY)] = row
         tasks = query_rows(engine, "SELECT * FROM tasks", filters, missing)
-        current += [row for row in tasks if row not in current]
-    if not events and not current:
+        current_rows += [row for row in tasks if row not in current_rows]
+    if not events and not current_rows:
         return [
             f"no member knows {uid}: it was never requested, or its events are no longer kept"
             " (`control.history`)",
             *missing_lines(missing),
         ]
     # The sort is stable: events of the same millisecond keep the order of their arrival.
-    in_order = sorted(events.values(), key=lambda row: row["when_ms"])
-    return [*map(_event_line, in_order), *_current_lines(current), *missing_lines(missing)]
+    ordered_events = sorted(events.values(), key=lambda row: row["when_ms"])
+    return [*map(_event_line, ordered_events), *_current_lines(current_rows), *missing_lines(missing)]
 
 
 _EVENT_IDENTITY = ("member", "when_ms", "uid", "event", "node", "detail")
--- a/thornshelf/shell/saved_queries.py
+++ b/thornshelf/shell/saved_queries.py
@@ -90,7 +90,7 @@
     "settings": (("key",), ("value",)),
     "allowances": (("name",), ("value",)),
 }
-# By table, the keys of rows that each member has a value of its own for.
+# By table, the keys whose values differ between members by design.
 MEMBER_SPECIFIC_KEYS = {
     "settings": (
         "name", "listen", "seed", "settings.me", "changelog", "control.socket",
--- a/thornshelf/translation/capabilities.py
+++ b/thornshelf/translation/capabilities.py
@@ -136,22 +136,22 @@
         return inconsistencies
 
     def _inconsistencies(self, capabilities: NodeCapabilities) -> list[str]:
-        found = []
+        inconsistencies = []
         known = {required.value for required in RequiredField}
         if capabilities.name and capabilities.name != self.name:
-            found.append(
+            inconsistencies.append(
                 f"the endpoint list names it {self.name!r}, its hello names it {capabilities.name!r:.60}"
             )
         uses_v2 = self.wire_format is WireFormat.GRPC_V2
         if uses_v2 and capabilities.generation < GENERATION[WireFormat.GRPC_V2]:
-            found.append(
+            inconsistencies.append(
                 f"it declares generation {capabilities.generation}, but its wire format is of generation 2"
             )
         if unknown := sorted(capabilities.required_fields - known):
-            found.append(f"it requires fields that this version does not know: {unknown}")
+            inconsistencies.append(f"it requires fields that this version does not know: {unknown}")
         if len(capabilities.required_fields) > MAX_REQUIRED_FIELDS:
-            found.append("it requires more fields than exist")
-        return found
+            inconsistencies.append("it requires more fields than exist")
+        return inconsistencies
 
     def record_rejection(self, reason: FailureReason) -> bool:
         """Record a rejection; returns whether it shows a required field that the node had not declared."""
--- a/thornshelf/translation/translator.py
+++ b/thornshelf/translation/translator.py
@@ -80,10 +80,9 @@
             self.jitter = RetryAfterJitter(config.jitter)
         self._profiles: dict[int, NodeProfile] = {}
         self._negotiations: dict[str, WireFormatNegotiation] = {}
-        self._ineligible: dict[tuple[str, bool, bool, bool, bool], frozenset[int]] = {}
-        self._restricted_nodes: set[int] = (
-            set()
-        )  # that require fields, or have another name than the listed one
+        self._ineligible_cache: dict[tuple[str, bool, bool, bool, bool], frozenset[int]] = {}
+        # Nodes that require fields, or whose hello has another name than the endpoint list.
+        self._restricted_nodes: set[int] = set()
 
     @property
     def has_restrictions(self) -> bool:
@@ -98,26 +97,26 @@
 
     def negotiation(self, name: str) -> WireFormatNegotiation:
         """Returns the wire format negotiation of a node, created on first use; it outlives a change of address."""
-        if (found := self._negotiations.get(name)) is None:
-            found = self._negotiations[name] = WireFormatNegotiation(self.allowed_formats(name))
-        return found
+        if (negotiation := self._negotiations.get(name)) is None:
+            negotiation = self._negotiations[name] = WireFormatNegotiation(self.allowed_formats(name))
+        return negotiation
 
     def profile(self, machine: int, name: str = "") -> NodeProfile:
         """Returns what is known of a node; created on first use."""
-        if (found := self._profiles.get(machine)) is None:
-            found = self._profiles[machine] = NodeProfile(name)
-        return found
+        if (profile := self._profiles.get(machine)) is None:
+            profile = self._profiles[machine] = NodeProfile(name)
+        return profile
 
     def remove_node(self, machine: int, name: str) -> None:
         """Discard what is known of a node that is no longer in the endpoint list."""
         self._profiles.pop(machine, None)
         self._restricted_nodes.discard(machine)
-        self._ineligible.clear()
+        self._ineligible_cache.clear()
         self._negotiations.pop(name, None)
 
     def _update_restrictions(self, machine: int) -> None:
         profile = self.profile(machine)
-        self._ineligible.clear()
+        self._ineligible_cache.clear()
         if profile.required_fields or profile.mismatched_name:
             self._restricted_nodes.add(machine)
         else:
@@ -153,10 +152,10 @@
             bool(declared.idempotency_key),
             bool(declared.service),
         )
-        ineligible = self._ineligible.get(cache_key)
+        ineligible = self._ineligible_cache.get(cache_key)
         if ineligible is None:
             rejection_by = self.router.rejection_by
-            ineligible = self._ineligible[cache_key] = frozenset(
+            ineligible = self._ineligible_cache[cache_key] = frozenset(
                 machine
                 for machine, profile in self._profiles.items()
                 if rejection_by(task_class, declared, profile) is not None
--- a/thornshelf/translation/uncertain_attempts.py
+++ b/thornshelf/translation/uncertain_attempts.py
@@ -1,9 +1,9 @@
 """The states of the idempotency keys of tasks that must not be started twice.
 
 A key is either active (its task is open or running here) or uncertain (an attempt may have run, and its end is not
-known). A request with such a key under another id never starts the task at once: it joins the active task, or the
-node of the uncertain attempt is queried first. Uncertain keys are bounded in number and expire; after that, the same
-key counts as a new task.
+known). A request with such a key under another id does not start the task: it joins the active task, waits until the
+node of the uncertain attempt has answered a query, or fails. Uncertain keys are bounded in number and expire; after
+that, the same key counts as a new task.
 """
 
 from __future__ import annotations
