--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -48,7 +48,7 @@
 
     def wait(self, future: Future[T]) -> T:
         """Run the loop of the testbed until a future is done; returns its result."""
-        assert self.fleet.until(future.done, TIMEOUT_S) is not None
+        assert self.fleet.run_until(future.done, TIMEOUT_S) is not None
         return future.result()
 
     def query(self, sql: str, member: int = 0) -> QueryResult:
@@ -64,7 +64,7 @@
         while time.monotonic() - started < TIMEOUT_S:
             if (rows := self.query(sql, member).rows) == (expected() if callable(expected) else expected):
                 return
-            self.fleet.rest(0.1)
+            self.fleet.run_for(0.1)
         raise AssertionError((sql, rows))
 
     def command(self, *arguments: str, text: str | None = None) -> subprocess.CompletedProcess[str]:
@@ -80,9 +80,9 @@
 def start_fleet(folder: Path, members: int, more: str = CONTROL) -> FleetTestbed:
     """Start a fleet and wait until its members agree; ``more``: lines of each operator's file."""
     fleet = FleetTestbed(7, True, None, members, 3, folder)
-    fleet.more = more
+    fleet.fleet_settings = more
     fleet.start(*fleet.members)
-    assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+    assert fleet.run_until(fleet.agreed, TIMEOUT_S) is not None
     return fleet
 
 
@@ -91,19 +91,19 @@
     testbed = ShellTestbed(start_fleet(tmp_path, 4))
     yield testbed
     testbed.pool.shutdown(cancel_futures=True)
-    testbed.fleet.end()
+    testbed.fleet.shut_down()
 
 
 def place_tasks(shells: ShellTestbed, count: int) -> None:
     """Send requests until so many tasks were placed."""
     fleet = shells.fleet
     fleet.pause_us, fleet.loading = 20_000, True
-    fleet.load()
+    fleet.send_requests()
 
     def placed() -> bool:
-        return sum(request.answers[:1] == ["placed"] for request in fleet.truth.asked.values()) >= count
+        return sum(request.answers[:1] == ["placed"] for request in fleet.oracle.requests.values()) >= count
 
-    assert fleet.until(placed, TIMEOUT_S) is not None
+    assert fleet.run_until(placed, TIMEOUT_S) is not None
     fleet.loading = False
 
 
@@ -156,7 +156,7 @@
 def test_a_dead_member_is_named_at_once_until_it_is_started_again(shells: ShellTestbed) -> None:
     fleet, dead = shells.fleet, shells.fleet.members[2]
     fleet.kill(dead)
-    assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+    assert fleet.run_until(fleet.agreed, TIMEOUT_S) is not None
     result = shells.query("SELECT DISTINCT member FROM counters ORDER BY member")
     assert result.rows == [("m00",), ("m01",), ("m03",)]
     assert result.summary.missing == [("m02", "it is held for dead")]
@@ -177,12 +177,12 @@
     ]
     for future in futures:
         assert all(result.complete for result in shells.wait(future))
-    fleet.rest(2.5)
-    assert fleet.until(lambda: not fleet.truth.lost(fleet.loop.now, 2_000_000), TIMEOUT_S) is not None
-    assert not fleet.truth.doubled()
+    fleet.run_for(2.5)
+    assert fleet.run_until(lambda: not fleet.oracle.lost(fleet.loop.now, 2_000_000), TIMEOUT_S) is not None
+    assert not fleet.oracle.duplicated()
 
     def count_requests(answer: str) -> list[tuple[int]]:
-        requests = [(uid >> 40, request) for uid, request in fleet.truth.asked.items()]
+        requests = [(uid >> 40, request) for uid, request in fleet.oracle.requests.items()]
         return [
             (
                 sum(
@@ -200,7 +200,7 @@
     shells.wait_for_rows(sql.format("taken"), lambda: count_requests(""))
     shells.wait_for_rows(sql.format("answered"), lambda: count_requests("placed"))
     shells.wait_for_rows("SELECT node, sum(standing) FROM nodes GROUP BY node ORDER BY node", count_running)
-    given_up = next(uid for uid, request in fleet.truth.asked.items() if request.void)
+    given_up = next(uid for uid, request in fleet.oracle.requests.items() if request.void)
     lines = shells.wait(shells.start(lambda engine: explain_task(engine, f"{given_up:x}")))
     assert any("taken" in line for line in lines)
     assert any("given-up" in line for line in lines)
@@ -211,17 +211,17 @@
     fleet = FleetTestbed(7, True, None, 3, 2, tmp_path)
     shells = ShellTestbed(fleet)
     try:
-        fleet.more = CONTROL
+        fleet.fleet_settings = CONTROL
         fleet.start(*fleet.members[:2])
-        fleet.more = ""
+        fleet.fleet_settings = ""
         fleet.start(fleet.members[2])
-        assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+        assert fleet.run_until(fleet.agreed, TIMEOUT_S) is not None
         result = shells.query("SELECT DISTINCT member FROM counters")
         assert result.summary.missing == [("m02", "it has no control socket")]
         assert {row[0] for row in result.rows} == {"m00", "m01"}
     finally:
         shells.pool.shutdown()
-        fleet.end()
+        fleet.shut_down()
 
 
 def test_a_shell_beyond_the_limit_of_ten_is_rejected(tmp_path: Path) -> None:
@@ -241,14 +241,16 @@
         with pytest.raises(TooManySessionsError, match="10 shells are connected"):
             extra_client.fetch_catalog()
         log_text = f'code="{TooManySessionsError.code}"'
-        assert fleet.until(lambda: log_text in fleet.members[0].logs[0].read_text(), TIMEOUT_S) is not None
+        assert (
+            fleet.run_until(lambda: log_text in fleet.members[0].logs[0].read_text(), TIMEOUT_S) is not None
+        )
         clients.pop().close()
         shells.wait_for_rows("SELECT count(*) FROM nodes", [(6,)])
         for client in [*clients, extra_client]:
             client.close()
     finally:
         shells.pool.shutdown()
-        fleet.end()
+        fleet.shut_down()
 
 
 def test_a_stalled_and_a_malformed_client_are_disconnected_and_others_are_not(shells: ShellTestbed) -> None:
@@ -266,7 +268,7 @@
     def both_disconnected() -> bool:
         return log.read_text().count('code="TS5003"') >= 2
 
-    assert shells.fleet.until(both_disconnected, TIMEOUT_S) is not None, log.read_text()[-2000:]
+    assert shells.fleet.run_until(both_disconnected, TIMEOUT_S) is not None, log.read_text()[-2000:]
     malformed.settimeout(5.0)
     assert malformed.recv(10) == b""
     stalled.close()
@@ -278,8 +280,8 @@
 
 def test_a_node_name_with_quotes_markup_and_control_characters_is_shown_escaped(shells: ShellTestbed) -> None:
     hostile_name = 's-"q" [bold]\'\x1b[2J'
-    entry = shells.fleet.entry(1) | {"instanceId": hostile_name}
-    shells.fleet.keeper.publish([entry])
+    entry = shells.fleet.endpoint(1) | {"instanceId": hostile_name}
+    shells.fleet.endpoint_source.publish([entry])
     shells.wait_for_rows("SELECT count(*) FROM nodes WHERE node LIKE 's-\"q\"%'", [(4,)])
     lines = shells.wait(shells.start(lambda engine: explain_node(engine, hostile_name)))
     assert sum(line.startswith("m0") for line in lines) == 4
@@ -327,10 +329,10 @@
     place_tasks(shells, 40)
     fleet = shells.fleet
     fleet.kill(fleet.members[3])
-    assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+    assert fleet.run_until(fleet.agreed, TIMEOUT_S) is not None
     uid = next(
         uid
-        for uid, request in fleet.truth.asked.items()
+        for uid, request in fleet.oracle.requests.items()
         if request.answers[:1] == ["placed"] and uid >> 40 == 2
     )
     lines = [
@@ -364,7 +366,7 @@
     shells = ShellTestbed(fleet)
     socket_path = tmp_path / "one.sock"
     try:
-        fleet.more = f'[control]\nsocket = "{socket_path}"\n'
+        fleet.fleet_settings = f'[control]\nsocket = "{socket_path}"\n'
         fleet.start(fleet.members[0])
         with pytest.raises(ThornshelfError, match="TS5002"):
             fleet.start(fleet.members[1])
@@ -377,12 +379,12 @@
         (tmp_path / "open").mkdir()
         (tmp_path / "open").chmod(0o777)
         fleet.members[0].process = None
-        fleet.more = f'[control]\nsocket = "{tmp_path}/open/s"\n'
+        fleet.fleet_settings = f'[control]\nsocket = "{tmp_path}/open/s"\n'
         with pytest.raises(ThornshelfError, match="another user may write there.*TS5001"):
             fleet.start(fleet.members[0])
     finally:
         shells.pool.shutdown()
-        fleet.end()
+        fleet.shut_down()
     assert not socket_path.exists()  # it is removed at a shutdown in order
 
 
@@ -390,15 +392,15 @@
     fleet = FleetTestbed(7, True, None, 2, 3, tmp_path)
     shells = ShellTestbed(fleet)
     try:
-        fleet.more = CONTROL
+        fleet.fleet_settings = CONTROL
         fleet.start(fleet.members[0], odd="crowd")
         fleet.start(fleet.members[1])
-        assert fleet.until(fleet.agreed, TIMEOUT_S) is not None
+        assert fleet.run_until(fleet.agreed, TIMEOUT_S) is not None
         fleet.loading = True
-        fleet.load()
+        fleet.send_requests()
         for member in (0, 1):  # at the member that has the tasks, and through the other one
             future = shells.start(lambda engine: engine.query("SELECT uid, age_ms FROM tasks", True), member)
-            requests_before = len(fleet.truth.asked)
+            requests_before = len(fleet.oracle.requests)
             result = shells.wait(future)
             extra_tasks = [row for row in result.rows if row[0] >= f"{1 << 60:016x}"]
             assert len({row[0] for row in extra_tasks}) == len(extra_tasks) > 9_000
@@ -406,13 +408,13 @@
             if result.summary.missing:  # the size of a reply between members is limited
                 assert member == 1
                 assert "too long" in result.summary.missing[0][1]
-            assert len(fleet.truth.asked) > requests_before
+            assert len(fleet.oracle.requests) > requests_before
         count_query = "SELECT count(DISTINCT uid) FROM tasks WHERE uid >= '1000000000000000'"
         assert shells.query(count_query).rows == [(100_000,)]
         fleet.loading = False
-        fleet.rest(1.0)
-        assert not fleet.truth.doubled()
-        assert all(request.answers for request in fleet.truth.asked.values() if not request.void)
+        fleet.run_for(1.0)
+        assert not fleet.oracle.duplicated()
+        assert all(request.answers for request in fleet.oracle.requests.values() if not request.void)
     finally:
         shells.pool.shutdown()
-        fleet.end()
+        fleet.shut_down()
--- a/tests/test_translation.py
+++ b/tests/test_translation.py
@@ -39,10 +39,10 @@
 
 
 @CLIENTS
-def test_a_request_without_a_required_hint_is_rejected_with_the_reason(front: str) -> None:
-    cluster = FakeCluster(front, GRPC2, manners=needs_hint)
+def test_a_request_without_a_required_hint_is_rejected_with_the_reason(frontend: str) -> None:
+    cluster = FakeCluster(frontend, GRPC2, prepare_node=needs_hint)
     cluster.run_for(50)  # until the hellos have arrived
-    cluster.client.ask(5, NodeBehavior.RUN, hint=None)
+    cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
     message = cluster.client.messages[5][0]
@@ -56,13 +56,17 @@
 
 
 @CLIENTS
-def test_a_missing_hint_is_assumed_by_the_class_policy_and_reported(front: str) -> None:
-    cluster = FakeCluster(front, GRPC2, terms=ASSUME, manners=needs_hint)
-    cluster.client.ask(5, NodeBehavior.RUN, hint=None)
-    cluster.client.ask(6, NodeBehavior.RUN, ONCE_ONLY, hint=None)  # a class without that policy
+def test_a_missing_hint_is_assumed_by_the_class_policy_and_reported(frontend: str) -> None:
+    cluster = FakeCluster(frontend, GRPC2, translation=ASSUME, prepare_node=needs_hint)
+    cluster.client.send_request(5, NodeBehavior.RUN, hint=None)
+    cluster.client.send_request(
+        6, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint=None
+    )  # a class without that policy
     assert cluster.wait_for_events(5) == [PLACED]
     assert cluster.wait_for_events(6)[0][0] == "refused"
-    (order,) = (received for node in cluster.nodes for received in node.orders if received.uid == 5)
+    (order,) = (
+        received for node in cluster.nodes for received in node.received_messages if received.uid == 5
+    )
     assert (order.hint_ms, order.assumed) == (15_000.0, True)
     assert [values["ms"] for values in log_lines(cluster, "hint-assumed")] == [15_000]
     message = cluster.client.messages[5][0]
@@ -85,8 +89,8 @@
     cluster = FakeCluster(JSON, GRPC2)
     cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS, hint="8200.0")
     cluster.wait_for_events(5)
-    (order,) = (received for node in cluster.nodes for received in node.orders)
-    offer = order.more
+    (order,) = (received for node in cluster.nodes for received in node.received_messages)
+    offer = order.v2_offer
     assert (offer.hint.ms, offer.hint.assumed, offer.tenant, offer.key) == (8200.0, False, "hollis-county", 5)
     assert (offer.cores, offer.memory, offer.service, offer.priority) == (1.0, 2.0, 7, 1)
     assert offer.never_twice
@@ -115,12 +119,12 @@
 def test_a_reason_unknown_to_the_format_keeps_its_guarantee_and_text(
     frontend: str, behavior: NodeBehavior, reason: int, text: str
 ) -> None:
-    cluster = FakeCluster(front, GRPC2)
-    cluster.client.ask(5, behavior, ONCE_ONLY)
+    cluster = FakeCluster(frontend, GRPC2)
+    cluster.client.send_request(5, behavior, NON_IDEMPOTENT_CLASS)
     # Rejected rather than failed, although the task must not be started twice: it is known not to have run.
     assert cluster.wait_for_events(5)[0][0] == "refused"
-    message = cluster.client.said[5][0]
-    if front == JSON:
+    message = cluster.client.messages[5][0]
+    if frontend == JSON:
         assert (message.reason, message.meta["why"]) == (34, text)
     if frontend == GRPC2:
         assert message.refusal.reason == reason
@@ -129,7 +133,7 @@
 
 
 def test_a_rejection_that_concerns_only_the_task_does_not_exclude_the_node() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
     for uid in range(5, 9):
         cluster.client.send_request(uid, NodeBehavior.NEEDS_LICENCE)
         cluster.wait_for_events(uid)
@@ -138,8 +142,8 @@
 
 
 def test_a_new_client_receives_the_reason_of_an_old_node() -> None:
-    cluster = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    cluster.client.ask(5, NodeBehavior.FULL)
+    cluster = FakeCluster(GRPC2, BINARY, translation=TranslationConfig())
+    cluster.client.send_request(5, NodeBehavior.REFUSE)
     cluster.wait_for_events(5)
     assert cluster.client.messages[5][0].refusal.reason == pb2.NO_CORES
 
@@ -191,7 +195,7 @@
     node.break_streams()
     uid = 6
     while True:  # until an attempt succeeds in the new format; none may be lost or started twice meanwhile
-        cluster.client.ask(uid, NodeBehavior.RUN, ONCE_ONLY)
+        cluster.client.send_request(uid, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
         event = cluster.wait_for_events(uid)[0]
         assert event[0] in ("placed", "refused")
         if event == PLACED:
@@ -199,7 +203,7 @@
         uid += 1
     profile = cluster.service.core.translator.profile(1)  # type: ignore[union-attr]
     assert profile.wire_format is WIRE_FORMATS[after]
-    assert [order.uid for order in node.orders if order.kind == "offer"] == [5, uid]
+    assert [order.uid for order in node.received_messages if order.kind == "offer"] == [5, uid]
 
 
 def test_nodes_upgraded_between_two_requests_require_a_hint_at_once() -> None:
@@ -224,18 +228,18 @@
     cluster.client.send_request(4, NodeBehavior.RUN)
     cluster.wait_for_events(4)
     cluster.run_for(100)
-    original_handlers = {node: node.order for node in cluster.nodes}
+    original_handlers = {node: node.handle_message for node in cluster.nodes}
 
-    def upgrade_other_node(node: FakeNode, order: ReceivedOrder, say: Any) -> None:
+    def upgrade_other_node(node: FakeNode, order: ReceivedMessage, responder: Any) -> None:
         for other in cluster.nodes:
             if other is not node and not other.profile.requires:
                 other.form, other.profile.requires = GRPC2, (pb2.HINT,)
                 other.break_streams()
-        original_handlers[node](order, say)
+        original_handlers[node](order, responder)
 
     for node in cluster.nodes:
-        node.order = partial(upgrade_other_node, node)  # type: ignore[method-assign]
-    cluster.client.ask(5, NodeBehavior.FULL, ONCE_ONLY, hint=None)
+        node.handle_message = partial(upgrade_other_node, node)  # type: ignore[method-assign]
+    cluster.client.send_request(5, NodeBehavior.REFUSE, NON_IDEMPOTENT_CLASS, hint=None)
     assert cluster.wait_for_events(5)[0][0] in ("refused", "failed")
     assert start_count(cluster, 5) == 0
     cluster.run_for(100)
@@ -253,19 +257,19 @@
     )
     assert report.WhichOneof("kind") == "hello"
     assert report.hello.generation == 3
-    cluster = FakeCluster(GRPC2, GRPC2, manners=lambda node: setattr(node.manners, "generation", 3))
-    ask = cluster.client.message(5, NodeBehavior.RUN, "lookup").SerializeToString() + unknown_field
+    cluster = FakeCluster(GRPC2, GRPC2, prepare_node=lambda node: setattr(node.profile, "generation", 3))
+    ask = cluster.client.make_ask(5, NodeBehavior.RUN, "lookup").SerializeToString() + unknown_field
     body = pb2.ClientMessage(ask=pb2.Ask.FromString(ask)).SerializeToString()
     assert unknown_field in body  # protobuf preserves it
-    cluster.client.h2.send(cluster.client.call, b"\0" + len(body).to_bytes(4, "big") + body)
+    cluster.client.h2.send(cluster.client.stream_id, b"\0" + len(body).to_bytes(4, "big") + body)
     assert cluster.wait_for_events(5) == [PLACED]
 
 
 def test_a_node_with_another_name_than_the_listed_one_receives_no_attempts() -> None:
     def declare_other_name(node: FakeNode) -> None:
-        node.manners.name = "s-0000ffff"
+        node.profile.name = "s-0000ffff"
 
-    cluster = FakeCluster(JSON, GRPC2, manners=declare_other_name)
+    cluster = FakeCluster(JSON, GRPC2, prepare_node=declare_other_name)
     cluster.run_for(50)
     cluster.client.send_request(5, NodeBehavior.RUN)
     assert cluster.wait_for_events(5)[0][0] == "refused"
@@ -275,8 +279,8 @@
 
 
 def test_an_undeclared_requirement_is_learned_from_a_rejection() -> None:
-    cluster = FakeCluster(JSON, GRPC2, nodes=1)
-    cluster.client.ask(5, NodeBehavior.NEEDS_HINT, hint=None)
+    cluster = FakeCluster(JSON, GRPC2, node_count=1)
+    cluster.client.send_request(5, NodeBehavior.NEEDS_HINT, hint=None)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
     assert len(log_lines(cluster, "rejection-unexpected")) == 1
@@ -287,18 +291,20 @@
 
 def test_a_node_without_a_hello_receives_no_attempts() -> None:
     def omit_hello(node: FakeNode) -> None:
-        node.manners.greets = False
+        node.profile.sends_hello = False
 
-    cluster = FakeCluster(JSON, GRPC2, terms=TranslationConfig(hello_timeout_us=100_000), manners=omit_hello)
-    cluster.client.ask(5, NodeBehavior.RUN, ONCE_ONLY)
+    cluster = FakeCluster(
+        JSON, GRPC2, translation=TranslationConfig(hello_timeout_us=100_000), prepare_node=omit_hello
+    )
+    cluster.client.send_request(5, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 0
 
 
-@pytest.mark.parametrize("front", [GRPC, GRPC2])
-def test_clients_of_both_generations_are_served(front: str) -> None:
-    cluster = FakeCluster(front, BINARY)
-    cluster.client.ask(5, NodeBehavior.END)
+@pytest.mark.parametrize("frontend", [GRPC, GRPC2])
+def test_clients_of_both_generations_are_served(frontend: str) -> None:
+    cluster = FakeCluster(frontend, BINARY)
+    cluster.client.send_request(5, NodeBehavior.END)
     assert cluster.wait_for_events(5, 2) == [PLACED, ("released", pb2.ENDED)]
     call = cluster.client.open_stream("Place")
     ask = cluster.client.make_ask(6, NodeBehavior.REFUSE, "lookup")
@@ -306,8 +312,8 @@
     cluster.client.h2.finish(call, [])
     cluster.run_until(lambda: call in cluster.client.status)
     # v2 rejects by a message, v1 by the status of the call
-    assert cluster.client.status[call]["grpc-status"] == ("0" if front == GRPC2 else "8")
-    assert (6 in cluster.client.heard) == (front == GRPC2)
+    assert cluster.client.status[call]["grpc-status"] == ("0" if frontend == GRPC2 else "8")
+    assert (6 in cluster.client.events) == (frontend == GRPC2)
 
 
 def _frame(message: Any) -> bytes:
@@ -322,22 +328,22 @@
 def test_retries_are_limited_by_the_budget() -> None:
     no_retries = RetryBudgetConfig(earned_per_attempt_milli=0, earned_per_s_milli=0, capacity_milli=0)
     cluster = FakeCluster(
-        GRPC2, BINARY, terms=TranslationConfig(limits_retries=True, service_budget=no_retries)
+        GRPC2, BINARY, translation=TranslationConfig(limits_retries=True, service_budget=no_retries)
     )
-    cluster.client.ask(5, NodeBehavior.FULL)
+    cluster.client.send_request(5, NodeBehavior.REFUSE)
     assert cluster.wait_for_events(5)[0][0] == "refused"
     assert cluster.offer_count(5) == 1
-    assert cluster.client.said[5][0].refusal.reason == pb2.OVERLOADED
-    unlimited = FakeCluster(GRPC2, BINARY, terms=TranslationConfig())
-    unlimited.client.ask(5, NodeBehavior.FULL)
+    assert cluster.client.messages[5][0].refusal.reason == pb2.OVERLOADED
+    unlimited = FakeCluster(GRPC2, BINARY, translation=TranslationConfig())
+    unlimited.client.send_request(5, NodeBehavior.REFUSE)
     assert unlimited.wait_for_events(5)[0][0] == "refused"
     assert unlimited.offer_count(5) == 2
 
 
 def test_the_retry_delays_of_many_rejected_requests_are_spread() -> None:
-    cluster = FakeCluster(JSON, BINARY, terms=TranslationConfig(limits_retries=True))
+    cluster = FakeCluster(JSON, BINARY, translation=TranslationConfig(limits_retries=True))
     for uid in range(10, 60):
-        cluster.client.ask(uid, NodeBehavior.FULL)
+        cluster.client.send_request(uid, NodeBehavior.REFUSE)
     delays_ms = [int(cluster.wait_for_events(uid)[0][1]) for uid in range(10, 60)]
     assert len(set(delays_ms)) > 25
     assert all(1000 <= delay <= 3000 for delay in delays_ms)
@@ -353,7 +359,7 @@
         cluster.client.send_request(uid, NodeBehavior.RUN, left="60" if uid == 20 else "8000")
     cluster.client.send_request(30, NodeBehavior.RUN, NON_IDEMPOTENT_CLASS)
     events = {uid: cluster.wait_for_events(uid)[0][0] for uid in range(10, 31)}
-    placed_order = [order.uid for order in cluster.nodes[0].orders]
+    placed_order = [order.uid for order in cluster.nodes[0].received_messages]
     assert events[20] == "refused"
     assert events[30] == "placed"
     assert placed_order[0] == 30
@@ -361,7 +367,7 @@
     assert not cluster.service.core.queue
     rejected = [uid for uid, kind in events.items() if kind == "refused"]
     assert len(rejected) >= 10
-    assert reason_text(cluster.client.said[20][0]).startswith("overloaded")
+    assert reason_text(cluster.client.messages[20][0]).startswith("overloaded")
 
 
 def test_descriptions_of_any_bytes_survive_json_lines() -> None:
--- a/tests/test_translation_rules.py
+++ b/tests/test_translation_rules.py
@@ -240,12 +240,12 @@
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99))
     def mark_active(self, key: int, uid: int) -> None:
         self.keys.mark_active(key, uid)
-        self.expected[key] = ActiveKey(uid)
+        self.expected[key] = ActiveKeyState(uid)
 
     @rule(key=st.integers(1, 5), uid=st.integers(1, 99), machine=st.integers(1, 3))
     def mark_uncertain(self, key: int, uid: int, machine: int) -> None:
         self.keys.mark_uncertain(key, machine, uid, self.now)
-        self.expected[key] = UncertainKey(machine, uid, self.now)
+        self.expected[key] = UncertainKeyState(machine, uid, self.now)
 
     @rule(key=st.integers(1, 5))
     def discard(self, key: int) -> None:
@@ -256,7 +256,7 @@
     def states_are_equal(self) -> None:
         for key in range(1, 6):
             state = self.expected.get(key)
-            if isinstance(state, UncertainKey) and self.now - state.since_us >= 50:
+            if isinstance(state, UncertainKeyState) and self.now - state.since_us >= 50:
                 state = None
             assert self.keys.lookup(key, self.now) == state
         assert self.keys.uncertain_count <= len(self.keys)
--- a/tests/translation_helpers.py
+++ b/tests/translation_helpers.py
@@ -23,7 +23,7 @@
 
 def needs_hint(node: FakeNode) -> None:
     """Make a node require a lifetime hint."""
-    node.manners.requires = (pb2.HINT,)
+    node.profile.requires = (pb2.HINT,)
 
 
 def counters(cluster: FakeCluster) -> dict[str, int]:
@@ -35,7 +35,7 @@
 
 def start_count(cluster: FakeCluster, key: int) -> int:
     """Returns how many tasks with this key run or ran, over all nodes."""
-    return sum((key in node.runs) + (key in node.ran) for node in cluster.nodes)
+    return sum((key in node.running_by_key) + (key in node.ended_by_key) for node in cluster.nodes)
 
 
 def log_lines(cluster: FakeCluster, name: str) -> list[dict[str, object]]:
--- a/thornshelf/translation/field_mapping_audit.py
+++ b/thornshelf/translation/field_mapping_audit.py
@@ -48,8 +48,8 @@
     for name, record_type in (("Line", jsonl.Line), ("Launch", jsonl.LaunchFields)):
         for field in dataclasses.fields(record_type):
             yield f"{name}.{field.name}"
-    yield from (f"kind.{kind}" for kind in jsonl.KINDS)
-    yield from (f"out.{out_field}" for out_field in jsonl.OUT_FIELDS)
+    yield from (f"kind.{kind}" for kind in jsonl.LINE_KINDS)
+    yield from (f"out.{out_field}" for out_field in jsonl.CLIENT_FIELDS)
     yield from (f"cause.{cause}" for cause in jsonl.CAUSES)
 
 
@@ -64,7 +64,7 @@
     causes = {*node_binary.OUTCOMES_BEFORE_START, *node_binary.OUTCOMES_AFTER_START, "other"}
     yield from (f"cause.{cause}" for cause in causes)
     yield from (f"reason.{reason}" for reason in node_binary.REASONS_BY_NAME)
-    yield from (f"fact.{fact}" for fact in node_binary.FACTS_BY_NAME)
+    yield from (f"fact.{fact}" for fact in node_binary.UPDATE_KINDS_BY_NAME)
 
 
 def elements(wire_format: WireFormat) -> set[str]:
--- a/thornshelf/translation/uncertain_attempts.py
+++ b/thornshelf/translation/uncertain_attempts.py
@@ -27,14 +27,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ActiveKey:
+class ActiveKeyState:
     """The task is open, or running, under the id ``uid``."""
 
     uid: int
 
 
 @dataclass(frozen=True, slots=True)
-class UncertainKey:
+class UncertainKeyState:
     """The attempt with the id ``uid`` may run, or have run, on node ``machine``; uncertain since ``since_us``."""
 
     machine: int
