--- a/tests/test_shell_processes.py
+++ b/tests/test_shell_processes.py
@@ -393,7 +393,7 @@
     shells = ShellTestbed(fleet)
     try:
         fleet.fleet_settings = CONTROL
-        fleet.start(fleet.members[0], odd="crowd")
+        fleet.start(fleet.members[0], injected_fault="crowd")
         fleet.start(fleet.members[1])
         assert fleet.run_until(fleet.agreed, TIMEOUT_S) is not None
         fleet.loading = True
