--- a/tests/test_subset_processes.py
+++ b/tests/test_subset_processes.py
@@ -29,7 +29,7 @@
     try:
         scale_testbed.start_real(0, False)
         scale_testbed.start_real(1, True)
-        scale_testbed.ready()
+        scale_testbed.wait_until_ready()
         yield scale_testbed
     finally:
         scale_testbed.close()
@@ -51,7 +51,7 @@
 
 def violations(testbed: ScaleTestbed) -> tuple[int, int, int]:
     """Count the tasks that were lost, that ran twice, and that were sent to a draining node."""
-    testbed.rest(3.0)
+    testbed.run_for(3.0)
     tally = testbed.nodes.tell(Count())
     testbed.oracle.ended_us = tally.over
     lost, doubled = testbed.oracle.lost(testbed.loop.now, 2_000_000), testbed.oracle.duplicated()
@@ -66,25 +66,25 @@
     assert last_logged(subset, "own") == 3
     assert last_logged(subset, "known") == NODES
     assert last_logged(complete, "own") == -1
-    testbed.load(1.0, 20.0)
+    testbed.send_requests(1.0, 20.0)
     before = placed_tasks(testbed, subset)
     assert before > 0
     os.kill(subset.pid, signal.SIGSTOP)
     testbed.nodes.tell(Kill(ZONE))
-    testbed.tell(*(testbed.layout.entry(node, "terminated") for node in ZONE))
-    testbed.rest(0.7)
+    testbed.publish_instances(*(testbed.layout.entry(node, "terminated") for node in ZONE))
+    testbed.run_for(0.7)
     os.kill(subset.pid, signal.SIGCONT)
-    assert testbed.until(lambda: last_logged(subset, "spare") >= 3, 10.0)
-    testbed.load(1.0, 20.0)
-    assert testbed.until(lambda: placed_tasks(testbed, subset) > before + 10, 5.0)
+    assert testbed.run_until(lambda: last_logged(subset, "spare") >= 3, 10.0)
+    testbed.send_requests(1.0, 20.0)
+    assert testbed.run_until(lambda: placed_tasks(testbed, subset) > before + 10, 5.0)
     testbed.endpoint_source.silent.add(1)
     testbed.nodes.tell(Rise(ZONE))
-    testbed.tell(*(testbed.layout.entry(node, started_ms=1) for node in ZONE))
-    testbed.load(1.0, 20.0)
+    testbed.publish_instances(*(testbed.layout.entry(node, started_ms=1) for node in ZONE))
+    testbed.send_requests(1.0, 20.0)
     assert last_logged(subset, "own") == 0  # it does not know of the return, and keeps serving
     testbed.endpoint_source.silent.clear()
-    assert testbed.until(lambda: last_logged(subset, "own") == 3, 10.0)
-    testbed.load(1.0, 20.0)
+    assert testbed.run_until(lambda: last_logged(subset, "own") == 3, 10.0)
+    testbed.send_requests(1.0, 20.0)
     assert violations(testbed) == (0, 0, 0)
     assert complete.process.process.poll() is None
     assert subset.process.process.poll() is None
--- a/thornshelf/lab/scale/faults.py
+++ b/thornshelf/lab/scale/faults.py
@@ -69,8 +69,8 @@
             hollow_members = list(range(2, 2 + len(testbed.endpoint_source.ports) - 2))
             testbed.start_hollow(hollow_members[: len(hollow_members) // 2], False, self.injected_fault)
             testbed.start_hollow(hollow_members[len(hollow_members) // 2 :], True, self.injected_fault)
-            testbed.ready()
-            testbed.rest(1.0)
+            testbed.wait_until_ready()
+            testbed.run_for(1.0)
             self._start_load()
             self._measure_membership()
             self._replace_nodes()
@@ -78,7 +78,7 @@
             self._lose_zone()
             self._silence_region()
             self.loading = False
-            testbed.rest(4.0)
+            testbed.run_for(4.0)
             return self._collect_counts()
         finally:
             testbed.close()
@@ -107,7 +107,7 @@
     def _measure_membership(self) -> None:
         """Measure the membership traffic of a real dispatcher."""
         sent, started_s = self.testbed.relays.sent[0], time.monotonic()
-        self.testbed.rest(2.0)
+        self.testbed.run_for(2.0)
         self.counts.membership_bytes_per_s = (self.testbed.relays.sent[0] - sent) / (
             time.monotonic() - started_s
         )
@@ -116,47 +116,47 @@
         """Drain and remove nodes, and start others at their addresses under new names."""
         testbed, layout = self.testbed, self.testbed.layout
         for node in range(REPLACED_NODES):
-            testbed.tell(layout.entry(node, "terminating"))
+            testbed.publish_instances(layout.entry(node, "terminating"))
             testbed.nodes.tell(Drain([node]))
-            testbed.rest(0.05)
-        testbed.rest(2.5)  # their tasks end
+            testbed.run_for(0.05)
+        testbed.run_for(2.5)  # their tasks end
         for node in range(REPLACED_NODES):
-            testbed.tell(layout.entry(node, "terminated"))
+            testbed.publish_instances(layout.entry(node, "terminated"))
             testbed.nodes.tell(Kill([node]))
         self.replacements += 1
-        testbed.rest(0.2)
+        testbed.run_for(0.2)
         testbed.nodes.tell(Drain(range(REPLACED_NODES), False))
         testbed.nodes.tell(Rise(range(REPLACED_NODES)))
         now_ms = time.time_ns() // 1_000_000
-        testbed.tell(
+        testbed.publish_instances(
             *(
                 layout.entry(node, started_ms=now_ms, replacement=self.replacements)
                 for node in range(REPLACED_NODES)
             )
         )
-        testbed.rest(1.0)
+        testbed.run_for(1.0)
 
     def _restart_nodes(self) -> None:
         """Restart node processes under the same names."""
         testbed, restarted = self.testbed, range(REPLACED_NODES, 2 * REPLACED_NODES)
         testbed.nodes.tell(Kill(restarted))
-        testbed.rest(0.1)
+        testbed.run_for(0.1)
         testbed.nodes.tell(Rise(restarted))
         now_ms = time.time_ns() // 1_000_000
-        testbed.tell(*(testbed.layout.entry(node, started_ms=now_ms) for node in restarted))
-        testbed.rest(1.0)
+        testbed.publish_instances(*(testbed.layout.entry(node, started_ms=now_ms) for node in restarted))
+        testbed.run_for(1.0)
 
     def _lose_zone(self) -> None:
         """Stop all nodes in the zone of the real dispatcher with a subset, and restart them."""
         testbed = self.testbed
         lost = [node for node in range(2 * REPLACED_NODES, self.count) if testbed.layout.zone_of(node) == 1]
         testbed.nodes.tell(Kill(lost))
-        testbed.tell(*(testbed.layout.entry(node, "terminated") for node in lost))
-        testbed.rest(3.0)
+        testbed.publish_instances(*(testbed.layout.entry(node, "terminated") for node in lost))
+        testbed.run_for(3.0)
         testbed.nodes.tell(Rise(lost))
         now_ms = time.time_ns() // 1_000_000
-        testbed.tell(*(testbed.layout.entry(node, started_ms=now_ms) for node in lost))
-        testbed.rest(2.0)
+        testbed.publish_instances(*(testbed.layout.entry(node, started_ms=now_ms) for node in lost))
+        testbed.run_for(2.0)
 
     def _silence_region(self) -> None:
         """Silence the nodes of a region, and the change log of the real dispatcher there, for 3 s."""
@@ -164,9 +164,9 @@
         silenced = [node for node in range(self.count) if testbed.layout.region_of(node) == 1]
         testbed.nodes.tell(Silence(silenced, 3_000_000))
         testbed.endpoint_source.silent.add(1)
-        testbed.rest(3.0)
+        testbed.run_for(3.0)
         testbed.endpoint_source.silent.clear()
-        testbed.rest(3.0)
+        testbed.run_for(3.0)
 
     def _collect_counts(self) -> ScenarioCounts:
         """Collect the counts of the fakes and the state of the hollow dispatchers."""
--- a/thornshelf/lab/scale/run.py
+++ b/thornshelf/lab/scale/run.py
@@ -196,7 +196,7 @@
         testbed = ScaleTestbed(layout, nodes, count, members, Path(folder), Bounds(max_seconds), members)
         try:
             testbed.start_hollow(list(range(members)), False)
-            testbed.rest(1.5)
+            testbed.run_for(1.5)
             return nodes.tell(Count()).accepted / count
         finally:
             testbed.close()
--- a/thornshelf/lab/scale/sizes.py
+++ b/thornshelf/lab/scale/sizes.py
@@ -59,7 +59,7 @@
     testbed.keepalive_s = times.keepalive_s
     try:
         dispatchers = (testbed.start_real(0, False), testbed.start_real(1, True))
-        testbed.ready()
+        testbed.wait_until_ready()
         results: tuple[dict[str, float], dict[str, float]] = ({}, {})
         _measure_start(testbed, dispatchers, results)
         _measure_idle(testbed, dispatchers, results, times)
@@ -67,7 +67,7 @@
         _measure_load(testbed, dispatchers, results, times)
         _measure_reload(testbed, dispatchers, results)
         _measure_zone_loss(testbed, dispatchers, results)
-        testbed.rest(0.5)
+        testbed.run_for(0.5)
         late_offers = nodes.tell(Count()).late - before.late
         return SizeMeasurement(*results, *_count_failures(testbed, nodes), late_offers)
     finally:
@@ -93,7 +93,7 @@
     times: PhaseTimes,
 ) -> None:
     """Measure idle dispatchers, after idle node connections have been closed."""
-    testbed.rest(2.0 * times.keepalive_s)
+    testbed.run_for(2.0 * times.keepalive_s)
     sent_before, tally_before, started_s = (
         _list_bytes_sent(testbed, dispatchers),
         testbed.nodes.tell(Count()),
@@ -113,7 +113,7 @@
 def _sample_cpu(testbed: ScaleTestbed, dispatchers: tuple[Dispatcher, ...], seconds: float) -> list[float]:
     """Returns the processor time per second of each dispatcher, measured over an interval."""
     cpu_before, started_s = _cpu_us(dispatchers), time.monotonic()
-    testbed.rest(seconds)
+    testbed.run_for(seconds)
     elapsed_s = time.monotonic() - started_s
     return [
         (after - before) / elapsed_s for before, after in zip(cpu_before, _cpu_us(dispatchers), strict=True)
@@ -127,8 +127,8 @@
     cpu_before, sent_before = _cpu_us(dispatchers), _list_bytes_sent(testbed, dispatchers)
     started_s = time.monotonic()
     for number in range(CHANGES):
-        testbed.tell(testbed.layout.entry(number % testbed.count, started_ms=1_000 + number))
-        testbed.rest(CHANGE_INTERVAL_S + CHANGE_INTERVAL_PER_NODE_S * testbed.count)
+        testbed.publish_instances(testbed.layout.entry(number % testbed.count, started_ms=1_000 + number))
+        testbed.run_for(CHANGE_INTERVAL_S + CHANGE_INTERVAL_PER_NODE_S * testbed.count)
     testbed.wait_until_idle(5.0)
     elapsed_s = time.monotonic() - started_s
     for index, quantities in enumerate(results):
@@ -157,7 +157,7 @@
     )
     clients = [dispatcher.network for dispatcher in dispatchers if dispatcher.network is not None]
     started_s = time.monotonic()
-    starts = max(1, testbed.load(times.load_s, times.requests_per_s))
+    starts = max(1, testbed.send_requests(times.load_s, times.requests_per_s))
     tally: NodeTally = testbed.nodes.tell(Count())
     elapsed_s = time.monotonic() - started_s
     for index, quantities in enumerate(results):
@@ -171,7 +171,7 @@
         quantities["node_messages_a_start"] = (
             (tally.messages - tally_before.messages) / starts / len(dispatchers)
         )
-    testbed.until(
+    testbed.run_until(
         lambda: all(task["done"] for population in clients for task in population.tasks.values()),
         MAX_TASK_WAIT_S,
     )
@@ -202,8 +202,8 @@
     lost = range(1, testbed.count, ZONES)
     cpu_before, started_s = _cpu_us(dispatchers), time.monotonic()
     testbed.nodes.tell(Kill(lost))
-    testbed.tell(*(testbed.layout.entry(node, "terminated") for node in lost))
-    testbed.rest(0.3)
+    testbed.publish_instances(*(testbed.layout.entry(node, "terminated") for node in lost))
+    testbed.run_for(0.3)
     testbed.wait_until_idle(MAX_SETTLE_S)
     for index, quantities in enumerate(results):
         rest = quantities["rest_us"] * (time.monotonic() - started_s)
@@ -211,8 +211,8 @@
     cpu_before, started_s = _cpu_us(dispatchers), time.monotonic()
     testbed.nodes.tell(Rise(lost))
     now_ms = time.time_ns() // 1_000_000
-    testbed.tell(*(testbed.layout.entry(node, started_ms=now_ms) for node in lost))
-    testbed.rest(0.3)
+    testbed.publish_instances(*(testbed.layout.entry(node, started_ms=now_ms) for node in lost))
+    testbed.run_for(0.3)
     testbed.wait_until_idle(MAX_SETTLE_S)
     for index, quantities in enumerate(results):
         rest = quantities["rest_us"] * (time.monotonic() - started_s)
--- a/thornshelf/lab/scale/testbed.py
+++ b/thornshelf/lab/scale/testbed.py
@@ -154,7 +154,7 @@
             folders.append(folder)
         self.hollow.append(start_dispatchers(folders, injected_fault))
 
-    def ready(self, limit_s: float = 60.0) -> None:
+    def wait_until_ready(self, limit_s: float = 60.0) -> None:
         """Wait until all real dispatchers serve; record how long each took, and create its clients."""
 
         def all_ready() -> bool:
@@ -171,11 +171,11 @@
                     dispatcher.network.next_uid = dispatcher.index + 1 << 40
             return all(dispatcher.ready_s for dispatcher in self.real)
 
-        self.until(all_ready, limit_s)
+        self.run_until(all_ready, limit_s)
 
     # the event loop
 
-    def until(self, done: Callable[[], bool], limit_s: float) -> bool:
+    def run_until(self, done: Callable[[], bool], limit_s: float) -> bool:
         """Run the event loop until ``done()`` or the time limit; returns whether it was done."""
         deadline_s, last_check_s = time.monotonic() + limit_s, 0.0
         while time.monotonic() < deadline_s:
@@ -188,9 +188,9 @@
                     return True
         return False
 
-    def rest(self, seconds: float) -> None:
+    def run_for(self, seconds: float) -> None:
         """Run the event loop for a time."""
-        self.until(lambda: False, seconds)
+        self.run_until(lambda: False, seconds)
 
     def wait_until_idle(self, limit_s: float) -> None:
         """Run the event loop until all real dispatchers are idle, or the time limit."""
@@ -210,11 +210,11 @@
             before, sampled_s = now, time.monotonic()
             return max_load < IDLE_SHARE
 
-        self.until(all_idle, limit_s)
+        self.run_until(all_idle, limit_s)
 
     # traffic
 
-    def tell(self, *instances: dict[str, Any]) -> None:
+    def publish_instances(self, *instances: dict[str, Any]) -> None:
         """Publish an event of the change log to all dispatchers."""
         self.endpoint_source.publish(list(instances))
 
@@ -224,7 +224,7 @@
         self.last_uid += 1
         dispatcher.network.ask(self.last_uid, task_class, "1500", self.rng.randrange(SERVICES))
 
-    def load(self, seconds: float, requests_per_s: float) -> int:
+    def send_requests(self, seconds: float, requests_per_s: float) -> int:
         """Send requests to each real dispatcher at a steady rate; returns how many each received."""
         count, pause_us = 0, int(1e6 / requests_per_s)
         end = time.monotonic() + seconds
@@ -238,7 +238,7 @@
                 self.loop.call_later(pause_us, submit_to_each)
 
         submit_to_each()
-        self.rest(seconds)
+        self.run_for(seconds)
         return count
 
     def close(self) -> None:
