--- a/thornshelf/lab/fakes/nodes.py
+++ b/thornshelf/lab/fakes/nodes.py
@@ -1,8 +1,4 @@
-"""Fake nodes for all wire forms, on the same loop as the dispatcher.
-
-A task's description is a value of ``NodeBehavior`` and determines what the node does with the task. A node's wire
-form may change while it runs, which simulates an upgrade or a downgrade in place.
-"""
+"""Fake nodes for all wire forms, on the dispatcher's loop; a task's description is its ``NodeBehavior``."""
 
 from __future__ import annotations
 
@@ -19,8 +15,7 @@
 from thornshelf.wire import placement_v2_pb2 as pb2
 from thornshelf.wire.errors import WireError
 
-# Behaviors that start the task and send its binding.
-_STARTING_BEHAVIORS = frozenset(
+_STARTING_BEHAVIORS = frozenset(  # they start the task and send its binding
     (
         NodeBehavior.RUN,
         NodeBehavior.END,
@@ -47,70 +42,54 @@
 
 @dataclass(slots=True)
 class ReceivedMessage:
-    """A message from the dispatcher to a node; fields that the node's wire form lacks keep their defaults.
-
-    ``kind``: ``offer``, ``release`` or ``question`` (whether a task with ``key`` runs or ran here); ``assumed``: the
-    hint is the operator's, not the client's; ``at_most_once``: the task must not be started twice; ``v2_offer``: the
-    whole v2 offer.
-    """
+    """A message from the dispatcher to a node; fields that the node's wire form lacks keep their defaults."""
 
-    kind: str
+    kind: str  # ``offer``, ``release`` or ``question`` (whether a task with ``key`` runs or ran here)
     uid: int
     description: bytes = b""
     key: int = 0
     task_class: str = ""
     hint_ms: float | None = None
-    assumed: bool = False
-    at_most_once: bool = False
-    v2_offer: Any = None
+    assumed: bool = False  # the hint is the operator's, not the client's
+    at_most_once: bool = False  # the task must not be started twice
+    v2_offer: Any = None  # the whole v2 offer
 
 
 @dataclass(slots=True)
 class NodeProfile:
-    """How a v2 node describes itself to the dispatcher; a test may make it describe itself falsely.
-
-    ``requires``: fields that every offer must have; ``claims_to_answer``: claims to answer queries about tasks;
-    ``sends_hello``: sends a hello message; ``false_answers``: false states for its answers to queries, by idempotency
-    key.
-    """
+    """How a v2 node describes itself to the dispatcher; a test may make it describe itself falsely."""
 
     generation: int = 2
     name: str = ""
-    requires: tuple[int, ...] = ()
-    claims_to_answer: bool = True
+    requires: tuple[int, ...] = ()  # fields that every offer must have
+    claims_to_answer: bool = True  # that it answers queries about tasks
     sends_hello: bool = True
-    false_answers: dict[int, int] = field(default_factory=dict)
+    false_answers: dict[int, int] = field(default_factory=dict)  # states, by idempotency key
 
 
 class FakeNode:
-    """A node that records what it receives: ``received_messages``, and in ``received_kinds`` the kind and request id
-    of each.
-
-    ``form``: its wire form; ``address``: port 0 for any free port.
-    """
+    """A node that records what it receives; ``form``: its wire form; ``address``: port 0 for any free port."""
 
     def __init__(self, loop: Loop, form: str = BINARY, address: tuple[str, int] = (HOST, 0)) -> None:
-        self.loop, self.form = loop, form
+        self.loop, self.form = loop, form  # changing the form: an upgrade or a downgrade in place
         self.host, self.port = address
         self.profile = NodeProfile()
         self.received_messages: list[ReceivedMessage] = []
         self.running_by_key: dict[int, int] = {}  # request id of each running task, by idempotency key
-        # request id and outcome of each ended task, by key
-        self.ended_by_key: dict[int, tuple[int, int]] = {}
+        self.ended_by_key: dict[int, tuple[int, int]] = {}  # request id and outcome of the ended ones
         self.delayed_tasks: dict[int, tuple[ReceivedMessage, Any]] = {}  # delayed tasks, by request id
         self.responders: list[Any] = []  # of the open connections, the newest last
         self.ignores_input = False  # reads from its connections, and ignores what it reads
-        self.received_kinds: list[tuple[str, int]] = []
+        self.received_kinds: list[tuple[str, int]] = []  # kind and request id of each received message
         self.running: set[int] = set()  # request ids
         self.streams: list[Stream] = []
         self.sock = self._bind()
         self.listen()
 
     def _bind(self) -> socket.socket:
-        """Return a socket that is bound to the node's address and does not listen."""
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind((self.host, self.port))
+        sock.bind((self.host, self.port))  # and does not listen yet
         return sock
 
     def listen(self) -> None:
@@ -193,14 +172,12 @@
                 self._apply_behavior(order, responder, NodeBehavior(order.description))
 
     def _cancel_task(self, uid: int, responder: Any) -> None:
-        """Cancel a running task, or discard a delayed one."""
-        self.delayed_tasks.pop(uid, None)
+        self.delayed_tasks.pop(uid, None)  # a delayed task is only discarded
         if uid in self.running:
             self.record_end(uid, pb.CANCELLED)
             responder.end(uid, 31, pb.CANCELLED)
 
     def _apply_behavior(self, order: ReceivedMessage, responder: Any, behavior: NodeBehavior) -> None:
-        """Handle an offer as its description requires."""
         uid = order.uid
         if behavior is NodeBehavior.BIND_UNKNOWN:
             responder.bind(uid ^ 0xFF00)
@@ -216,10 +193,9 @@
             if uid in self.running:
                 self.record_end(uid, _END_ARGUMENTS[behavior][1])
             responder.end(uid, *_END_ARGUMENTS[behavior])
-        self._break_connection(order, responder, behavior)
+        self._break_connection(order, responder, behavior)  # for the behaviors that do
 
     def _break_connection(self, order: ReceivedMessage, responder: Any, behavior: NodeBehavior) -> None:
-        """Break the connection for the behaviors that do: within a binding, after the start or before it."""
         if behavior is NodeBehavior.TRUNCATE_BINDING:
             self.start_task(order, responder, sends_binding=False)
             responder.send_truncated_binding(order.uid)
--- a/thornshelf/wire/http2.py
+++ b/thornshelf/wire/http2.py
@@ -47,8 +47,7 @@
 MAX_CONCURRENT_STREAMS = 128  # that the peer may have open on one connection
 MAX_FRAMES = 1 << 20  # processed by one call of ``receive`` if the caller sets no limit
 MAX_QUEUED_BYTES = 256 * 1024  # on one stream; a stream whose peer reads too slowly is reset beyond it
-# Received bytes after which a WINDOW_UPDATE is sent: a quarter of the initial window of the protocol.
-WINDOW_UPDATE_BYTES = 16 * 1024
+WINDOW_UPDATE_BYTES = 16 * 1024  # received per WINDOW_UPDATE: a quarter of the protocol's initial window
 
 _PREFACE_LENGTH = 24
 _FRAME_HEADER_LENGTH = 9
@@ -98,9 +97,8 @@
 class Http2Connection:
     """One HTTP/2 connection without its socket.
 
-    ``is_client``: whether this side is the client; ``emit``: sends bytes, and returns the write, which knows
-    whether it has completed. ``peer_settings_received``: whether the peer has sent its SETTINGS frame, which
-    proves that it supports HTTP/2.
+    ``is_client``: whether this side is the client; ``emit``: sends bytes, and returns the write, which knows whether
+    it has completed.
     """
 
     def __init__(self, is_client: bool, emit: Callable[[bytes], PendingWrite]) -> None:
@@ -113,7 +111,7 @@
         self._preface_length = 0 if is_client else _PREFACE_LENGTH
         self._last_peer_stream = 0
         self._consumed_bytes = 0  # of DATA frames since the last WINDOW_UPDATE of the connection
-        self.peer_settings_received = False
+        self.peer_settings_received = False  # a SETTINGS frame: proof that the peer supports HTTP/2
         self._h2.local_settings[SettingCodes.MAX_CONCURRENT_STREAMS] = MAX_CONCURRENT_STREAMS
         self._h2.initiate_connection()
         self._flush()
@@ -140,10 +138,7 @@
             self._flush()
 
     def send(self, stream: int, data: bytes) -> OutgoingMessage:
-        """Queue a framed message, and emit as much of the queue as flow control allows.
-
-        On a closed or ended stream the message is discarded.
-        """
+        """Queue a framed message, and emit what flow control allows; a closed or ended stream discards it."""
         message = OutgoingMessage(data)
         state = self._streams.get(stream)
         if state is not None and state.trailers is None and not state.ended:
